--- a/src/blocks/tests/test_blocks.c
+++ b/src/blocks/tests/test_blocks.c
@@ -313,6 +313,15 @@
     g_free(written);
 }
 
+/* {version: 5} */
+static void assert_version_is_written(const char *key)
+{
+    char *written = fake_state_hex(state, key);
+
+    assert_string_equal(written, "bf6776657273696f6e05ff");
+    g_free(written);
+}
+
 static void leases_and_takes_back(void **arg)
 {
     struct pm_machine *m;
@@ -324,6 +333,7 @@
     assert_written_as_before("p/epoch", EARLIER_EPOCH);
     assert_written_as_before("p/lead", EARLIER_LEAD);
     assert_written_as_before("p/b/n1", EARLIER_BLOCK);
+    assert_version_is_written("p/speaks/n0");
     /* The job and its parallelism came with the machine; the leader counts it as delegated. */
     assert_int_equal(pm_jobs_find(holder.jobs, "job-1")->parallelism, 2);
     assert_true(pm_jobs_find(leader.jobs, "job-1")->delegated);
--- a/src/duties/tests/test_duties.c
+++ b/src/duties/tests/test_duties.c
@@ -249,6 +249,17 @@
     assert_false(holds(&second, PM_SINGLE_RENT));
 }
 
+/* Byte for byte as protocol version 5 writes it: {holder: "node-0", boot: "boot-a", lease: 1}. */
+static void a_duty_is_written_as_recorded(void **arg)
+{
+    char *written = fake_state_hex(state, "p/duty/rent");
+
+    (void)arg;
+    assert_string_equal(written,
+                        "bf66686f6c646572666e6f64652d3064626f6f7466626f6f742d61656c6561736501ff");
+    g_free(written);
+}
+
 /* The next leader does not wait for the lease of the one before, and has a higher token. */
 static void the_next_leader_takes_them_at_once(void **arg)
 {
@@ -466,6 +477,7 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test_setup_teardown(the_leader_holds_what_follows_the_lead, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(a_duty_is_written_as_recorded, set_up, tear_down),
         cmocka_unit_test_setup_teardown(the_next_leader_takes_them_at_once, set_up, tear_down),
         cmocka_unit_test_setup_teardown(a_hold_ends_by_the_steady_clock, set_up, tear_down),
         cmocka_unit_test_setup_teardown(a_hold_that_is_not_renewed_is_lost, set_up, tear_down),
