--- a/src/api/api.c
+++ b/src/api/api.c
@@ -37,10 +37,10 @@
     struct pm_store *store;
     struct pm_jobs *jobs;
     struct pm_name_tables *tables;
-    struct pm_cancels *cancels;
+    struct pm_cancel_quorum *cancels;
     bool dependencies_enabled;
     bool cut_off; /* the state service is out of reach */
-    struct pm_limit *limit;
+    struct pm_concurrency_limit *limit;
     GQueue queue; /* of items to be written */
     int in_flight;
     ev_timer timer;
@@ -62,8 +62,8 @@
 static void reply(struct item *item, int status, const void *body, size_t size, int retry_after)
 {
     pm_http_reply(item->req, status, body, size, retry_after);
-    pm_limit_leave(item->intake->limit, pm_clock_steady() - item->arrived,
-                   pm_store_answer_s(item->intake->store));
+    pm_concurrency_limit_release(item->intake->limit, pm_clock_monotonic() - item->arrived,
+                                 pm_store_latency_s(item->intake->store));
     item_free(item);
 }
 
@@ -77,16 +77,16 @@
     uint32_t done;
     uint32_t running;
 
-    pm_jobs_count(job, &done, &running);
+    pm_job_count_tasks(job, &done, &running);
     pm_put_map(out);
     pm_put_pair_text(out, "name_id", job->id);
     pm_put_pair_text(out, "status",
-                     job->state == PM_DONE        ? "done"
-                     : job->state == PM_CANCELLED ? "cancelled"
-                     : running                    ? "running"
-                                                  : "queued");
+                     job->state == PM_JOB_DONE        ? "done"
+                     : job->state == PM_JOB_CANCELLED ? "cancelled"
+                     : running                        ? "running"
+                                                      : "queued");
     pm_put_pair_count(out, "done", done);
-    pm_put_pair_count(out, "running", job->state == PM_LIVE ? running : 0);
+    pm_put_pair_count(out, "running", job->state == PM_JOB_LIVE ? running : 0);
     pm_put_end(out);
 }
 
@@ -124,8 +124,8 @@
 /* A final state: "done" at once, "cancelled" once a majority of controllers knows it. */
 static void reply_final(struct item *item, const struct pm_job *job)
 {
-    if (job->state == PM_CANCELLED)
-        pm_cancels_tell(item->intake->cancels, job->id, job->cancelled, on_known, item);
+    if (job->state == PM_JOB_CANCELLED)
+        pm_cancel_quorum_publish(item->intake->cancels, job->id, job->cancelled, on_known, item);
     else
         reply_state(item, job);
 }
@@ -139,8 +139,8 @@
 static void refuse(struct item *item, const char *why)
 {
     reply_error(item->req, 422, why);
-    pm_limit_leave(item->intake->limit, pm_clock_steady() - item->arrived,
-                   pm_store_answer_s(item->intake->store));
+    pm_concurrency_limit_release(item->intake->limit, pm_clock_monotonic() - item->arrived,
+                                 pm_store_latency_s(item->intake->store));
     item_free(item);
 }
 
@@ -151,7 +151,7 @@
     cbor_item_t *value;
     size_t n;
 
-    pm_jobs_write(item->intake->tables, item->spec, item->spec->entries, PM_LIVE, true, &buf);
+    pm_job_encode(item->intake->tables, item->spec, item->spec->entries, PM_JOB_LIVE, true, &buf);
     value = pm_cbor_parse(buf.data, buf.size);
     n = pm_cbor_json_size(value);
     pm_cbor_free(value);
@@ -175,7 +175,7 @@
         const struct pm_job *job = pm_jobs_find(in->jobs, id);
         if (!strcmp(id, item->id))
             return "it needs itself";
-        if (job && job->spec && job->spec->form == PM_SERVICE)
+        if (job && job->spec && job->spec->form == PM_WORKLOAD_SERVICE)
             return "it needs a service";
         if (!job)
             return "it needs a job that was never accepted";
@@ -208,7 +208,7 @@
     if (item->fresh)
         refuse(item, fault);
     else
-        pm_store_fresh(item->intake->store, on_fresh, item);
+        pm_store_linearizable_read(item->intake->store, on_fresh, item);
     return false;
 }
 
@@ -244,7 +244,7 @@
          k++) {
         snprintf(key, sizeof key, "p/n/%s/%u", item->id, k);
         pm_txn_put(&txn, key);
-        pm_jobs_write_overflow_list(in->tables, item->spec, k, &txn.writes);
+        pm_dependency_list_encode(in->tables, item->spec, k, &txn.writes);
         pm_txn_put_end(&txn, 0);
     }
     item->writing = k;
@@ -257,7 +257,7 @@
     struct pm_api *in = item->intake;
     const struct pm_job *job = pm_jobs_find(in->jobs, item->id);
 
-    if (job && job->state != PM_LIVE) {
+    if (job && job->state != PM_JOB_LIVE) {
         reply_final(item, job);
         return;
     }
@@ -282,7 +282,7 @@
         return;
     }
     if (!item->fresh) {
-        pm_store_fresh(in->store, on_fresh, item);
+        pm_store_linearizable_read(in->store, on_fresh, item);
         return;
     }
     if (!job) {
@@ -345,11 +345,11 @@
             if (item->kind == SUBMIT) {
                 reply_accepted(item);
             } else {
-                pm_jobs_cancel(in->jobs, item->id, store_revision);
+                pm_jobs_apply_cancellation(in->jobs, item->id, store_revision);
                 reply_final(item, pm_jobs_find(in->jobs, item->id));
             }
         } else if (status == 409 && is_failed(failed, item)) {
-            pm_store_reach(in->store, store_revision, on_conflict, item);
+            pm_store_wait_for_revision(in->store, store_revision, on_conflict, item);
         } else if ((status == 409 || status == 429 || status == PM_HTTP_NOT_SENT) &&
                    ++item->tries <= TRIES_MAX) {
             g_queue_push_tail(&in->queue, item); /* not written: it goes with the next ones */
@@ -374,12 +374,12 @@
         if (!strcmp(((struct item *)g_ptr_array_index(f->items, i))->id, item->id))
             return false; /* the same job twice: the second goes after the first */
     snprintf(key, sizeof key, "p/j/%s", item->id);
-    pm_txn_if(txn, key, job ? job->revision : 0);
+    pm_txn_compare(txn, key, job ? job->revision : 0);
     pm_txn_put(txn, key);
     if (item->kind == SUBMIT)
-        pm_jobs_write(in->tables, item->spec, item->spec->entries, PM_LIVE, true, &txn->writes);
+        pm_job_encode(in->tables, item->spec, item->spec->entries, PM_JOB_LIVE, true, &txn->writes);
     else if (job) /* whoever is cancelled is known */
-        pm_jobs_write(in->tables, job->spec, job->entries, PM_CANCELLED, job->spec != NULL,
+        pm_job_encode(in->tables, job->spec, job->entries, PM_JOB_CANCELLED, job->spec != NULL,
                       &txn->writes);
     pm_txn_put_end(txn, 0);
     g_ptr_array_add(f->items, item);
@@ -388,10 +388,10 @@
 
 static void flush(struct pm_api *in)
 {
-    double now = pm_clock_steady();
+    double now = pm_clock_monotonic();
 
     while (in->queue.length && in->in_flight < IN_FLIGHT_MAX) {
-        int room = MIN(pm_store_room(in->store, now), in->tables->settings->txn_ops);
+        int room = MIN(pm_store_write_budget(in->store, now), in->tables->settings->txn_ops);
         struct pm_txn txn = {0};
         struct flight *f;
         guint waiting = in->queue.length;
@@ -406,7 +406,7 @@
             const struct pm_job *job = pm_jobs_find(in->jobs, item->id);
             if (now - item->arrived > GIVE_UP_S)
                 reply_unsure(item, 2);
-            else if (job && (item->kind == SUBMIT || job->state != PM_LIVE))
+            else if (job && (item->kind == SUBMIT || job->state != PM_JOB_LIVE))
                 decide(item);
             else if (!add_write(in, f, &txn, item))
                 g_queue_push_tail(&in->queue, item);
@@ -440,7 +440,7 @@
 {
     struct item *item;
 
-    if (!pm_limit_enter(in->limit, kind != POLL)) {
+    if (!pm_concurrency_limit_acquire(in->limit, kind != POLL)) {
         pm_http_reply(req, 429, NULL, 0, 1);
         return NULL;
     }
@@ -448,7 +448,7 @@
     item->intake = in;
     item->req = req;
     item->kind = kind;
-    item->arrived = pm_clock_steady();
+    item->arrived = pm_clock_monotonic();
     g_strlcpy(item->id, id, sizeof item->id);
     return item;
 }
@@ -478,8 +478,8 @@
         /* A repeat of what was accepted is never judged again (rule `forgotten`). */
         bool known = !pm_cbor_text(pm_cbor_get(body, "name_id"), id, sizeof id) &&
                      pm_jobs_find(in->jobs, id);
-        status = known ? 200 : pm_jobs_read(in->tables, body, id, &spec, &why);
-        if (!known && status == 200 && pm_jobs_read_dependencies(body, &dependencies)) {
+        status = known ? 200 : pm_submission_decode(in->tables, body, id, &spec, &why);
+        if (!known && status == 200 && pm_submission_decode_dependencies(body, &dependencies)) {
             status = 400;
             why = "awaits";
         }
@@ -502,11 +502,11 @@
     item->dependencies = dependencies;
     item->spec = g_new(struct pm_spec, 1);
     *item->spec = spec;
-    item->spec->submitted = pm_clock_day();
+    item->spec->submitted = pm_clock_wall();
     decide(item);
 }
 
-void pm_api_request(struct pm_api *in, struct pm_http_request *req)
+void pm_api_handle_job_request(struct pm_api *in, struct pm_http_request *req)
 {
     const char *rest = req->path + strlen("/work");
     char id[PM_ID_MAX];
@@ -539,7 +539,7 @@
     }
     memcpy(id, rest + 1, n);
     id[n] = 0;
-    if (!pm_jobs_id_valid(id)) {
+    if (!pm_job_id_is_valid(id)) {
         reply_error(req, 404, "no such job");
         return;
     }
@@ -553,10 +553,11 @@
     (void)ok;
 }
 
-void pm_api_ready(struct pm_api *in, struct pm_http_request *req, bool refused_alone)
+void pm_api_handle_readiness_probe(struct pm_api *in, struct pm_http_request *req,
+                                   bool refused_alone)
 {
-    double now = pm_clock_steady();
-    double silent = now - pm_store_served(in->store);
+    double now = pm_clock_monotonic();
+    double silent = now - pm_store_last_served_at(in->store);
     bool ready;
 
     if (req->method != PM_HTTP_GET) {
@@ -566,18 +567,18 @@
     /* The state service refusing everybody is no reason to turn users away from every node, and to
      * have them wait for the load balancer when it is back: they hear 503, and when to return.
      * Being out of its reach, or refused alone, is one to send them elsewhere. */
-    ready = !refused_alone &&
-            (pm_store_refusing(in->store) || (pm_store_ready(in->store) && silent < SERVED_S));
+    ready = !refused_alone && (pm_store_is_refusing(in->store) ||
+                               (pm_store_is_ready(in->store) && silent < SERVED_S));
     if (silent > 1 && now - in->probed > 1) {
         in->probed = now;
-        pm_store_fresh(in->store, on_probed, in);
+        pm_store_linearizable_read(in->store, on_probed, in);
     }
     pm_http_reply(req, ready ? 200 : 503, NULL, 0, ready ? 0 : 1);
 }
 
 struct pm_api *pm_api_new(struct ev_loop *loop, struct pm_store *store, struct pm_jobs *jobs,
-                          struct pm_name_tables *tables, struct pm_cancels *cancels,
-                          const struct pm_operator *op)
+                          struct pm_name_tables *tables, struct pm_cancel_quorum *cancels,
+                          const struct pm_operator_settings *op)
 {
     struct pm_api *in = g_new0(struct pm_api, 1);
 
@@ -586,7 +587,7 @@
     in->jobs = jobs;
     in->tables = tables;
     in->cancels = cancels;
-    in->limit = pm_limit_new(op->admit_min, op->admit_max);
+    in->limit = pm_concurrency_limit_new(op->admit_min, op->admit_max);
     g_queue_init(&in->queue);
     ev_init(&in->timer, on_timer);
     in->timer.data = in;
@@ -606,6 +607,6 @@
 void pm_api_free(struct pm_api *in)
 {
     ev_timer_stop(in->loop, &in->timer);
-    pm_limit_free(in->limit);
+    pm_concurrency_limit_free(in->limit);
     g_free(in);
 }
--- a/src/api/limit.c
+++ b/src/api/limit.c
@@ -7,16 +7,16 @@
 #define FIRST_SHARE 1.5 /* of the limit, for submissions and cancellations */
 #define STATE_TIMES 4.0 /* a request waits for so many answers of the state service, at most */
 
-struct pm_limit {
+struct pm_concurrency_limit {
     unsigned least, most, inside;
     double limit;
     double usual;  /* slowly moving floor of the times measured */
     double recent; /* quickly moving mean */
 };
 
-struct pm_limit *pm_limit_new(unsigned least, unsigned most)
+struct pm_concurrency_limit *pm_concurrency_limit_new(unsigned least, unsigned most)
 {
-    struct pm_limit *l = g_new0(struct pm_limit, 1);
+    struct pm_concurrency_limit *l = g_new0(struct pm_concurrency_limit, 1);
 
     l->least = least;
     l->most = most;
@@ -24,17 +24,17 @@
     return l;
 }
 
-void pm_limit_free(struct pm_limit *l)
+void pm_concurrency_limit_free(struct pm_concurrency_limit *l)
 {
     g_free(l);
 }
 
-unsigned pm_limit_now(const struct pm_limit *l)
+unsigned pm_concurrency_limit_current(const struct pm_concurrency_limit *l)
 {
     return (unsigned)l->limit;
 }
 
-bool pm_limit_enter(struct pm_limit *l, bool first)
+bool pm_concurrency_limit_acquire(struct pm_concurrency_limit *l, bool first)
 {
     if (l->inside >= (unsigned)(first ? l->limit * FIRST_SHARE : l->limit))
         return false;
@@ -42,7 +42,7 @@
     return true;
 }
 
-void pm_limit_leave(struct pm_limit *l, double seconds, double state_s)
+void pm_concurrency_limit_release(struct pm_concurrency_limit *l, double seconds, double state_s)
 {
     bool busy = l->inside * 2 >= (unsigned)l->limit;
 
--- a/src/api/tests/test_limit.c
+++ b/src/api/tests/test_limit.c
@@ -7,17 +7,18 @@
 #include <cmocka.h>
 
 /* `n` requests at a time, each taking that long. */
-static void load_slow(struct pm_limit *limit, unsigned n, double seconds, double state_s)
+static void load_slow(struct pm_concurrency_limit *limit, unsigned n, double seconds,
+                      double state_s)
 {
     unsigned inside = 0;
 
-    while (inside < n && pm_limit_enter(limit, false))
+    while (inside < n && pm_concurrency_limit_acquire(limit, false))
         inside++;
     while (inside--)
-        pm_limit_leave(limit, seconds, state_s);
+        pm_concurrency_limit_release(limit, seconds, state_s);
 }
 
-static void load(struct pm_limit *limit, unsigned n, double seconds)
+static void load(struct pm_concurrency_limit *limit, unsigned n, double seconds)
 {
     load_slow(limit, n, seconds, 0.004);
 }
@@ -26,78 +27,78 @@
  * it, 12,000 times in a minute, though nothing here was busy. */
 static void a_slow_state_service_is_no_reason(void **state)
 {
-    struct pm_limit *limit = pm_limit_new(8, 256);
+    struct pm_concurrency_limit *limit = pm_concurrency_limit_new(8, 256);
 
     (void)state;
     for (int i = 0; i < 50; i++)
         load(limit, 1000, 0.01);
     for (int i = 0; i < 50; i++)
         load_slow(limit, 1000, 0.2, 0.07);
-    assert_int_equal(pm_limit_now(limit), 256);
+    assert_int_equal(pm_concurrency_limit_current(limit), 256);
     for (int i = 0; i < 50; i++)
         load_slow(limit, 1000, 2.0, 0.07); /* longer than that explains */
-    assert_int_equal(pm_limit_now(limit), 8);
-    pm_limit_free(limit);
+    assert_int_equal(pm_concurrency_limit_current(limit), 8);
+    pm_concurrency_limit_free(limit);
 }
 
 static void submissions_come_before_polls(void **state)
 {
-    struct pm_limit *limit = pm_limit_new(4, 4);
+    struct pm_concurrency_limit *limit = pm_concurrency_limit_new(4, 4);
 
     (void)state;
     for (int i = 0; i < 4; i++)
-        assert_true(pm_limit_enter(limit, false));
-    assert_false(pm_limit_enter(limit, false));
-    assert_true(pm_limit_enter(limit, true));
-    assert_true(pm_limit_enter(limit, true));
-    assert_false(pm_limit_enter(limit, true));
-    pm_limit_free(limit);
+        assert_true(pm_concurrency_limit_acquire(limit, false));
+    assert_false(pm_concurrency_limit_acquire(limit, false));
+    assert_true(pm_concurrency_limit_acquire(limit, true));
+    assert_true(pm_concurrency_limit_acquire(limit, true));
+    assert_false(pm_concurrency_limit_acquire(limit, true));
+    pm_concurrency_limit_free(limit);
 }
 
 static void follows_measured_times(void **state)
 {
-    struct pm_limit *limit = pm_limit_new(8, 256);
+    struct pm_concurrency_limit *limit = pm_concurrency_limit_new(8, 256);
     unsigned usual;
     unsigned slow;
 
     (void)state;
     for (int i = 0; i < 50; i++)
         load(limit, 1000, 0.01);
-    usual = pm_limit_now(limit);
+    usual = pm_concurrency_limit_current(limit);
     assert_int_equal(usual, 256); /* quick answers, as many as asked for: up to the bound */
     for (int i = 0; i < 50; i++)
         load(limit, 1000, 2.0);
-    slow = pm_limit_now(limit);
+    slow = pm_concurrency_limit_current(limit);
     assert_int_equal(slow, 8); /* much slower than usual: down to the other bound */
     for (int i = 0; i < 200; i++)
         load(limit, 1000, 0.01);
-    assert_true(pm_limit_now(limit) > slow);
-    pm_limit_free(limit);
+    assert_true(pm_concurrency_limit_current(limit) > slow);
+    pm_concurrency_limit_free(limit);
 }
 
 static void turns_away_beyond_it(void **state)
 {
-    struct pm_limit *limit = pm_limit_new(2, 2);
+    struct pm_concurrency_limit *limit = pm_concurrency_limit_new(2, 2);
 
     (void)state;
-    assert_true(pm_limit_enter(limit, false));
-    assert_true(pm_limit_enter(limit, false));
-    assert_false(pm_limit_enter(limit, false));
-    pm_limit_leave(limit, 0.01, 0.004);
-    assert_true(pm_limit_enter(limit, false));
-    pm_limit_free(limit);
+    assert_true(pm_concurrency_limit_acquire(limit, false));
+    assert_true(pm_concurrency_limit_acquire(limit, false));
+    assert_false(pm_concurrency_limit_acquire(limit, false));
+    pm_concurrency_limit_release(limit, 0.01, 0.004);
+    assert_true(pm_concurrency_limit_acquire(limit, false));
+    pm_concurrency_limit_free(limit);
 }
 
 static void does_not_grow_while_hardly_used(void **state)
 {
-    struct pm_limit *limit = pm_limit_new(8, 256);
-    unsigned before = pm_limit_now(limit);
+    struct pm_concurrency_limit *limit = pm_concurrency_limit_new(8, 256);
+    unsigned before = pm_concurrency_limit_current(limit);
 
     (void)state;
     for (int i = 0; i < 100; i++)
         load(limit, 1, 0.01);
-    assert_int_equal(pm_limit_now(limit), before);
-    pm_limit_free(limit);
+    assert_int_equal(pm_concurrency_limit_current(limit), before);
+    pm_concurrency_limit_free(limit);
 }
 
 int main(void)
--- a/src/base/clock.c
+++ b/src/base/clock.c
@@ -10,12 +10,12 @@
     return (double)ts.tv_sec + (double)ts.tv_nsec / 1e9;
 }
 
-double pm_clock_steady(void)
+double pm_clock_monotonic(void)
 {
     return read_clock(CLOCK_MONOTONIC);
 }
 
-double pm_clock_day(void)
+double pm_clock_wall(void)
 {
     return read_clock(CLOCK_REALTIME);
 }
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -5,9 +5,9 @@
 
 /* The steady clocks of two machines drift apart by at most this share; every sum over a lease
  * carries it, twice because both ends may be off. */
-#define PM_DRIFT 0.0011
+#define PM_CLOCK_DRIFT_MAX 0.0011
 
-double pm_clock_steady(void);
-double pm_clock_day(void);
+double pm_clock_monotonic(void);
+double pm_clock_wall(void);
 
 #endif
--- a/src/base/http.h
+++ b/src/base/http.h
@@ -42,8 +42,8 @@
 
 /* What a call came to, besides a status. */
 enum {
-    PM_HTTP_LOST = -1,    /* no answer: it may have been, or may yet be, carried out */
-    PM_HTTP_NOT_SENT = -2 /* not a byte of it left: it will never be carried out */
+    PM_HTTP_NO_ANSWER = -1, /* no answer: it may have been, or may yet be, carried out */
+    PM_HTTP_NOT_SENT = -2   /* not a byte of it left: it will never be carried out */
 };
 
 typedef void pm_http_done(void *arg, int status, const unsigned char *body, size_t size);
--- a/src/base/http_client.c
+++ b/src/base/http_client.c
@@ -74,7 +74,7 @@
 static void tell_observer(const struct call *c, int status)
 {
     struct pm_http_outcome outcome = {c->target->addr, c->method, c->path,
-                                      status,          c->began,  pm_clock_steady()};
+                                      status,          c->began,  pm_clock_monotonic()};
 
     if (c->client->observer && !c->failed_here)
         c->client->observer(c->client->observer_arg, &outcome);
@@ -107,7 +107,7 @@
 static void call_fail(struct call *c)
 {
     if (c->busy)
-        call_end(c, c->sent ? PM_HTTP_LOST : PM_HTTP_NOT_SENT);
+        call_end(c, c->sent ? PM_HTTP_NO_ANSWER : PM_HTTP_NOT_SENT);
     else
         call_free(c);
 }
@@ -166,7 +166,7 @@
 
 static void call_send(struct ev_loop *loop, struct call *c)
 {
-    if (!c->sent && pm_http_is_too_late(c->valid_until)) {
+    if (!c->sent && pm_http_is_past_deadline(c->valid_until)) {
         c->keep = false;
         c->failed_here = true;
         call_end(c, PM_HTTP_NOT_SENT);
@@ -318,7 +318,7 @@
         c = call_open(client, t);
     c->busy = true;
     c->failed_here = c->fd < 0;
-    c->began = pm_clock_steady();
+    c->began = pm_clock_monotonic();
     g_strlcpy(c->method, method, sizeof c->method);
     g_strlcpy(c->path, target, sizeof c->path);
     c->done = done;
--- a/src/base/http_internal.h
+++ b/src/base/http_internal.h
@@ -20,6 +20,6 @@
 int pm_http_end_message(http_parser *parser, bool *complete, bool *keep);
 /* Whether what rests on something confirmed a while ago may not be written any more: the process
  * may have stood still since that was looked at. */
-bool pm_http_is_too_late(double valid_until);
+bool pm_http_is_past_deadline(double valid_until);
 
 #endif
--- a/src/base/http_server.c
+++ b/src/base/http_server.c
@@ -321,7 +321,7 @@
     (void)events;
     while ((c = g_queue_pop_head(&s->due))) {
         c->due = false;
-        if (pm_http_is_too_late(c->valid_until))
+        if (pm_http_is_past_deadline(c->valid_until))
             conn_close(c);
         else
             conn_send(loop, c);
--- a/src/base/http_socket.c
+++ b/src/base/http_socket.c
@@ -57,7 +57,7 @@
     return 0;
 }
 
-bool pm_http_is_too_late(double valid_until)
+bool pm_http_is_past_deadline(double valid_until)
 {
-    return valid_until > 0 && pm_clock_steady() > valid_until;
+    return valid_until > 0 && pm_clock_monotonic() > valid_until;
 }
--- a/src/base/names.c
+++ b/src/base/names.c
@@ -28,7 +28,7 @@
     return GPOINTER_TO_INT(g_hash_table_lookup(names->index, name)) - 1;
 }
 
-int pm_names_add(struct pm_names *names, const char *name)
+int pm_names_intern(struct pm_names *names, const char *name)
 {
     int index = pm_names_find(names, name);
     char *text;
--- a/src/base/operator.c
+++ b/src/base/operator.c
@@ -7,9 +7,9 @@
 #include <stdio.h>
 #include <string.h>
 
-void pm_operator_defaults(struct pm_operator *out)
+void pm_operator_settings_defaults(struct pm_operator_settings *out)
 {
-    *out = (struct pm_operator){
+    *out = (struct pm_operator_settings){
         .window_h = 24,
         .min_runtime_s = 1800,
         .leader_ttl_s = 2.5,
@@ -167,7 +167,7 @@
     taker->failed = true;
 }
 
-static void take_duties(struct taker *taker, struct pm_duties_setting *out,
+static void take_duties(struct taker *taker, struct pm_roles_setting *out,
                         const struct duties_form *form)
 {
     if (form->fence)
@@ -185,7 +185,8 @@
     }
 }
 
-static void take_all(struct taker *taker, struct pm_operator *out, const struct yaml_form *form)
+static void take_all(struct taker *taker, struct pm_operator_settings *out,
+                     const struct yaml_form *form)
 {
     take(taker, &out->window_h, form->window_h, "window_h", 0.01, 8784);
     take(taker, &out->min_runtime_s, form->min_runtime_s, "min_runtime_s", 0, 28800);
@@ -210,7 +211,8 @@
         take_duties(taker, &out->duties, form->duties);
 }
 
-int pm_operator_load(struct pm_operator *out, const char *path, char *err, size_t err_size)
+int pm_operator_settings_load(struct pm_operator_settings *out, const char *path, char *err,
+                              size_t err_size)
 {
     struct complaint complaint = {err, err_size};
     const cyaml_config_t config = {.log_fn = on_parser_log,
@@ -221,7 +223,7 @@
     struct yaml_form *form = NULL;
     cyaml_err_t code;
 
-    pm_operator_defaults(out);
+    pm_operator_settings_defaults(out);
     err[0] = 0;
     code = cyaml_load_file(path, &config, &yaml_schema, (cyaml_data_t **)&form, NULL);
     if (code != CYAML_OK) {
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -105,9 +105,9 @@
 
 static void read_aims(struct reader *r, struct pm_settings *out)
 {
-    out->aims = want_count(r, "settings.objectives", 0, PM_AIMS_MAX);
+    out->aims = want_count(r, "settings.objectives", 0, PM_OBJECTIVES_MAX);
     for (int i = 0; i < out->aims; i++) {
-        struct pm_aim_setting *aim = &out->aim[i];
+        struct pm_objective_setting *aim = &out->aim[i];
         /* Kinds not known here may come in any form: that keeps nothing from starting. */
         if (pm_toml_text(r->doc, at("settings.objectives", i, "kind"), aim->kind, sizeof aim->kind))
             aim->kind[0] = 0;
@@ -167,7 +167,7 @@
     return r->failed ? -1 : 0;
 }
 
-int pm_settings_peer(const struct pm_settings *settings, const char *name)
+int pm_settings_find_peer(const struct pm_settings *settings, const char *name)
 {
     for (int i = 0; i < settings->peers; i++)
         if (!strcmp(settings->peer[i].name, name))
@@ -175,7 +175,7 @@
     return -1;
 }
 
-int pm_settings_zone(const struct pm_settings *settings, const char *name)
+int pm_settings_find_zone(const struct pm_settings *settings, const char *name)
 {
     for (int i = 0; i < settings->zones; i++)
         if (!strcmp(settings->zone_name[i], name))
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -10,7 +10,7 @@
     PM_PEERS_MAX = 64,
     PM_TEAMS_MAX = 1024,
     PM_ZONES_MAX = 32, /* as many as there are bits in a set of zones */
-    PM_AIMS_MAX = 1024
+    PM_OBJECTIVES_MAX = 1024
 };
 
 struct pm_peer_setting {
@@ -25,7 +25,7 @@
     double cpus_max, gpus_max; /* where the file says 0, there is no limit: a huge number */
 };
 
-struct pm_aim_setting {
+struct pm_objective_setting {
     char kind[32];
     char class_name[PM_NAME_MAX];
     double within_s, share, times;
@@ -44,7 +44,7 @@
     int teams;
     struct pm_team_setting team[PM_TEAMS_MAX];
     int aims;
-    struct pm_aim_setting aim[PM_AIMS_MAX];
+    struct pm_objective_setting aim[PM_OBJECTIVES_MAX];
     double report_s, lease_s, gang_wait_s, gang_peer_s, cancel_s;
     /* The limits of the state service that are kept to: the smaller of those in force and those
      * that `state.next` tells to come without notice. */
@@ -70,7 +70,7 @@
 };
 
 /* Duties that one controller holds (duties slice). */
-struct pm_duties_setting {
+struct pm_roles_setting {
     bool fence;             /* rent and return under a lease, a token and durable intents */
     double ttl_s;           /* of the lease */
     double clean_after_s;   /* a stored key of no use goes after this long without a change */
@@ -80,7 +80,7 @@
 };
 
 /* The operators' settings; every value has a default (see docs/operations.md). */
-struct pm_operator {
+struct pm_operator_settings {
     double window_h;      /* span over which a team's occupied time is summed */
     double min_runtime_s; /* default protection of a charged task */
     double leader_ttl_s;  /* lease of the leader's key at the state service */
@@ -92,16 +92,17 @@
     double backlog_s;     /* array work that is late anyway is worked off within this */
     double warm_share;    /* spare room kept for services, as a share of what they use */
     struct pm_links_setting links;
-    struct pm_duties_setting duties;
+    struct pm_roles_setting duties;
 };
 
 /* 0, or -1 with a message that names the field and its path. */
 int pm_settings_load(struct pm_settings *out, const char *path, char *err, size_t err_size);
 /* The index of a peer, -1: none of that name. */
-int pm_settings_peer(const struct pm_settings *settings, const char *name);
+int pm_settings_find_peer(const struct pm_settings *settings, const char *name);
 /* The index of a zone, -1: none of that name. */
-int pm_settings_zone(const struct pm_settings *settings, const char *name);
-void pm_operator_defaults(struct pm_operator *out);
-int pm_operator_load(struct pm_operator *out, const char *path, char *err, size_t err_size);
+int pm_settings_find_zone(const struct pm_settings *settings, const char *name);
+void pm_operator_settings_defaults(struct pm_operator_settings *out);
+int pm_operator_settings_load(struct pm_operator_settings *out, const char *path, char *err,
+                              size_t err_size);
 
 #endif
--- a/src/base/tests/test_base.c
+++ b/src/base/tests/test_base.c
@@ -179,21 +179,21 @@
 
 static void reads_operator_settings(void **state)
 {
-    struct pm_operator op;
+    struct pm_operator_settings op;
     char err[256];
     const char *path = write_file("min_runtime_s: 60\nadmit_max: 99\n");
 
     (void)state;
-    assert_int_equal(pm_operator_load(&op, path, err, sizeof err), 0);
+    assert_int_equal(pm_operator_settings_load(&op, path, err, sizeof err), 0);
     unlink(path);
     assert_true(op.min_runtime_s == 60);
     assert_int_equal(op.admit_max, 99);
     assert_true(op.window_h == 24); /* the default stays */
     path = write_file("no_such_key: 1\n");
-    assert_int_equal(pm_operator_load(&op, path, err, sizeof err), -1);
+    assert_int_equal(pm_operator_settings_load(&op, path, err, sizeof err), -1);
     unlink(path);
     path = write_file("min_runtime_s: 99999\n"); /* above the design's cap of 8 hours */
-    assert_int_equal(pm_operator_load(&op, path, err, sizeof err), -1);
+    assert_int_equal(pm_operator_settings_load(&op, path, err, sizeof err), -1);
     unlink(path);
 }
 
@@ -211,21 +211,21 @@
         {"links:\n  probe_s: 5\n  expire_s: 6\n", "links.expire_s"},
         {"links:\n  trace_mb: 0\n", "links.trace_mb"},
     };
-    struct pm_operator op;
+    struct pm_operator_settings op;
     char err[512];
     const char *path;
 
     (void)state;
     for (size_t i = 0; i < sizeof wrong / sizeof *wrong; i++) {
         path = write_file(wrong[i].text);
-        assert_int_equal(pm_operator_load(&op, path, err, sizeof err), -1);
+        assert_int_equal(pm_operator_settings_load(&op, path, err, sizeof err), -1);
         unlink(path);
         if (!strstr(err, wrong[i].named))
             fail_msg("%s: %s", wrong[i].text, err);
     }
-    assert_int_equal(pm_operator_load(&op, "deploy/operators.yaml", err, sizeof err), 0);
+    assert_int_equal(pm_operator_settings_load(&op, "deploy/operators.yaml", err, sizeof err), 0);
     assert_true(op.links.observe && op.links.decide);
-    pm_operator_defaults(&op);
+    pm_operator_settings_defaults(&op);
     assert_false(op.links.observe || op.links.decide);
 }
 
--- a/src/base/tests/test_http.c
+++ b/src/base/tests/test_http.c
@@ -26,7 +26,7 @@
     (void)arg;
     handled++;
     if (answer_valid_for)
-        req->valid_until = pm_clock_steady() + answer_valid_for;
+        req->valid_until = pm_clock_monotonic() + answer_valid_for;
     pm_http_reply(req, 200, NULL, 0, 0);
 }
 
@@ -77,7 +77,7 @@
 {
     (void)state;
     answer_valid_for = 10;
-    assert_int_equal(ask(pm_clock_steady() + 10), 200);
+    assert_int_equal(ask(pm_clock_monotonic() + 10), 200);
     assert_int_equal(ask(0), 200);
     assert_int_equal(handled, 2);
 }
@@ -87,7 +87,7 @@
 {
     (void)state;
     answer_valid_for = -1;
-    assert_int_equal(ask(0), PM_HTTP_LOST);
+    assert_int_equal(ask(0), PM_HTTP_NO_ANSWER);
     assert_int_equal(handled, 1);
 }
 
@@ -95,9 +95,9 @@
 static void a_command_that_is_too_late_is_not_sent(void **state)
 {
     (void)state;
-    assert_int_equal(ask(pm_clock_steady() - 1), PM_HTTP_NOT_SENT);
+    assert_int_equal(ask(pm_clock_monotonic() - 1), PM_HTTP_NOT_SENT);
     assert_int_equal(ask(0), 200); /* a connection that is kept open */
-    assert_int_equal(ask(pm_clock_steady() - 1), PM_HTTP_NOT_SENT);
+    assert_int_equal(ask(pm_clock_monotonic() - 1), PM_HTTP_NOT_SENT);
     assert_int_equal(handled, 1);
 }
 
--- a/src/base/tests/test_wire_formats.c
+++ b/src/base/tests/test_wire_formats.c
@@ -206,22 +206,22 @@
     (void)arg;
     pm_matrix_init(&matrix, &settings, 5);
     matrix.view[0] = view;
-    data = pm_views_pack(&matrix, 100.5, &size);
+    data = pm_views_encode(&matrix, 100.5, &size);
     assert_bytes(data, size, VIEWS);
     g_free(data);
-    pm_view_put(&matrix, &out);
+    pm_view_encode(&matrix, &out);
     assert_bytes(out.data, out.size, STORED_VIEW);
     pm_buf_free(&out);
     pm_matrix_init(&matrix, &receiver, 5);
     recorded = earlier_bytes(VIEWS, &size);
-    assert_true(pm_views_unpack(&matrix, recorded, size, 200, 200));
+    assert_true(pm_views_decode(&matrix, recorded, size, 200, 200));
     g_free(recorded);
     assert_int_equal(matrix.view[1].epoch, 41);
     assert_int_equal(matrix.view[1].zone[1], PM_LINK_ONE_WAY);
     assert_string_equal(matrix.view[1].endpoint[0][0], "10.1.0.1:9000");
     recorded = earlier_bytes(STORED_VIEW, &size);
     value = pm_cbor_parse(recorded, size);
-    assert_true(pm_view_get(&matrix, value, &view));
+    assert_true(pm_view_decode(&matrix, value, &view));
     pm_cbor_free(value);
     g_free(recorded);
     assert_int_equal(view.state, PM_LINK_REFUSED);
@@ -243,7 +243,7 @@
     memset(&settings, 0, sizeof settings);
     books_begin(&tables, &settings);
     assert_non_null(value);
-    assert_true(pm_fleet_read_types(&tables, value));
+    assert_true(pm_machine_types_decode(&tables, value));
     type = &tables.type[pm_names_find(tables.types, "bokhylla")];
     assert_int_equal(tables.ntypes, 2);
     assert_int_equal((int)type->cpus, 16);
@@ -308,10 +308,10 @@
     struct ev_loop *loop = ev_loop_new(EVFLAG_AUTO);
     struct fake_state *state = fake_state_new(loop);
     struct pm_http_client *http = pm_http_client_new(loop, 16);
-    const struct pm_store_feed feed = {ignore_put,   ignore_drop,     ignore_event,
-                                       ignore_event, ignore_revision, NULL};
+    const struct pm_store_observer feed = {ignore_put,   ignore_drop,     ignore_event,
+                                           ignore_event, ignore_revision, NULL};
     struct pm_store *store = pm_store_new(loop, http, fake_state_addr(state), 1000, &feed);
-    struct pm_cancels *cancels;
+    struct pm_cancel_quorum *cancels;
     unsigned char *recorded;
     char *written;
     cbor_item_t *value;
@@ -321,19 +321,19 @@
     strcpy(settings.name, "n0");
     strcpy(settings.peer[0].name, "n1");
     strcpy(settings.peer[1].name, "n2");
-    cancels = pm_cancels_new(loop, store, http, &settings,
-                             &(struct pm_cancels_hooks){ignore_cancelled, NULL});
-    pm_cancels_read(cancels, 1);
+    cancels = pm_cancel_quorum_new(loop, store, http, &settings,
+                                   &(struct pm_cancel_quorum_hooks){ignore_cancelled, NULL});
+    pm_cancel_quorum_note_read(cancels, 1);
     assert_true(fake_run_until(loop, has_acknowledged, state));
     written = fake_state_hex(state, "p/seen/n0");
     assert_string_equal(written, STORED_SEEN);
     g_free(written);
     recorded = earlier_bytes("bf6765646974696f6e19019cff", &size); /* {edition: 412} */
     value = pm_cbor_parse(recorded, size);
-    assert_false(pm_cancels_known(cancels, 412));
-    pm_cancels_put(cancels, "p/seen/n1", value);
-    assert_true(pm_cancels_known(cancels, 412)); /* two of three */
-    assert_false(pm_cancels_known(cancels, 413));
+    assert_false(pm_cancel_quorum_is_acked(cancels, 412));
+    pm_cancel_quorum_apply_put(cancels, "p/seen/n1", value);
+    assert_true(pm_cancel_quorum_is_acked(cancels, 412)); /* two of three */
+    assert_false(pm_cancel_quorum_is_acked(cancels, 413));
     pm_cbor_free(value);
     g_free(recorded);
 }
--- a/src/blocks/ask.c
+++ b/src/blocks/ask.c
@@ -16,24 +16,24 @@
 
 /* Takes a block back from a holder that is not heard of. The epoch is raised in the same
  * transaction: its commands die with the old token, its placements fail on the block's key. */
-static void lose_block(struct pm_blocks *b, struct block *k, const char *why, double now)
+static void lose_block(struct pm_shards *b, struct block *k, const char *why, double now)
 {
-    if (k->in_flight || (k->losing && now - k->losing_at < 1) || !pm_blocks_revision(k))
+    if (k->in_flight || (k->losing && now - k->losing_at < 1) || !pm_shards_revision(k))
         return;
     if (!k->losing)
         pm_info("blocks.recall", "%s: %s", k->name, why);
     k->losing = true;
     k->losing_at = now;
-    pm_leader_raise(b->lead, k->key, pm_blocks_revision(k));
+    pm_election_advance_epoch(b->lead, k->key, pm_shards_revision(k));
 }
 
 struct flight {
-    struct pm_blocks *blocks;
+    struct pm_shards *blocks;
     int index;
     uint64_t round, serial;
 };
 
-static void settle_written(struct pm_blocks *b, struct block *k, uint64_t serial)
+static void settle_written(struct pm_shards *b, struct block *k, uint64_t serial)
 {
     for (guint i = 0; i < k->entries->len;) {
         struct entry *e = &g_array_index(k->entries, struct entry, i);
@@ -44,7 +44,7 @@
             if (m) {
                 m->lent = 0;
                 m->reported = false; /* its worker has to come back to us first */
-                m->floor = m->heard = pm_clock_steady();
+                m->floor = m->heard = pm_clock_monotonic();
                 m->idle_since = 0;
             }
             g_array_remove_index(k->entries, i);
@@ -58,33 +58,33 @@
 static void on_written(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
 {
     struct flight *f = arg;
-    struct pm_blocks *b = f->blocks;
+    struct pm_shards *b = f->blocks;
     struct block *k = &b->block[f->index];
 
     (void)failed;
     if (b->leading && b->round == f->round) {
         k->in_flight = false;
-        if (status == PM_HTTP_LOST)
-            k->unsure = pm_leader_epoch(b->lead);
+        if (status == PM_HTTP_NO_ANSWER)
+            k->unsure = pm_election_epoch(b->lead);
         if (status == 200) {
             k->unsure = 0; /* it fails on this one's revision */
             k->wrote = store_revision;
-            pm_leader_confirm(b->lead, k->written, store_revision);
+            pm_election_confirm_epoch(b->lead, k->written, store_revision);
             settle_written(b, k, f->serial);
         } else {
             k->dirty = true;     /* the watch tells the revision; a copy applied late fails on it */
             if (status == 400) { /* too large, most likely */
                 pm_error("blocks.refused", "the state service refuses %s", k->key);
-                k->written = pm_clock_steady() + REFUSED_S;
+                k->written = pm_clock_monotonic() + REFUSED_S;
             }
             if (status == 409)
-                pm_leader_suspect(b->lead);
+                pm_election_recheck_epoch(b->lead);
         }
     }
     g_free(f);
 }
 
-static void write_block(struct pm_blocks *b, struct block *k, double now)
+static void write_block(struct pm_shards *b, struct block *k, double now)
 {
     const struct pm_settings *s = b->tables->settings;
     struct pm_txn txn = {0};
@@ -92,8 +92,8 @@
 
     k->serial++;
     *f = (struct flight){b, (int)(k - b->block), b->round, k->serial};
-    pm_txn_if(&txn, "p/epoch", pm_leader_revision(b->lead));
-    pm_txn_if(&txn, k->key, pm_blocks_revision(k));
+    pm_txn_compare(&txn, "p/epoch", pm_election_epoch_revision(b->lead));
+    pm_txn_compare(&txn, k->key, pm_shards_revision(k));
     pm_txn_put(&txn, k->key);
     pm_put_map(&txn.writes);
     pm_put_pair_text(&txn.writes, "boot", k->boot);
@@ -147,20 +147,20 @@
 /* A block that was never written, as far as the replica tells, may yet appear while a write of it
  * is under way: its holder would place jobs that the leader has begun to place itself. Such a write
  * dies with the epoch; what was carried out before that is in the replica by then. */
-static bool never_written(struct pm_blocks *b, const struct block *k)
+static bool never_written(struct pm_shards *b, const struct block *k)
 {
-    if (k->in_flight || pm_blocks_revision(k))
+    if (k->in_flight || pm_shards_revision(k))
         return false;
     if (!k->unsure)
         return true;
-    if (pm_leader_epoch(b->lead) <= k->unsure) {
-        pm_leader_raise(b->lead, NULL, 0);
+    if (pm_election_epoch(b->lead) <= k->unsure) {
+        pm_election_advance_epoch(b->lead, NULL, 0);
         return false;
     }
-    return pm_store_revision(b->store) >= pm_leader_revision(b->lead);
+    return pm_store_revision(b->store) >= pm_election_epoch_revision(b->lead);
 }
 
-static struct entry *find_entry(const struct pm_blocks *b, struct block *k, const char *machine)
+static struct entry *find_entry(const struct pm_shards *b, struct block *k, const char *machine)
 {
     int index = pm_names_find(b->tables->machines, machine);
 
@@ -179,16 +179,16 @@
         for (size_t j = 0; j < tell->n_failing; j++)
             failing |= !strcmp(tell->failing[j], job->id);
         if (failing)
-            pm_fault_told(job, now);
+            pm_failures_report_job(job, now);
         else
-            pm_fault_untold(job);
+            pm_failures_clear_job(job);
     }
 }
 
 static void on_told(void *arg, int status, const unsigned char *body, size_t size)
 {
     struct flight *f = arg;
-    struct pm_blocks *b = f->blocks;
+    struct pm_shards *b = f->blocks;
     struct block *k = &b->block[f->index];
     Pm__BlockTell *tell = NULL;
 
@@ -203,7 +203,7 @@
     k->ready = tell->ready;
     b->doubt |= tell->doubt;
     if (!tell->helpless)
-        k->alive = pm_clock_steady();
+        k->alive = pm_clock_monotonic();
     for (size_t i = 0; i < tell->n_clean; i++) {
         struct entry *e = find_entry(b, k, tell->clean[i]);
         if (!e || e->state != LEAVING)
@@ -225,16 +225,16 @@
         struct pm_machine *m = pm_workers_find(b->workers, tell->silent[i]);
         if (!m || !m->lent)
             continue;
-        if (pm_clock_steady() - m->silent_told > 2)
-            m->silent_since = pm_clock_steady();
-        m->silent_told = pm_clock_steady();
+        if (pm_clock_monotonic() - m->silent_told > 2)
+            m->silent_since = pm_clock_monotonic();
+        m->silent_told = pm_clock_monotonic();
     }
-    take_failing(k, tell, pm_clock_steady());
+    take_failing(k, tell, pm_clock_monotonic());
     pm__block_tell__free_unpacked(tell, NULL);
-    pm_blocks_run(b, pm_clock_steady());
+    pm_shards_exchange(b, pm_clock_monotonic());
 }
 
-static void ask(struct pm_blocks *b, struct block *k, double now)
+static void ask(struct pm_shards *b, struct block *k, double now)
 {
     Pm__BlockCall call = PM__BLOCK_CALL__INIT;
     struct flight *f = g_new0(struct flight, 1);
@@ -246,7 +246,7 @@
     k->asked = now;
     k->asking = true;
     call.from = (char *)b->tables->settings->name;
-    call.epoch = pm_leader_epoch(b->lead);
+    call.epoch = pm_election_epoch(b->lead);
     call.leaving = leaving;
     call.stop = stop;
     for (guint i = 0; i < k->entries->len; i++) {
@@ -269,7 +269,7 @@
 }
 
 /* A machine whose release was confirmed, or that vanished from the replica, leaves its block. */
-static void drop_vanished(struct pm_blocks *b, struct block *k)
+static void drop_vanished(struct pm_shards *b, struct block *k)
 {
     for (guint i = 0; i < k->entries->len; i++) {
         struct entry *e = &g_array_index(k->entries, struct entry, i);
@@ -281,9 +281,9 @@
     }
 }
 
-void pm_blocks_run(struct pm_blocks *b, double now)
+void pm_shards_exchange(struct pm_shards *b, double now)
 {
-    if (!b->leading || !pm_leader_confirmed(b->lead, now))
+    if (!b->leading || !pm_election_is_confirmed(b->lead, now))
         return;
     for (int i = 0; i < b->n - 1; i++) {
         struct block *k = &b->block[i];
@@ -300,20 +300,20 @@
             continue;
         }
         if (holds && now - k->alive > DEAD_S) {
-            if (pm_blocks_revision(k)) {
+            if (pm_shards_revision(k)) {
                 lose_block(b, k, "not heard of", now);
             } else if (never_written(b, k)) { /* what was to be given stays here */
                 k->losing = k->lost = true;
-                pm_blocks_caught_up(b);
+                pm_shards_caught_up(b);
             }
             continue;
         }
         if (k->dirty && !k->in_flight && !k->losing && now - k->written > WRITE_PACE_S &&
-            pm_store_room(b->store, now) >= 1)
+            pm_store_write_budget(b->store, now) >= 1)
             write_block(b, k, now);
     }
     if (b->doubt) {
         b->doubt = false;
-        pm_leader_raise(b->lead, NULL, 0);
+        pm_election_advance_epoch(b->lead, NULL, 0);
     }
 }
--- a/src/blocks/blocks.c
+++ b/src/blocks/blocks.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <string.h>
 
-static struct block *by_key(struct pm_blocks *b, const char *key)
+static struct block *by_key(struct pm_shards *b, const char *key)
 {
     for (int i = 0; i < b->n; i++)
         if (!strcmp(b->block[i].key, key))
@@ -13,12 +13,12 @@
     return NULL;
 }
 
-struct pm_blocks *pm_blocks_new(struct pm_name_tables *tables, struct pm_jobs *jobs,
-                                struct pm_workers *workers, struct pm_plan *plan,
+struct pm_shards *pm_shards_new(struct pm_name_tables *tables, struct pm_jobs *jobs,
+                                struct pm_workers *workers, struct pm_scheduler *plan,
                                 struct pm_store *store, struct pm_http_client *http,
-                                struct pm_leader *lead, const struct pm_blocks_hooks *hooks)
+                                struct pm_election *lead, const struct pm_shards_hooks *hooks)
 {
-    struct pm_blocks *b = g_new0(struct pm_blocks, 1);
+    struct pm_shards *b = g_new0(struct pm_shards, 1);
 
     b->tables = tables;
     b->jobs = jobs;
@@ -28,7 +28,7 @@
     b->http = http;
     b->lead = lead;
     b->hooks = *hooks;
-    g_strlcpy(b->boot, pm_leader_boot(lead), sizeof b->boot);
+    g_strlcpy(b->boot, pm_election_incarnation_id(lead), sizeof b->boot);
     b->n = tables->settings->peers + 1;
     for (int i = 0; i < b->n; i++) {
         struct block *k = &b->block[i];
@@ -42,7 +42,7 @@
     return b;
 }
 
-void pm_blocks_free(struct pm_blocks *b)
+void pm_shards_free(struct pm_shards *b)
 {
     for (int i = 0; i < b->n; i++) {
         g_array_free(b->block[i].machines, TRUE);
@@ -53,7 +53,7 @@
     g_free(b);
 }
 
-const char *pm_blocks_holder(const struct pm_blocks *b, const char *machine)
+const char *pm_shards_owner_of(const struct pm_shards *b, const char *machine)
 {
     int index = pm_names_find(b->tables->machines, machine);
 
@@ -66,8 +66,8 @@
 
 /* ---- feed ---- */
 
-void pm_blocks_put(struct pm_blocks *b, const char *key, const cbor_item_t *value,
-                   uint64_t revision)
+void pm_shards_apply_put(struct pm_shards *b, const char *key, const cbor_item_t *value,
+                         uint64_t revision)
 {
     struct block *k = by_key(b, key);
     cbor_item_t *hosts = pm_cbor_get(value, "hosts");
@@ -85,7 +85,7 @@
     for (size_t i = 0; i < pm_cbor_length(hosts); i++) {
         if (pm_cbor_text(pm_cbor_get(pm_cbor_at(hosts, i), "host"), name, sizeof name))
             continue;
-        g_array_append_vals(k->machines, (int[]){pm_names_add(b->tables->machines, name)}, 1);
+        g_array_append_vals(k->machines, (int[]){pm_names_intern(b->tables->machines, name)}, 1);
     }
     g_array_set_size(k->jobs, 0);
     for (size_t i = 0; i < pm_cbor_length(jobs); i++) {
@@ -97,18 +97,18 @@
         seen.parallelism = (uint32_t)width;
         g_array_append_val(k->jobs, seen);
     }
-    if (k != pm_blocks_own(b) || b->leading)
+    if (k != pm_shards_own(b) || b->leading)
         return;
     /* A block that was leased to a predecessor of this process, or of its working state, is not
      * ours to use: what that one had under way is unknown. The leader sees the new boot name and
      * takes the block back. */
     if (!strcmp(k->boot_seen, b->boot))
-        pm_blocks_join(b, value, pm_clock_steady());
+        pm_shards_join(b, value, pm_clock_monotonic());
     else
-        pm_blocks_leave_all(b);
+        pm_shards_leave_all(b);
 }
 
-void pm_blocks_drop(struct pm_blocks *b, const char *key, uint64_t revision)
+void pm_shards_apply_delete(struct pm_shards *b, const char *key, uint64_t revision)
 {
     struct block *k = by_key(b, key);
 
@@ -119,24 +119,24 @@
         k->wrote = 0;
     g_array_set_size(k->machines, 0);
     g_array_set_size(k->jobs, 0);
-    if (k == pm_blocks_own(b) && !b->leading)
-        pm_blocks_leave_all(b);
+    if (k == pm_shards_own(b) && !b->leading)
+        pm_shards_leave_all(b);
     if (b->leading && k->losing)
         k->lost = true;
 }
 
 /* What this holder placed, and which commands it has under way, is forgotten: it is another holder
  * from now on, and a block that was leased to it before comes back to the leader. */
-static void forget_working_state(struct pm_blocks *b)
+static void forget_working_state(struct pm_shards *b)
 {
     if (!b->mine_granted)
         return;
     snprintf(b->boot, sizeof b->boot, "%08x%08x", g_random_int(), g_random_int());
     pm_info("blocks.forget", "the state is read anew: the block is given up");
-    pm_blocks_leave_all(b);
+    pm_shards_leave_all(b);
 }
 
-void pm_blocks_relist(struct pm_blocks *b)
+void pm_shards_snapshot_begin(struct pm_shards *b)
 {
     for (int i = 0; i < b->n; i++) {
         b->block[i].revision = 0;
@@ -159,7 +159,7 @@
     k->wrote = 0;
 }
 
-void pm_blocks_take(struct pm_blocks *b, double now)
+void pm_shards_adopt(struct pm_shards *b, double now)
 {
     b->leading = true;
     b->mine_granted = false;
@@ -177,7 +177,7 @@
             struct pm_machine *m =
                 pm_workers_add(b->workers, pm_names_text(b->tables->machines, entry.machine));
             m->lent = i + 1;
-            m->state = PM_UP;
+            m->state = PM_MACHINE_UP;
             m->heard = now;
             g_array_append_val(k->entries, entry);
         }
@@ -197,7 +197,7 @@
     }
 }
 
-void pm_blocks_lose(struct pm_blocks *b)
+void pm_shards_step_down(struct pm_shards *b)
 {
     b->leading = false;
     b->round++;
@@ -207,15 +207,15 @@
 
 /* Whether the key of a block that is being taken back is gone by what the replica has read. A
  * listing tells of no drop: it does not have the key. */
-static bool is_dropped(const struct pm_blocks *b, const struct block *k)
+static bool is_dropped(const struct pm_shards *b, const struct block *k)
 {
     return k->losing && !k->revision && pm_store_revision(b->store) >= k->wrote;
 }
 
-void pm_blocks_caught_up(struct pm_blocks *b)
+void pm_shards_caught_up(struct pm_shards *b)
 {
     if (!b->leading && b->mine_granted)
-        pm_blocks_join_jobs(b);
+        pm_shards_join_jobs(b);
     for (int i = 0; b->leading && i < b->n - 1; i++) {
         struct block *k = &b->block[i];
         GPtrArray *given;
@@ -229,9 +229,9 @@
                 continue;
             m->lent = 0;
             m->reported = false;
-            m->heard = pm_clock_steady();
+            m->heard = pm_clock_monotonic();
             m->floor = 0; /* until a majority knows the raised epoch */
-            m->since_epoch = pm_leader_epoch(b->lead);
+            m->since_epoch = pm_election_epoch(b->lead);
         }
         given = k->given;
         k->given = g_ptr_array_new();
--- a/src/blocks/blocks.h
+++ b/src/blocks/blocks.h
@@ -8,17 +8,17 @@
  * to the holders of array jobs. A machine comes back when its holder says that it is clean; a
  * holder that is not heard of loses its block, and the epoch is raised in the same transaction, so
  * that whatever it still had under way dies (safety invariants 1, 3 and 5). */
-#ifndef PM_BLOCKS_BLOCKS_H
-#define PM_BLOCKS_BLOCKS_H
+#ifndef PM_SHARDS_BLOCKS_H
+#define PM_SHARDS_BLOCKS_H
 
 #include "leadership/leadership.h"
 #include "placement/plan.h"
 #include "store/store.h"
 #include "workers/workers.h"
 
-struct pm_blocks;
+struct pm_shards;
 
-struct pm_blocks_hooks {
+struct pm_shards_hooks {
     void (*changed)(void *arg);                         /* plan again */
     void (*back)(void *arg, struct pm_job *job);        /* a job came back with a lost block */
     void (*bad)(void *arg, struct pm_machine *machine); /* its holder says that tasks fail there */
@@ -27,36 +27,36 @@
     void *arg;
 };
 
-struct pm_blocks *pm_blocks_new(struct pm_name_tables *tables, struct pm_jobs *jobs,
-                                struct pm_workers *workers, struct pm_plan *plan,
+struct pm_shards *pm_shards_new(struct pm_name_tables *tables, struct pm_jobs *jobs,
+                                struct pm_workers *workers, struct pm_scheduler *plan,
                                 struct pm_store *store, struct pm_http_client *http,
-                                struct pm_leader *lead, const struct pm_blocks_hooks *hooks);
-void pm_blocks_free(struct pm_blocks *blocks);
+                                struct pm_election *lead, const struct pm_shards_hooks *hooks);
+void pm_shards_free(struct pm_shards *blocks);
 
 /* The replica's feed, for p/b. */
-void pm_blocks_put(struct pm_blocks *blocks, const char *key, const cbor_item_t *value,
-                   uint64_t revision);
-void pm_blocks_drop(struct pm_blocks *blocks, const char *key, uint64_t revision);
-void pm_blocks_relist(struct pm_blocks *blocks);
+void pm_shards_apply_put(struct pm_shards *blocks, const char *key, const cbor_item_t *value,
+                         uint64_t revision);
+void pm_shards_apply_delete(struct pm_shards *blocks, const char *key, uint64_t revision);
+void pm_shards_snapshot_begin(struct pm_shards *blocks);
 /* All changes up to some store revision are in: completes what waited for that. */
-void pm_blocks_caught_up(struct pm_blocks *blocks);
+void pm_shards_caught_up(struct pm_shards *blocks);
 
 /* The controller that holds the machine's block, NULL: the leader. */
-const char *pm_blocks_holder(const struct pm_blocks *blocks, const char *machine);
+const char *pm_shards_owner_of(const struct pm_shards *blocks, const char *machine);
 
 /* Leader. On taking the lead: adopts the blocks that are out. */
-void pm_blocks_take(struct pm_blocks *blocks, double now);
-void pm_blocks_lose(struct pm_blocks *blocks);
+void pm_shards_adopt(struct pm_shards *blocks, double now);
+void pm_shards_step_down(struct pm_shards *blocks);
 /* Leader, planner: gives new array jobs to holders, before placing... */
-void pm_blocks_assign(struct pm_blocks *blocks, double now);
+void pm_shards_assign_jobs(struct pm_shards *blocks, double now);
 /* ...and machines to the holders' jobs after it; what is missing is added to the plan's wants. */
-void pm_blocks_allot(struct pm_blocks *blocks, double now);
+void pm_shards_assign_machines(struct pm_shards *blocks, double now);
 /* Leader, loop: writes what changed, asks the holders. */
-void pm_blocks_run(struct pm_blocks *blocks, double now);
+void pm_shards_exchange(struct pm_shards *blocks, double now);
 
 /* Holder. The revision of this controller's block, 0: holds none. */
-uint64_t pm_blocks_mine(const struct pm_blocks *blocks);
+uint64_t pm_shards_owned_revision(const struct pm_shards *blocks);
 /* POST /block on the back address. */
-void pm_blocks_peer(struct pm_blocks *blocks, struct pm_http_request *req);
+void pm_shards_handle_peer_request(struct pm_shards *blocks, struct pm_http_request *req);
 
 #endif
--- a/src/blocks/hold.c
+++ b/src/blocks/hold.c
@@ -16,20 +16,20 @@
 
 /* What left the block is proven gone: the leader lets go of a machine only when it is clean, or its
  * release was confirmed. */
-static void leave_machines(struct pm_blocks *b, double now)
+static void leave_machines(struct pm_shards *b, double now)
 {
     GPtrArray *all = pm_workers_all(b->workers);
 
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        if (!m || listed(pm_blocks_own(b)->machines, m->index))
+        if (!m || listed(pm_shards_own(b)->machines, m->index))
             continue;
-        pm_workers_gone(b->workers, m, now);
+        pm_workers_mark_lost(b->workers, m, now);
         pm_workers_remove(b->workers, m);
     }
 }
 
-static void join_machine(struct pm_blocks *b, const cbor_item_t *host, double now)
+static void join_machine(struct pm_shards *b, const cbor_item_t *host, double now)
 {
     char name[PM_NAME_MAX];
     char text[PM_NAME_MAX];
@@ -40,7 +40,7 @@
         pm_workers_find(b->workers, name))
         return;
     m = pm_workers_add(b->workers, name);
-    m->state = PM_UP;
+    m->state = PM_MACHINE_UP;
     m->listed = true;
     m->heard = m->floor = now; /* the leader answered it no later than this */
     m->rented = now;           /* the leader has proof of it */
@@ -49,15 +49,15 @@
     pm_cbor_count(pm_cbor_get(host, "shift"), &session);
     m->session = session;
     if (!pm_cbor_text(pm_cbor_get(host, "room"), text, sizeof text))
-        m->zone = pm_settings_zone(b->tables->settings, text);
+        m->zone = pm_settings_find_zone(b->tables->settings, text);
     if (!pm_cbor_text(pm_cbor_get(host, "model"), text, sizeof text))
         pm_workers_set_type(b->workers, m, pm_names_find(b->tables->types, text));
 }
 
-void pm_blocks_join(struct pm_blocks *b, const cbor_item_t *value, double now)
+void pm_shards_join(struct pm_shards *b, const cbor_item_t *value, double now)
 {
     cbor_item_t *hosts = pm_cbor_get(value, "hosts");
-    bool granted = pm_blocks_own(b)->machines->len || pm_blocks_own(b)->jobs->len;
+    bool granted = pm_shards_own(b)->machines->len || pm_shards_own(b)->jobs->len;
 
     if (granted && !b->mine_granted)
         pm_jobs_set_delegated(b->jobs, true);
@@ -68,7 +68,7 @@
     b->hooks.mine(b->hooks.arg, granted);
 }
 
-void pm_blocks_leave_all(struct pm_blocks *b)
+void pm_shards_leave_all(struct pm_shards *b)
 {
     if (!b->mine_granted)
         return;
@@ -76,16 +76,16 @@
     b->hooks.mine(b->hooks.arg, false);
 }
 
-uint64_t pm_blocks_mine(const struct pm_blocks *b)
+uint64_t pm_shards_owned_revision(const struct pm_shards *b)
 {
     return b->mine_granted && !b->leading ? b->block[b->n - 1].revision : 0;
 }
 
 /* A job's own key may be told after the block that lists it. */
-void pm_blocks_join_jobs(struct pm_blocks *b)
+void pm_shards_join_jobs(struct pm_shards *b)
 {
-    for (guint i = 0; i < pm_blocks_own(b)->jobs->len; i++) {
-        struct seen_job *seen = &g_array_index(pm_blocks_own(b)->jobs, struct seen_job, i);
+    for (guint i = 0; i < pm_shards_own(b)->jobs->len; i++) {
+        struct seen_job *seen = &g_array_index(pm_shards_own(b)->jobs, struct seen_job, i);
         struct pm_job *job = pm_jobs_find(b->jobs, seen->id);
         if (!job || !job->spec)
             continue;
@@ -101,24 +101,24 @@
 }
 
 /* The jobs of the block that keep failing. */
-static void tell_failing(struct pm_blocks *b, Pm__BlockTell *tell)
+static void tell_failing(struct pm_shards *b, Pm__BlockTell *tell)
 {
-    const GArray *jobs = pm_blocks_own(b)->jobs;
+    const GArray *jobs = pm_shards_own(b)->jobs;
 
     for (guint i = 0; i < jobs->len; i++) {
         const struct pm_job *job =
             pm_jobs_find(b->jobs, g_array_index(jobs, struct seen_job, i).id);
-        if (job && job->state == PM_LIVE && pm_fault_job_failing(job))
+        if (job && job->state == PM_JOB_LIVE && pm_failures_is_job_failing(job))
             add_name(&tell->failing, &tell->n_failing, job->id);
     }
 }
 
-void pm_blocks_peer(struct pm_blocks *b, struct pm_http_request *req)
+void pm_shards_handle_peer_request(struct pm_shards *b, struct pm_http_request *req)
 {
     Pm__BlockCall *call = pm__block_call__unpack(NULL, req->body_size, req->body);
     Pm__BlockTell tell = PM__BLOCK_TELL__INIT;
     GPtrArray *all = pm_workers_all(b->workers);
-    double now = pm_clock_steady();
+    double now = pm_clock_monotonic();
     unsigned char *data;
     size_t size;
     int up = 0;
@@ -129,8 +129,8 @@
         return;
     }
     tell.boot = b->boot;
-    tell.ready = pm_store_ready(b->store) && !pm_store_refusing(b->store) &&
-                 now - pm_store_served(b->store) < 7 && b->tables->ntypes > 0;
+    tell.ready = pm_store_is_ready(b->store) && !pm_store_is_refusing(b->store) &&
+                 now - pm_store_last_served_at(b->store) < 7 && b->tables->ntypes > 0;
     for (size_t i = 0; !b->leading && b->mine_granted && i < call->n_leaving; i++) {
         struct pm_machine *m = pm_workers_find(b->workers, call->leaving[i]);
         if (!m)
@@ -139,9 +139,9 @@
         for (guint j = 0; j < m->places->len; j++)
             for (size_t s = 0; s < call->n_stop; s++)
                 if (!strcmp(call->stop[s], m->name))
-                    pm_plan_yield(g_ptr_array_index(m->places, j));
+                    pm_scheduler_preempt_placement(g_ptr_array_index(m->places, j));
         /* Said once, and kept: a clean machine that is leaving is answered no more. */
-        if (pm_workers_clean(m, pm_leader_epoch(b->lead)))
+        if (pm_machine_is_drained(m, pm_election_epoch(b->lead)))
             m->left = true;
         if (m->left)
             add_name(&tell.clean, &tell.n_clean, m->name);
@@ -152,11 +152,11 @@
             continue;
         up++;
         heard += now - m->heard < 6;
-        tell.doubt |= m->doubtful && m->doubtful >= pm_leader_epoch(b->lead);
-        if (pm_fault_machine_faulty(m))
+        tell.doubt |= m->doubtful && m->doubtful >= pm_election_epoch(b->lead);
+        if (pm_failures_is_machine_faulty(m))
             add_name(&tell.bad, &tell.n_bad, m->name);
-        if (m->reported &&
-            (pm_workers_deaf(m, now) || pm_workers_silent(m, b->tables->settings, now)))
+        if (m->reported && (pm_machine_is_unreachable(m, now) ||
+                            pm_machine_missed_heartbeat(m, b->tables->settings, now)))
             add_name(&tell.silent, &tell.n_silent, m->name);
     }
     if (!b->leading && b->mine_granted)
--- a/src/blocks/internal.h
+++ b/src/blocks/internal.h
@@ -1,6 +1,6 @@
 /* What the parts of the blocks slice share; nobody else includes it. */
-#ifndef PM_BLOCKS_PARTS_H
-#define PM_BLOCKS_PARTS_H
+#ifndef PM_SHARDS_INTERNAL_H
+#define PM_SHARDS_INTERNAL_H
 
 #include "blocks/blocks.h"
 
@@ -40,15 +40,15 @@
     uint32_t parallelism;
 };
 
-struct pm_blocks {
+struct pm_shards {
     struct pm_name_tables *tables;
     struct pm_jobs *jobs;
     struct pm_workers *workers;
-    struct pm_plan *plan;
+    struct pm_scheduler *plan;
     struct pm_store *store;
     struct pm_http_client *http;
-    struct pm_leader *lead;
-    struct pm_blocks_hooks hooks;
+    struct pm_election *lead;
+    struct pm_shards_hooks hooks;
     int n;
     struct block block[PM_PEERS_MAX + 1]; /* the peers', and last our own */
     char boot[24]; /* tells this holder's working state from those before it */
@@ -58,20 +58,20 @@
 };
 
 /* The revision that the block's key has by now, as far as we know. */
-static inline uint64_t pm_blocks_revision(const struct block *k)
+static inline uint64_t pm_shards_revision(const struct block *k)
 {
     return MAX(k->revision, k->wrote);
 }
 
 /* Our own. */
-static inline struct block *pm_blocks_own(struct pm_blocks *b)
+static inline struct block *pm_shards_own(struct pm_shards *b)
 {
     return &b->block[b->n - 1];
 }
 
 /* hold.c */
-void pm_blocks_join(struct pm_blocks *b, const cbor_item_t *value, double now);
-void pm_blocks_join_jobs(struct pm_blocks *b);
-void pm_blocks_leave_all(struct pm_blocks *b);
+void pm_shards_join(struct pm_shards *b, const cbor_item_t *value, double now);
+void pm_shards_join_jobs(struct pm_shards *b);
+void pm_shards_leave_all(struct pm_shards *b);
 
 #endif
--- a/src/blocks/lend.c
+++ b/src/blocks/lend.c
@@ -16,10 +16,11 @@
 {
     const struct pm_spec *spec = job->spec;
 
-    return job->state == PM_LIVE && spec && spec->form == PM_ARRAY && spec->spot && !job->unmet &&
-           job->priority != PM_PRODUCTION && job->priority != PM_BEST_EFFORT && !spec->same_place &&
-           !spec->spread && !pm_fault_job_failing(job) && !job->delegated && !job->nplaced &&
-           !job->ndone && !job->tried;
+    return job->state == PM_JOB_LIVE && spec && spec->form == PM_WORKLOAD_ARRAY && spec->spot &&
+           !job->unmet && job->priority != PM_PRIORITY_PRODUCTION &&
+           job->priority != PM_PRIORITY_BEST_EFFORT && !spec->same_place && !spec->spread &&
+           !pm_failures_is_job_failing(job) && !job->delegated && !job->nplaced && !job->ndone &&
+           !job->tried;
 }
 
 static bool alive(const struct block *k, double now)
@@ -29,14 +30,14 @@
 }
 
 /* Bytes of JSON that the block's value takes at most; kept below the limit of a value. */
-static double value_size(const struct pm_blocks *b, const struct block *k)
+static double value_size(const struct pm_shards *b, const struct block *k)
 {
     (void)b;
     return 100 + 150.0 * k->entries->len + 44.0 * k->given->len;
 }
 
 /* Whether it holds one more job, with so many machines. */
-static bool has_space(const struct pm_blocks *b, const struct block *k, unsigned machines)
+static bool has_space(const struct pm_shards *b, const struct block *k, unsigned machines)
 {
     return value_size(b, k) + 50 + 150.0 * machines < b->tables->settings->value_kb * 1024;
 }
@@ -47,27 +48,27 @@
 
     for (guint i = 0; i < k->given->len; i++) {
         const struct pm_job *job = g_ptr_array_index(k->given, i);
-        if (job->state == PM_LIVE && job->spec)
+        if (job->state == PM_JOB_LIVE && job->spec)
             tasks += job->entries * job->spec->cpus;
     }
     return tasks;
 }
 
 /* A lease that the team's limit kept narrow grows as the limit allows. */
-static void widen(struct pm_blocks *b)
+static void widen(struct pm_shards *b)
 {
     for (int i = 0; i < b->n - 1; i++)
         for (guint j = 0; j < b->block[i].given->len; j++) {
             struct pm_job *job = g_ptr_array_index(b->block[i].given, j);
             uint32_t more;
-            if (!job->spec || job->state != PM_LIVE || job->parallelism >= job->entries)
+            if (!job->spec || job->state != PM_JOB_LIVE || job->parallelism >= job->entries)
                 continue;
-            more = MIN(pm_plan_lease_tasks(b->plan, job->spec, KEPT_SHARE),
+            more = MIN(pm_scheduler_leasable_tasks(b->plan, job->spec, KEPT_SHARE),
                        job->entries - job->parallelism);
             if (!more)
                 continue;
             job->parallelism += more;
-            pm_plan_lease(b->plan, job->spec, more);
+            pm_scheduler_charge_lease(b->plan, job->spec, more);
             b->block[i].dirty = true;
             pm_debug("blocks.widen", "%s to %u", job->id, job->parallelism);
         }
@@ -75,7 +76,7 @@
 
 static uint32_t room_fit(const double *room, const struct pm_spec *spec)
 {
-    return pm_spec_fit(spec, room[0], room[1], room[2]);
+    return pm_spec_tasks_that_fit(spec, room[0], room[1], room[2]);
 }
 
 static void take_off(double *free_room, const struct pm_spec *spec, uint32_t tasks)
@@ -87,7 +88,7 @@
 
 /* Tasks of the job that whole machines of the leader's own block have room for now; those it takes
  * are marked with `mark`, and counted. */
-static uint32_t whole_room(struct pm_blocks *b, const struct pm_job *job, const GPtrArray *whole,
+static uint32_t whole_room(struct pm_shards *b, const struct pm_job *job, const GPtrArray *whole,
                            guint *taken, guint mark, unsigned *machines, double now)
 {
     uint32_t n = 0;
@@ -97,7 +98,7 @@
     for (guint i = 0; i < whole->len && n < job->parallelism; i++) {
         struct pm_machine *m = g_ptr_array_index(whole, i);
         double room[3];
-        if (taken[i] || !pm_plan_whole(b->plan, m, job, now))
+        if (taken[i] || !pm_scheduler_is_machine_leasable(b->plan, m, job, now))
             continue;
         room[0] = m->cpus;
         room[1] = m->gpus;
@@ -112,10 +113,11 @@
 /* A job goes to a holder where whole machines are free for as much of it as may run at once, and
  * its block's value holds them; one that has to be squeezed in between others stays with the
  * leader, which sees all the room. */
-void pm_blocks_assign(struct pm_blocks *b, double now)
+void pm_shards_assign_jobs(struct pm_shards *b, double now)
 {
     GPtrArray *active = pm_jobs_active(b->jobs);
-    const GPtrArray *whole = pm_plan_find_whole(b->plan, pm_leader_epoch(b->lead), now);
+    const GPtrArray *whole =
+        pm_scheduler_find_idle_machines(b->plan, pm_election_epoch(b->lead), now);
     guint *taken = g_new0(guint, whole->len + 1);
 
     widen(b);
@@ -126,7 +128,8 @@
         if (!delegable(job))
             continue;
         /* What its lease allows at once counts against the limit as long as it is delegated. */
-        job->parallelism = MIN(pm_plan_lease_tasks(b->plan, job->spec, KEPT_SHARE), job->entries);
+        job->parallelism =
+            MIN(pm_scheduler_leasable_tasks(b->plan, job->spec, KEPT_SHARE), job->entries);
         if (job->parallelism &&
             whole_room(b, job, whole, taken, i + 1, &machines, now) >= job->parallelism)
             for (int j = 0; j < b->n - 1; j++) {
@@ -139,7 +142,7 @@
             continue;
         }
         job->delegated = true;
-        pm_plan_lease(b->plan, job->spec, job->parallelism);
+        pm_scheduler_charge_lease(b->plan, job->spec, job->parallelism);
         g_ptr_array_add(best->given, job);
         best->dirty = true;
         pm_debug("blocks.give", "%s of %s to %s, %u at once", job->id,
@@ -148,7 +151,7 @@
     g_free(taken);
 }
 
-static struct block *block_of(struct pm_blocks *b, const struct pm_job *job)
+static struct block *block_of(struct pm_shards *b, const struct pm_job *job)
 {
     for (int i = 0; i < b->n - 1; i++)
         if (g_ptr_array_find(b->block[i].given, job, NULL))
@@ -163,7 +166,7 @@
 };
 
 /* Room on each machine that is away, by what the replica says is there. */
-static double (*room_away(struct pm_blocks *b, uint32_t *tasks_on))[3]
+static double (*room_away(struct pm_shards *b, uint32_t *tasks_on))[3]
 {
     GPtrArray *all = pm_workers_all(b->workers);
     GPtrArray *active = pm_jobs_active(b->jobs);
@@ -184,7 +187,7 @@
         for (int k = 0; k < job->nchunks; k++) {
             const GArray *stored_places = job->chunk[k] ? job->chunk[k]->stored_places : NULL;
             for (guint s = 0; stored_places && s < stored_places->len; s++) {
-                int index = g_array_index(stored_places, struct pm_stored_place, s).machine;
+                int index = g_array_index(stored_places, struct pm_stored_placement, s).machine;
                 if (index < 0 || index >= (int)all->len)
                     continue;
                 take_off(room[index], job->spec, 1);
@@ -195,13 +198,14 @@
     return room;
 }
 
-static void use_held(struct pm_blocks *b, struct shortage *s, double (*room)[3], bool *used)
+static void use_held(struct pm_shards *b, struct shortage *s, double (*room)[3], bool *used)
 {
     for (guint i = 0; i < s->block->entries->len && s->waiting; i++) {
         struct entry *e = &g_array_index(s->block->entries, struct entry, i);
         const struct pm_machine *m = pm_workers_at(b->workers, e->machine);
         uint32_t n;
-        if (!m || e->state > HELD || !pm_plan_allows(b->tables, s->job, m->type, m->zone, m->spot))
+        if (!m || e->state > HELD ||
+            !pm_scheduler_is_machine_allowed(b->tables, s->job, m->type, m->zone, m->spot))
             continue;
         n = MIN(room_fit(room[e->machine], s->job->spec), s->waiting);
         take_off(room[e->machine], s->job->spec, n);
@@ -210,11 +214,11 @@
     }
 }
 
-static void use_new(struct pm_blocks *b, struct shortage *s, double (*room)[3], bool *used,
+static void use_new(struct pm_shards *b, struct shortage *s, double (*room)[3], bool *used,
                     double now)
 {
     while (s->waiting && alive(s->block, now) && has_space(b, s->block, 1)) {
-        struct pm_machine *m = pm_plan_whole_machine(b->plan, s->job, s->waiting, now);
+        struct pm_machine *m = pm_scheduler_pick_idle_machine(b->plan, s->job, s->waiting, now);
         struct entry e = {.state = ADDING};
         uint32_t n;
         if (!m)
@@ -236,7 +240,7 @@
 
 /* Work beyond its team's guarantee yields to a team within its own, across blocks: the leader calls
  * machines back on which only such work runs. */
-static void call_back_for(struct pm_blocks *b, const struct shortage *s, const bool *used)
+static void call_back_for(struct pm_shards *b, const struct shortage *s, const bool *used)
 {
     uint32_t missing = s->waiting;
 
@@ -248,8 +252,8 @@
             double room[3];
             uint32_t n;
             if (!m || m->type < 0 || e->state != HELD || used[e->machine] ||
-                !pm_plan_allows(b->tables, s->job, m->type, m->zone, m->spot) ||
-                !pm_plan_may_clear(b->plan, s->job, e->machine))
+                !pm_scheduler_is_machine_allowed(b->tables, s->job, m->type, m->zone, m->spot) ||
+                !pm_scheduler_may_preempt_machine(b->plan, s->job, e->machine))
                 continue;
             room[0] = b->tables->type[m->type].cpus;
             room[1] = b->tables->type[m->type].gpus;
@@ -266,7 +270,7 @@
     }
 }
 
-static bool being_called(const struct pm_blocks *b)
+static bool being_called(const struct pm_shards *b)
 {
     for (int i = 0; i < b->n - 1; i++)
         for (guint j = 0; j < b->block[i].entries->len; j++) {
@@ -278,7 +282,7 @@
 }
 
 /* Machines without tasks, and without any coming, go back to the leader. */
-static void call_idle(struct pm_blocks *b, const uint32_t *tasks_on, const bool *used, double now)
+static void call_idle(struct pm_shards *b, const uint32_t *tasks_on, const bool *used, double now)
 {
     for (int i = 0; i < b->n - 1; i++) {
         struct block *k = &b->block[i];
@@ -296,7 +300,7 @@
     }
 }
 
-void pm_blocks_allot(struct pm_blocks *b, double now)
+void pm_shards_assign_machines(struct pm_shards *b, double now)
 {
     GPtrArray *all = pm_workers_all(b->workers);
     GPtrArray *queue = g_ptr_array_new();
@@ -305,26 +309,26 @@
     double(*room)[3] = room_away(b, tasks_on);
     struct shortage *short_of;
 
-    pm_plan_find_whole(b->plan, pm_leader_epoch(b->lead), now);
+    pm_scheduler_find_idle_machines(b->plan, pm_election_epoch(b->lead), now);
     for (int i = 0; i < b->n - 1; i++)
         for (guint j = 0; j < b->block[i].given->len; j++) {
             struct pm_job *job = g_ptr_array_index(b->block[i].given, j);
-            if (job->state == PM_LIVE && job->spec)
+            if (job->state == PM_JOB_LIVE && job->spec)
                 g_ptr_array_add(queue, job);
         }
-    pm_plan_rank(b->plan, queue);
+    pm_scheduler_rank(b->plan, queue);
     short_of = g_new0(struct shortage, queue->len + 1);
     for (guint i = 0; i < queue->len; i++) {
         struct pm_job *job = g_ptr_array_index(queue, i);
         uint32_t done;
         uint32_t placed;
         uint32_t left;
-        pm_jobs_count(job, &done, &placed);
+        pm_job_count_tasks(job, &done, &placed);
         left = job->entries - MIN(job->entries, done + placed);
         short_of[i].job = job;
         short_of[i].waiting = MIN(left, job->parallelism - MIN(job->parallelism, placed));
         short_of[i].block = block_of(b, job);
-        if (pm_fault_job_failing(job)) /* its holder tries it with one task at a time */
+        if (pm_failures_is_job_failing(job)) /* its holder tries it with one task at a time */
             short_of[i].waiting = placed ? 0 : MIN(short_of[i].waiting, 1);
         use_held(b, &short_of[i], room, used);
     }
@@ -335,7 +339,8 @@
             if (!part.waiting)
                 continue;
             if (pass == 0)
-                part.waiting = MIN(part.waiting, pm_plan_within_guarantee(b->plan, part.job));
+                part.waiting =
+                    MIN(part.waiting, pm_scheduler_tasks_within_guarantee(b->plan, part.job));
             short_of[i].waiting -= part.waiting;
             use_new(b, &part, room, used, now);
             short_of[i].waiting += part.waiting;
@@ -343,8 +348,8 @@
                 call_back_for(b, &part, used);
         }
     for (guint i = 0; i < queue->len; i++)
-        if (short_of[i].waiting && !pm_fault_job_failing(short_of[i].job))
-            pm_plan_add_want(b->plan, short_of[i].job, short_of[i].waiting);
+        if (short_of[i].waiting && !pm_failures_is_job_failing(short_of[i].job))
+            pm_scheduler_add_unmet_demand(b->plan, short_of[i].job, short_of[i].waiting);
     call_idle(b, tasks_on, used, now);
     g_free(short_of);
     g_free(room);
--- a/src/blocks/tests/test_blocks.c
+++ b/src/blocks/tests/test_blocks.c
@@ -18,16 +18,16 @@
 
 struct side {
     struct pm_settings settings;
-    struct pm_operator op;
+    struct pm_operator_settings op;
     struct pm_name_tables tables;
     struct pm_http_client *http;
     struct pm_http_server *back;
     struct pm_store *store;
     struct pm_jobs *jobs;
     struct pm_workers *workers;
-    struct pm_plan *plan;
-    struct pm_leader *lead;
-    struct pm_blocks *blocks;
+    struct pm_scheduler *plan;
+    struct pm_election *lead;
+    struct pm_shards *blocks;
     uint64_t took;
     int granted, back_jobs;
     int left; /* times at which this controller was told that it holds no block */
@@ -40,26 +40,26 @@
 {
     struct side *s = arg;
 
-    pm_leader_put(s->lead, key, value, revision);
-    pm_blocks_put(s->blocks, key, value, revision);
-    pm_jobs_put(s->jobs, key, value, revision);
+    pm_election_apply_put(s->lead, key, value, revision);
+    pm_shards_apply_put(s->blocks, key, value, revision);
+    pm_jobs_apply_put(s->jobs, key, value, revision);
 }
 
 static void on_drop(void *arg, const char *key, uint64_t revision)
 {
     struct side *s = arg;
 
-    pm_leader_drop(s->lead, key, revision);
-    pm_blocks_drop(s->blocks, key, revision);
-    pm_jobs_drop(s->jobs, key, revision);
+    pm_election_apply_delete(s->lead, key, revision);
+    pm_shards_apply_delete(s->blocks, key, revision);
+    pm_jobs_apply_delete(s->jobs, key, revision);
 }
 
 static void on_begin(void *arg)
 {
     struct side *s = arg;
 
-    pm_leader_relist(s->lead);
-    pm_blocks_relist(s->blocks);
+    pm_election_snapshot_begin(s->lead);
+    pm_shards_snapshot_begin(s->blocks);
 }
 
 static void on_nothing(void *arg)
@@ -70,7 +70,7 @@
 static void on_caught_up(void *arg, uint64_t store_revision)
 {
     (void)store_revision;
-    pm_blocks_caught_up(((struct side *)arg)->blocks);
+    pm_shards_caught_up(((struct side *)arg)->blocks);
 }
 
 static void on_took(void *arg, uint64_t epoch)
@@ -78,7 +78,7 @@
     struct side *s = arg;
 
     s->took = epoch;
-    pm_blocks_take(s->blocks, pm_clock_steady());
+    pm_shards_adopt(s->blocks, pm_clock_monotonic());
 }
 
 static void on_raised(void *arg, uint64_t epoch)
@@ -112,20 +112,20 @@
     struct side *s = arg;
 
     if (!strcmp(req->path, "/block"))
-        pm_blocks_peer(s->blocks, req);
+        pm_shards_handle_peer_request(s->blocks, req);
     else
-        pm_leader_peer(s->lead, req);
+        pm_election_handle_peer_request(s->lead, req);
 }
 
 static void on_cancelled(void *arg, const char *id, uint64_t revision)
 {
-    pm_jobs_cancel(((struct side *)arg)->jobs, id, revision);
+    pm_jobs_apply_cancellation(((struct side *)arg)->jobs, id, revision);
 }
 
-static const struct pm_cancelled *on_list_cancelled(void *arg, uint64_t revision, size_t most,
-                                                    size_t *n, bool *more)
+static const struct pm_cancellation *on_list_cancelled(void *arg, uint64_t revision, size_t most,
+                                                       size_t *n, bool *more)
 {
-    return pm_jobs_cancelled_after(((struct side *)arg)->jobs, revision, most, n, more);
+    return pm_jobs_list_cancellations(((struct side *)arg)->jobs, revision, most, n, more);
 }
 
 static void on_reached(void *arg, int peer, uint64_t store_revision)
@@ -138,7 +138,7 @@
 static void prepare(struct side *s, const char *name, int port, const char *peer, int peer_port)
 {
     memset(s, 0, sizeof *s);
-    pm_operator_defaults(&s->op);
+    pm_operator_settings_defaults(&s->op);
     s->settings.size = 2;
     s->settings.peers = 1;
     books_begin(&s->tables, &s->settings);
@@ -154,17 +154,17 @@
     s->http = pm_http_client_new(loop, 64);
     s->jobs = pm_jobs_new(&s->tables);
     s->workers = pm_workers_new(&s->tables, s->jobs, BOOKS_HOOKS);
-    s->plan = pm_plan_new(&s->tables, s->jobs, s->workers, &s->op);
+    s->plan = pm_scheduler_new(&s->tables, s->jobs, s->workers, &s->op);
     s->store = pm_store_new(
         loop, s->http, fake_state_addr(state), 1000,
-        &(struct pm_store_feed){on_put, on_drop, on_begin, on_nothing, on_caught_up, s});
-    s->lead =
-        pm_leader_new(loop, s->store, s->http, &s->settings, &s->op,
-                      &(struct pm_leader_hooks){on_took, on_nothing, on_raised, on_nothing,
-                                                on_cancelled, on_list_cancelled, on_reached, s});
+        &(struct pm_store_observer){on_put, on_drop, on_begin, on_nothing, on_caught_up, s});
+    s->lead = pm_election_new(loop, s->store, s->http, &s->settings, &s->op,
+                              &(struct pm_election_hooks){on_took, on_nothing, on_raised,
+                                                          on_nothing, on_cancelled,
+                                                          on_list_cancelled, on_reached, s});
     s->blocks =
-        pm_blocks_new(&s->tables, s->jobs, s->workers, s->plan, s->store, s->http, s->lead,
-                      &(struct pm_blocks_hooks){on_nothing, on_job_back, on_bad, on_mine, s});
+        pm_shards_new(&s->tables, s->jobs, s->workers, s->plan, s->store, s->http, s->lead,
+                      &(struct pm_shards_hooks){on_nothing, on_job_back, on_bad, on_mine, s});
     s->back = pm_http_server_new(loop, s->settings.peer_listen, 16, on_peer, s);
     assert_non_null(s->back);
 }
@@ -189,11 +189,11 @@
     pm_put_pair_flag(&buf, "borrowed", true);
     pm_put_pair_count(&buf, "shift", 1);
     pm_put_pair_count(&buf, "tally", sequence);
-    pm_put_pair_count(&buf, "mandate", pm_leader_epoch(s->lead));
+    pm_put_pair_count(&buf, "mandate", pm_election_epoch(s->lead));
     pm_put_end(&buf);
     item = pm_cbor_parse(buf.data, buf.size);
-    m = pm_workers_report(s->workers, item, PM_REPORT, pm_leader_epoch(s->lead), pm_clock_steady(),
-                          &fresh);
+    m = pm_workers_apply_heartbeat(s->workers, item, PM_SOURCE_HEARTBEAT,
+                                   pm_election_epoch(s->lead), pm_clock_monotonic(), &fresh);
     assert_non_null(m);
     m->listed = true;
     pm_cbor_free(item);
@@ -231,16 +231,16 @@
                            .ram_gb = 4,
                            .spot = true,
                            .spread = spread,
-                           .priority = PM_NORMAL,
+                           .priority = PM_PRIORITY_NORMAL,
                            .due_s = -1};
     static int status;
     struct pm_txn txn = {0};
 
-    spec.class_index = pm_names_add(s->tables.classes, "train");
-    spec.image = pm_names_add(s->tables.images, "img");
+    spec.class_index = pm_names_intern(s->tables.classes, "train");
+    spec.image = pm_names_intern(s->tables.images, "img");
     snprintf(key, sizeof key, "p/j/%s", id);
     pm_txn_put(&txn, key);
-    pm_jobs_write(&s->tables, &spec, 2, PM_LIVE, true, &txn.writes);
+    pm_job_encode(&s->tables, &spec, 2, PM_JOB_LIVE, true, &txn.writes);
     pm_txn_put_end(&txn, 0);
     pm_store_commit(s->store, &txn, on_written, &status);
     assert_true(fake_run_until(loop, has_job, &wanted));
@@ -251,12 +251,12 @@
 /* What the leader's planner and loop do, round by round. */
 static void round_of_leader(void)
 {
-    double now = pm_clock_steady();
+    double now = pm_clock_monotonic();
 
-    pm_plan_begin(leader.plan, now, 1e6 + now);
-    pm_blocks_assign(leader.blocks, now);
-    pm_blocks_allot(leader.blocks, now);
-    pm_blocks_run(leader.blocks, now);
+    pm_scheduler_begin(leader.plan, now, 1e6 + now);
+    pm_shards_assign_jobs(leader.blocks, now);
+    pm_shards_assign_machines(leader.blocks, now);
+    pm_shards_exchange(leader.blocks, now);
 }
 
 static bool is_granted(void *arg)
@@ -264,14 +264,14 @@
     (void)arg;
     round_of_leader();
     return holder.granted && pm_workers_find(holder.workers, "i-000001") &&
-           pm_blocks_holder(leader.blocks, "i-000001") &&
+           pm_shards_owner_of(leader.blocks, "i-000001") &&
            !pm_jobs_find(holder.jobs, "job-1")->delegated;
 }
 
 static bool is_confirmed(void *arg)
 {
     round_of_leader();
-    return pm_leader_confirmed(((struct side *)arg)->lead, pm_clock_steady());
+    return pm_election_is_confirmed(((struct side *)arg)->lead, pm_clock_monotonic());
 }
 
 static bool is_lost(void *arg)
@@ -339,40 +339,41 @@
     assert_true(pm_jobs_find(leader.jobs, "job-1")->delegated);
     m = pm_workers_find(leader.workers, "i-000001");
     assert_int_equal(m->lent, 1);
-    assert_string_equal(pm_blocks_holder(leader.blocks, "i-000001"), "n1");
-    assert_string_equal(pm_blocks_holder(holder.blocks, "i-000001"), "n1");
+    assert_string_equal(pm_shards_owner_of(leader.blocks, "i-000001"), "n1");
+    assert_string_equal(pm_shards_owner_of(holder.blocks, "i-000001"), "n1");
     /* A holder answers workers only with the epoch and its block confirmed. */
-    pm_leader_hold(holder.lead, "p/b/n1", pm_blocks_mine(holder.blocks));
+    pm_election_set_owned_shard(holder.lead, "p/b/n1", pm_shards_owned_revision(holder.blocks));
     assert_true(fake_run_until(loop, is_confirmed, &holder));
-    epoch = pm_leader_epoch(leader.lead);
-    assert_int_equal(pm_leader_epoch(holder.lead), epoch);
+    epoch = pm_election_epoch(leader.lead);
+    assert_int_equal(pm_election_epoch(holder.lead), epoch);
 
     /* Not heard of any more: the block is gone, and so is the epoch that its commands carry. */
     pm_http_server_free(holder.back);
     assert_true(fake_run_until(loop, is_lost, NULL));
-    assert_true(pm_leader_epoch(leader.lead) > epoch);
+    assert_true(pm_election_epoch(leader.lead) > epoch);
     assert_int_equal(fake_state_revision(state, "p/b/n1"), 0);
     assert_false(pm_jobs_find(leader.jobs, "job-1")->delegated);
     assert_int_equal(m->lent, 0);
     /* Its lease counts from when a majority knows the new epoch, and not before. */
-    assert_true(m->since_epoch == pm_leader_epoch(leader.lead));
-    assert_false(pm_workers_lapsed(m, pm_leader_floor(leader.lead, m->since_epoch), 0.001,
-                                   pm_clock_steady() + 1000));
+    assert_true(m->since_epoch == pm_election_epoch(leader.lead));
+    assert_false(
+        pm_workers_is_lease_expired(m, pm_election_lease_lower_bound(leader.lead, m->since_epoch),
+                                    0.001, pm_clock_monotonic() + 1000));
 }
 
 static bool is_failing(void *arg)
 {
     round_of_leader();
-    return pm_fault_job_failing(pm_jobs_find(leader.jobs, "job-1")) == *(bool *)arg;
+    return pm_failures_is_job_failing(pm_jobs_find(leader.jobs, "job-1")) == *(bool *)arg;
 }
 
 static void allot_once(void)
 {
-    double now = pm_clock_steady();
+    double now = pm_clock_monotonic();
 
-    pm_plan_begin(leader.plan, now, 1e6 + now);
-    pm_plan_place(leader.plan, now);
-    pm_blocks_allot(leader.blocks, now);
+    pm_scheduler_begin(leader.plan, now, 1e6 + now);
+    pm_scheduler_place(leader.plan, now);
+    pm_shards_assign_machines(leader.blocks, now);
 }
 
 /* A holder that finds a job failing wherever it runs says so: the leader leases no machines for the
@@ -380,19 +381,19 @@
 static void a_holder_tells_which_jobs_fail(void **arg)
 {
     bool failing = true;
-    const GArray *wants = pm_plan_wants(leader.plan);
+    const GArray *wants = pm_scheduler_unmet_demand(leader.plan);
 
     (void)arg;
     write_job(&leader, "job-1", false);
     assert_true(fake_run_until(loop, is_granted, NULL));
-    pm_fault_told(pm_jobs_find(holder.jobs, "job-1"), pm_clock_steady());
+    pm_failures_report_job(pm_jobs_find(holder.jobs, "job-1"), pm_clock_monotonic());
     assert_true(fake_run_until(loop, is_failing, &failing));
     leader.tables.type[0].cpus = 2; /* the machine leased with it has room for none of its tasks */
     allot_once();
     assert_int_equal(wants->len, 0);
     /* One of its tasks succeeds. */
     failing = false;
-    pm_fault_untold(pm_jobs_find(holder.jobs, "job-1"));
+    pm_failures_clear_job(pm_jobs_find(holder.jobs, "job-1"));
     assert_true(fake_run_until(loop, is_failing, &failing));
     allot_once();
     assert_int_equal(wants->len, 1);
@@ -415,7 +416,7 @@
 static bool is_over(void *arg)
 {
     round_of_leader();
-    return pm_clock_steady() > *(double *)arg;
+    return pm_clock_monotonic() > *(double *)arg;
 }
 
 /* The first write of a block gets no answer, its holder is not heard of any more, and the leader
@@ -430,15 +431,15 @@
     write_job(&leader, "job-1", false);
     fake_state_put_off(state, "p/b/n1");
     assert_true(fake_run_until(loop, is_put_off, NULL));
-    epoch = pm_leader_epoch(leader.lead);
+    epoch = pm_election_epoch(leader.lead);
     fake_state_outage(state, true);
     pm_http_server_free(holder.back);
-    later = pm_clock_steady() + 3;
+    later = pm_clock_monotonic() + 3;
     assert_true(fake_run_until(loop, is_over, &later));
     assert_int_equal(leader.back_jobs, 0);
     fake_state_outage(state, false);
     assert_true(fake_run_until(loop, is_back, NULL));
-    assert_true(pm_leader_epoch(leader.lead) > epoch);
+    assert_true(pm_election_epoch(leader.lead) > epoch);
     assert_false(pm_jobs_find(leader.jobs, "job-1")->delegated);
     fake_state_deliver(state);
     assert_int_equal(fake_state_revision(state, "p/b/n1"), 0);
@@ -451,17 +452,17 @@
     double later;
 
     (void)arg;
-    later = pm_clock_steady() + 2.5; /* the holder has said that it is ready */
+    later = pm_clock_monotonic() + 2.5; /* the holder has said that it is ready */
     assert_true(fake_run_until(loop, is_over, &later));
     write_job(&leader, "job-1", false);
     leader.settings.value_kb = 0.2; /* a block with the job, but not with a machine beside it */
-    pm_plan_begin(leader.plan, pm_clock_steady(), 1e6);
-    pm_blocks_assign(leader.blocks, pm_clock_steady());
+    pm_scheduler_begin(leader.plan, pm_clock_monotonic(), 1e6);
+    pm_shards_assign_jobs(leader.blocks, pm_clock_monotonic());
     assert_false(pm_jobs_find(leader.jobs, "job-1")->delegated);
     leader.settings.value_kb = 0.4;
-    pm_blocks_assign(leader.blocks, pm_clock_steady());
+    pm_shards_assign_jobs(leader.blocks, pm_clock_monotonic());
     assert_true(pm_jobs_find(leader.jobs, "job-1")->delegated);
-    pm_blocks_allot(leader.blocks, pm_clock_steady());
+    pm_shards_assign_machines(leader.blocks, pm_clock_monotonic());
     assert_int_equal(pm_workers_find(leader.workers, "i-000001")->lent, 1);
 }
 
@@ -491,7 +492,7 @@
 
 static void assert_taken_back_soon(void)
 {
-    double later = pm_clock_steady() + 6;
+    double later = pm_clock_monotonic() + 6;
 
     assert_true(fake_run_until(loop, is_back_or_late, &later));
     assert_int_equal(leader.back_jobs, 1);
@@ -513,7 +514,7 @@
 {
     (void)arg;
     put_off_a_recall();
-    pm_store_relist(leader.store);
+    pm_store_resync(leader.store);
     fake_state_deliver(state);
     assert_int_equal(fake_state_revision(state, "p/b/n1"), 0);
     assert_taken_back_soon();
@@ -538,12 +539,12 @@
     (void)arg;
     write_job(&leader, "job-1", false);
     assert_true(fake_run_until(loop, is_granted, NULL));
-    epoch = pm_leader_epoch(leader.lead);
-    pm_store_relist(holder.store);
+    epoch = pm_election_epoch(leader.lead);
+    pm_store_resync(holder.store);
     assert_true(fake_run_until(loop, has_left, NULL));
     assert_false(holder.granted);
     assert_int_equal(leader.back_jobs, 1);
-    assert_true(pm_leader_epoch(leader.lead) > epoch);
+    assert_true(pm_election_epoch(leader.lead) > epoch);
     assert_int_equal(fake_state_revision(state, "p/b/n1"), 0);
 }
 
--- a/src/cmd/measure-cuts/main.c
+++ b/src/cmd/measure-cuts/main.c
@@ -60,14 +60,14 @@
 /* Follows what becomes of a cut for good. */
 static void follow_cut(struct cluster *c, int cut_one, struct outcome *out)
 {
-    double began = pm_clock_steady();
+    double began = pm_clock_monotonic();
     unsigned answered = fleet_answered(cluster_fleet(c), cut_one);
     unsigned starts = 0;
 
     *out = (struct outcome){0, WAIT_S, WAIT_S, 0};
-    while (pm_clock_steady() - began < WAIT_S && out->works >= WAIT_S) {
+    while (pm_clock_monotonic() - began < WAIT_S && out->works >= WAIT_S) {
         int leader = cluster_leader(c);
-        double at = pm_clock_steady() - began;
+        double at = pm_clock_monotonic() - began;
         cluster_run(c, STEP_S);
         if (fleet_answered(cluster_fleet(c), cut_one) > answered) {
             answered = fleet_answered(cluster_fleet(c), cut_one);
@@ -85,14 +85,14 @@
 static void follow_flaps(struct cluster *c, const struct options *options, const struct kind *kind,
                          int cut_one, struct outcome *out)
 {
-    double began = pm_clock_steady();
+    double began = pm_clock_monotonic();
     int leader = cut_one;
 
     *out = (struct outcome){0};
-    for (int turn = 0; pm_clock_steady() - began < options->flap_for_s; turn++) {
-        double until = pm_clock_steady() + kind->flap_s;
+    for (int turn = 0; pm_clock_monotonic() - began < options->flap_for_s; turn++) {
+        double until = pm_clock_monotonic() + kind->flap_s;
         cut_all(c, kind, cut_one, turn % 2 ? (struct cut){0} : kind->cut);
-        while (pm_clock_steady() < until) {
+        while (pm_clock_monotonic() < until) {
             int now = cluster_leader(c);
             cluster_run(c, STEP_S);
             out->changes += now >= 0 && now != leader;
--- a/src/cmd/plan-bench/main.c
+++ b/src/cmd/plan-bench/main.c
@@ -24,7 +24,8 @@
 static struct pm_workers *workers;
 static uint64_t revision;
 
-static void on_ended(void *arg, struct pm_place *place, enum pm_end end, bool saved, double now)
+static void on_ended(void *arg, struct pm_placement *place, enum pm_task_exit end, bool saved,
+                     double now)
 {
     (void)arg;
     (void)place;
@@ -33,7 +34,7 @@
     (void)now;
 }
 
-static void on_ran(void *arg, struct pm_place *place, double now)
+static void on_ran(void *arg, struct pm_placement *place, double now)
 {
     (void)arg;
     (void)place;
@@ -54,8 +55,8 @@
     bool service = n % 4 == 0;
     struct pm_spec spec = {.zone = -1,
                            .types = ~(uint64_t)0,
-                           .form = service ? PM_SERVICE : PM_ARRAY,
-                           .priority = service ? PM_PRODUCTION : PM_NORMAL,
+                           .form = service ? PM_WORKLOAD_SERVICE : PM_WORKLOAD_ARRAY,
+                           .priority = service ? PM_PRIORITY_PRODUCTION : PM_PRIORITY_NORMAL,
                            .entries = service ? 5 : ENTRIES,
                            .cpus = service ? 2 : 4,
                            .ram_gb = service ? 13 : 29,
@@ -70,8 +71,8 @@
     char text[64];
 
     snprintf(text, sizeof text, "img-%02d", n % 26);
-    spec.class_index = pm_names_add(tables.classes, service ? "search" : "render");
-    spec.image = pm_names_add(tables.images, text);
+    spec.class_index = pm_names_intern(tables.classes, service ? "search" : "render");
+    spec.image = pm_names_intern(tables.images, text);
     if (nneeds) {
         GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
         for (int i = 0; i < nneeds; i++)
@@ -79,11 +80,11 @@
         pm_spec_set_dependencies(&tables, &spec, ids);
         g_ptr_array_free(ids, TRUE);
     }
-    pm_jobs_write(&tables, &spec, spec.entries, PM_LIVE, true, &buf);
+    pm_job_encode(&tables, &spec, spec.entries, PM_JOB_LIVE, true, &buf);
     g_free(spec.dependencies);
     value = pm_cbor_parse(buf.data, buf.size);
     snprintf(text, sizeof text, "p/j/job-%06d", n);
-    pm_jobs_put(jobs, text, value, ++revision);
+    pm_jobs_apply_put(jobs, text, value, ++revision);
     pm_cbor_free(value);
     pm_buf_free(&buf);
 }
@@ -107,9 +108,9 @@
     pm_put_text(&buf, "entries");
     pm_put_list(&buf);
     for (guint i = 0; i < m->places->len; i++) {
-        const struct pm_place *place = g_ptr_array_index(m->places, i);
+        const struct pm_placement *place = g_ptr_array_index(m->places, i);
         char entry[64];
-        bool over = ended && place->job->spec->form == PM_ARRAY;
+        bool over = ended && place->job->spec->form == PM_WORKLOAD_ARRAY;
         snprintf(entry, sizeof entry, "%s/%u", place->job->id, place->index);
         pm_put_map(&buf);
         pm_put_pair_text(&buf, "entry", entry);
@@ -122,7 +123,7 @@
     pm_put_end(&buf);
     pm_put_end(&buf);
     item = pm_cbor_parse(buf.data, buf.size);
-    pm_workers_report(workers, item, PM_REPORT, 1, now, &fresh);
+    pm_workers_apply_heartbeat(workers, item, PM_SOURCE_HEARTBEAT, 1, now, &fresh);
     pm_cbor_free(item);
     pm_buf_free(&buf);
 }
@@ -144,8 +145,8 @@
     tables.types = pm_names_new();
     tables.machines = pm_names_new();
     tables.dependency_ids = pm_names_new();
-    pm_names_add(tables.types, "small");
-    pm_names_add(tables.types, "large");
+    pm_names_intern(tables.types, "small");
+    pm_names_intern(tables.types, "large");
     tables.type[0] =
         (struct pm_type){.cpus = 4, .ram_gb = 32, .local_gb = 35, .pull_gb_per_s = 0.2};
     tables.type[1] =
@@ -179,7 +180,7 @@
     char id[32];
 
     snprintf(id, sizeof id, "job-%06d", array_number(from));
-    pm_jobs_cancel(jobs, id, ++revision);
+    pm_jobs_apply_cancellation(jobs, id, ++revision);
     printf("%s, %d jobs: %.1f us a job told, %.1f us a job cancelled\n", what, to - from,
            told / (to - from) * 1e6, (seconds() - at) / (to - from) * 1e6);
 }
@@ -263,13 +264,13 @@
     double longest = 0;
     long placed = 0;
     long nreports = 0;
-    struct pm_operator op;
-    struct pm_plan *plan;
+    struct pm_operator_settings op;
+    struct pm_scheduler *plan;
 
     pm_log_setup("error", "bench");
-    pm_operator_defaults(&op);
+    pm_operator_settings_defaults(&op);
     begin(machines);
-    plan = pm_plan_new(&tables, jobs, workers, &op);
+    plan = pm_scheduler_new(&tables, jobs, workers, &op);
     for (int round = 0; round < ROUNDS; round++) {
         GPtrArray *all = pm_workers_all(workers);
         double at = seconds();
@@ -285,16 +286,16 @@
         }
         reports += seconds() - at;
         at = seconds();
-        placed += pm_plan_run(plan, now, now);
+        placed += pm_scheduler_run(plan, now, now);
         took = seconds() - at;
         plans += took;
         longest = took > longest ? took : longest;
         for (int i = 0; i < machines; i++) {
             struct pm_machine *m = g_ptr_array_index(all, i);
             for (guint j = 0; j < m->places->len; j++) {
-                struct pm_place *place = g_ptr_array_index(m->places, j);
-                if (place->state == PM_INTENT)
-                    place->state = PM_RUNNING;
+                struct pm_placement *place = g_ptr_array_index(m->places, j);
+                if (place->state == PM_PLACEMENT_PROPOSED)
+                    place->state = PM_PLACEMENT_RUNNING;
             }
         }
         now += 0.2;
--- a/src/cmd/pumicectl/drain.c
+++ b/src/cmd/pumicectl/drain.c
@@ -72,16 +72,16 @@
     struct pm_buf body = {0};
     char key[128];
 
-    snprintf(key, sizeof key, PM_DUTY_PREFIX "%s", duty);
-    pm_txn_if(&txn, key, token);
-    snprintf(key, sizeof key, PM_DRAIN_PREFIX "%s", duty);
-    pm_txn_if(&txn, key, stamp);
+    snprintf(key, sizeof key, PM_ROLE_KEY_PREFIX "%s", duty);
+    pm_txn_compare(&txn, key, token);
+    snprintf(key, sizeof key, PM_ROLE_DRAIN_KEY_PREFIX "%s", duty);
+    pm_txn_compare(&txn, key, stamp);
     pm_txn_put(&txn, key);
     pm_put_map(&txn.writes);
     pm_put_pair_count(&txn.writes, "token", token);
     pm_put_end(&txn.writes);
     pm_txn_put_end(&txn, 0);
-    pm_txn_write(&txn, &body);
+    pm_txn_encode(&txn, &body);
     call(client, "POST", "/txn", &body);
     pm_buf_free(&body);
     pm_txn_free(&txn);
@@ -98,10 +98,10 @@
 static struct known await_next(struct state_client *client, const char *duty, uint64_t token,
                                double timeout_s)
 {
-    double until = pm_clock_steady() + timeout_s;
+    double until = pm_clock_monotonic() + timeout_s;
 
-    while (pm_clock_steady() < until) {
-        struct known next = read_key(client, PM_DUTY_PREFIX, duty);
+    while (pm_clock_monotonic() < until) {
+        struct known next = read_key(client, PM_ROLE_KEY_PREFIX, duty);
         ev_timer poll;
         if (next.stamp && next.stamp != token)
             return next;
@@ -129,8 +129,8 @@
 
 static struct pm_report drain(struct state_client *client, const char *duty, double timeout_s)
 {
-    struct known holder = read_key(client, PM_DUTY_PREFIX, duty);
-    struct known asked = read_key(client, PM_DRAIN_PREFIX, duty);
+    struct known holder = read_key(client, PM_ROLE_KEY_PREFIX, duty);
+    struct known asked = read_key(client, PM_ROLE_DRAIN_KEY_PREFIX, duty);
     struct known next;
 
     if (!holder.reached || !asked.reached)
--- a/src/cmd/pumicectl/gather.c
+++ b/src/cmd/pumicectl/gather.c
@@ -21,7 +21,7 @@
 {
     if (status == PM_HTTP_NOT_SENT)
         return "not reached";
-    if (status == PM_HTTP_LOST)
+    if (status == PM_HTTP_NO_ANSWER)
         return "no answer in time";
     if (status == 503)
         return "refuses (503)";
--- a/src/cmd/pumicectl/main.c
+++ b/src/cmd/pumicectl/main.c
@@ -239,9 +239,9 @@
     options->words = argv + own;
     options->count = argc - own;
     if (options->count >= command->least && options->count <= command->most) {
-        if (!strcmp(command->name, "why") && !pm_jobs_id_valid(options->words[0]))
+        if (!strcmp(command->name, "why") && !pm_job_id_is_valid(options->words[0]))
             return "why: not the id of a job";
-        if (!strcmp(command->name, "duty") && pm_single_duty_find(options->words[0]) < 0)
+        if (!strcmp(command->name, "duty") && pm_role_find(options->words[0]) < 0)
             return "duty drain: rent, return or clean";
         if ((strcmp(command->name, "cleanup") == 0) != options->dry_run)
             return "--dry-run goes with cleanup, which does nothing else";
--- a/src/cmd/pumicectl/record_files.c
+++ b/src/cmd/pumicectl/record_files.c
@@ -3,7 +3,7 @@
 
 #include <glib.h>
 
-static void add_entry(void *arg, const struct pm_record_entry *entry)
+static void add_entry(void *arg, const struct pm_audit_entry *entry)
 {
     json_t *entries = arg;
     GDateTime *when = g_date_time_new_from_unix_utc((gint64)entry->day);
@@ -18,14 +18,14 @@
     g_free(text);
 }
 
-static const char *name_state(enum pm_record_state state)
+static const char *name_state(enum pm_audit_file_state state)
 {
     switch (state) {
-    case PM_RECORD_WHOLE:
+    case PM_AUDIT_FILE_COMPLETE:
         return "whole";
-    case PM_RECORD_TRUNCATED:
+    case PM_AUDIT_FILE_TRUNCATED:
         return "read to its last whole entry";
-    case PM_RECORD_DAMAGED:
+    case PM_AUDIT_FILE_CORRUPT:
         return "damaged after the last entry told";
     default:
         return "not a record";
@@ -40,7 +40,8 @@
     for (int i = 0; i < count; i++) {
         json_t *entries = json_array();
         char why[256];
-        enum pm_record_state state = pm_record_read(paths[i], add_entry, entries, why, sizeof why);
+        enum pm_audit_file_state state =
+            pm_audit_log_read_file(paths[i], add_entry, entries, why, sizeof why);
         json_array_append_new(files, json_pack("{s:s, s:s, s:I, s:b, s:s}", "file", paths[i],
                                                "state", name_state(state), "count",
                                                (json_int_t)json_array_size(entries), "has_why",
@@ -48,7 +49,7 @@
         if (list)
             json_object_set(json_array_get(files, (size_t)i), "entries", entries);
         json_decref(entries);
-        if (state != PM_RECORD_WHOLE)
+        if (state != PM_AUDIT_FILE_COMPLETE)
             out.exit = PM_EXIT_WRONG;
     }
     out.document = json_pack("{s:o}", "files", files);
--- a/src/cmd/pumicemount/duties.c
+++ b/src/cmd/pumicemount/duties.c
@@ -12,45 +12,45 @@
 
 static void on_taken(void *arg)
 {
-    pm_node_plan_soon(arg); /* the fleet finishes what is open */
+    pm_controller_plan_soon(arg); /* the fleet finishes what is open */
 }
 
 /* Renting and returning follow the lead: who is to give them up leaves it. */
-static void on_drained(void *arg, enum pm_single_duty duty)
+static void on_drained(void *arg, enum pm_role duty)
 {
-    struct pm_node *n = arg;
+    struct pm_controller *n = arg;
 
-    if (duty != PM_SINGLE_CLEAN)
-        pm_leader_step_down(n->lead, "drained by an operator");
+    if (duty != PM_ROLE_GARBAGE_COLLECTION)
+        pm_election_step_down(n->lead, "drained by an operator");
 }
 
 /* ---- cleaning ---- */
 
 static void on_cleaned(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
 {
-    struct pm_node *n = arg;
+    struct pm_controller *n = arg;
     char text[32];
 
     (void)store_revision;
     (void)failed;
     n->clean_busy = false;
     snprintf(text, sizeof text, "status %d", status);
-    pm_duties_note(n->duties, PM_SINGLE_CLEAN, "cleaned", "stored keys", text);
+    pm_roles_log_action(n->duties, PM_ROLE_GARBAGE_COLLECTION, "cleaned", "stored keys", text);
 }
 
 /* Takes away some keys that nobody needs; the transaction refuses a holder that was replaced. */
-static void clean(struct pm_node *n, double now)
+static void clean(struct pm_controller *n, double now)
 {
-    int most = MIN(pm_store_room(n->store, now) - CLEAN_SPARE, n->settings->txn_ops);
-    uint64_t token = pm_duties_token(n->duties, PM_SINGLE_CLEAN);
+    int most = MIN(pm_store_write_budget(n->store, now) - CLEAN_SPARE, n->settings->txn_ops);
+    uint64_t token = pm_roles_token(n->duties, PM_ROLE_GARBAGE_COLLECTION);
     struct pm_txn txn = {0};
 
     if (n->clean_busy || now - n->clean_at < CLEAN_S || most < 1 ||
-        !pm_duties_holds(n->duties, PM_SINGLE_CLEAN, now))
+        !pm_roles_holds(n->duties, PM_ROLE_GARBAGE_COLLECTION, now))
         return;
     n->clean_at = now;
-    pm_txn_if(&txn, PM_DUTY_PREFIX "clean", token);
-    if (!pm_clean_add_due(n->clean, &txn, most, now)) {
+    pm_txn_compare(&txn, PM_ROLE_KEY_PREFIX "clean", token);
+    if (!pm_gc_add_due_deletes(n->clean, &txn, most, now)) {
         pm_txn_free(&txn);
         return;
     }
@@ -58,32 +58,32 @@
     pm_store_commit(n->store, &txn, on_cleaned, n);
 }
 
-void pm_node_tick_duties(struct pm_node *n, double now)
+void pm_controller_tick_roles(struct pm_controller *n, double now)
 {
-    struct pm_duties_grounds grounds = {
-        .supported = pm_leader_protocol_version(n->lead) >= PM_PROTOCOL_DUTIES,
+    struct pm_roles_conditions grounds = {
+        .supported = pm_election_protocol_version(n->lead) >= PM_PROTOCOL_ROLES,
         .leads = n->leading,
-        .epoch_revision = n->leading ? pm_leader_revision(n->lead) : 0,
+        .epoch_revision = n->leading ? pm_election_epoch_revision(n->lead) : 0,
     };
 
-    pm_duties_tick(n->duties, &grounds, now);
+    pm_roles_tick(n->duties, &grounds, now);
     clean(n, now);
 }
 
-void pm_node_make_duties(struct pm_node *n)
+void pm_controller_init_roles(struct pm_controller *n)
 {
-    const struct pm_duties_setting *setting = &n->op->duties;
-    struct pm_record *record = NULL;
+    const struct pm_roles_setting *setting = &n->op->duties;
+    struct pm_audit_log *record = NULL;
     char err[512];
 
     if (setting->record_dir[0]) {
-        record = pm_record_new(setting->record_dir, n->settings->name, setting->record_period_s,
-                               setting->record_mb, err, sizeof err);
+        record = pm_audit_log_new(setting->record_dir, n->settings->name, setting->record_period_s,
+                                  setting->record_mb, err, sizeof err);
         if (!record) /* the service goes on without */
             pm_error("duty.record", "%s", err);
     }
-    n->duties = pm_duties_new(n->store, n->settings, setting, pm_leader_boot(n->lead), n->trace,
-                              record, &(struct pm_duties_hooks){on_taken, on_drained, n});
-    pm_fleet_set_duties(n->fleet, n->duties);
-    n->clean = pm_clean_new(n->settings, setting->clean_after_s);
+    n->duties = pm_roles_new(n->store, n->settings, setting, pm_election_incarnation_id(n->lead),
+                             n->trace, record, &(struct pm_roles_hooks){on_taken, on_drained, n});
+    pm_autoscaler_set_duties(n->fleet, n->duties);
+    n->clean = pm_gc_new(n->settings, setting->clean_after_s);
 }
--- a/src/cmd/pumicemount/internal.h
+++ b/src/cmd/pumicemount/internal.h
@@ -1,6 +1,6 @@
 /* What the parts of the daemon share; nobody else includes it. */
-#ifndef PM_CMD_PARTS_H
-#define PM_CMD_PARTS_H
+#ifndef PM_CONTROLLER_INTERNAL_H
+#define PM_CONTROLLER_INTERNAL_H
 
 #include "base/http.h"
 #include "blocks/blocks.h"
@@ -25,29 +25,29 @@
 #define DIRECT_S 3.0 /* a /do with no answer by then is in doubt */
 #define ROUND_S 0.5  /* see round.c */
 
-struct pm_node {
+struct pm_controller {
     struct ev_loop *loop;
     const struct pm_settings *settings;
-    const struct pm_operator *op;
+    const struct pm_operator_settings *op;
     struct pm_name_tables tables;
     struct pm_http_client *http;
     struct pm_http_server *front, *back;
     struct pm_store *store;
-    struct pm_leader *lead;
-    struct pm_cancels *cancels;
+    struct pm_election *lead;
+    struct pm_cancel_quorum *cancels;
     struct pm_links *links;
     struct pm_links_trace *trace; /* NULL: none is written */
-    struct pm_duties *duties;
-    struct pm_clean *clean;
+    struct pm_roles *duties;
+    struct pm_gc *clean;
     double clean_at; /* stored keys were last looked through */
     bool clean_busy;
     struct pm_jobs *jobs;
     struct pm_workers *workers;
-    struct pm_plan *plan;
+    struct pm_scheduler *plan;
     struct pm_commit *commit;
-    struct pm_fleet *fleet;
+    struct pm_autoscaler *fleet;
     struct pm_api *intake;
-    struct pm_blocks *blocks;
+    struct pm_shards *blocks;
     GMutex lock;  /* all of the above */
     bool ruling;  /* leads, or holds a block, and the working state is rebuilt */
     bool leading; /* leads */
@@ -71,47 +71,47 @@
 };
 
 /* planning.c: the planner's thread, and what follows from a plan */
-bool pm_node_writable(const struct pm_node *n, double now);
+bool pm_controller_is_store_writable(const struct pm_controller *n, double now);
 /* Something changed that the planner ought to see; several changes make one plan. */
-void pm_node_plan_soon(struct pm_node *n);
-void pm_node_commit(struct pm_node *n);
-gpointer pm_node_planner(gpointer data);
-void pm_node_on_pace(struct ev_loop *loop, ev_timer *w, int events);
-void pm_node_on_commit_timer(struct ev_loop *loop, ev_timer *w, int events);
-void pm_node_on_planned(struct ev_loop *loop, ev_async *w, int events);
+void pm_controller_plan_soon(struct pm_controller *n);
+void pm_controller_commit(struct pm_controller *n);
+gpointer pm_controller_planner(gpointer data);
+void pm_controller_on_pace(struct ev_loop *loop, ev_timer *w, int events);
+void pm_controller_on_commit_timer(struct ev_loop *loop, ev_timer *w, int events);
+void pm_controller_on_planned(struct ev_loop *loop, ev_async *w, int events);
 
 /* workers.c: commands to workers, and their reports */
 /* Sends what is due straight to the worker; with `probe`, also when nothing is: its answer is a
  * report, and brings our token. */
-void pm_node_direct(struct pm_node *n, struct pm_machine *m, bool probe);
-void pm_node_direct_all(struct pm_node *n);
-void pm_node_report(struct pm_node *n, struct pm_http_request *req);
+void pm_controller_push_commands(struct pm_controller *n, struct pm_machine *m, bool probe);
+void pm_controller_push_all_commands(struct pm_controller *n);
+void pm_controller_handle_heartbeat(struct pm_controller *n, struct pm_http_request *req);
 
 /* links.c: evidence for the links slice, its probes, and what follows from it */
-void pm_node_make_links(struct pm_node *n);
+void pm_controller_init_links(struct pm_controller *n);
 /* The rest of it: once there is a leader slice to carry the views. */
-void pm_node_carry_links(struct pm_node *n);
-void pm_node_tick_links(struct pm_node *n, double now);
+void pm_controller_attach_links(struct pm_controller *n);
+void pm_controller_tick_links(struct pm_controller *n, double now);
 /* Steps down from the lead if another controller is better placed to have it. */
-void pm_node_give_way(struct pm_node *n, double now);
+void pm_controller_yield_lead_if_unfit(struct pm_controller *n, double now);
 
 /* duties.c: duties that one controller holds */
-void pm_node_make_duties(struct pm_node *n);
-void pm_node_tick_duties(struct pm_node *n, double now);
+void pm_controller_init_roles(struct pm_controller *n);
+void pm_controller_tick_roles(struct pm_controller *n, double now);
 
 /* toolbox.c: what operators' tools ask */
 /* GET /toolbox/... on the back address; false: no such path. */
-bool pm_node_toolbox(struct pm_node *n, struct pm_http_request *req);
+bool pm_controller_handle_admin_request(struct pm_controller *n, struct pm_http_request *req);
 
 /* round.c: what is looked after by the clock */
-struct pm_node_counts {
+struct pm_controller_counts {
     int up, silent, lent, booting;       /* machines */
     unsigned live;                       /* jobs */
     unsigned placed, waiting, delegated; /* tasks */
     double cpus, idle;
 };
-struct pm_node_counts pm_node_count(struct pm_node *n, double now);
-void pm_node_find_again(struct pm_node *n, double now);
-void pm_node_on_round(struct ev_loop *loop, ev_timer *w, int events);
+struct pm_controller_counts pm_controller_count(struct pm_controller *n, double now);
+void pm_controller_probe_workers(struct pm_controller *n, double now);
+void pm_controller_on_reconcile_timer(struct ev_loop *loop, ev_timer *w, int events);
 
 #endif
--- a/src/cmd/pumicemount/links.c
+++ b/src/cmd/pumicemount/links.c
@@ -17,32 +17,33 @@
 
 static void on_call_ended(void *arg, const struct pm_http_outcome *outcome)
 {
-    pm_links_call_ended(((struct pm_node *)arg)->links, outcome);
+    pm_links_call_ended(((struct pm_controller *)arg)->links, outcome);
 }
 
 static unsigned char *on_pack(void *arg, size_t *size)
 {
-    return pm_links_pack(((struct pm_node *)arg)->links, pm_clock_steady(), size);
+    return pm_links_encode_views(((struct pm_controller *)arg)->links, pm_clock_monotonic(), size);
 }
 
 static void on_unpack(void *arg, int peer, const unsigned char *data, size_t size, double asked_at)
 {
-    pm_links_unpack(((struct pm_node *)arg)->links, peer, data, size, asked_at, pm_clock_steady());
+    pm_links_decode_views(((struct pm_controller *)arg)->links, peer, data, size, asked_at,
+                          pm_clock_monotonic());
 }
 
 static void on_peer_heard(void *arg, int peer)
 {
-    pm_links_peer_heard(((struct pm_node *)arg)->links, peer, pm_clock_steady());
+    pm_links_peer_heard(((struct pm_controller *)arg)->links, peer, pm_clock_monotonic());
 }
 
 static double on_candidate_wait(void *arg)
 {
-    return pm_links_candidate_wait_s(((struct pm_node *)arg)->links, pm_clock_steady());
+    return pm_links_candidate_wait_s(((struct pm_controller *)arg)->links, pm_clock_monotonic());
 }
 
-static bool is_ours(const struct pm_node *n, const struct pm_machine *m)
+static bool is_ours(const struct pm_controller *n, const struct pm_machine *m)
 {
-    return m && m->state == PM_UP && !m->lent && n->ruling;
+    return m && m->state == PM_MACHINE_UP && !m->lent && n->ruling;
 }
 
 static void add_endpoint(struct pm_links_zone_census *census, const char *endpoint)
@@ -56,7 +57,7 @@
 
 /* Addresses for the others' probes are those of machines that are heard, and, where there are too
  * few, of silent ones, which another controller may reach. */
-static void count_zones(struct pm_node *n, double now)
+static void count_zones(struct pm_controller *n, double now)
 {
     struct pm_links_zone_census census[PM_ZONES_MAX] = {0};
     struct pm_links_zone_census silent[PM_ZONES_MAX] = {0};
@@ -66,12 +67,13 @@
         const struct pm_machine *m = g_ptr_array_index(all, i);
         if (!is_ours(n, m) || m->zone < 0)
             continue;
-        add_endpoint(pm_workers_silent(m, n->settings, now) ? &silent[m->zone] : &census[m->zone],
+        add_endpoint(pm_machine_missed_heartbeat(m, n->settings, now) ? &silent[m->zone]
+                                                                      : &census[m->zone],
                      m->endpoint);
         if (!m->reported)
             continue;
         census[m->zone].up++;
-        census[m->zone].deaf += pm_workers_deaf(m, now);
+        census[m->zone].deaf += pm_machine_is_unreachable(m, now);
     }
     for (int zone = 0; zone < n->settings->zones; zone++) {
         for (int i = 0; i < PM_VIEW_ENDPOINTS; i++)
@@ -96,10 +98,10 @@
     (void)ok;
 }
 
-static void probe(struct pm_node *n, double now)
+static void probe(struct pm_controller *n, double now)
 {
     if (pm_links_probe_state_due(n->links, now))
-        pm_store_fresh(n->store, on_fresh, n);
+        pm_store_linearizable_read(n->store, on_fresh, n);
     if (pm_links_probe_cloud_due(n->links, now))
         pm_http_call(n->http, n->settings->cloud, "GET", "/machine_types", NULL, 0, PROBE_TIMEOUT_S,
                      PROBE_ANSWER_MAX, on_probed, n);
@@ -116,34 +118,35 @@
 static void on_view_written(void *arg, int status, uint64_t store_revision,
                             const cbor_item_t *failed)
 {
-    struct pm_node *n = arg;
+    struct pm_controller *n = arg;
 
     (void)store_revision;
     (void)failed;
     n->links_busy = false;
-    pm_links_written(n->links, status == 200);
+    pm_links_view_written(n->links, status == 200);
 }
 
-static void write_view(struct pm_node *n, double now)
+static void write_view(struct pm_controller *n, double now)
 {
     struct pm_txn txn = {0};
     char key[PM_NAME_MAX + 16];
 
-    if (n->links_busy || !pm_links_write_due(n->links, now) || !pm_node_writable(n, now) ||
-        pm_leader_protocol_version(n->lead) < PM_PROTOCOL_LINKS ||
-        pm_store_room(n->store, now) < ROOM_FOR_VIEW)
+    if (n->links_busy || !pm_links_is_write_due(n->links, now) ||
+        !pm_controller_is_store_writable(n, now) ||
+        pm_election_protocol_version(n->lead) < PM_PROTOCOL_LINKS ||
+        pm_store_write_budget(n->store, now) < ROOM_FOR_VIEW)
         return;
     n->links_busy = true;
     snprintf(key, sizeof key, PM_LINKS_PREFIX "%s", n->settings->name);
     pm_txn_put(&txn, key);
-    pm_links_write(n->links, &txn.writes, now);
+    pm_links_encode_view(n->links, &txn.writes, now);
     pm_txn_put_end(&txn, 0);
     pm_store_commit(n->store, &txn, on_view_written, n);
 }
 
 /* Cut off from the workers alone, a leader does nothing but let their leases lapse: another one may
  * reach them. With views to go by, it stays where nobody else is known to do better. */
-static void step_down_if_unheard(struct pm_node *n, double now)
+static void step_down_if_unheard(struct pm_controller *n, double now)
 {
     GPtrArray *all = pm_workers_all(n->workers);
     double limit = MAX(UNHEARD_LEAST_S, UNHEARD_REPORTS * n->settings->report_s);
@@ -160,28 +163,28 @@
         up++;
         /* An answer to a command is none: a worker whose reports come nowhere loses its lease. */
         silent += now - MAX(m->report_at, n->took_at) >= limit;
-        deaf += pm_workers_deaf(m, now);
+        deaf += pm_machine_is_unreachable(m, now);
     }
     /* Any report counts, also one that an outage keeps from being answered. */
     if (silent >= UNHEARD_MACHINES && now - n->report_at >= limit)
-        pm_leader_step_down(n->lead, "no worker is heard");
-    else if (deaf >= UNHEARD_MACHINES && 2 * deaf > up && pm_leader_confirmed(n->lead, now))
-        pm_leader_step_down(n->lead, "the workers do not hear us");
+        pm_election_step_down(n->lead, "no worker is heard");
+    else if (deaf >= UNHEARD_MACHINES && 2 * deaf > up && pm_election_is_confirmed(n->lead, now))
+        pm_election_step_down(n->lead, "the workers do not hear us");
 }
 
-void pm_node_give_way(struct pm_node *n, double now)
+void pm_controller_yield_lead_if_unfit(struct pm_controller *n, double now)
 {
-    if (pm_links_gives_way(n->links, now - n->took_at, now))
-        pm_leader_step_down(n->lead, "another controller has better links");
+    if (pm_links_should_yield_lead(n->links, now - n->took_at, now))
+        pm_election_step_down(n->lead, "another controller has better links");
     else if (!n->op->links.decide || pm_links_has_equal(n->links, now))
         step_down_if_unheard(n, now);
 }
 
-void pm_node_tick_links(struct pm_node *n, double now)
+void pm_controller_tick_links(struct pm_controller *n, double now)
 {
     if (n->op->links.observe)
         count_zones(n, now);
-    pm_links_tick(n->links, n->leading, pm_leader_epoch(n->lead), now);
+    pm_links_tick(n->links, n->leading, pm_election_epoch(n->lead), now);
     pm_api_set_cut_off(n->intake, pm_links_is_cut_off(n->links));
     if (!n->op->links.observe)
         return;
@@ -189,7 +192,7 @@
     write_view(n, now);
 }
 
-void pm_node_make_links(struct pm_node *n)
+void pm_controller_init_links(struct pm_controller *n)
 {
     const struct pm_links_setting *setting = &n->op->links;
     char err[512];
@@ -205,11 +208,11 @@
         pm_http_client_observe(n->http, on_call_ended, n);
 }
 
-void pm_node_carry_links(struct pm_node *n)
+void pm_controller_attach_links(struct pm_controller *n)
 {
     if (!n->op->links.observe)
         return;
-    pm_leader_carry_links(n->lead,
-                          &(struct pm_leader_links){n->op->links.probe_s, on_pack, on_unpack,
-                                                    on_peer_heard, on_candidate_wait, n});
+    pm_election_attach_links(n->lead,
+                             &(struct pm_election_links){n->op->links.probe_s, on_pack, on_unpack,
+                                                         on_peer_heard, on_candidate_wait, n});
 }
--- a/src/cmd/pumicemount/main.c
+++ b/src/cmd/pumicemount/main.c
@@ -17,7 +17,7 @@
 int main(int argc, char **argv)
 {
     static struct pm_settings settings;
-    static struct pm_operator op;
+    static struct pm_operator_settings op;
     char *config = NULL;
     char *check = NULL;
     char *operator_file = NULL;
@@ -51,8 +51,8 @@
     }
     if (pm_settings_load(&settings, check ? check : config, err, sizeof err))
         return fail_settings(check ? check : config, err);
-    pm_operator_defaults(&op);
-    if (operator_file && pm_operator_load(&op, operator_file, err, sizeof err))
+    pm_operator_settings_defaults(&op);
+    if (operator_file && pm_operator_settings_load(&op, operator_file, err, sizeof err))
         return fail_settings(operator_file, err);
     if (check)
         return 0;
@@ -61,7 +61,7 @@
     signal(SIGPIPE, SIG_IGN);
     pm_log_setup(getenv("LOG_LEVEL"), settings.name);
     loop = ev_default_loop(EVFLAG_AUTO);
-    if (!loop || !pm_node_new(loop, &settings, &op))
+    if (!loop || !pm_controller_new(loop, &settings, &op))
         return 1;
     for (int i = 0; i < settings.teams; i++)
         pm_info("node.team", "%s: %g cpus, %g at most; %g accelerators, %g at most",
--- a/src/cmd/pumicemount/planning.c
+++ b/src/cmd/pumicemount/planning.c
@@ -13,29 +13,29 @@
 #define COMMIT_REST 6 /* and for looking for what is to be written, which every report asks for */
 #define COMMIT_REST_S 0.05
 
-bool pm_node_writable(const struct pm_node *n, double now)
+bool pm_controller_is_store_writable(const struct pm_controller *n, double now)
 {
-    return !pm_store_refusing(n->store) && now - pm_store_served(n->store) < 1.5;
+    return !pm_store_is_refusing(n->store) && now - pm_store_last_served_at(n->store) < 1.5;
 }
 
-static void plan(struct pm_node *n)
+static void plan(struct pm_controller *n)
 {
-    double now = pm_clock_steady();
+    double now = pm_clock_monotonic();
 
-    pm_plan_set_sees_all(n->plan, n->leading);
-    pm_plan_set_writable(n->plan, pm_node_writable(n, now));
-    pm_plan_begin(n->plan, now, pm_clock_day());
+    pm_scheduler_set_full_view(n->plan, n->leading);
+    pm_scheduler_set_writable(n->plan, pm_controller_is_store_writable(n, now));
+    pm_scheduler_begin(n->plan, now, pm_clock_wall());
     if (n->leading)
-        pm_blocks_assign(n->blocks, now);
-    pm_plan_place(n->plan, now);
+        pm_shards_assign_jobs(n->blocks, now);
+    pm_scheduler_place(n->plan, now);
     if (n->leading)
-        pm_blocks_allot(n->blocks, now);
-    pm_plan_preempt(n->plan, now);
+        pm_shards_assign_machines(n->blocks, now);
+    pm_scheduler_preempt(n->plan, now);
 }
 
-gpointer pm_node_planner(gpointer data)
+gpointer pm_controller_planner(gpointer data)
 {
-    struct pm_node *n = data;
+    struct pm_controller *n = data;
 
     for (;;) {
         g_mutex_lock(&n->wake_lock);
@@ -45,9 +45,9 @@
         g_mutex_unlock(&n->wake_lock);
         g_mutex_lock(&n->lock);
         if (n->ruling && n->tables.ntypes) {
-            double began = pm_clock_steady();
+            double began = pm_clock_monotonic();
             plan(n);
-            n->plan_cost = n->plan_cost * 0.7 + (pm_clock_steady() - began) * 0.3;
+            n->plan_cost = n->plan_cost * 0.7 + (pm_clock_monotonic() - began) * 0.3;
         }
         g_mutex_unlock(&n->lock);
         ev_async_send(n->loop, &n->planned);
@@ -55,20 +55,20 @@
     return NULL;
 }
 
-void pm_node_on_pace(struct ev_loop *loop, ev_timer *w, int events)
+void pm_controller_on_pace(struct ev_loop *loop, ev_timer *w, int events)
 {
-    struct pm_node *n = w->data;
+    struct pm_controller *n = w->data;
 
     (void)loop;
     (void)events;
-    n->plan_at = pm_clock_steady();
+    n->plan_at = pm_clock_monotonic();
     g_mutex_lock(&n->wake_lock);
     n->due = true;
     g_cond_signal(&n->wake);
     g_mutex_unlock(&n->wake_lock);
 }
 
-void pm_node_plan_soon(struct pm_node *n)
+void pm_controller_plan_soon(struct pm_controller *n)
 {
     double left;
 
@@ -76,24 +76,24 @@
         return;
     /* On a large fleet, or a slow machine, plans take long: workers and users must not wait. */
     left = n->plan_at + MIN(MAX(PLAN_PACE_S, PLAN_REST * n->plan_cost), PLAN_REST_S) -
-           pm_clock_steady();
+           pm_clock_monotonic();
     ev_timer_set(&n->pace, MAX(left, 0.002), 0.);
     ev_timer_start(n->loop, &n->pace);
 }
 
-static void commit_at(struct pm_node *n, double at, double now)
+static void commit_at(struct pm_controller *n, double at, double now)
 {
     ev_timer_stop(n->loop, &n->commit_timer);
     ev_timer_set(&n->commit_timer, MAX(at - now, 0.002), 0.);
     ev_timer_start(n->loop, &n->commit_timer);
 }
 
-void pm_node_commit(struct pm_node *n)
+void pm_controller_commit(struct pm_controller *n)
 {
-    double now = pm_clock_steady();
+    double now = pm_clock_monotonic();
     double rested = n->commit_ended + MIN(COMMIT_REST * n->commit_cost, COMMIT_REST_S);
     double next;
-    struct pm_grounds grounds = {0};
+    struct pm_commit_conditions grounds = {0};
 
     if (!n->ruling)
         return;
@@ -101,54 +101,55 @@
         commit_at(n, rested, now);
         return;
     }
-    pm_plan_check_starts(n->plan, now);
-    grounds.epoch_revision = pm_leader_revision(n->lead);
+    pm_scheduler_recheck_quota(n->plan, now);
+    grounds.epoch_revision = pm_election_epoch_revision(n->lead);
     if (!n->leading) {
         grounds.block_key = n->block_key;
-        grounds.block_revision = pm_blocks_mine(n->blocks);
+        grounds.block_revision = pm_shards_owned_revision(n->blocks);
     }
-    next = pm_commit_run(n->commit, &grounds, now, pm_clock_day());
-    n->commit_ended = pm_clock_steady();
+    next = pm_commit_run(n->commit, &grounds, now, pm_clock_wall());
+    n->commit_ended = pm_clock_monotonic();
     n->commit_cost = n->commit_cost * 0.7 + (n->commit_ended - now) * 0.3;
     ev_timer_stop(n->loop, &n->commit_timer);
     if (next > 0)
         commit_at(n, next, now);
 }
 
-void pm_node_on_commit_timer(struct ev_loop *loop, ev_timer *w, int events)
+void pm_controller_on_commit_timer(struct ev_loop *loop, ev_timer *w, int events)
 {
-    struct pm_node *n = w->data;
+    struct pm_controller *n = w->data;
 
     (void)loop;
     (void)events;
-    pm_node_commit(n);
+    pm_controller_commit(n);
 }
 
-static void fleet_run(struct pm_node *n)
+static void fleet_run(struct pm_controller *n)
 {
-    double now = pm_clock_steady();
+    double now = pm_clock_monotonic();
 
     if (now < n->fleet_at + MIN(FLEET_REST * n->fleet_cost, 1))
         return;
     /* Who stood still, or lags, has not heard who spoke meanwhile: nobody is given up for that. */
-    pm_fleet_set_writable(n->fleet, pm_node_writable(n, now) && !pm_links_lagging(n->links, now),
-                          now);
-    pm_fleet_run(n->fleet, now, pm_clock_day());
-    n->fleet_at = pm_clock_steady();
+    pm_autoscaler_set_writable(
+        n->fleet, pm_controller_is_store_writable(n, now) && !pm_links_is_lagging(n->links, now),
+        now);
+    pm_autoscaler_run(n->fleet, now, pm_clock_wall());
+    n->fleet_at = pm_clock_monotonic();
     n->fleet_cost = n->fleet_at - now;
 }
 
-void pm_node_on_planned(struct ev_loop *loop, ev_async *w, int events)
+void pm_controller_on_planned(struct ev_loop *loop, ev_async *w, int events)
 {
-    struct pm_node *n = w->data;
+    struct pm_controller *n = w->data;
 
     (void)loop;
     (void)events;
     if (n->ruling) {
-        pm_node_commit(n);
-        pm_node_direct_all(n);
-        if (n->leading && pm_leader_confirmed(n->lead, pm_clock_steady())) {
-            pm_blocks_run(n->blocks, pm_clock_steady());
+        pm_controller_commit(n);
+        pm_controller_push_all_commands(n);
+        if (n->leading && pm_election_is_confirmed(n->lead, pm_clock_monotonic())) {
+            pm_shards_exchange(n->blocks, pm_clock_monotonic());
             fleet_run(n);
         }
     }
--- a/src/cmd/pumicemount/round.c
+++ b/src/cmd/pumicemount/round.c
@@ -13,7 +13,7 @@
 static void on_ledger_written(void *arg, int status, uint64_t store_revision,
                               const cbor_item_t *failed)
 {
-    struct pm_node *n = arg;
+    struct pm_controller *n = arg;
 
     if (status == 400)
         pm_error("node.ledger", "the state service refuses p/ledger");
@@ -23,21 +23,21 @@
     n->ledger_busy = false;
 }
 
-static void write_ledger(struct pm_node *n, double now)
+static void write_ledger(struct pm_controller *n, double now)
 {
     struct pm_txn txn = {0};
 
     if (n->ledger_busy || now - n->ledger_at < LEDGER_S ||
-        (pm_store_room(n->store, now) < 6 && now - n->ledger_at < 2 * LEDGER_S))
+        (pm_store_write_budget(n->store, now) < 6 && now - n->ledger_at < 2 * LEDGER_S))
         return; /* launches first, though not for long: who leads next reads it */
     n->ledger_busy = true;
     n->ledger_at = now;
-    pm_txn_if(&txn, "p/epoch", pm_leader_revision(n->lead));
+    pm_txn_compare(&txn, "p/epoch", pm_election_epoch_revision(n->lead));
     /* One that is carried out late must not hide a newer one: which zones were silent would be said
      * of a time long past. */
-    pm_txn_if(&txn, "p/ledger", n->ledger_revision);
+    pm_txn_compare(&txn, "p/ledger", n->ledger_revision);
     pm_txn_put(&txn, "p/ledger");
-    pm_plan_write_ledger(n->plan, now, pm_clock_day(), &txn.writes);
+    pm_scheduler_encode_ledger(n->plan, now, pm_clock_wall(), &txn.writes);
     pm_txn_put_end(&txn, 0);
     pm_store_commit(n->store, &txn, on_ledger_written, n);
 }
@@ -45,12 +45,12 @@
 /* A machine whose lease nobody can have renewed has killed its tasks, if it still is there. Counted
  * from our last answer to it, or, before we ever answered it, from the time since when no earlier
  * leader can have. */
-static void judge_leases(struct pm_node *n, double now)
+static void judge_leases(struct pm_controller *n, double now)
 {
     GPtrArray *all = pm_workers_all(n->workers);
     /* Cut off, we hear nothing because workers report to a later leader: that proves nothing, and
      * returning their machines as idle would end what runs there. */
-    if (!pm_leader_confirmed(n->lead, now))
+    if (!pm_election_is_confirmed(n->lead, now))
         return;
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
@@ -59,34 +59,34 @@
             continue;
         base = m->floor;
         if (!base && n->leading) {
-            base = pm_leader_floor(n->lead, m->since_epoch);
+            base = pm_election_lease_lower_bound(n->lead, m->since_epoch);
             if (m->since_epoch && isfinite(base))
                 m->floor = base;
         }
         /* Another controller may have answered it in our stead. */
-        base = MAX(base, pm_leader_sure_since(n->lead));
-        if (!pm_workers_lapsed(m, base, n->settings->lease_s, now))
+        base = MAX(base, pm_election_exclusive_since(n->lead));
+        if (!pm_workers_is_lease_expired(m, base, n->settings->lease_s, now))
             continue;
         pm_info("workers.lapsed", "%s with %u places", m->name, m->places->len);
-        pm_workers_gone(n->workers, m, now);
-        pm_node_plan_soon(n);
+        pm_workers_mark_lost(n->workers, m, now);
+        pm_controller_plan_soon(n);
     }
 }
 
 /* Whether the worker's answer to a command would tell something. */
-static bool is_worth_asking(const struct pm_node *n, const struct pm_machine *m, double now)
+static bool is_worth_asking(const struct pm_controller *n, const struct pm_machine *m, double now)
 {
     bool known = m->endpoint[0] && m->listed;
-    bool silent = m->state == PM_UP && now - m->heard > 1.25 * n->settings->report_s + 0.4;
+    bool silent = m->state == PM_MACHINE_UP && now - m->heard > 1.25 * n->settings->report_s + 0.4;
 
     if (!m->reported && known)
         return true;
-    if (m->reported && (m->unheard || !pm_workers_proven(m)))
+    if (m->reported && (m->unheard || !pm_machine_is_verified(m)))
         return true; /* does it hear us, is it there at all? */
     return silent;   /* perhaps it reaches another controller only */
 }
 
-void pm_node_find_again(struct pm_node *n, double now)
+void pm_controller_probe_workers(struct pm_controller *n, double now)
 {
     GPtrArray *all = pm_workers_all(n->workers);
     bool doubtful = false;
@@ -94,57 +94,59 @@
 
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        if (!m || m->state == PM_RELEASING || m->lent)
+        if (!m || m->state == PM_MACHINE_RELEASING || m->lent)
             continue;
         doubtful |= m->doubtful && m->token <= m->doubtful &&
-                    m->doubtful >= pm_leader_epoch(n->lead) && now - m->heard < 3;
+                    m->doubtful >= pm_election_epoch(n->lead) && now - m->heard < 3;
         /* A worker that has not come to us yet is asked: the answer is its report, and it learns
          * our token. A wrong session is refused, with the report all the same. */
         if (asked >= ASK_MAX)
             continue; /* the others are asked next time: not all workers at once */
         if (is_worth_asking(n, m, now))
-            pm_node_direct(n, m, true);
+            pm_controller_push_commands(n, m, true);
         asked += m->direct_open != 0;
     }
     if (doubtful && n->leading && now - n->raised_at > 6) {
         n->raised_at = now;
-        pm_leader_raise(n->lead, NULL, 0); /* ends the doubt: late copies of the old token die */
+        pm_election_advance_epoch(n->lead, NULL,
+                                  0); /* ends the doubt: late copies of the old token die */
     }
 }
 
-static void count_machine(struct pm_node *n, const struct pm_machine *m,
-                          struct pm_node_counts *counts, double now)
+static void count_machine(struct pm_controller *n, const struct pm_machine *m,
+                          struct pm_controller_counts *counts, double now)
 {
-    counts->up += m->state == PM_UP && !m->lent;
-    counts->booting += m->state == PM_BOOTING;
+    counts->up += m->state == PM_MACHINE_UP && !m->lent;
+    counts->booting += m->state == PM_MACHINE_BOOTING;
     counts->lent += m->lent > 0;
-    counts->silent += m->state == PM_UP && !m->lent && pm_workers_silent(m, n->settings, now);
-    if (m->state != PM_UP)
+    counts->silent +=
+        m->state == PM_MACHINE_UP && !m->lent && pm_machine_missed_heartbeat(m, n->settings, now);
+    if (m->state != PM_MACHINE_UP)
         return;
     counts->cpus += n->tables.type[m->type].cpus;
     counts->idle += m->lent ? 0 : m->cpus;
 }
 
-static void count_job(const struct pm_job *job, struct pm_node_counts *counts)
+static void count_job(const struct pm_job *job, struct pm_controller_counts *counts)
 {
     uint32_t done;
     uint32_t running;
 
     if (job->delegated && job->spec) {
-        pm_jobs_count(job, &done, &running);
+        pm_job_count_tasks(job, &done, &running);
         counts->placed += running;
         counts->delegated += job->entries - MIN(job->entries, done + running);
     } else {
         counts->placed += job->nplaced;
-        counts->waiting += pm_job_waiting(job);
+        counts->waiting += pm_job_waiting_tasks(job);
     }
 }
 
-struct pm_node_counts pm_node_count(struct pm_node *n, double now)
+struct pm_controller_counts pm_controller_count(struct pm_controller *n, double now)
 {
     GPtrArray *all = pm_workers_all(n->workers);
     GPtrArray *active = pm_jobs_active(n->jobs);
-    struct pm_node_counts counts = {.live = active->len};
+    struct pm_controller_counts counts = {.live = active->len};
 
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
@@ -157,43 +159,43 @@
 }
 
 /* What there is and what waits, for whoever reads the log. */
-static void tell_state(struct pm_node *n, double now)
+static void tell_state(struct pm_controller *n, double now)
 {
-    struct pm_node_counts counts;
+    struct pm_controller_counts counts;
 
     if (now - n->told_at < TELL_S)
         return;
     n->told_at = now;
-    counts = pm_node_count(n, now);
+    counts = pm_controller_count(n, now);
     pm_info("node.state",
             "machines up %d (%d silent), leased out %d, booting %d; cpus %.0f, idle %.0f; jobs %u, "
             "tasks placed %u, waiting %u, at holders %u",
             counts.up, counts.silent, counts.lent, counts.booting, counts.cpus, counts.idle,
             counts.live, counts.placed, counts.waiting, counts.delegated);
-    pm_plan_tell_use(n->plan);
+    pm_scheduler_log_quota_usage(n->plan);
 }
 
-void pm_node_on_round(struct ev_loop *loop, ev_timer *w, int events)
+void pm_controller_on_reconcile_timer(struct ev_loop *loop, ev_timer *w, int events)
 {
-    struct pm_node *n = w->data;
-    double now = pm_clock_steady();
+    struct pm_controller *n = w->data;
+    double now = pm_clock_monotonic();
 
     (void)loop;
     (void)events;
-    pm_node_tick_links(n, now);
-    pm_node_tick_duties(n, now);
-    if (!n->tables.ntypes && pm_store_ready(n->store))
-        pm_fleet_ask_types(n->fleet, now);
+    pm_controller_tick_links(n, now);
+    pm_controller_tick_roles(n, now);
+    if (!n->tables.ntypes && pm_store_is_ready(n->store))
+        pm_autoscaler_request_machine_types(n->fleet, now);
     if (n->ruling) {
         judge_leases(n, now);
-        pm_node_find_again(n, now);
-        pm_node_direct_all(n);
+        pm_controller_probe_workers(n, now);
+        pm_controller_push_all_commands(n);
         if (n->leading)
             write_ledger(n, now);
         if (n->leading)
             tell_state(n, now);
         if (n->leading)
-            pm_node_give_way(n, now);
-        pm_node_plan_soon(n);
+            pm_controller_yield_lead_if_unfit(n, now);
+        pm_controller_plan_soon(n);
     }
 }
--- a/src/cmd/pumicemount/toolbox.c
+++ b/src/cmd/pumicemount/toolbox.c
@@ -17,16 +17,16 @@
 enum { NAMED_MOST = 20 }; /* jobs named in one reason */
 
 /* Who tells this, and how much its word counts: every answer begins with it. */
-static void put_teller(struct pm_node *n, struct pm_buf *out, double now)
+static void put_teller(struct pm_controller *n, struct pm_buf *out, double now)
 {
     pm_put_pair_text(out, "controller", n->settings->name);
     pm_put_pair_flag(out, "leads", n->leading);
-    pm_put_pair_flag(out, "confirmed", pm_leader_confirmed(n->lead, now));
+    pm_put_pair_flag(out, "confirmed", pm_election_is_confirmed(n->lead, now));
 }
 
-static void put_counts(struct pm_node *n, struct pm_buf *out, double now)
+static void put_counts(struct pm_controller *n, struct pm_buf *out, double now)
 {
-    struct pm_node_counts counts = pm_node_count(n, now);
+    struct pm_controller_counts counts = pm_controller_count(n, now);
 
     pm_put_text(out, "counts");
     pm_put_map(out);
@@ -42,7 +42,7 @@
 }
 
 /* Machines leased out, by holder; the leader knows them. */
-static void put_holders(struct pm_node *n, struct pm_buf *out)
+static void put_holders(struct pm_controller *n, struct pm_buf *out)
 {
     GPtrArray *all = pm_workers_all(n->workers);
     uint64_t held[PM_PEERS_MAX] = {0};
@@ -65,46 +65,46 @@
     pm_put_end(out);
 }
 
-static void put_state_service(struct pm_node *n, struct pm_buf *out, double now)
+static void put_state_service(struct pm_controller *n, struct pm_buf *out, double now)
 {
     pm_put_text(out, "state_service");
     pm_put_map(out);
-    pm_put_pair_flag(out, "refuses", pm_store_refusing(n->store));
-    pm_put_pair_number(out, "served_ago_s", now - pm_store_served(n->store));
-    pm_put_pair_flag(out, "replica_ready", pm_store_ready(n->store));
+    pm_put_pair_flag(out, "refuses", pm_store_is_refusing(n->store));
+    pm_put_pair_number(out, "served_ago_s", now - pm_store_last_served_at(n->store));
+    pm_put_pair_flag(out, "replica_ready", pm_store_is_ready(n->store));
     pm_put_pair_count(out, "replica_revision", pm_store_revision(n->store));
     pm_put_end(out);
 }
 
-static void put_status(struct pm_node *n, struct pm_buf *out, double now)
+static void put_status(struct pm_controller *n, struct pm_buf *out, double now)
 {
-    const char *leader = n->leading ? n->settings->name : pm_leader_other(n->lead);
+    const char *leader = n->leading ? n->settings->name : pm_election_other_leader(n->lead);
 
     pm_put_map(out);
     put_teller(n, out, now);
     pm_put_pair_text(out, "version", PM_VERSION);
-    pm_put_pair_text(out, "process", pm_leader_boot(n->lead));
-    pm_put_pair_count(out, "protocol_version", pm_leader_protocol_version(n->lead));
+    pm_put_pair_text(out, "process", pm_election_incarnation_id(n->lead));
+    pm_put_pair_count(out, "protocol_version", pm_election_protocol_version(n->lead));
     pm_put_pair_text(out, "leader", leader ? leader : "");
     pm_put_pair_flag(out, "holds_block", n->ruling && !n->leading);
-    pm_put_pair_count(out, "epoch", pm_leader_epoch(n->lead));
+    pm_put_pair_count(out, "epoch", pm_election_epoch(n->lead));
     put_state_service(n, out, now);
     put_counts(n, out, now);
     put_holders(n, out);
     pm_put_text(out, "single_duties");
-    pm_duties_put_status(n->duties, out, now);
+    pm_roles_encode_status(n->duties, out, now);
     pm_put_text(out, "links");
-    pm_links_put_status(n->links, out, now);
+    pm_links_encode_status(n->links, out, now);
     pm_put_end(out);
 }
 
-static void put_cleanup(struct pm_node *n, struct pm_buf *out, double now)
+static void put_cleanup(struct pm_controller *n, struct pm_buf *out, double now)
 {
     pm_put_map(out);
     put_teller(n, out, now);
-    pm_put_pair_flag(out, "cleans", pm_duties_holds(n->duties, PM_SINGLE_CLEAN, now));
+    pm_put_pair_flag(out, "cleans", pm_roles_holds(n->duties, PM_ROLE_GARBAGE_COLLECTION, now));
     pm_put_text(out, "keys");
-    pm_clean_put_status(n->clean, out, now);
+    pm_gc_encode_status(n->clean, out, now);
     pm_put_end(out);
 }
 
@@ -118,7 +118,7 @@
     pm_put_end(out);
 }
 
-static void put_unmet(struct pm_node *n, const struct pm_job *job, struct pm_buf *out)
+static void put_unmet(struct pm_controller *n, const struct pm_job *job, struct pm_buf *out)
 {
     GString *names = g_string_new(NULL);
     unsigned named = 0;
@@ -126,7 +126,7 @@
     for (uint32_t i = 0; job->spec && i < job->spec->ndependencies && named < NAMED_MOST; i++) {
         const char *id = pm_names_text(n->tables.dependency_ids, job->spec->dependencies[i]);
         const struct pm_job *needed = pm_jobs_find(n->jobs, id);
-        if (needed && needed->state == PM_DONE)
+        if (needed && needed->state == PM_JOB_DONE)
             continue;
         g_string_append_printf(names, "%s%s", named++ ? ", " : "", id);
     }
@@ -137,7 +137,7 @@
 }
 
 /* What the machines that the job may use have free, as the leader or a holder sees them. */
-static void put_room(struct pm_node *n, const struct pm_job *job, struct pm_buf *out)
+static void put_room(struct pm_controller *n, const struct pm_job *job, struct pm_buf *out)
 {
     GPtrArray *all = pm_workers_all(n->workers);
     const struct pm_spec *spec = job->spec;
@@ -148,13 +148,14 @@
 
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
-        if (!m || m->type < 0 || !pm_plan_allows(&n->tables, job, m->type, m->zone, m->spot))
+        if (!m || m->type < 0 ||
+            !pm_scheduler_is_machine_allowed(&n->tables, job, m->type, m->zone, m->spot))
             continue;
-        booting += m->state == PM_BOOTING;
-        if (m->state != PM_UP || m->lent)
+        booting += m->state == PM_MACHINE_BOOTING;
+        if (m->state != PM_MACHINE_UP || m->lent)
             continue;
         allowed++;
-        fit += pm_spec_fit(spec, m->cpus, m->gpus, m->ram_gb);
+        fit += pm_spec_tasks_that_fit(spec, m->cpus, m->gpus, m->ram_gb);
     }
     snprintf(detail, sizeof detail,
              "%u machines may run it, with room for %u of its tasks; %u boot", allowed, fit,
@@ -162,7 +163,7 @@
     put_reason(out, fit ? "about-to-be-placed" : "no-room", detail);
 }
 
-static void put_cut_zone(struct pm_node *n, const struct pm_job *job, struct pm_buf *out)
+static void put_cut_zone(struct pm_controller *n, const struct pm_job *job, struct pm_buf *out)
 {
     const struct pm_view *own = &pm_links_matrix(n->links)->view[0];
     int zone = job->spec->zone;
@@ -171,11 +172,12 @@
         put_reason(out, "zone-not-reached", n->settings->zone_name[zone]);
 }
 
-static void put_reasons(struct pm_node *n, const struct pm_job *job, struct pm_buf *out, double now)
+static void put_reasons(struct pm_controller *n, const struct pm_job *job, struct pm_buf *out,
+                        double now)
 {
-    if (job->state != PM_LIVE)
+    if (job->state != PM_JOB_LIVE)
         return;
-    if (!pm_node_writable(n, now))
+    if (!pm_controller_is_store_writable(n, now))
         put_reason(out, "not-recorded",
                    "this controller does not reach the state service; it places nothing");
     if (job->incomplete || job->unmet) {
@@ -195,13 +197,13 @@
         put_reason(out, "not-placed-here", "this controller neither leads nor holds the job");
         return;
     }
-    if (!pm_job_waiting(job))
+    if (!pm_job_waiting_tasks(job))
         return;
-    if (pm_fault_job_failing(job)) {
+    if (pm_failures_is_job_failing(job)) {
         put_reason(out, "failing", "its tasks fail wherever they run; tried one at a time");
         return;
     }
-    if (!pm_plan_lease_tasks(n->plan, job->spec, 0))
+    if (!pm_scheduler_leasable_tasks(n->plan, job->spec, 0))
         put_reason(out, "team-limit", n->settings->team[job->spec->team].name);
     else
         put_room(n, job, out);
@@ -209,14 +211,14 @@
 
 static const char *state_name(const struct pm_job *job, uint32_t running)
 {
-    if (job->state == PM_DONE)
+    if (job->state == PM_JOB_DONE)
         return "done";
-    if (job->state == PM_CANCELLED)
+    if (job->state == PM_JOB_CANCELLED)
         return "cancelled";
     return running ? "running" : "queued";
 }
 
-static void put_job(struct pm_node *n, const char *id, struct pm_buf *out, double now)
+static void put_job(struct pm_controller *n, const char *id, struct pm_buf *out, double now)
 {
     const struct pm_job *job = pm_jobs_find(n->jobs, id);
     uint32_t done = 0;
@@ -227,13 +229,13 @@
     pm_put_pair_text(out, "job", id);
     pm_put_pair_flag(out, "known", job != NULL);
     if (job) {
-        pm_jobs_count(job, &done, &running);
+        pm_job_count_tasks(job, &done, &running);
         pm_put_pair_text(out, "state", state_name(job, running));
         pm_put_pair_count(out, "tasks", job->entries);
         pm_put_pair_count(out, "done", done);
         pm_put_pair_count(out, "running", running);
     }
-    pm_put_pair_number(out, "replica_age_s", now - pm_store_served(n->store));
+    pm_put_pair_number(out, "replica_age_s", now - pm_store_last_served_at(n->store));
     pm_put_text(out, "reasons");
     pm_put_list(out);
     if (job)
@@ -242,10 +244,10 @@
     pm_put_end(out);
 }
 
-bool pm_node_toolbox(struct pm_node *n, struct pm_http_request *req)
+bool pm_controller_handle_admin_request(struct pm_controller *n, struct pm_http_request *req)
 {
     struct pm_buf body = {0};
-    double now = pm_clock_steady();
+    double now = pm_clock_monotonic();
 
     if (strncmp(req->path, TOOLBOX, strlen(TOOLBOX)) != 0)
         return false;
@@ -258,7 +260,7 @@
     else if (!strcmp(req->path, TOOLBOX "cleanup"))
         put_cleanup(n, &body, now);
     else if (!strncmp(req->path, TOOLBOX_JOB, strlen(TOOLBOX_JOB)) &&
-             pm_jobs_id_valid(req->path + strlen(TOOLBOX_JOB)))
+             pm_job_id_is_valid(req->path + strlen(TOOLBOX_JOB)))
         put_job(n, req->path + strlen(TOOLBOX_JOB), &body, now);
     else
         return false;
--- a/src/duties/clean.c
+++ b/src/duties/clean.c
@@ -14,11 +14,11 @@
     bool told;       /* by the listing under way */
 };
 
-struct pm_clean {
+struct pm_gc {
     const struct pm_settings *settings;
     double after_s;
-    uint64_t token[PM_SINGLE_DUTIES]; /* in force */
-    GTree *candidates;                /* key to struct candidate, in order */
+    uint64_t token[PM_ROLE_COUNT]; /* in force */
+    GTree *candidates;             /* key to struct candidate, in order */
     bool listing;
 };
 
@@ -28,9 +28,9 @@
     return strcmp(a, b);
 }
 
-struct pm_clean *pm_clean_new(const struct pm_settings *settings, double after_s)
+struct pm_gc *pm_gc_new(const struct pm_settings *settings, double after_s)
 {
-    struct pm_clean *c = g_new0(struct pm_clean, 1);
+    struct pm_gc *c = g_new0(struct pm_gc, 1);
 
     c->settings = settings;
     c->after_s = after_s;
@@ -38,7 +38,7 @@
     return c;
 }
 
-void pm_clean_free(struct pm_clean *c)
+void pm_gc_free(struct pm_gc *c)
 {
     g_tree_destroy(c->candidates);
     g_free(c);
@@ -46,11 +46,11 @@
 
 static bool is_controller(const struct pm_settings *settings, const char *name)
 {
-    return !strcmp(name, settings->name) || pm_settings_peer(settings, name) >= 0;
+    return !strcmp(name, settings->name) || pm_settings_find_peer(settings, name) >= 0;
 }
 
 /* Why the key is of no use, as its name alone tells; NULL: it may be. */
-static const char *find_why(const struct pm_clean *c, const char *key)
+static const char *find_why(const struct pm_gc *c, const char *key)
 {
     if (g_str_has_prefix(key, VIEW_PREFIX) &&
         !is_controller(c->settings, key + strlen(VIEW_PREFIX)))
@@ -61,16 +61,16 @@
     return NULL;
 }
 
-static const char *why_drain(const struct pm_clean *c, const char *key, uint64_t token)
+static const char *why_drain(const struct pm_gc *c, const char *key, uint64_t token)
 {
-    int duty = pm_single_duty_find(key + strlen(PM_DRAIN_PREFIX));
+    int duty = pm_role_find(key + strlen(PM_ROLE_DRAIN_KEY_PREFIX));
 
     if (duty < 0)
         return "a request to drain a duty that does not exist";
     return c->token[duty] != token ? "a request to drain a holder that has changed" : NULL;
 }
 
-static void add_candidate(struct pm_clean *c, const char *key, const char *why, uint64_t token,
+static void add_candidate(struct pm_gc *c, const char *key, const char *why, uint64_t token,
                           uint64_t revision, double now)
 {
     struct candidate *known = g_tree_lookup(c->candidates, key);
@@ -85,7 +85,7 @@
 }
 
 struct changed_duty {
-    const struct pm_clean *clean;
+    const struct pm_gc *clean;
     double now;
 };
 
@@ -95,7 +95,7 @@
     struct candidate *candidate = value;
     const char *why;
 
-    if (!g_str_has_prefix(key, PM_DRAIN_PREFIX))
+    if (!g_str_has_prefix(key, PM_ROLE_DRAIN_KEY_PREFIX))
         return FALSE;
     why = why_drain(changed->clean, key, candidate->token);
     if (why && !candidate->why)
@@ -104,9 +104,9 @@
     return FALSE;
 }
 
-static void note_duty(struct pm_clean *c, const char *key, uint64_t token, double now)
+static void note_duty(struct pm_gc *c, const char *key, uint64_t token, double now)
 {
-    int duty = pm_single_duty_find(key + strlen(PM_DUTY_PREFIX));
+    int duty = pm_role_find(key + strlen(PM_ROLE_KEY_PREFIX));
     struct changed_duty changed = {c, now};
 
     if (duty < 0)
@@ -115,15 +115,15 @@
     g_tree_foreach(c->candidates, judge_drain, &changed);
 }
 
-void pm_clean_put(struct pm_clean *c, const char *key, const cbor_item_t *value, uint64_t revision,
-                  double now)
+void pm_gc_apply_put(struct pm_gc *c, const char *key, const cbor_item_t *value, uint64_t revision,
+                     double now)
 {
     const char *why;
     uint64_t token;
 
-    if (g_str_has_prefix(key, PM_DUTY_PREFIX)) {
+    if (g_str_has_prefix(key, PM_ROLE_KEY_PREFIX)) {
         note_duty(c, key, revision, now);
-    } else if (g_str_has_prefix(key, PM_DRAIN_PREFIX)) {
+    } else if (g_str_has_prefix(key, PM_ROLE_DRAIN_KEY_PREFIX)) {
         if (!pm_cbor_count(pm_cbor_get(value, "token"), &token))
             add_candidate(c, key, why_drain(c, key, token), token, revision, now);
     } else if ((why = find_why(c, key))) {
@@ -131,7 +131,7 @@
     }
 }
 
-void pm_clean_drop(struct pm_clean *c, const char *key, uint64_t revision)
+void pm_gc_apply_delete(struct pm_gc *c, const char *key, uint64_t revision)
 {
     const struct candidate *known = g_tree_lookup(c->candidates, key);
 
@@ -147,7 +147,7 @@
     return FALSE;
 }
 
-void pm_clean_relist(struct pm_clean *c)
+void pm_gc_snapshot_begin(struct pm_gc *c)
 {
     c->listing = true;
     g_tree_foreach(c->candidates, forget_told, NULL);
@@ -160,7 +160,7 @@
     return FALSE;
 }
 
-void pm_clean_listed(struct pm_clean *c)
+void pm_gc_snapshot_end(struct pm_gc *c)
 {
     GPtrArray *untold = g_ptr_array_new();
 
@@ -172,13 +172,13 @@
     c->listing = false;
 }
 
-static bool is_due(const struct pm_clean *c, const struct candidate *candidate, double now)
+static bool is_due(const struct pm_gc *c, const struct candidate *candidate, double now)
 {
     return candidate->why && now - candidate->since >= c->after_s;
 }
 
 struct adding {
-    const struct pm_clean *clean;
+    const struct pm_gc *clean;
     struct pm_txn *txn;
     int left;
     double now;
@@ -193,13 +193,13 @@
         return TRUE;
     if (!is_due(adding->clean, candidate, adding->now))
         return FALSE;
-    pm_txn_if(adding->txn, key, candidate->revision);
-    pm_txn_drop(adding->txn, key);
+    pm_txn_compare(adding->txn, key, candidate->revision);
+    pm_txn_delete(adding->txn, key);
     adding->left--;
     return FALSE;
 }
 
-int pm_clean_add_due(struct pm_clean *c, struct pm_txn *txn, int most, double now)
+int pm_gc_add_due_deletes(struct pm_gc *c, struct pm_txn *txn, int most, double now)
 {
     struct adding adding = {c, txn, most, now};
 
@@ -210,7 +210,7 @@
 }
 
 struct telling {
-    const struct pm_clean *clean;
+    const struct pm_gc *clean;
     struct pm_buf *out;
     double now;
 };
@@ -231,7 +231,7 @@
     return FALSE;
 }
 
-void pm_clean_put_status(const struct pm_clean *c, struct pm_buf *out, double now)
+void pm_gc_encode_status(const struct pm_gc *c, struct pm_buf *out, double now)
 {
     struct telling telling = {c, out, now};
 
--- a/src/duties/clean.h
+++ b/src/duties/clean.h
@@ -4,8 +4,8 @@
  * the view, or the reading position, of a controller that is not in the settings; a request to
  * drain a duty whose holder has changed since, or that does not exist. Jobs are never candidates:
  * their users may ask about them at any time. What can't be read is kept. */
-#ifndef PM_DUTIES_CLEAN_H
-#define PM_DUTIES_CLEAN_H
+#ifndef PM_ROLES_CLEAN_H
+#define PM_ROLES_CLEAN_H
 
 #include "base/settings.h"
 #include "store/store.h"
@@ -13,23 +13,23 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-struct pm_clean;
+struct pm_gc;
 
 /* A key goes once it was a candidate, and unchanged, for `after_s`. */
-struct pm_clean *pm_clean_new(const struct pm_settings *settings, double after_s);
-void pm_clean_free(struct pm_clean *clean);
+struct pm_gc *pm_gc_new(const struct pm_settings *settings, double after_s);
+void pm_gc_free(struct pm_gc *clean);
 
 /* The replica's feed. */
-void pm_clean_put(struct pm_clean *clean, const char *key, const cbor_item_t *value,
-                  uint64_t revision, double now);
-void pm_clean_drop(struct pm_clean *clean, const char *key, uint64_t revision);
-void pm_clean_relist(struct pm_clean *clean);
-void pm_clean_listed(struct pm_clean *clean);
+void pm_gc_apply_put(struct pm_gc *clean, const char *key, const cbor_item_t *value,
+                     uint64_t revision, double now);
+void pm_gc_apply_delete(struct pm_gc *clean, const char *key, uint64_t revision);
+void pm_gc_snapshot_begin(struct pm_gc *clean);
+void pm_gc_snapshot_end(struct pm_gc *clean);
 
 /* Adds at most `most` keys that are due to the transaction, each on the condition of its revision;
  * how many. What a transaction did not take away is due again. */
-int pm_clean_add_due(struct pm_clean *clean, struct pm_txn *txn, int most, double now);
+int pm_gc_add_due_deletes(struct pm_gc *clean, struct pm_txn *txn, int most, double now);
 /* All candidates with why and for how long, as a list of CBOR maps: what a run would do. */
-void pm_clean_put_status(const struct pm_clean *clean, struct pm_buf *out, double now);
+void pm_gc_encode_status(const struct pm_gc *clean, struct pm_buf *out, double now);
 
 #endif
--- a/src/duties/holding.c
+++ b/src/duties/holding.c
@@ -11,51 +11,51 @@
 #define LEADER_VACANT_S 4.0 /* by the leader, which has other work, later */
 #define RETRY_S 0.5
 
-bool pm_duties_active(const struct pm_duties *d)
+bool pm_roles_are_active(const struct pm_roles *d)
 {
     return d->grounds.supported && (d->setting->fence || g_hash_table_size(d->intents) > 0);
 }
 
-uint64_t pm_duties_token(const struct pm_duties *d, enum pm_single_duty duty)
+uint64_t pm_roles_token(const struct pm_roles *d, enum pm_role duty)
 {
     return d->duty[duty].token;
 }
 
-double pm_duties_valid_until(const struct pm_duties *d, enum pm_single_duty duty)
+double pm_roles_valid_until(const struct pm_roles *d, enum pm_role duty)
 {
     return d->duty[duty].token ? d->valid_until : 0;
 }
 
-bool pm_duties_holds(const struct pm_duties *d, enum pm_single_duty duty, double now)
+bool pm_roles_holds(const struct pm_roles *d, enum pm_role duty, double now)
 {
-    return now < pm_duties_valid_until(d, duty);
+    return now < pm_roles_valid_until(d, duty);
 }
 
-bool pm_duties_follows_lead(enum pm_single_duty duty)
+bool pm_roles_follows_lead(enum pm_role duty)
 {
-    return duty != PM_SINGLE_CLEAN;
+    return duty != PM_ROLE_GARBAGE_COLLECTION;
 }
 
-void pm_duty_key(enum pm_single_duty duty, char *out, size_t size)
+void pm_role_key(enum pm_role duty, char *out, size_t size)
 {
-    snprintf(out, size, PM_DUTY_PREFIX "%s", pm_single_duty_name(duty));
+    snprintf(out, size, PM_ROLE_KEY_PREFIX "%s", pm_role_name(duty));
 }
 
-void pm_drain_key(enum pm_single_duty duty, char *out, size_t size)
+void pm_role_drain_key(enum pm_role duty, char *out, size_t size)
 {
-    snprintf(out, size, PM_DRAIN_PREFIX "%s", pm_single_duty_name(duty));
+    snprintf(out, size, PM_ROLE_DRAIN_KEY_PREFIX "%s", pm_role_name(duty));
 }
 
-void pm_duties_lose(struct pm_duties *d, enum pm_single_duty duty, const char *why)
+void pm_roles_lose(struct pm_roles *d, enum pm_role duty, const char *why)
 {
     if (!d->duty[duty].token)
         return;
-    pm_duties_note_duty(d, duty, "lost", d->duty[duty].token, why);
+    pm_roles_log_change(d, duty, "lost", d->duty[duty].token, why);
     d->duty[duty].token = 0;
-    d->duty[duty].held_since = pm_clock_steady();
+    d->duty[duty].held_since = pm_clock_monotonic();
 }
 
-void pm_duties_gain(struct pm_duties *d, enum pm_single_duty duty, uint64_t token)
+void pm_roles_acquire(struct pm_roles *d, enum pm_role duty, uint64_t token)
 {
     struct duty *own = &d->duty[duty];
 
@@ -64,11 +64,11 @@
     own->token = own->revision = token;
     g_strlcpy(own->holder, d->settings->name, sizeof own->holder);
     g_strlcpy(own->boot, d->boot, sizeof own->boot);
-    own->held_since = pm_clock_steady();
-    pm_duties_note_duty(d, duty, "taken", token, "");
+    own->held_since = pm_clock_monotonic();
+    pm_roles_log_change(d, duty, "taken", token, "");
 }
 
-bool pm_duties_is_ours(const struct pm_duties *d, const struct duty *duty)
+bool pm_roles_is_ours(const struct pm_roles *d, const struct duty *duty)
 {
     return duty->revision && !strcmp(duty->holder, d->settings->name) &&
            !strcmp(duty->boot, d->boot);
@@ -77,26 +77,26 @@
 /* ---- the lease ---- */
 
 /* Counted from when the request left, by the slower of the two clocks. */
-static void extend_lease(struct pm_duties *d)
+static void extend_lease(struct pm_roles *d)
 {
-    d->valid_until = d->lease_sent + d->setting->ttl_s * (1 - 2 * PM_DRIFT);
+    d->valid_until = d->lease_sent + d->setting->ttl_s * (1 - 2 * PM_CLOCK_DRIFT_MAX);
 }
 
 static void on_held(void *arg, int status, uint64_t lease_id)
 {
-    struct pm_duties *d = arg;
+    struct pm_roles *d = arg;
 
     d->hold_busy = false;
     if (status != 200)
         return;
     d->lease_id = lease_id;
     extend_lease(d);
-    pm_duties_tick(d, &d->grounds, pm_clock_steady());
+    pm_roles_tick(d, &d->grounds, pm_clock_monotonic());
 }
 
 static void on_renewed(void *arg, int status, uint64_t lease_id)
 {
-    struct pm_duties *d = arg;
+    struct pm_roles *d = arg;
 
     d->renew_busy = false;
     if (lease_id != d->lease_id)
@@ -106,12 +106,12 @@
     } else if (status == 404) {
         d->lease_id = 0;
         d->valid_until = 0;
-        for (int duty = 0; duty < PM_SINGLE_DUTIES; duty++)
-            pm_duties_lose(d, (enum pm_single_duty)duty, "the lease has ended");
+        for (int duty = 0; duty < PM_ROLE_COUNT; duty++)
+            pm_roles_lose(d, (enum pm_role)duty, "the lease has ended");
     }
 }
 
-void pm_duties_keep_lease(struct pm_duties *d, double now)
+void pm_roles_keep_lease_alive(struct pm_roles *d, double now)
 {
     if (d->hold_busy || d->renew_busy || now < d->renew_at)
         return;
@@ -119,18 +119,18 @@
     d->renew_at = now + (d->lease_id ? d->setting->ttl_s / RENEW_SHARE : RETRY_S);
     if (d->lease_id) {
         d->renew_busy = true;
-        pm_store_renew(d->store, d->lease_id, on_renewed, d);
+        pm_store_lease_keep_alive(d->store, d->lease_id, on_renewed, d);
     } else {
         d->hold_busy = true;
-        pm_store_hold(d->store, d->setting->ttl_s, on_held, d);
+        pm_store_lease_grant(d->store, d->setting->ttl_s, on_held, d);
     }
 }
 
 /* ---- taking ---- */
 
 struct taking {
-    struct pm_duties *duties;
-    bool duty[PM_SINGLE_DUTIES];
+    struct pm_roles *duties;
+    bool duty[PM_ROLE_COUNT];
     uint64_t lease_id;
     bool led;
 };
@@ -138,29 +138,29 @@
 static void on_taken(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
 {
     struct taking *taking = arg;
-    struct pm_duties *d = taking->duties;
+    struct pm_roles *d = taking->duties;
     bool current = taking->lease_id == d->lease_id && (!taking->led || d->grounds.leads);
 
     (void)failed;
-    for (int duty = 0; duty < PM_SINGLE_DUTIES; duty++) {
+    for (int duty = 0; duty < PM_ROLE_COUNT; duty++) {
         if (!taking->duty[duty])
             continue;
         d->duty[duty].taking = false;
         if (status == 200 && current)
-            pm_duties_gain(d, (enum pm_single_duty)duty, store_revision);
+            pm_roles_acquire(d, (enum pm_role)duty, store_revision);
     }
     if (status == 200 && current)
         d->hooks.taken(d->hooks.arg);
     g_free(taking);
 }
 
-static void put_duty(struct pm_duties *d, struct pm_txn *txn, enum pm_single_duty duty)
+static void put_duty(struct pm_roles *d, struct pm_txn *txn, enum pm_role duty)
 {
     const struct duty *known = &d->duty[duty];
     char key[PM_NAME_MAX];
 
-    pm_duty_key(duty, key, sizeof key);
-    pm_txn_if(txn, key, known->revision);
+    pm_role_key(duty, key, sizeof key);
+    pm_txn_compare(txn, key, known->revision);
     pm_txn_put(txn, key);
     pm_put_map(&txn->writes);
     pm_put_pair_text(&txn->writes, "holder", d->settings->name);
@@ -169,14 +169,14 @@
     pm_put_end(&txn->writes);
     pm_txn_put_end(txn, d->lease_id);
     if (known->drain_revision) { /* it was meant for the holder before */
-        pm_drain_key(duty, key, sizeof key);
-        pm_txn_if(txn, key, known->drain_revision);
-        pm_txn_drop(txn, key);
+        pm_role_drain_key(duty, key, sizeof key);
+        pm_txn_compare(txn, key, known->drain_revision);
+        pm_txn_delete(txn, key);
     }
 }
 
 /* Takes all of these in one transaction. */
-static void take(struct pm_duties *d, const bool *wanted, bool as_leader)
+static void take(struct pm_roles *d, const bool *wanted, bool as_leader)
 {
     struct taking *taking = g_new0(struct taking, 1);
     struct pm_txn txn = {0};
@@ -185,42 +185,42 @@
     taking->lease_id = d->lease_id;
     taking->led = as_leader;
     if (as_leader)
-        pm_txn_if(&txn, "p/epoch", d->grounds.epoch_revision);
-    for (int duty = 0; duty < PM_SINGLE_DUTIES; duty++) {
+        pm_txn_compare(&txn, "p/epoch", d->grounds.epoch_revision);
+    for (int duty = 0; duty < PM_ROLE_COUNT; duty++) {
         if (!wanted[duty])
             continue;
         taking->duty[duty] = d->duty[duty].taking = true;
-        put_duty(d, &txn, (enum pm_single_duty)duty);
+        put_duty(d, &txn, (enum pm_role)duty);
     }
     pm_store_commit(d->store, &txn, on_taken, taking);
 }
 
 /* The leader takes what follows the lead from whoever has it: the epoch says that it may. */
-void pm_duties_take_as_leader(struct pm_duties *d)
+void pm_roles_acquire_as_leader(struct pm_roles *d)
 {
-    bool wanted[PM_SINGLE_DUTIES] = {false};
+    bool wanted[PM_ROLE_COUNT] = {false};
     bool any = false;
 
-    for (int duty = 0; duty < PM_SINGLE_DUTIES; duty++) {
+    for (int duty = 0; duty < PM_ROLE_COUNT; duty++) {
         const struct duty *own = &d->duty[duty];
-        wanted[duty] = pm_duties_follows_lead((enum pm_single_duty)duty) && !own->token &&
-                       !own->taking && !own->unreadable;
+        wanted[duty] = pm_roles_follows_lead((enum pm_role)duty) && !own->token && !own->taking &&
+                       !own->unreadable;
         any |= wanted[duty];
     }
     if (any)
         take(d, wanted, true);
 }
 
-static bool is_vacant(const struct pm_duties *d, const struct duty *duty)
+static bool is_vacant(const struct pm_roles *d, const struct duty *duty)
 {
     return !duty->unreadable && (!duty->revision || (!strcmp(duty->holder, d->settings->name) &&
                                                      strcmp(duty->boot, d->boot) != 0));
 }
 
-void pm_duties_take_if_vacant(struct pm_duties *d, enum pm_single_duty duty, double now)
+void pm_roles_acquire_if_vacant(struct pm_roles *d, enum pm_role duty, double now)
 {
     struct duty *own = &d->duty[duty];
-    bool wanted[PM_SINGLE_DUTIES] = {false};
+    bool wanted[PM_ROLE_COUNT] = {false};
 
     if (own->token || own->taking || !is_vacant(d, own)) {
         own->vacant_since = 0;
@@ -238,33 +238,33 @@
 /* ---- giving up ---- */
 
 struct giving {
-    struct pm_duties *duties;
-    enum pm_single_duty duty;
+    struct pm_roles *duties;
+    enum pm_role duty;
     uint64_t token;
 };
 
-void pm_duties_given_up(struct pm_duties *d, enum pm_single_duty duty)
+void pm_roles_drained(struct pm_roles *d, enum pm_role duty)
 {
-    d->duty[duty].stand_back_until = pm_clock_steady() + STAND_BACK_S;
-    pm_duties_lose(d, duty, "drained");
+    d->duty[duty].stand_back_until = pm_clock_monotonic() + STAND_BACK_S;
+    pm_roles_lose(d, duty, "drained");
     d->hooks.drained(d->hooks.arg, duty);
 }
 
 static void on_given_up(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
 {
     struct giving *giving = arg;
-    struct pm_duties *d = giving->duties;
+    struct pm_roles *d = giving->duties;
 
     (void)store_revision;
     (void)failed;
     d->duty[giving->duty].draining = false;
     if (status == 200 && d->duty[giving->duty].token == giving->token)
-        pm_duties_given_up(d, giving->duty);
+        pm_roles_drained(d, giving->duty);
     g_free(giving);
 }
 
 /* The duty and the request for it go in one transaction. */
-void pm_duties_drain_if_asked(struct pm_duties *d, enum pm_single_duty duty)
+void pm_roles_drain_if_asked(struct pm_roles *d, enum pm_role duty)
 {
     struct duty *own = &d->duty[duty];
     struct giving *giving;
@@ -276,11 +276,11 @@
     own->draining = true;
     giving = g_new(struct giving, 1);
     *giving = (struct giving){d, duty, own->token};
-    pm_duty_key(duty, key, sizeof key);
-    pm_txn_if(&txn, key, own->token);
-    pm_txn_drop(&txn, key);
-    pm_drain_key(duty, key, sizeof key);
-    pm_txn_if(&txn, key, own->drain_revision);
-    pm_txn_drop(&txn, key);
+    pm_role_key(duty, key, sizeof key);
+    pm_txn_compare(&txn, key, own->token);
+    pm_txn_delete(&txn, key);
+    pm_role_drain_key(duty, key, sizeof key);
+    pm_txn_compare(&txn, key, own->drain_revision);
+    pm_txn_delete(&txn, key);
     pm_store_commit(d->store, &txn, on_given_up, giving);
 }
--- a/src/duties/intent.c
+++ b/src/duties/intent.c
@@ -4,22 +4,22 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const char *const duty_names[PM_SINGLE_DUTIES] = {"rent", "return", "clean"};
+static const char *const duty_names[PM_ROLE_COUNT] = {"rent", "return", "clean"};
 
-const char *pm_single_duty_name(enum pm_single_duty duty)
+const char *pm_role_name(enum pm_role duty)
 {
     return duty_names[duty];
 }
 
-int pm_single_duty_find(const char *name)
+int pm_role_find(const char *name)
 {
-    for (int duty = 0; duty < PM_SINGLE_DUTIES; duty++)
+    for (int duty = 0; duty < PM_ROLE_COUNT; duty++)
         if (!strcmp(name, duty_names[duty]))
             return duty;
     return -1;
 }
 
-struct pm_intent *pm_intent_new(enum pm_single_duty duty)
+struct pm_intent *pm_intent_new(enum pm_role duty)
 {
     struct pm_intent *intent = g_new0(struct pm_intent, 1);
 
@@ -81,7 +81,7 @@
     pm_put_map(out);
     pm_put_pair_text(out, "duty", duty_names[intent->duty]);
     pm_put_pair_count(out, "token", intent->token);
-    if (intent->duty == PM_SINGLE_RENT)
+    if (intent->duty == PM_ROLE_SCALE_OUT)
         write_rentals(intent, out);
     else
         write_machines(intent, out);
@@ -126,7 +126,7 @@
 /* Whether the key is the one that its writer gave it. */
 static bool read_key(struct pm_intent *intent, const char *key)
 {
-    const char *name = key + strlen(PM_INTENT_PREFIX);
+    const char *name = key + strlen(PM_INTENT_KEY_PREFIX);
     char start[PM_INTENT_NAME];
 
     snprintf(start, sizeof start, "%s-%llu-", duty_names[intent->duty],
@@ -146,13 +146,13 @@
 
     if (pm_cbor_text(pm_cbor_get(value, "duty"), duty_name, sizeof duty_name))
         return NULL;
-    duty = pm_single_duty_find(duty_name);
-    if (duty != PM_SINGLE_RENT && duty != PM_SINGLE_RETURN)
+    duty = pm_role_find(duty_name);
+    if (duty != PM_ROLE_SCALE_OUT && duty != PM_ROLE_SCALE_IN)
         return NULL;
-    intent = pm_intent_new((enum pm_single_duty)duty);
+    intent = pm_intent_new((enum pm_role)duty);
     intent->revision = revision;
     well = !pm_cbor_count(pm_cbor_get(value, "token"), &intent->token) && read_key(intent, key) &&
-           (duty == PM_SINGLE_RENT ? read_rentals(intent, value) : read_machines(intent, value));
+           (duty == PM_ROLE_SCALE_OUT ? read_rentals(intent, value) : read_machines(intent, value));
     if (well)
         return intent;
     pm_intent_free(intent);
--- a/src/duties/intent.h
+++ b/src/duties/intent.h
@@ -3,8 +3,8 @@
  * An intent names its duty, the duty's fencing token, and either the machines that are to be
  * returned or the rentals that are to be requested: one intent is one write, however many these
  * are. It is open from when it is written until the cloud has said what became of all of it. */
-#ifndef PM_DUTIES_INTENT_H
-#define PM_DUTIES_INTENT_H
+#ifndef PM_ROLES_INTENT_H
+#define PM_ROLES_INTENT_H
 
 #include "base/cbor.h"
 #include "base/settings.h"
@@ -13,14 +13,14 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define PM_INTENT_PREFIX "p/intent/"
+#define PM_INTENT_KEY_PREFIX "p/intent/"
 
 /* The duties that are held under a lease of their own. */
-enum pm_single_duty { PM_SINGLE_RENT, PM_SINGLE_RETURN, PM_SINGLE_CLEAN, PM_SINGLE_DUTIES };
+enum pm_role { PM_ROLE_SCALE_OUT, PM_ROLE_SCALE_IN, PM_ROLE_GARBAGE_COLLECTION, PM_ROLE_COUNT };
 
-const char *pm_single_duty_name(enum pm_single_duty duty);
+const char *pm_role_name(enum pm_role duty);
 /* -1: no such duty. */
-int pm_single_duty_find(const char *name);
+int pm_role_find(const char *name);
 
 enum {
     PM_INTENT_NAME = 64,
@@ -38,7 +38,7 @@
 
 struct pm_intent {
     char name[PM_INTENT_NAME]; /* DUTY-TOKEN-NUMBER */
-    enum pm_single_duty duty;
+    enum pm_role duty;
     uint64_t token;      /* of the duty, as its writer held it */
     uint64_t revision;   /* of its key, 0: not known to be durable */
     GArray *rentals;     /* of struct pm_intent_rental */
@@ -50,7 +50,7 @@
 };
 
 /* An empty one, for the caller to fill. */
-struct pm_intent *pm_intent_new(enum pm_single_duty duty);
+struct pm_intent *pm_intent_new(enum pm_role duty);
 void pm_intent_free(struct pm_intent *intent);
 /* Names it, so that nobody ever names another one alike. */
 void pm_intent_set_name(struct pm_intent *intent, uint64_t token, uint64_t number);
--- a/src/duties/intents.c
+++ b/src/duties/intents.c
@@ -6,10 +6,10 @@
 #include <string.h>
 
 struct writing {
-    struct pm_duties *duties;
+    struct pm_roles *duties;
     struct pm_intent *intent;
     bool seen; /* the watch has told of it before the answer came */
-    pm_intended *done;
+    pm_intent_written *done;
     void *arg;
 };
 
@@ -17,7 +17,7 @@
                               const cbor_item_t *failed)
 {
     struct writing *writing = arg;
-    struct pm_duties *d = writing->duties;
+    struct pm_roles *d = writing->duties;
     struct pm_intent *intent = writing->intent;
 
     (void)failed;
@@ -27,25 +27,26 @@
             intent->revision = store_revision;
         intent->busy = true;
         g_hash_table_replace(d->intents, intent->name, intent);
-        pm_duties_note(d, intent->duty, "intended", intent->name, "");
+        pm_roles_log_action(d, intent->duty, "intended", intent->name, "");
         writing->done(writing->arg, intent->name);
     } else {
-        pm_duties_note(d, intent->duty, status == 409 ? "refused" : "unwritten", intent->name, "");
+        pm_roles_log_action(d, intent->duty, status == 409 ? "refused" : "unwritten", intent->name,
+                            "");
         writing->done(writing->arg, NULL);
         pm_intent_free(intent); /* written after all, the watch will tell of it */
     }
     g_free(writing);
 }
 
-bool pm_duties_intend(struct pm_duties *d, struct pm_intent *intent, pm_intended *done, void *arg,
-                      double now)
+bool pm_roles_write_intent(struct pm_roles *d, struct pm_intent *intent, pm_intent_written *done,
+                           void *arg, double now)
 {
-    enum pm_single_duty duty = intent->duty;
+    enum pm_role duty = intent->duty;
     struct writing *writing;
     struct pm_txn txn = {0};
-    char key[sizeof PM_INTENT_PREFIX + PM_INTENT_NAME];
+    char key[sizeof PM_INTENT_KEY_PREFIX + PM_INTENT_NAME];
 
-    if (!pm_duties_holds(d, duty, now) || !d->grounds.leads) {
+    if (!pm_roles_holds(d, duty, now) || !d->grounds.leads) {
         pm_intent_free(intent);
         return false;
     }
@@ -53,11 +54,11 @@
     writing = g_new0(struct writing, 1);
     *writing = (struct writing){d, intent, false, done, arg};
     g_hash_table_replace(d->writing, intent->name, writing);
-    pm_duty_key(duty, key, sizeof key);
-    pm_txn_if(&txn, key, d->duty[duty].token);
-    pm_txn_if(&txn, "p/epoch", d->grounds.epoch_revision);
-    snprintf(key, sizeof key, PM_INTENT_PREFIX "%s", intent->name);
-    pm_txn_if(&txn, key, 0);
+    pm_role_key(duty, key, sizeof key);
+    pm_txn_compare(&txn, key, d->duty[duty].token);
+    pm_txn_compare(&txn, "p/epoch", d->grounds.epoch_revision);
+    snprintf(key, sizeof key, PM_INTENT_KEY_PREFIX "%s", intent->name);
+    pm_txn_compare(&txn, key, 0);
     pm_txn_put(&txn, key);
     pm_intent_write(intent, &txn.writes);
     pm_txn_put_end(&txn, 0);
@@ -73,7 +74,7 @@
     return x->revision < y->revision ? -1 : x->revision > y->revision;
 }
 
-GPtrArray *pm_duties_open(const struct pm_duties *d, enum pm_single_duty duty)
+GPtrArray *pm_roles_open_intents(const struct pm_roles *d, enum pm_role duty)
 {
     GPtrArray *open = g_ptr_array_new();
     GHashTableIter iter;
@@ -87,12 +88,12 @@
     return open;
 }
 
-struct pm_intent *pm_duties_find(const struct pm_duties *d, const char *name)
+struct pm_intent *pm_roles_find_intent(const struct pm_roles *d, const char *name)
 {
     return g_hash_table_lookup(d->intents, name);
 }
 
-void pm_duties_forget_calls(struct pm_duties *d)
+void pm_roles_forget_calls(struct pm_roles *d)
 {
     GHashTableIter iter;
     gpointer value;
@@ -110,29 +111,29 @@
 /* ---- closing ---- */
 
 struct closing {
-    struct pm_duties *duties;
-    enum pm_single_duty duty;
+    struct pm_roles *duties;
+    enum pm_role duty;
     GPtrArray *names;
 };
 
 static void on_closed(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
 {
     struct closing *closing = arg;
-    struct pm_duties *d = closing->duties;
+    struct pm_roles *d = closing->duties;
 
     (void)store_revision;
     (void)failed;
     d->closing_busy[closing->duty] = false;
     for (guint i = 0; status == 200 && i < closing->names->len; i++) {
         const char *name = g_ptr_array_index(closing->names, i);
-        pm_duties_note(d, closing->duty, "closed", name, "");
+        pm_roles_log_action(d, closing->duty, "closed", name, "");
         g_hash_table_remove(d->intents, name);
     }
     g_ptr_array_free(closing->names, TRUE);
     g_free(closing);
 }
 
-unsigned pm_duties_count(const struct pm_duties *d, enum pm_single_duty duty, bool closing)
+unsigned pm_roles_count(const struct pm_roles *d, enum pm_role duty, bool closing)
 {
     GHashTableIter iter;
     gpointer value;
@@ -148,30 +149,31 @@
 
 /* Drops what is closing, as many as one transaction takes. It can wait for room in the write
  * budget, though not for ever. */
-void pm_duties_drop_closed(struct pm_duties *d, enum pm_single_duty duty, double now)
+void pm_roles_delete_closed_intents(struct pm_roles *d, enum pm_role duty, double now)
 {
     GPtrArray *open;
     struct closing *closing;
     struct pm_txn txn = {0};
-    char key[sizeof PM_INTENT_PREFIX + PM_INTENT_NAME];
-    unsigned due = pm_duties_count(d, duty, true);
-    int most = due >= CLOSING_MOST ? d->settings->txn_ops
-                                   : MIN(pm_store_room(d->store, now), d->settings->txn_ops);
+    char key[sizeof PM_INTENT_KEY_PREFIX + PM_INTENT_NAME];
+    unsigned due = pm_roles_count(d, duty, true);
+    int most = due >= CLOSING_MOST
+                   ? d->settings->txn_ops
+                   : MIN(pm_store_write_budget(d->store, now), d->settings->txn_ops);
 
-    if (!due || d->closing_busy[duty] || !pm_duties_holds(d, duty, now) || most < 1)
+    if (!due || d->closing_busy[duty] || !pm_roles_holds(d, duty, now) || most < 1)
         return;
-    open = pm_duties_open(d, duty);
+    open = pm_roles_open_intents(d, duty);
     closing = g_new(struct closing, 1);
     *closing = (struct closing){d, duty, g_ptr_array_new_with_free_func(g_free)};
-    pm_duty_key(duty, key, sizeof key);
-    pm_txn_if(&txn, key, d->duty[duty].token);
+    pm_role_key(duty, key, sizeof key);
+    pm_txn_compare(&txn, key, d->duty[duty].token);
     for (guint i = 0; i < open->len && closing->names->len < (guint)most; i++) {
         const struct pm_intent *intent = g_ptr_array_index(open, i);
         if (!intent->closing)
             continue;
-        snprintf(key, sizeof key, PM_INTENT_PREFIX "%s", intent->name);
-        pm_txn_if(&txn, key, intent->revision);
-        pm_txn_drop(&txn, key);
+        snprintf(key, sizeof key, PM_INTENT_KEY_PREFIX "%s", intent->name);
+        pm_txn_compare(&txn, key, intent->revision);
+        pm_txn_delete(&txn, key);
         g_ptr_array_add(closing->names, g_strdup(intent->name));
     }
     g_ptr_array_free(open, TRUE);
@@ -179,24 +181,24 @@
     pm_store_commit(d->store, &txn, on_closed, closing);
 }
 
-void pm_duties_close(struct pm_duties *d, const char *name, double now)
+void pm_roles_close_intent(struct pm_roles *d, const char *name, double now)
 {
-    struct pm_intent *intent = pm_duties_find(d, name);
+    struct pm_intent *intent = pm_roles_find_intent(d, name);
 
     if (!intent)
         return;
     intent->busy = false;
     intent->closing = true;
-    if (pm_duties_count(d, intent->duty, true) >= CLOSED_AT_ONCE)
-        pm_duties_drop_closed(d, intent->duty, now);
+    if (pm_roles_count(d, intent->duty, true) >= CLOSED_AT_ONCE)
+        pm_roles_delete_closed_intents(d, intent->duty, now);
 }
 
 /* ---- the replica's feed ---- */
 
-void pm_duties_put_intent(struct pm_duties *d, const char *key, const cbor_item_t *value,
-                          uint64_t revision)
+void pm_roles_apply_intent_put(struct pm_roles *d, const char *key, const cbor_item_t *value,
+                               uint64_t revision)
 {
-    const char *name = key + strlen(PM_INTENT_PREFIX);
+    const char *name = key + strlen(PM_INTENT_KEY_PREFIX);
     struct writing *writing = g_hash_table_lookup(d->writing, name);
     struct pm_intent *known = g_hash_table_lookup(d->intents, name);
     struct pm_intent *intent;
--- a/src/duties/internal.h
+++ b/src/duties/internal.h
@@ -1,6 +1,6 @@
 /* What the parts of the duties slice share; nobody else includes it. */
-#ifndef PM_DUTIES_PARTS_H
-#define PM_DUTIES_PARTS_H
+#ifndef PM_ROLES_INTERNAL_H
+#define PM_ROLES_INTERNAL_H
 
 #include "duties/duties.h"
 
@@ -21,16 +21,16 @@
     double held_since;                     /* steady: since when the holder is as it is */
 };
 
-struct pm_duties {
+struct pm_roles {
     struct pm_store *store;
     const struct pm_settings *settings;
-    const struct pm_duties_setting *setting;
+    const struct pm_roles_setting *setting;
     const char *boot;
     struct pm_links_trace *trace;
-    struct pm_record *record;
-    struct pm_duties_hooks hooks;
-    struct pm_duties_grounds grounds;
-    struct duty duty[PM_SINGLE_DUTIES];
+    struct pm_audit_log *record;
+    struct pm_roles_hooks hooks;
+    struct pm_roles_conditions grounds;
+    struct duty duty[PM_ROLE_COUNT];
     uint64_t lease_id; /* 0: none */
     double lease_sent, renew_at, valid_until;
     bool hold_busy, renew_busy;
@@ -38,39 +38,39 @@
     GHashTable *writing; /* name to struct writing */
     GHashTable *listed;  /* names that the listing under way has told, NULL: none is */
     uint64_t last_number;
-    bool closing_busy[PM_SINGLE_DUTIES];
+    bool closing_busy[PM_ROLE_COUNT];
 };
 
 /* duties.c */
 /* For the log, the record and the trace: a duty was taken or lost. */
-void pm_duties_note_duty(struct pm_duties *d, enum pm_single_duty duty, const char *event,
-                         uint64_t token, const char *why);
+void pm_roles_log_change(struct pm_roles *d, enum pm_role duty, const char *event, uint64_t token,
+                         const char *why);
 
 /* holding.c: the lease, and who holds what */
-void pm_duty_key(enum pm_single_duty duty, char *out, size_t size);
-void pm_drain_key(enum pm_single_duty duty, char *out, size_t size);
+void pm_role_key(enum pm_role duty, char *out, size_t size);
+void pm_role_drain_key(enum pm_role duty, char *out, size_t size);
 /* Whether the duty is the leader's, and can't be anybody else's. */
-bool pm_duties_follows_lead(enum pm_single_duty duty);
+bool pm_roles_follows_lead(enum pm_role duty);
 /* Whether the key, as the replica has it, was written by this process. */
-bool pm_duties_is_ours(const struct pm_duties *d, const struct duty *duty);
-void pm_duties_gain(struct pm_duties *d, enum pm_single_duty duty, uint64_t token);
-void pm_duties_lose(struct pm_duties *d, enum pm_single_duty duty, const char *why);
+bool pm_roles_is_ours(const struct pm_roles *d, const struct duty *duty);
+void pm_roles_acquire(struct pm_roles *d, enum pm_role duty, uint64_t token);
+void pm_roles_lose(struct pm_roles *d, enum pm_role duty, const char *why);
 /* An operator asked for the duty, and its key has gone. */
-void pm_duties_given_up(struct pm_duties *d, enum pm_single_duty duty);
-void pm_duties_keep_lease(struct pm_duties *d, double now);
+void pm_roles_drained(struct pm_roles *d, enum pm_role duty);
+void pm_roles_keep_lease_alive(struct pm_roles *d, double now);
 /* The leader takes what follows the lead from whoever has it: the epoch says that it may. */
-void pm_duties_take_as_leader(struct pm_duties *d);
-void pm_duties_take_if_vacant(struct pm_duties *d, enum pm_single_duty duty, double now);
+void pm_roles_acquire_as_leader(struct pm_roles *d);
+void pm_roles_acquire_if_vacant(struct pm_roles *d, enum pm_role duty, double now);
 /* The duty and the request for it go in one transaction. */
-void pm_duties_drain_if_asked(struct pm_duties *d, enum pm_single_duty duty);
+void pm_roles_drain_if_asked(struct pm_roles *d, enum pm_role duty);
 
 /* intents.c */
 /* How many intents of the duty are open; with `closing`, of those that the cloud has answered. */
-unsigned pm_duties_count(const struct pm_duties *d, enum pm_single_duty duty, bool closing);
-void pm_duties_put_intent(struct pm_duties *d, const char *key, const cbor_item_t *value,
-                          uint64_t revision);
+unsigned pm_roles_count(const struct pm_roles *d, enum pm_role duty, bool closing);
+void pm_roles_apply_intent_put(struct pm_roles *d, const char *key, const cbor_item_t *value,
+                               uint64_t revision);
 /* Drops what is closing, as many as one transaction takes. It can wait for room in the write
  * budget, though not for ever. */
-void pm_duties_drop_closed(struct pm_duties *d, enum pm_single_duty duty, double now);
+void pm_roles_delete_closed_intents(struct pm_roles *d, enum pm_role duty, double now);
 
 #endif
--- a/src/duties/record.c
+++ b/src/duties/record.c
@@ -27,7 +27,7 @@
 #define PART ".part"
 #define SEAL "sealed" /* the event of the last entry of a whole file; no other entry has it */
 
-struct pm_record {
+struct pm_audit_log {
     char dir[256], controller[128];
     double period_s;
     uint64_t bytes_most; /* of all files together */
@@ -43,7 +43,7 @@
 
 /* ---- what is kept ---- */
 
-static bool is_of_controller(const struct pm_record *r, const char *name)
+static bool is_of_controller(const struct pm_audit_log *r, const char *name)
 {
     char start[160];
 
@@ -58,7 +58,7 @@
 }
 
 /* Deletes the oldest files until the others take no more than is kept. */
-static void bound_size(const struct pm_record *r)
+static void bound_size(const struct pm_audit_log *r)
 {
     GDir *dir = g_dir_open(r->dir, 0, NULL);
     GPtrArray *paths = g_ptr_array_new_with_free_func(g_free);
@@ -85,7 +85,7 @@
 
 /* ---- writing ---- */
 
-static void say_failing(struct pm_record *r, const char *what)
+static void say_failing(struct pm_audit_log *r, const char *what)
 {
     if (!r->failing)
         pm_error("duty.record", "%s: %s; entries are lost", r->path,
@@ -94,7 +94,7 @@
     r->failing = true;
 }
 
-static void put_entry(const struct pm_record_entry *entry, struct pm_buf *out)
+static void put_entry(const struct pm_audit_entry *entry, struct pm_buf *out)
 {
     pm_put_map(out);
     pm_put_pair_count(out, "number", entry->number);
@@ -106,7 +106,7 @@
     pm_put_end(out);
 }
 
-static bool write_member(struct pm_record *r, const struct pm_record_entry *entry)
+static bool write_member(struct pm_audit_log *r, const struct pm_audit_entry *entry)
 {
     struct archive_entry *member = archive_entry_new();
     struct pm_buf value = {0};
@@ -129,9 +129,9 @@
     return well;
 }
 
-static void close_file(struct pm_record *r)
+static void close_file(struct pm_audit_log *r)
 {
-    struct pm_record_entry seal = {.number = r->entries + 1, .day = pm_clock_day(), .event = SEAL};
+    struct pm_audit_entry seal = {.number = r->entries + 1, .day = pm_clock_wall(), .event = SEAL};
     char part[NAME_SIZE + sizeof PART];
     bool whole;
 
@@ -150,7 +150,7 @@
     bound_size(r);
 }
 
-static bool open_file(struct pm_record *r, double day)
+static bool open_file(struct pm_audit_log *r, double day)
 {
     char part[NAME_SIZE + sizeof PART];
 
@@ -181,8 +181,8 @@
 
 static void write_entry(void *arg, const void *item)
 {
-    struct pm_record *r = arg;
-    struct pm_record_entry entry = *(const struct pm_record_entry *)item;
+    struct pm_audit_log *r = arg;
+    struct pm_audit_entry entry = *(const struct pm_audit_entry *)item;
 
     if (r->archive &&
         (fabs(entry.day - r->opened) >= r->period_s || r->bytes > r->bytes_most / FILES_KEPT))
@@ -196,12 +196,12 @@
     close_file(r);
 }
 
-void pm_record_tell(struct pm_record *r, const char *event, const char *duty, const char *subject,
-                    const char *detail)
+void pm_audit_log_append(struct pm_audit_log *r, const char *event, const char *duty,
+                         const char *subject, const char *detail)
 {
-    struct pm_record_entry *entry = g_new0(struct pm_record_entry, 1);
+    struct pm_audit_entry *entry = g_new0(struct pm_audit_entry, 1);
 
-    entry->day = pm_clock_day();
+    entry->day = pm_clock_wall();
     g_strlcpy(entry->event, event, sizeof entry->event);
     g_strlcpy(entry->duty, duty, sizeof entry->duty);
     g_strlcpy(entry->subject, subject, sizeof entry->subject);
@@ -209,21 +209,21 @@
     pm_writer_push(r->writer, entry);
 }
 
-uint64_t pm_record_dropped(const struct pm_record *r)
+uint64_t pm_audit_log_dropped(const struct pm_audit_log *r)
 {
     return pm_writer_dropped(r->writer);
 }
 
-struct pm_record *pm_record_new(const char *dir, const char *controller, double period_s,
-                                unsigned megabytes, char *err, size_t err_size)
+struct pm_audit_log *pm_audit_log_new(const char *dir, const char *controller, double period_s,
+                                      unsigned megabytes, char *err, size_t err_size)
 {
-    struct pm_record *r;
+    struct pm_audit_log *r;
 
     if (g_mkdir_with_parents(dir, 0750) || g_access(dir, W_OK | X_OK)) {
         snprintf(err, err_size, "%s: %s", dir, g_strerror(errno));
         return NULL;
     }
-    r = g_new0(struct pm_record, 1);
+    r = g_new0(struct pm_audit_log, 1);
     g_strlcpy(r->dir, dir, sizeof r->dir);
     g_strlcpy(r->controller, controller, sizeof r->controller);
     r->period_s = period_s;
@@ -233,7 +233,7 @@
     return r;
 }
 
-void pm_record_free(struct pm_record *r)
+void pm_audit_log_free(struct pm_audit_log *r)
 {
     pm_writer_free(r->writer);
     close_file(r);
@@ -242,7 +242,7 @@
 
 /* ---- reading ---- */
 
-static bool read_entry(const void *data, size_t size, struct pm_record_entry *out)
+static bool read_entry(const void *data, size_t size, struct pm_audit_entry *out)
 {
     cbor_item_t *value = pm_cbor_parse(data, size);
     bool well = value && !pm_cbor_count(pm_cbor_get(value, "number"), &out->number) &&
@@ -256,8 +256,8 @@
     return well;
 }
 
-static enum pm_record_state read_members(struct archive *archive, pm_record_reader *reader,
-                                         void *arg, char *why, size_t why_size)
+static enum pm_audit_file_state read_members(struct archive *archive, pm_audit_entry_reader *reader,
+                                             void *arg, char *why, size_t why_size)
 {
     struct archive_entry *member;
     uint64_t number = 0;
@@ -266,16 +266,16 @@
     int code;
 
     while ((code = archive_read_next_header(archive, &member)) == ARCHIVE_OK) {
-        struct pm_record_entry entry = {0};
+        struct pm_audit_entry entry = {0};
         la_ssize_t size = archive_read_data(archive, data, sizeof data);
         if (size < 0 || size < archive_entry_size(member)) {
             snprintf(why, why_size, "entry %llu is cut off", (unsigned long long)number + 1);
-            return PM_RECORD_TRUNCATED;
+            return PM_AUDIT_FILE_TRUNCATED;
         }
         if (!read_entry(data, (size_t)size, &entry) || entry.number != number + 1) {
             snprintf(why, why_size, "entry %llu can't be read, or is missing",
                      (unsigned long long)number + 1);
-            return PM_RECORD_DAMAGED;
+            return PM_AUDIT_FILE_CORRUPT;
         }
         number++;
         sealed = !strcmp(entry.event, SEAL);
@@ -283,20 +283,20 @@
             reader(arg, &entry);
     }
     if (code == ARCHIVE_EOF && sealed)
-        return PM_RECORD_WHOLE;
+        return PM_AUDIT_FILE_COMPLETE;
     if (code == ARCHIVE_EOF) {
         snprintf(why, why_size, "it was never closed");
-        return PM_RECORD_TRUNCATED;
+        return PM_AUDIT_FILE_TRUNCATED;
     }
     snprintf(why, why_size, "%s", archive_error_string(archive));
-    return strstr(why, "runcated") ? PM_RECORD_TRUNCATED : PM_RECORD_DAMAGED;
+    return strstr(why, "runcated") ? PM_AUDIT_FILE_TRUNCATED : PM_AUDIT_FILE_CORRUPT;
 }
 
-enum pm_record_state pm_record_read(const char *path, pm_record_reader *reader, void *arg,
-                                    char *why, size_t why_size)
+enum pm_audit_file_state pm_audit_log_read_file(const char *path, pm_audit_entry_reader *reader,
+                                                void *arg, char *why, size_t why_size)
 {
     struct archive *archive = archive_read_new();
-    enum pm_record_state state = PM_RECORD_MISSING;
+    enum pm_audit_file_state state = PM_AUDIT_FILE_MISSING;
 
     why[0] = 0;
     archive_read_support_format_tar(archive);
--- a/src/duties/tests/calls.c
+++ b/src/duties/tests/calls.c
@@ -15,8 +15,8 @@
 
 struct calls {
     double silent_s;
-    uint64_t token[PM_SINGLE_DUTIES]; /* in force, 0: nobody holds the duty */
-    uint64_t last_token[PM_SINGLE_DUTIES];
+    uint64_t token[PM_ROLE_COUNT]; /* in force, 0: nobody holds the duty */
+    uint64_t last_token[PM_ROLE_COUNT];
     GHashTable *intents;      /* name to struct known_intent */
     GHashTable *return_names; /* machine to the name of the intent to return it */
     unsigned rented, returned, holders;
@@ -57,10 +57,9 @@
         return;
     if (revision <= c->last_token[duty])
         g_string_append_printf(c->violations, "token %llu of %s is no higher than one before\n",
-                               (unsigned long long)revision,
-                               pm_single_duty_name((enum pm_single_duty)duty));
+                               (unsigned long long)revision, pm_role_name((enum pm_role)duty));
     c->last_token[duty] = revision;
-    c->holders += duty == PM_SINGLE_RENT;
+    c->holders += duty == PM_ROLE_SCALE_OUT;
 }
 
 static void intent_put(struct calls *c, const char *key, const cbor_item_t *data, uint64_t revision,
@@ -89,15 +88,15 @@
 void calls_state_changed(struct calls *c, const char *key, const cbor_item_t *data,
                          uint64_t revision, double now)
 {
-    if (g_str_has_prefix(key, PM_DUTY_PREFIX)) {
-        int duty = pm_single_duty_find(key + strlen(PM_DUTY_PREFIX));
+    if (g_str_has_prefix(key, PM_ROLE_KEY_PREFIX)) {
+        int duty = pm_role_find(key + strlen(PM_ROLE_KEY_PREFIX));
         if (duty >= 0)
             duty_changed(c, duty, data != NULL, revision);
-    } else if (g_str_has_prefix(key, PM_INTENT_PREFIX) && data) {
+    } else if (g_str_has_prefix(key, PM_INTENT_KEY_PREFIX) && data) {
         intent_put(c, key, data, revision, now);
-    } else if (g_str_has_prefix(key, PM_INTENT_PREFIX)) {
+    } else if (g_str_has_prefix(key, PM_INTENT_KEY_PREFIX)) {
         struct known_intent *known =
-            g_hash_table_lookup(c->intents, key + strlen(PM_INTENT_PREFIX));
+            g_hash_table_lookup(c->intents, key + strlen(PM_INTENT_KEY_PREFIX));
         if (known)
             known->open = false;
     }
@@ -115,7 +114,7 @@
     name = g_strndup(booking, (gsize)(place - booking));
     known = g_hash_table_lookup(c->intents, name);
     g_free(name);
-    if (!known || known->intent->duty != PM_SINGLE_RENT)
+    if (!known || known->intent->duty != PM_ROLE_SCALE_OUT)
         return NULL;
     *rental = (guint)strtoul(place + 1, NULL, 10);
     return *rental < known->intent->rentals->len ? known : NULL;
--- a/src/duties/tests/calls.h
+++ b/src/duties/tests/calls.h
@@ -4,8 +4,8 @@
  * Rules: an intent is written under the token in force, and tokens only rise; nothing is rented or
  * returned without an open intent that says so, and no more than it says; a machine gets no work
  * after its return was intended, and is returned while it runs something only if it was silent. */
-#ifndef PM_DUTIES_TESTS_CALLS_H
-#define PM_DUTIES_TESTS_CALLS_H
+#ifndef PM_ROLES_TESTS_CALLS_H
+#define PM_ROLES_TESTS_CALLS_H
 
 #include "testing/fleet.h"
 #include "base/cbor.h"
