--- a/src/jobs/tests/test_dependencies.c
+++ b/src/jobs/tests/test_dependencies.c
@@ -45,7 +45,7 @@
     struct pm_job *job;
 
     assert_non_null(value);
-    job = pm_jobs_put(jobs, key, value, at);
+    job = pm_jobs_apply_put(jobs, key, value, at);
     pm_cbor_free(value);
     return job;
 }
@@ -79,9 +79,9 @@
         g_ptr_array_add(ids, *one);
     if (ids->len)
         pm_spec_set_dependencies(&tables, &spec, ids);
-    spec.class_index = pm_names_add(tables.classes, "train");
-    spec.image = pm_names_add(tables.images, "img");
-    pm_jobs_write(&tables, &spec, 2, state, state == PM_LIVE, &buf);
+    spec.class_index = pm_names_intern(tables.classes, "train");
+    spec.image = pm_names_intern(tables.images, "img");
+    pm_job_encode(&tables, &spec, 2, state, state == PM_JOB_LIVE, &buf);
     put_job_value(id, at, &buf);
     g_free(spec.dependencies);
     g_strfreev(each);
@@ -93,19 +93,19 @@
 static struct pm_job *live_for(uint64_t at, const char *id, const char *awaits, double seconds)
 {
     task_seconds = seconds;
-    tell_at(at, id, awaits, PM_NORMAL, -1, PM_LIVE);
+    tell_at(at, id, awaits, PM_PRIORITY_NORMAL, -1, PM_JOB_LIVE);
     task_seconds = USUAL_SECONDS;
     return pm_jobs_find(jobs, id);
 }
 
 static struct pm_job *live(const char *id, const char *awaits)
 {
-    return tell_at(++revision, id, awaits, PM_NORMAL, -1, PM_LIVE);
+    return tell_at(++revision, id, awaits, PM_PRIORITY_NORMAL, -1, PM_JOB_LIVE);
 }
 
 static void end(const char *id, enum pm_job_state state)
 {
-    tell_at(++revision, id, "", PM_NORMAL, -1, state);
+    tell_at(++revision, id, "", PM_PRIORITY_NORMAL, -1, state);
 }
 
 /* Done at that time of day, as this version records it. */
@@ -114,7 +114,7 @@
     const struct pm_job done = {.entries = 2, .ended = day};
     struct pm_buf buf = {0};
 
-    pm_jobs_write_done(&tables, &done, false, &buf);
+    pm_job_encode_done(&tables, &done, false, &buf);
     put_job_value(id, ++revision, &buf);
 }
 
@@ -149,18 +149,18 @@
     struct pm_job *bottom = live("job-4", "job-2 job-3");
 
     (void)state;
-    assert_int_equal(pm_job_waiting(top), 2);
-    assert_int_equal(pm_job_waiting(left), 0);
+    assert_int_equal(pm_job_waiting_tasks(top), 2);
+    assert_int_equal(pm_job_waiting_tasks(left), 0);
     top->ndone = 2; /* by reports alone */
-    assert_int_equal(pm_job_waiting(left), 0);
-    end("job-1", PM_DONE);
-    assert_int_equal(pm_job_waiting(left), 2);
-    assert_int_equal(pm_job_waiting(right), 2);
-    assert_int_equal(pm_job_waiting(bottom), 0);
-    end("job-3", PM_DONE);
-    assert_int_equal(pm_job_waiting(bottom), 0);
-    end("job-2", PM_DONE);
-    assert_int_equal(pm_job_waiting(bottom), 2);
+    assert_int_equal(pm_job_waiting_tasks(left), 0);
+    end("job-1", PM_JOB_DONE);
+    assert_int_equal(pm_job_waiting_tasks(left), 2);
+    assert_int_equal(pm_job_waiting_tasks(right), 2);
+    assert_int_equal(pm_job_waiting_tasks(bottom), 0);
+    end("job-3", PM_JOB_DONE);
+    assert_int_equal(pm_job_waiting_tasks(bottom), 0);
+    end("job-2", PM_JOB_DONE);
+    assert_int_equal(pm_job_waiting_tasks(bottom), 2);
 }
 
 /* After a restart the pages tell jobs in the order of their keys, whatever needs what; some are
@@ -172,17 +172,17 @@
 
     (void)state;
     assert_int_equal(last->unmet, 3);
-    end("job-5", PM_DONE);
+    end("job-5", PM_JOB_DONE);
     assert_int_equal(last->unmet, 2);
     seven = live("job-7", "job-8");
     assert_int_equal(seven->unmet, 1);
-    end("job-8", PM_DONE);
+    end("job-8", PM_JOB_DONE);
     assert_int_equal(seven->unmet, 0);
     live("job-10", "job-5 job-7 job-9"); /* told anew */
     assert_int_equal(last->unmet, 2);
     live("job-9", "");
-    end("job-9", PM_DONE);
-    end("job-7", PM_DONE);
+    end("job-9", PM_JOB_DONE);
+    end("job-7", PM_JOB_DONE);
     assert_int_equal(last->unmet, 0);
     /* Named when it is over already. */
     assert_int_equal(live("job-11", "job-5 job-7")->unmet, 0);
@@ -208,31 +208,31 @@
         snprintf(names[i], sizeof names[i], "job-%d", 1000 + i);
         g_ptr_array_add(ids, names[i]);
         if (i % 2)
-            end(names[i], PM_DONE);
+            end(names[i], PM_JOB_DONE);
     }
     pm_spec_set_dependencies(&tables, &spec, ids);
     assert_true(pm_spec_overflow_lists(&tables, &spec, 1000) == 2);
-    assert_int_equal(pm_job_waiting(job), 0);
+    assert_int_equal(pm_job_waiting_tasks(job), 0);
     for (int k = 1; k >= 0; k--) {
         struct pm_buf buf = {0};
         char key[32];
         cbor_item_t *value;
         assert_true(job->incomplete);
-        pm_jobs_write_overflow_list(&tables, &spec, (uint32_t)k, &buf);
+        pm_dependency_list_encode(&tables, &spec, (uint32_t)k, &buf);
         value = pm_cbor_parse(buf.data, buf.size);
         assert_true(pm_cbor_json_size(value) <= 2048);
         snprintf(key, sizeof key, "p/n/job-9/%d", k);
-        pm_jobs_put(jobs, key, value, ++revision);
+        pm_jobs_apply_put(jobs, key, value, ++revision);
         pm_cbor_free(value);
         pm_buf_free(&buf);
     }
     assert_false(job->incomplete);
     assert_int_equal(job->unmet, 50);
     for (int i = 0; i < 100; i += 2) {
-        assert_int_equal(pm_job_waiting(job), 0);
-        end(names[i], PM_DONE);
+        assert_int_equal(pm_job_waiting_tasks(job), 0);
+        end(names[i], PM_JOB_DONE);
     }
-    assert_int_equal(pm_job_waiting(job), 2);
+    assert_int_equal(pm_job_waiting_tasks(job), 2);
     g_free(spec.dependencies);
     g_ptr_array_free(ids, TRUE);
 }
@@ -249,21 +249,22 @@
     bool more;
 
     (void)state;
-    end("job-1", PM_DONE);
-    assert_true(pm_jobs_cancel(jobs, "job-2", 77)); /* by a peer's word, before the replica */
-    assert_int_equal(first->state, PM_DONE);
-    assert_int_equal(second->state, PM_CANCELLED);
-    assert_int_equal(third->state, PM_CANCELLED);
+    end("job-1", PM_JOB_DONE);
+    assert_true(
+        pm_jobs_apply_cancellation(jobs, "job-2", 77)); /* by a peer's word, before the replica */
+    assert_int_equal(first->state, PM_JOB_DONE);
+    assert_int_equal(second->state, PM_JOB_CANCELLED);
+    assert_int_equal(third->state, PM_JOB_CANCELLED);
     assert_int_equal(third->cancelled, 77);
-    assert_int_equal(beside->state, PM_LIVE);
+    assert_int_equal(beside->state, PM_JOB_LIVE);
     /* Peers are told of one; the rest follows for them as for us. */
-    assert_string_equal(pm_jobs_cancelled_after(jobs, 0, 10, &n, &more)->id, "job-2");
+    assert_string_equal(pm_jobs_list_cancellations(jobs, 0, 10, &n, &more)->id, "job-2");
     assert_int_equal(n, 1);
     /* Its own old value, told again, changes nothing, nor does its final one. */
     live("job-3", "job-2");
-    assert_int_equal(third->state, PM_CANCELLED);
-    end("job-3", PM_CANCELLED);
-    assert_int_equal(third->state, PM_CANCELLED);
+    assert_int_equal(third->state, PM_JOB_CANCELLED);
+    end("job-3", PM_JOB_CANCELLED);
+    assert_int_equal(third->state, PM_JOB_CANCELLED);
     assert_null(third->spec);
 }
 
@@ -273,15 +274,15 @@
 {
     (void)state;
     live("job-1", "");
-    end("job-1", PM_CANCELLED);
-    assert_int_equal(live("job-2", "job-1")->state, PM_CANCELLED);
-    assert_int_equal(live("job-3", "job-2")->state, PM_CANCELLED); /* through the other */
-    assert_int_equal(live("job-5", "job-4")->state, PM_LIVE);
-    assert_int_equal(live("job-6", "job-5")->state, PM_LIVE);
-    assert_true(pm_jobs_cancel(jobs, "job-4", 50)); /* not known itself */
-    assert_int_equal(pm_jobs_find(jobs, "job-5")->state, PM_CANCELLED);
-    assert_int_equal(pm_jobs_find(jobs, "job-6")->state, PM_CANCELLED);
-    assert_int_equal(live("job-7", "job-4")->state, PM_CANCELLED);
+    end("job-1", PM_JOB_CANCELLED);
+    assert_int_equal(live("job-2", "job-1")->state, PM_JOB_CANCELLED);
+    assert_int_equal(live("job-3", "job-2")->state, PM_JOB_CANCELLED); /* through the other */
+    assert_int_equal(live("job-5", "job-4")->state, PM_JOB_LIVE);
+    assert_int_equal(live("job-6", "job-5")->state, PM_JOB_LIVE);
+    assert_true(pm_jobs_apply_cancellation(jobs, "job-4", 50)); /* not known itself */
+    assert_int_equal(pm_jobs_find(jobs, "job-5")->state, PM_JOB_CANCELLED);
+    assert_int_equal(pm_jobs_find(jobs, "job-6")->state, PM_JOB_CANCELLED);
+    assert_int_equal(live("job-7", "job-4")->state, PM_JOB_CANCELLED);
 }
 
 /* The priority and the deadline of the last count for all before it, less what lies between; told
@@ -294,18 +295,20 @@
 
     (void)state;
     assert_true(isinf(first->due));
-    third = tell_at(++revision, "job-3", "job-2", PM_URGENT, 100, PM_LIVE);
-    assert_int_equal(first->priority, PM_URGENT);
+    third = tell_at(++revision, "job-3", "job-2", PM_PRIORITY_URGENT, 100, PM_JOB_LIVE);
+    assert_int_equal(first->priority, PM_PRIORITY_URGENT);
     assert_true(third->due == 1100);
     assert_true(second->due == 1090);
     assert_true(first->due == 1080);
     /* The other way round: the end is told before what it needs, which was accepted before it. */
-    tell_at(30, "job-9", "job-8", PM_URGENT, 100, PM_LIVE);
-    assert_int_equal(tell_at(20, "job-8", "job-7", PM_NORMAL, -1, PM_LIVE)->priority, PM_URGENT);
-    assert_int_equal(tell_at(10, "job-7", "", PM_NORMAL, -1, PM_LIVE)->priority, PM_URGENT);
+    tell_at(30, "job-9", "job-8", PM_PRIORITY_URGENT, 100, PM_JOB_LIVE);
+    assert_int_equal(tell_at(20, "job-8", "job-7", PM_PRIORITY_NORMAL, -1, PM_JOB_LIVE)->priority,
+                     PM_PRIORITY_URGENT);
+    assert_int_equal(tell_at(10, "job-7", "", PM_PRIORITY_NORMAL, -1, PM_JOB_LIVE)->priority,
+                     PM_PRIORITY_URGENT);
     assert_true(pm_jobs_find(jobs, "job-7")->due == 1080);
     /* A job beside is as it was. */
-    assert_int_equal(live("job-6", "")->priority, PM_NORMAL);
+    assert_int_equal(live("job-6", "")->priority, PM_PRIORITY_NORMAL);
 }
 
 enum { LEVELS = 200, WIDE = 300 };
@@ -357,12 +360,12 @@
 
     snprintf(top, sizeof top, "job-%d", 1000 + 10 * (LEVELS - 1));
     if (last_first)
-        tell_at(10000, "job-9", top, PM_URGENT, 1e9, PM_LIVE);
+        tell_at(10000, "job-9", top, PM_PRIORITY_URGENT, 1e9, PM_JOB_LIVE);
     put_ladder(last_first);
     before = pm_jobs_dependency_steps(jobs);
     if (!last_first)
-        tell_at(10000, "job-9", top, PM_URGENT, 1e9, PM_LIVE);
-    assert_int_equal(pm_jobs_find(jobs, "job-1000")->priority, PM_URGENT);
+        tell_at(10000, "job-9", top, PM_PRIORITY_URGENT, 1e9, PM_JOB_LIVE);
+    assert_int_equal(pm_jobs_find(jobs, "job-1000")->priority, PM_PRIORITY_URGENT);
     for (int level = 1; level < LEVELS; level++)
         due -= 1 + longer_side(level);
     assert_true(pm_jobs_find(jobs, "job-1000")->due == due);
@@ -371,12 +374,12 @@
     assert_true(pm_jobs_dependency_steps(jobs) <= 8 * edges);
     /* Nothing changes any more: a second end that asks for less is not carried down. */
     before = pm_jobs_dependency_steps(jobs);
-    tell_at(10001, "job-8", top, PM_NORMAL, 2e9, PM_LIVE);
+    tell_at(10001, "job-8", top, PM_PRIORITY_NORMAL, 2e9, PM_JOB_LIVE);
     assert_true(pm_jobs_dependency_steps(jobs) - before <= 4);
     /* The whole of it is cancelled at the cost of its edges. */
     before = pm_jobs_dependency_steps(jobs);
-    assert_true(pm_jobs_cancel(jobs, "job-1000", 20000));
-    assert_int_equal(pm_jobs_find(jobs, "job-9")->state, PM_CANCELLED);
+    assert_true(pm_jobs_apply_cancellation(jobs, "job-1000", 20000));
+    assert_int_equal(pm_jobs_find(jobs, "job-9")->state, PM_JOB_CANCELLED);
     assert_true(pm_jobs_dependency_steps(jobs) - before <= 4 * edges);
 }
 
@@ -406,15 +409,15 @@
         bool first = last_first ? i >= WIDE : i < WIDE;
         snprintf(id, sizeof id, "job-%d", (first ? 1000 : 5000) + i % WIDE);
         tell_at((first ? 1 : 1000) + (uint64_t)i, id, first ? "" : all->str,
-                first ? PM_NORMAL : PM_URGENT, first ? -1 : 1e6 - i, PM_LIVE);
+                first ? PM_PRIORITY_NORMAL : PM_PRIORITY_URGENT, first ? -1 : 1e6 - i, PM_JOB_LIVE);
     }
-    assert_int_equal(pm_jobs_find(jobs, "job-1000")->priority, PM_URGENT);
+    assert_int_equal(pm_jobs_find(jobs, "job-1000")->priority, PM_PRIORITY_URGENT);
     for (int i = 0; i < WIDE; i++) {
-        assert_int_equal(pm_job_waiting(pm_jobs_find(jobs, "job-5007")), 0);
+        assert_int_equal(pm_job_waiting_tasks(pm_jobs_find(jobs, "job-5007")), 0);
         snprintf(id, sizeof id, "job-%d", 1000 + i);
-        tell_at(5000 + (uint64_t)i, id, "", PM_NORMAL, -1, PM_DONE);
+        tell_at(5000 + (uint64_t)i, id, "", PM_PRIORITY_NORMAL, -1, PM_JOB_DONE);
     }
-    assert_int_equal(pm_job_waiting(pm_jobs_find(jobs, "job-5007")), 2);
+    assert_int_equal(pm_job_waiting_tasks(pm_jobs_find(jobs, "job-5007")), 2);
     assert_true(pm_jobs_dependency_steps(jobs) <= 6 * edges);
     g_string_free(all, TRUE);
 }
@@ -435,14 +438,14 @@
  * they wait, and one that is cancelled takes the other along. */
 static void needing_one_another_ends_no_walk(void **state)
 {
-    struct pm_job *first = tell_at(5, "job-1", "job-2", PM_NORMAL, 100, PM_LIVE);
-    struct pm_job *second = tell_at(6, "job-2", "job-1", PM_URGENT, 50, PM_LIVE);
+    struct pm_job *first = tell_at(5, "job-1", "job-2", PM_PRIORITY_NORMAL, 100, PM_JOB_LIVE);
+    struct pm_job *second = tell_at(6, "job-2", "job-1", PM_PRIORITY_URGENT, 50, PM_JOB_LIVE);
 
     (void)state;
-    assert_int_equal(pm_job_waiting(first), 0);
-    assert_int_equal(pm_job_waiting(second), 0);
-    assert_true(pm_jobs_cancel(jobs, "job-1", 7));
-    assert_int_equal(second->state, PM_CANCELLED);
+    assert_int_equal(pm_job_waiting_tasks(first), 0);
+    assert_int_equal(pm_job_waiting_tasks(second), 0);
+    assert_true(pm_jobs_apply_cancellation(jobs, "job-1", 7));
+    assert_int_equal(second->state, PM_JOB_CANCELLED);
 }
 
 /* A value whose needs can't be read, say of a later version: the job is known and may be cancelled,
@@ -460,10 +463,10 @@
     job = put_value("p/j/job-1", ++revision, bytes, size);
     g_free(bytes);
     assert_non_null(job);
-    assert_int_equal(pm_job_waiting(job), 0);
+    assert_int_equal(pm_job_waiting_tasks(job), 0);
     put_earlier("p/n/job-1/0", VERSION_2_LIST);
-    assert_int_equal(pm_job_waiting(job), 0);
-    assert_true(pm_jobs_cancel(jobs, "job-1", 77));
+    assert_int_equal(pm_job_waiting_tasks(job), 0);
+    assert_true(pm_jobs_apply_cancellation(jobs, "job-1", 77));
 }
 
 /* A job waits from the end of the last job that it needs, which the state service keeps: a
@@ -480,15 +483,15 @@
     assert_true(job->ready_at == 0);
     end_at("job-2", 5000);
     end_at("job-1", 4000);
-    assert_int_equal(pm_job_waiting(job), 0);
+    assert_int_equal(pm_job_waiting_tasks(job), 0);
     end_at("job-3", 3000);
-    assert_int_equal(pm_job_waiting(job), 2);
+    assert_int_equal(pm_job_waiting_tasks(job), 2);
     assert_true(job->ready_at == 5000);
     /* Read later: all ends are told before the job. */
     assert_true(live("job-10", "job-3 job-1 job-2")->ready_at == 5000);
     early = live("job-11", "job-1 job-4");
-    end("job-4", PM_DONE); /* by the version before */
-    assert_int_equal(pm_job_waiting(early), 2);
+    end("job-4", PM_JOB_DONE); /* by the version before */
+    assert_int_equal(pm_job_waiting_tasks(early), 2);
     assert_true(isinf(early->ready_at));
     /* Told again, as after a relisting, nothing moves. */
     end_at("job-3", 9000);
@@ -506,7 +509,7 @@
     job->entries = 200;
     for (unsigned version = PM_PROTOCOL_FIRST; version < PM_PROTOCOL_END_TIMES; version++) {
         tables.protocol_version = version;
-        pm_jobs_write_done(&tables, job, false, &buf);
+        pm_job_encode_done(&tables, job, false, &buf);
         assert_earlier(&buf, EARLIER_DONE);
     }
 }
@@ -528,15 +531,15 @@
         snprintf(id, sizeof id, "job-%d", i);
         live(id, "job-4999");
     }
-    tell_at(++revision, "job-6000", "job-5400", PM_URGENT, 1e6, PM_LIVE);
-    assert_int_equal(pm_jobs_find(jobs, "job-0")->priority, PM_URGENT);
-    assert_int_equal(pm_jobs_find(jobs, "job-5001")->priority, PM_NORMAL);
-    assert_true(pm_jobs_cancel(jobs, "job-0", 9999));
+    tell_at(++revision, "job-6000", "job-5400", PM_PRIORITY_URGENT, 1e6, PM_JOB_LIVE);
+    assert_int_equal(pm_jobs_find(jobs, "job-0")->priority, PM_PRIORITY_URGENT);
+    assert_int_equal(pm_jobs_find(jobs, "job-5001")->priority, PM_PRIORITY_NORMAL);
+    assert_true(pm_jobs_apply_cancellation(jobs, "job-0", 9999));
     for (int i = 0; i < 5500; i += 11) {
         snprintf(id, sizeof id, "job-%d", i);
-        assert_int_equal(pm_jobs_find(jobs, id)->state, PM_CANCELLED);
+        assert_int_equal(pm_jobs_find(jobs, id)->state, PM_JOB_CANCELLED);
     }
-    assert_int_equal(pm_jobs_find(jobs, "job-6000")->state, PM_CANCELLED);
+    assert_int_equal(pm_jobs_find(jobs, "job-6000")->state, PM_JOB_CANCELLED);
 }
 
 /* The version before wrote it, this one reads it as it was meant, and writes the same, byte for
@@ -545,36 +548,36 @@
 static void reads_and_writes_as_the_version_before(void **state)
 {
     struct pm_job *job = put_earlier("p/j/job-1", EARLIER_LIVE);
-    struct pm_place place = {.job = job, .index = 130, .attempt = 7, .session = 3};
+    struct pm_placement place = {.job = job, .index = 130, .attempt = 7, .session = 3};
     struct pm_buf buf = {0};
-    const struct pm_stored_place *spot;
+    const struct pm_stored_placement *spot;
 
     (void)state;
     assert_int_equal(job->entries, 200);
-    assert_int_equal(job->priority, PM_URGENT);
+    assert_int_equal(job->priority, PM_PRIORITY_URGENT);
     assert_int_equal(job->unmet, 0);
     assert_true(job->spec->spot && job->spec->due_s == 90 && job->spec->zone == 0);
     assert_true(job->due == 1700000090.5);
-    pm_jobs_write(&tables, job->spec, 200, PM_LIVE, true, &buf);
+    pm_job_encode(&tables, job->spec, 200, PM_JOB_LIVE, true, &buf);
     assert_earlier(&buf, EARLIER_LIVE);
     assert_ptr_equal(put_earlier("p/t/job-1/1", EARLIER_CHUNK), job);
     pm_jobs_reset_work(jobs);
     assert_int_equal(job->ndone, 2);
     assert_int_equal(job->last_try, 9);
-    assert_true(pm_job_peek(job, 128)->done && pm_job_peek(job, 199)->done);
-    spot = &g_array_index(job->chunk[1]->stored_places, struct pm_stored_place, 0);
+    assert_true(pm_job_find_task(job, 128)->done && pm_job_find_task(job, 199)->done);
+    spot = &g_array_index(job->chunk[1]->stored_places, struct pm_stored_placement, 0);
     assert_int_equal(spot->task, 2);
     assert_int_equal(spot->attempt, 7);
     assert_int_equal(spot->session, 3);
     place.machine_index = spot->machine;
-    place.state = PM_RUNNING;
+    place.state = PM_PLACEMENT_RUNNING;
     pm_job_task(job, 130)->place = &place;
-    pm_jobs_write_chunk(&tables, job, 1, -1, &buf);
+    pm_chunk_encode(&tables, job, 1, -1, &buf);
     assert_earlier(&buf, EARLIER_CHUNK);
-    pm_jobs_write(&tables, job->spec, 200, PM_CANCELLED, true, &buf);
+    pm_job_encode(&tables, job->spec, 200, PM_JOB_CANCELLED, true, &buf);
     assert_earlier(&buf, EARLIER_CANCELLED);
     put_earlier("p/j/job-1", EARLIER_DONE);
-    assert_int_equal(job->state, PM_DONE);
+    assert_int_equal(job->state, PM_JOB_DONE);
 }
 
 /* Protocol version 2 wrote it, this one reads it as it was meant, and writes the same. */
@@ -582,7 +585,8 @@
 {
     struct pm_job *job;
     struct pm_job *listed;
-    struct pm_place place = {.index = 130, .attempt = 7, .session = 3, .state = PM_RUNNING};
+    struct pm_placement place = {
+        .index = 130, .attempt = 7, .session = 3, .state = PM_PLACEMENT_RUNNING};
     struct pm_buf buf = {0};
 
     (void)state;
@@ -591,13 +595,13 @@
     assert_int_equal(job->unmet, 2);
     assert_string_equal(pm_names_text(tables.dependency_ids, job->spec->dependencies[1]),
                         "job-000405");
-    pm_jobs_write(&tables, job->spec, 200, PM_LIVE, true, &buf);
+    pm_job_encode(&tables, job->spec, 200, PM_JOB_LIVE, true, &buf);
     assert_earlier(&buf, VERSION_2_JOB);
     listed = put_earlier("p/j/job-2", VERSION_2_JOB_LISTS);
-    assert_true(listed->incomplete && pm_job_waiting(listed) == 0);
-    pm_jobs_write(&tables, listed->spec, 200, PM_LIVE, true, &buf);
+    assert_true(listed->incomplete && pm_job_waiting_tasks(listed) == 0);
+    pm_job_encode(&tables, listed->spec, 200, PM_JOB_LIVE, true, &buf);
     assert_earlier(&buf, VERSION_2_JOB_LISTS);
-    pm_jobs_write_overflow_list(&tables, job->spec, 0, &buf);
+    pm_dependency_list_encode(&tables, job->spec, 0, &buf);
     assert_earlier(&buf, VERSION_2_LIST);
     put_earlier("p/n/job-2/1", VERSION_2_LIST);
     assert_true(listed->incomplete);
@@ -611,7 +615,7 @@
     place.machine_index = pm_names_find(tables.machines, "i-000231");
     pm_job_task(job, 130)->place = &place;
     pm_job_task(job, 199)->done = true;
-    pm_jobs_write_chunk(&tables, job, 1, 0, &buf);
+    pm_chunk_encode(&tables, job, 1, 0, &buf);
     assert_earlier(&buf, VERSION_2_HALF);
 }
 
--- a/src/jobs/tests/test_jobs.c
+++ b/src/jobs/tests/test_jobs.c
@@ -73,7 +73,7 @@
         pm_put_pair_text(&buf, "room", f.room);
     pm_put_end(&buf);
     item = pm_cbor_parse(buf.data, buf.size);
-    status = pm_jobs_read(&tables, item, id, &spec, &why);
+    status = pm_submission_decode(&tables, item, id, &spec, &why);
     pm_cbor_free(item);
     pm_buf_free(&buf);
     return status;
@@ -91,7 +91,7 @@
     assert_int_equal(judge(f), 400);
     f = good, f.entries = 0;
     assert_int_equal(judge(f), 400);
-    f = good, f.entries = PM_ENTRIES_MAX + 1;
+    f = good, f.entries = PM_JOB_TASKS_MAX + 1;
     assert_int_equal(judge(f), 400);
     f = good, f.cpus = -1;
     assert_int_equal(judge(f), 400);
@@ -124,7 +124,7 @@
 static struct pm_job *put(const char *key, struct pm_buf *buf, uint64_t revision)
 {
     cbor_item_t *item = pm_cbor_parse(buf->data, buf->size);
-    struct pm_job *job = pm_jobs_put(jobs, key, item, revision);
+    struct pm_job *job = pm_jobs_apply_put(jobs, key, item, revision);
 
     assert_non_null(item);
     pm_cbor_free(item);
@@ -137,36 +137,37 @@
     struct pm_spec spec = {.zone = -1, .types = ~(uint64_t)0, .entries = 300, .due_s = 9};
     struct pm_buf buf = {0};
 
-    spec.class_index = pm_names_add(tables.classes, "train");
-    spec.image = pm_names_add(tables.images, "img");
-    pm_jobs_write(&tables, &spec, spec.entries, PM_LIVE, true, &buf);
+    spec.class_index = pm_names_intern(tables.classes, "train");
+    spec.image = pm_names_intern(tables.images, "img");
+    pm_job_encode(&tables, &spec, spec.entries, PM_JOB_LIVE, true, &buf);
     return put("p/j/job-1", &buf, revision);
 }
 
 static void chunks_survive_a_new_leader(void **state)
 {
     struct pm_buf buf = {0};
-    struct pm_place place = {.index = 130, .attempt = 7, .session = 3, .state = PM_RUNNING};
+    struct pm_placement place = {
+        .index = 130, .attempt = 7, .session = 3, .state = PM_PLACEMENT_RUNNING};
     struct pm_job *job = put_live(5);
-    struct pm_stored_place *spot;
+    struct pm_stored_placement *spot;
 
     (void)state;
     assert_int_equal(job->nchunks, 3);
-    place.machine_index = pm_names_add(tables.machines, "i-000001");
+    place.machine_index = pm_names_intern(tables.machines, "i-000001");
     pm_job_task(job, 130)->place = &place;
     for (uint32_t i = 128; i < 256; i += 2)
         pm_job_task(job, i + (i == 130))->done = true; /* every other one: the longest text */
     job->last_try = 7;
-    pm_jobs_write_chunk(&tables, job, 1, -1, &buf);
+    pm_chunk_encode(&tables, job, 1, -1, &buf);
     assert_true(buf.size < 4096);
     put("p/t/job-1/1", &buf, 6);
     pm_jobs_reset_work(jobs);
     assert_int_equal(job->ndone, 64);
     assert_int_equal(job->last_try, 7);
-    assert_true(pm_job_peek(job, 131)->done);
-    assert_false(pm_job_peek(job, 130)->done);
+    assert_true(pm_job_find_task(job, 131)->done);
+    assert_false(pm_job_find_task(job, 130)->done);
     assert_int_equal(job->chunk[1]->stored_places->len, 1);
-    spot = &g_array_index(job->chunk[1]->stored_places, struct pm_stored_place, 0);
+    spot = &g_array_index(job->chunk[1]->stored_places, struct pm_stored_placement, 0);
     assert_int_equal(spot->task, 2);
     assert_int_equal(spot->attempt, 7);
     assert_int_equal(spot->session, 3);
@@ -179,14 +180,14 @@
     struct pm_job *job = put_live(5);
 
     (void)state;
-    pm_jobs_write(&tables, job->spec, job->entries, PM_CANCELLED, false, &buf);
+    pm_job_encode(&tables, job->spec, job->entries, PM_JOB_CANCELLED, false, &buf);
     assert_ptr_equal(put("p/j/job-1", &buf, 9), job);
-    assert_int_equal(job->state, PM_CANCELLED);
+    assert_int_equal(job->state, PM_JOB_CANCELLED);
     assert_null(job->spec);
     assert_null(put_live(5)); /* an older value, told late */
-    assert_int_equal(job->state, PM_CANCELLED);
-    pm_jobs_sweep_begin(jobs); /* a new listing takes nothing back */
-    assert_int_equal(pm_jobs_find(jobs, "job-1")->state, PM_CANCELLED);
+    assert_int_equal(job->state, PM_JOB_CANCELLED);
+    pm_jobs_snapshot_begin(jobs); /* a new listing takes nothing back */
+    assert_int_equal(pm_jobs_find(jobs, "job-1")->state, PM_JOB_CANCELLED);
 }
 
 /* Known cancelled by a peer's word, before the replica tells: cancelled it stays, whatever older
@@ -198,26 +199,26 @@
     bool more;
 
     (void)state;
-    assert_true(pm_jobs_cancel(jobs, "job-1", 9));
-    assert_false(pm_jobs_cancel(jobs, "job-1", 9));
-    assert_int_equal(job->state, PM_CANCELLED);
+    assert_true(pm_jobs_apply_cancellation(jobs, "job-1", 9));
+    assert_false(pm_jobs_apply_cancellation(jobs, "job-1", 9));
+    assert_int_equal(job->state, PM_JOB_CANCELLED);
     assert_int_equal(job->revision, 5); /* what is written on it fails */
     put_live(7);
-    assert_int_equal(job->state, PM_CANCELLED);
-    assert_int_equal(pm_jobs_cancelled(jobs, "job-2"), 0);
-    assert_true(pm_jobs_cancel(jobs, "job-2", 8));
-    assert_int_equal(pm_jobs_cancelled(jobs, "job-2"), 8);
-    assert_false(pm_jobs_cancel(jobs, "nonsense", 8));
+    assert_int_equal(job->state, PM_JOB_CANCELLED);
+    assert_int_equal(pm_jobs_cancellation_revision(jobs, "job-2"), 0);
+    assert_true(pm_jobs_apply_cancellation(jobs, "job-2", 8));
+    assert_int_equal(pm_jobs_cancellation_revision(jobs, "job-2"), 8);
+    assert_false(pm_jobs_apply_cancellation(jobs, "nonsense", 8));
     /* By revision, whatever the order in which they became known; those of one revision together.
      */
-    assert_true(pm_jobs_cancel(jobs, "job-3", 8));
-    assert_string_equal(pm_jobs_cancelled_after(jobs, 0, 1, &n, &more)[0].id, "job-2");
+    assert_true(pm_jobs_apply_cancellation(jobs, "job-3", 8));
+    assert_string_equal(pm_jobs_list_cancellations(jobs, 0, 1, &n, &more)[0].id, "job-2");
     assert_int_equal(n, 2);
     assert_true(more);
-    assert_string_equal(pm_jobs_cancelled_after(jobs, 8, 1, &n, &more)[0].id, "job-1");
+    assert_string_equal(pm_jobs_list_cancellations(jobs, 8, 1, &n, &more)[0].id, "job-1");
     assert_int_equal(n, 1);
     assert_false(more);
-    pm_jobs_cancelled_after(jobs, 9, 1, &n, &more);
+    pm_jobs_list_cancellations(jobs, 9, 1, &n, &more);
     assert_int_equal(n, 0);
 }
 
@@ -232,19 +233,19 @@
     struct pm_job *job;
 
     (void)state;
-    spec.class_index = pm_names_add(tables.classes, "train");
-    spec.image = pm_names_add(tables.images, "img");
-    pm_jobs_write(&tables, &spec, 300, PM_LIVE, true, &buf);
+    spec.class_index = pm_names_intern(tables.classes, "train");
+    spec.image = pm_names_intern(tables.images, "img");
+    pm_job_encode(&tables, &spec, 300, PM_JOB_LIVE, true, &buf);
     good = pm_cbor_parse(buf.data, buf.size);
     for (size_t i = 0; i + 4 < buf.size; i++)
         if (!memcmp(buf.data + i, "live", 4))
             memcpy(buf.data + i, "lieu", 4);
     bad = pm_cbor_parse(buf.data, buf.size);
-    job = pm_jobs_put(jobs, "p/j/job-9", bad, 1);
+    job = pm_jobs_apply_put(jobs, "p/j/job-9", bad, 1);
     assert_non_null(job);
     assert_null(job->spec);
     assert_int_equal(pm_jobs_active(jobs)->len, 0);
-    assert_non_null(pm_jobs_put(jobs, "p/j/job-9", good, 2));
+    assert_non_null(pm_jobs_apply_put(jobs, "p/j/job-9", good, 2));
     assert_int_equal(job->entries, 300);
     assert_int_equal(job->nchunks, 3);
     assert_int_equal(pm_jobs_active(jobs)->len, 1);
--- a/src/leadership/cancels.c
+++ b/src/leadership/cancels.c
@@ -21,16 +21,16 @@
     double until;
     bool acked[PM_PEERS_MAX];
     uint8_t tries[PM_PEERS_MAX];
-    pm_cancels_done *done;
+    pm_cancel_quorum_done *done;
     void *arg;
 };
 
-struct pm_cancels {
+struct pm_cancel_quorum {
     struct ev_loop *loop;
     struct pm_store *store;
     struct pm_http_client *http;
     const struct pm_settings *settings;
-    struct pm_cancels_hooks hooks;
+    struct pm_cancel_quorum_hooks hooks;
     uint64_t store_revision[PM_PEERS_MAX]; /* the peers' replicas have reached this */
     bool busy[PM_PEERS_MAX];
     GPtrArray *waiting; /* of struct waiter */
@@ -42,21 +42,21 @@
 };
 
 struct call {
-    struct pm_cancels *cancels;
+    struct pm_cancel_quorum *cancels;
     int peer;
     size_t n;
-    struct pm_cancels_item {
+    struct pm_cancel_quorum_item {
         char id[32];
         uint64_t revision;
     } item[];
 };
 
-static int majority(const struct pm_cancels *c)
+static int majority(const struct pm_cancel_quorum *c)
 {
     return c->settings->size / 2 + 1;
 }
 
-bool pm_cancels_known(const struct pm_cancels *c, uint64_t revision)
+bool pm_cancel_quorum_is_acked(const struct pm_cancel_quorum *c, uint64_t revision)
 {
     int n = 1; /* ourselves */
 
@@ -66,7 +66,7 @@
 }
 
 /* Answers those whose majority is there, whose time is over, or who can't have one any more. */
-static void settle(struct pm_cancels *c, double now)
+static void settle(struct pm_cancel_quorum *c, double now)
 {
     for (guint i = 0; i < c->waiting->len;) {
         struct waiter *w = g_ptr_array_index(c->waiting, i);
@@ -94,12 +94,12 @@
         ev_timer_stop(c->loop, &c->tick);
 }
 
-static void send_all(struct pm_cancels *c);
+static void send_all(struct pm_cancel_quorum *c);
 
 static void on_told(void *arg, int status, const unsigned char *body, size_t size)
 {
     struct call *call = arg;
-    struct pm_cancels *c = call->cancels;
+    struct pm_cancel_quorum *c = call->cancels;
     Pm__CancelTell *tell = status == 200 ? pm__cancel_tell__unpack(NULL, size, body) : NULL;
 
     c->busy[call->peer] = false;
@@ -114,16 +114,16 @@
                 w->tries[call->peer]++;
         }
     if (tell) {
-        pm_cancels_reached(c, call->peer, tell->store_revision);
+        pm_cancel_quorum_note_peer_revision(c, call->peer, tell->store_revision);
         pm__cancel_tell__free_unpacked(tell, NULL);
     }
     g_free(call);
-    settle(c, pm_clock_steady());
+    settle(c, pm_clock_monotonic());
     send_all(c);
 }
 
 /* One message to a peer at a time: what comes meanwhile goes with the next. */
-static void send_to(struct pm_cancels *c, int peer)
+static void send_to(struct pm_cancel_quorum *c, int peer)
 {
     Pm__CancelCall message = PM__CANCEL_CALL__INIT;
     Pm__Cancelled entry[CALL_MAX];
@@ -139,7 +139,7 @@
     call->peer = peer;
     for (guint i = 0; i < c->waiting->len && call->n < CALL_MAX; i++) {
         const struct waiter *w = g_ptr_array_index(c->waiting, i);
-        struct pm_cancels_item *item = &call->item[call->n];
+        struct pm_cancel_quorum_item *item = &call->item[call->n];
         if (w->acked[peer] || c->store_revision[peer] >= w->revision || w->tries[peer] >= TRIES_MAX)
             continue;
         g_strlcpy(item->id, w->id, sizeof item->id);
@@ -167,25 +167,25 @@
     g_free(data);
 }
 
-static void send_all(struct pm_cancels *c)
+static void send_all(struct pm_cancel_quorum *c)
 {
     for (int i = 0; c->waiting->len && i < c->settings->peers; i++)
         send_to(c, i);
 }
 
-void pm_cancels_tell(struct pm_cancels *c, const char *id, uint64_t revision, pm_cancels_done *done,
-                     void *arg)
+void pm_cancel_quorum_publish(struct pm_cancel_quorum *c, const char *id, uint64_t revision,
+                              pm_cancel_quorum_done *done, void *arg)
 {
     struct waiter *w;
 
-    if (pm_cancels_known(c, revision)) {
+    if (pm_cancel_quorum_is_acked(c, revision)) {
         done(arg, true);
         return;
     }
     w = g_new0(struct waiter, 1);
     g_strlcpy(w->id, id, sizeof w->id);
     w->revision = revision;
-    w->until = pm_clock_steady() + GIVE_UP_S;
+    w->until = pm_clock_monotonic() + GIVE_UP_S;
     w->done = done;
     w->arg = arg;
     g_ptr_array_add(c->waiting, w);
@@ -193,29 +193,31 @@
     send_all(c);
 }
 
-void pm_cancels_reached(struct pm_cancels *c, int peer, uint64_t store_revision)
+void pm_cancel_quorum_note_peer_revision(struct pm_cancel_quorum *c, int peer,
+                                         uint64_t store_revision)
 {
     c->store_revision[peer] = MAX(c->store_revision[peer], store_revision);
 }
 
-void pm_cancels_put(struct pm_cancels *c, const char *key, const cbor_item_t *value)
+void pm_cancel_quorum_apply_put(struct pm_cancel_quorum *c, const char *key,
+                                const cbor_item_t *value)
 {
     uint64_t store_revision;
     int peer;
 
-    if (strncmp(key, "p/seen/", 7) || (peer = pm_settings_peer(c->settings, key + 7)) < 0 ||
+    if (strncmp(key, "p/seen/", 7) || (peer = pm_settings_find_peer(c->settings, key + 7)) < 0 ||
         pm_cbor_count(pm_cbor_get(value, "edition"), &store_revision))
         return;
-    pm_cancels_reached(c, peer, store_revision);
-    settle(c, pm_clock_steady());
+    pm_cancel_quorum_note_peer_revision(c, peer, store_revision);
+    settle(c, pm_clock_monotonic());
 }
 
-void pm_cancels_peer(struct pm_cancels *c, struct pm_http_request *req)
+void pm_cancel_quorum_handle_peer_request(struct pm_cancel_quorum *c, struct pm_http_request *req)
 {
     Pm__CancelCall *call = pm__cancel_call__unpack(NULL, req->body_size, req->body);
     Pm__CancelTell tell = PM__CANCEL_TELL__INIT;
     unsigned char data[512];
-    int peer = call ? pm_settings_peer(c->settings, call->from) : -1;
+    int peer = call ? pm_settings_find_peer(c->settings, call->from) : -1;
 
     if (peer < 0) {
         pm_error("cancels.message", "malformed, or from a controller that is not known");
@@ -229,7 +231,7 @@
         if (call->cancelled[i]->revision >= c->untold)
             c->untold = 0;
     }
-    pm_cancels_reached(c, peer, call->store_revision);
+    pm_cancel_quorum_note_peer_revision(c, peer, call->store_revision);
     pm__cancel_call__free_unpacked(call, NULL);
     tell.from = (char *)c->settings->name;
     tell.store_revision = pm_store_revision(c->store);
@@ -238,24 +240,24 @@
                       ? pm__cancel_tell__pack(&tell, data)
                       : 0,
                   0);
-    settle(c, pm_clock_steady());
+    settle(c, pm_clock_monotonic());
 }
 
 /* ---- saying by way of the state service how far our replica goes ---- */
 
-void pm_cancels_read(struct pm_cancels *c, uint64_t revision)
+void pm_cancel_quorum_note_read(struct pm_cancel_quorum *c, uint64_t revision)
 {
     if (!c->settings->peers || revision <= c->untold)
         return;
     if (!c->untold)
-        c->untold_since = pm_clock_steady();
+        c->untold_since = pm_clock_monotonic();
     c->untold = revision;
     ev_timer_again(c->loop, &c->tick);
 }
 
 static void on_seen(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
 {
-    struct pm_cancels *c = arg;
+    struct pm_cancel_quorum *c = arg;
 
     (void)store_revision;
     (void)failed;
@@ -264,14 +266,14 @@
         c->untold = MAX(c->untold, 1); /* once more */
 }
 
-static void say_seen(struct pm_cancels *c, double now)
+static void say_seen(struct pm_cancel_quorum *c, double now)
 {
     struct pm_txn txn = {0};
     char key[PM_NAME_MAX + 8];
 
     if (!c->untold || c->seen_busy || now - c->untold_since < UNTOLD_S ||
-        now - c->seen_at < SEEN_PACE_S || !pm_store_ready(c->store) ||
-        pm_store_refusing(c->store) || pm_store_room(c->store, now) < 1)
+        now - c->seen_at < SEEN_PACE_S || !pm_store_is_ready(c->store) ||
+        pm_store_is_refusing(c->store) || pm_store_write_budget(c->store, now) < 1)
         return;
     c->untold = 0;
     c->seen_busy = true;
@@ -287,8 +289,8 @@
 
 static void on_tick(struct ev_loop *loop, ev_timer *w, int events)
 {
-    struct pm_cancels *c = w->data;
-    double now = pm_clock_steady();
+    struct pm_cancel_quorum *c = w->data;
+    double now = pm_clock_monotonic();
 
     (void)events;
     say_seen(c, now);
@@ -297,11 +299,12 @@
         ev_timer_again(loop, w);
 }
 
-struct pm_cancels *pm_cancels_new(struct ev_loop *loop, struct pm_store *store,
-                                  struct pm_http_client *http, const struct pm_settings *settings,
-                                  const struct pm_cancels_hooks *hooks)
+struct pm_cancel_quorum *pm_cancel_quorum_new(struct ev_loop *loop, struct pm_store *store,
+                                              struct pm_http_client *http,
+                                              const struct pm_settings *settings,
+                                              const struct pm_cancel_quorum_hooks *hooks)
 {
-    struct pm_cancels *c = g_new0(struct pm_cancels, 1);
+    struct pm_cancel_quorum *c = g_new0(struct pm_cancel_quorum, 1);
 
     c->loop = loop;
     c->store = store;
@@ -314,7 +317,7 @@
     return c;
 }
 
-void pm_cancels_free(struct pm_cancels *c)
+void pm_cancel_quorum_free(struct pm_cancel_quorum *c)
 {
     ev_timer_stop(c->loop, &c->tick);
     g_ptr_array_free(c->waiting, TRUE);
--- a/src/leadership/cancels.h
+++ b/src/leadership/cancels.h
@@ -11,8 +11,8 @@
  *
  * Key:  p/seen/CONTROLLER  {edition}: its replica has reached this. Written only when a
  *       cancellation was read that no controller told of. */
-#ifndef PM_LEADERSHIP_CANCELS_H
-#define PM_LEADERSHIP_CANCELS_H
+#ifndef PM_LEADERSHIP_CANCEL_QUORUM_H
+#define PM_LEADERSHIP_CANCEL_QUORUM_H
 
 #include "base/http.h"
 #include "base/settings.h"
@@ -22,32 +22,36 @@
 #include <stdint.h>
 
 struct ev_loop;
-struct pm_cancels;
+struct pm_cancel_quorum;
 
-struct pm_cancels_hooks {
+struct pm_cancel_quorum_hooks {
     /* Another controller says that this job's cancellation is durable. */
     void (*cancelled)(void *arg, const char *id, uint64_t revision);
     void *arg;
 };
 
-struct pm_cancels *pm_cancels_new(struct ev_loop *loop, struct pm_store *store,
-                                  struct pm_http_client *http, const struct pm_settings *settings,
-                                  const struct pm_cancels_hooks *hooks);
-void pm_cancels_free(struct pm_cancels *cancels);
+struct pm_cancel_quorum *pm_cancel_quorum_new(struct ev_loop *loop, struct pm_store *store,
+                                              struct pm_http_client *http,
+                                              const struct pm_settings *settings,
+                                              const struct pm_cancel_quorum_hooks *hooks);
+void pm_cancel_quorum_free(struct pm_cancel_quorum *cancels);
 /* Whether a majority is known to have replica that reach this revision. */
-bool pm_cancels_known(const struct pm_cancels *cancels, uint64_t revision);
+bool pm_cancel_quorum_is_acked(const struct pm_cancel_quorum *cancels, uint64_t revision);
 /* Calls back once a majority knows that this cancellation is durable; `ok` false when that can't be
  * had within about a second, at once when too few of the others are reached. */
-typedef void pm_cancels_done(void *arg, bool ok);
-void pm_cancels_tell(struct pm_cancels *cancels, const char *id, uint64_t revision,
-                     pm_cancels_done *done, void *arg);
+typedef void pm_cancel_quorum_done(void *arg, bool ok);
+void pm_cancel_quorum_publish(struct pm_cancel_quorum *cancels, const char *id, uint64_t revision,
+                              pm_cancel_quorum_done *done, void *arg);
 /* The replica of the peer with that index has reached this store revision. */
-void pm_cancels_reached(struct pm_cancels *cancels, int peer, uint64_t store_revision);
+void pm_cancel_quorum_note_peer_revision(struct pm_cancel_quorum *cancels, int peer,
+                                         uint64_t store_revision);
 /* The replica told of a cancellation at that revision. */
-void pm_cancels_read(struct pm_cancels *cancels, uint64_t revision);
+void pm_cancel_quorum_note_read(struct pm_cancel_quorum *cancels, uint64_t revision);
 /* The replica's feed, for p/seen. */
-void pm_cancels_put(struct pm_cancels *cancels, const char *key, const cbor_item_t *value);
+void pm_cancel_quorum_apply_put(struct pm_cancel_quorum *cancels, const char *key,
+                                const cbor_item_t *value);
 /* POST /cancelled on the back address. */
-void pm_cancels_peer(struct pm_cancels *cancels, struct pm_http_request *req);
+void pm_cancel_quorum_handle_peer_request(struct pm_cancel_quorum *cancels,
+                                          struct pm_http_request *req);
 
 #endif
--- a/src/leadership/internal.h
+++ b/src/leadership/internal.h
@@ -9,15 +9,15 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define PM_LEADER_REFUSED_S 1.0 /* how old a refusal may be to speak of an outage */
+#define PM_ELECTION_REFUSAL_MAX_AGE_S 1.0 /* how old a refusal may be to speak of an outage */
 
-struct pm_leader {
+struct pm_election {
     struct ev_loop *loop;
     struct pm_store *store;
     struct pm_http_client *http;
     const struct pm_settings *settings;
-    const struct pm_operator *op;
-    struct pm_leader_hooks hooks;
+    const struct pm_operator_settings *op;
+    struct pm_election_hooks hooks;
     char boot[24]; /* tells this process from its predecessors of the same name */
     ev_timer tick;
     /* From the replica. */
@@ -43,10 +43,10 @@
     int ask_round, ask_yes;
     uint64_t ask_epoch;
     /* Renewing the leases of workers in an outage whose leader is not reached; see
-     * pm_leader_may_renew_in_outage. */
+     * pm_election_may_renew_in_outage. */
     int renewal_votes;
     double refused_since, renewal_confirmed, leader_heard;
-    double sure_since; /* see pm_leader_sure_since */
+    double sure_since; /* see pm_election_exclusive_since */
     /* Protocol versions: of each peer as far as it said so, and of all controllers (p/speaks). */
     unsigned peer_version[PM_PEERS_MAX], common_version;
     bool version_busy;
@@ -55,63 +55,64 @@
     /* Our replica holds every cancellation that was confirmed to a user before `caught_up_at`. */
     double caught_up_at, reaching_sent;
     uint64_t reaching; /* the store revision that they have to reach for a later one, 0: none */
-    struct pm_leader_links links; /* no functions: none are carried */
-    double epoch_at, raise_at;    /* steady: our epoch is that old; a raise was last tried */
+    struct pm_election_links links; /* no functions: none are carried */
+    double epoch_at, raise_at;      /* steady: our epoch is that old; a raise was last tried */
 };
 
 /* A transaction under way that takes, raises or confirms the epoch. */
 struct attempt {
-    struct pm_leader *lead;
+    struct pm_election *lead;
     uint64_t epoch, lease_id;
     double sent;
     bool leads;
 };
 
 /* Whether this controller has any say over workers, and in which epoch. */
-static inline bool pm_leader_acts(const struct pm_leader *l)
+static inline bool pm_election_may_act(const struct pm_election *l)
 {
     return l->leads || l->block_revision;
 }
 
-static inline uint64_t pm_leader_acting_epoch(const struct pm_leader *l)
+static inline uint64_t pm_election_acting_epoch(const struct pm_election *l)
 {
     return l->leads ? l->mine : l->epoch;
 }
 
-static inline int pm_leader_majority(const struct pm_leader *l)
+static inline int pm_election_quorum(const struct pm_election *l)
 {
     return l->settings->size / 2 + 1;
 }
 
 /* Answered 503 so lately that it counts as a word on the present. Who is cut off says nothing. */
-static inline bool pm_leader_refused_now(const struct pm_leader *l, double now)
+static inline bool pm_election_is_refused_now(const struct pm_election *l, double now)
 {
-    return pm_store_refusing(l->store) && now - pm_store_refused(l->store) < PM_LEADER_REFUSED_S;
+    return pm_store_is_refusing(l->store) &&
+           now - pm_store_last_refused_at(l->store) < PM_ELECTION_REFUSAL_MAX_AGE_S;
 }
 
 /* leadership.c */
 /* The epoch held at `sent`. */
-void pm_leader_note_confirmed(struct pm_leader *l, double sent);
+void pm_election_note_confirmed(struct pm_election *l, double sent);
 /* Leads no more. */
-void pm_leader_lose(struct pm_leader *l, const char *why);
+void pm_election_lose_leadership(struct pm_election *l, const char *why);
 /* Asks the state service whether the epoch, and a holder's block, are still the ones known. */
-void pm_leader_check(struct pm_leader *l, double now);
+void pm_election_check_epoch(struct pm_election *l, double now);
 
 /* take.c */
 /* Whether nobody leads: p/lead is free, or its holder is a dead predecessor of this process. */
-bool pm_leader_vacant(const struct pm_leader *l);
+bool pm_election_is_lock_free(const struct pm_election *l);
 /* Tries to take the lead. */
-void pm_leader_try(struct pm_leader *l);
+void pm_election_campaign(struct pm_election *l);
 /* Our own raise of the epoch is durable. */
-void pm_leader_adopt(struct pm_leader *l, uint64_t epoch, uint64_t revision);
+void pm_election_adopt_epoch(struct pm_election *l, uint64_t epoch, uint64_t revision);
 
 /* peers.c */
 /* Asks all other controllers what they know; their answers confirm the epoch in an outage. */
-void pm_leader_ask_peers(struct pm_leader *l, double now);
+void pm_election_poll_peers(struct pm_election *l, double now);
 
 /* versions.c */
 /* Writes our own protocol version, for those whom our messages do not reach; and, as the leader,
  * the one that all controllers are known to run, for good. */
-void pm_leader_announce_version(struct pm_leader *l, double now);
+void pm_election_publish_version(struct pm_election *l, double now);
 
 #endif
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -20,9 +20,9 @@
 #define STALENESS_S 6.0   /* how old the replica may be of who answers workers, at most */
 #define ANNOUNCE_S 0.7    /* until all are known to run this version, they are asked so often */
 
-void pm_leader_note_confirmed(struct pm_leader *l, double sent)
+void pm_election_note_confirmed(struct pm_election *l, double sent)
 {
-    if (sent > l->confirmed + l->op->confirm_s * (1 - PM_DRIFT))
+    if (sent > l->confirmed + l->op->confirm_s * (1 - PM_CLOCK_DRIFT_MAX))
         l->sure_since = sent;
     l->confirmed = MAX(l->confirmed, sent);
 }
@@ -37,14 +37,15 @@
     return settings->cancel_s > 0 && spare > 0 ? MIN(STALENESS_S, spare) : STALENESS_S;
 }
 
-double pm_leader_blind_s(const struct pm_settings *settings, const struct pm_operator *op)
+double pm_election_staleness_bound_s(const struct pm_settings *settings,
+                                     const struct pm_operator_settings *op)
 {
     return MAX(most_staleness(settings), op->confirm_s);
 }
 
 static void on_caught_up_to(void *arg, bool ok)
 {
-    struct pm_leader *l = arg;
+    struct pm_election *l = arg;
 
     if (ok)
         l->caught_up_at = MAX(l->caught_up_at, l->reaching_sent);
@@ -53,18 +54,18 @@
 
 /* The state service was at `store_revision` when it answered what was sent at `sent`. Served, we
  * could still be following it through a watch that hangs: the replica has to get there as well. */
-static void follow(struct pm_leader *l, double sent, uint64_t store_revision)
+static void follow(struct pm_election *l, double sent, uint64_t store_revision)
 {
-    if (pm_store_ready(l->store) && pm_store_revision(l->store) >= store_revision) {
+    if (pm_store_is_ready(l->store) && pm_store_revision(l->store) >= store_revision) {
         l->caught_up_at = MAX(l->caught_up_at, sent);
     } else if (!l->reaching) {
         l->reaching = store_revision;
         l->reaching_sent = sent;
-        pm_store_reach(l->store, store_revision, on_caught_up_to, l);
+        pm_store_wait_for_revision(l->store, store_revision, on_caught_up_to, l);
     }
 }
 
-void pm_leader_lose(struct pm_leader *l, const char *why)
+void pm_election_lose_leadership(struct pm_election *l, const char *why)
 {
     if (!l->leads)
         return;
@@ -78,39 +79,39 @@
 /* ---- confirming it ---- */
 
 /* A transaction failed on our revision, and the replica has caught up with that: it is another's
- * epoch, or our own that was raised by a transaction whose answer we never saw (pm_leader_put
- * adopts it). */
+ * epoch, or our own that was raised by a transaction whose answer we never saw
+ * (pm_election_apply_put adopts it). */
 static void on_judged(void *arg, bool ok)
 {
-    struct pm_leader *l = arg;
+    struct pm_election *l = arg;
 
     if (ok && l->leads && l->epoch > l->mine)
-        pm_leader_lose(l, "the epoch has moved on");
+        pm_election_lose_leadership(l, "the epoch has moved on");
 }
 
 static void on_checked(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
 {
     struct attempt *attempt = arg;
-    struct pm_leader *l = attempt->lead;
+    struct pm_election *l = attempt->lead;
 
     (void)failed;
     l->check_busy = false;
-    if (pm_leader_acts(l) && pm_leader_acting_epoch(l) == attempt->epoch &&
+    if (pm_election_may_act(l) && pm_election_acting_epoch(l) == attempt->epoch &&
         l->leads == attempt->leads) {
         if (status == 200) {
             bool first = !l->confirmed;
-            pm_leader_confirm(l, attempt->sent, store_revision);
+            pm_election_confirm_epoch(l, attempt->sent, store_revision);
             if (first)
                 l->hooks.confirmed(l->hooks.arg);
         } else if (status == 409 && l->leads)
-            pm_store_reach(l->store, store_revision, on_judged, l);
+            pm_store_wait_for_revision(l->store, store_revision, on_judged, l);
         else if (status == 409)
             l->checked = 0; /* a holder: the watch tells what became of its block */
     }
     g_free(attempt);
 }
 
-void pm_leader_check(struct pm_leader *l, double now)
+void pm_election_check_epoch(struct pm_election *l, double now)
 {
     struct pm_txn txn = {0};
     struct attempt *attempt = g_new0(struct attempt, 1);
@@ -118,79 +119,79 @@
     l->check_busy = true;
     l->checked = now;
     attempt->lead = l;
-    attempt->epoch = pm_leader_acting_epoch(l);
+    attempt->epoch = pm_election_acting_epoch(l);
     attempt->leads = l->leads;
     attempt->sent = now;
-    pm_txn_if(&txn, "p/epoch", l->leads ? l->mine_revision : l->epoch_revision);
+    pm_txn_compare(&txn, "p/epoch", l->leads ? l->mine_revision : l->epoch_revision);
     if (!l->leads)
-        pm_txn_if(&txn, l->block_key, l->block_revision);
+        pm_txn_compare(&txn, l->block_key, l->block_revision);
     pm_store_commit(l->store, &txn, on_checked, attempt);
 }
 
-void pm_leader_suspect(struct pm_leader *l)
+void pm_election_recheck_epoch(struct pm_election *l)
 {
     if (l->leads && !l->check_busy && !l->raising)
-        pm_leader_check(l, pm_clock_steady());
+        pm_election_check_epoch(l, pm_clock_monotonic());
 }
 
 static void on_renewed(void *arg, int status, uint64_t lease_id)
 {
-    struct pm_leader *l = arg;
+    struct pm_election *l = arg;
 
     l->renew_busy = false;
     if (status == 404 && l->leads && lease_id == l->lease_id)
-        pm_leader_lose(l, "the hold has lapsed");
+        pm_election_lose_leadership(l, "the hold has lapsed");
 }
 
 /* ---- time ---- */
 
 static void on_tick(struct ev_loop *loop, ev_timer *w, int events)
 {
-    struct pm_leader *l = w->data;
-    double now = pm_clock_steady();
+    struct pm_election *l = w->data;
+    double now = pm_clock_monotonic();
     double wait;
 
     (void)loop;
     (void)events;
-    if (!pm_store_refusing(l->store))
+    if (!pm_store_is_refusing(l->store))
         l->refused_since = 0;
     else if (!l->refused_since)
         l->refused_since = now;
     if (l->refused_since)
         l->sure_since = now;
     if (l->leads && now - l->confirmed > 2 * l->op->leader_ttl_s + l->op->confirm_s) {
-        pm_leader_lose(l, "not confirmed for long");
+        pm_election_lose_leadership(l, "not confirmed for long");
         return;
     }
-    if (l->leads && l->settings->lease_s > 0 && !pm_store_refusing(l->store) &&
+    if (l->leads && l->settings->lease_s > 0 && !pm_store_is_refusing(l->store) &&
         now - l->epoch_at > TOKEN_LEASES * l->settings->lease_s &&
         now - l->raise_at > RAISE_PACE_S) {
         l->raise_at = now;
-        pm_leader_raise(l, NULL, 0);
+        pm_election_advance_epoch(l, NULL, 0);
     }
-    if (pm_leader_acts(l) && !l->check_busy && !l->raising &&
+    if (pm_election_may_act(l) && !l->check_busy && !l->raising &&
         now - MAX(l->confirmed, l->checked) > l->op->confirm_s / 3)
-        pm_leader_check(l, now);
+        pm_election_check_epoch(l, now);
     /* In an outage everybody asks: to confirm the epoch, or to tell it from being refused alone. */
-    if (((l->leads && !l->ack_at) || pm_store_refusing(l->store)) &&
+    if (((l->leads && !l->ack_at) || pm_store_is_refusing(l->store)) &&
         now - l->asked > l->op->confirm_s / 4)
-        pm_leader_ask_peers(l, now);
+        pm_election_poll_peers(l, now);
     if (l->common_version < PM_PROTOCOL_VERSION) {
-        pm_leader_announce_version(l, now);
+        pm_election_publish_version(l, now);
         if (now - l->asked > ANNOUNCE_S)
-            pm_leader_ask_peers(l, now);
+            pm_election_poll_peers(l, now);
     }
     if (l->links.pack && now - l->asked > l->links.ask_every_s)
-        pm_leader_ask_peers(l, now);
+        pm_election_poll_peers(l, now);
     if (l->leads) {
         if (!l->renew_busy && now - l->renewed > l->op->leader_ttl_s / 3.5) {
             l->renew_busy = true;
             l->renewed = now;
-            pm_store_renew(l->store, l->lease_id, on_renewed, l);
+            pm_store_lease_keep_alive(l->store, l->lease_id, on_renewed, l);
         }
         return;
     }
-    if (l->candidate || !pm_store_ready(l->store) || !pm_leader_vacant(l)) {
+    if (l->candidate || !pm_store_is_ready(l->store) || !pm_election_is_lock_free(l)) {
         l->vacant_since = 0;
         return;
     }
@@ -204,11 +205,11 @@
         wait += l->links.candidate_wait_s(l->links.arg);
     if (now - l->vacant_since < wait)
         return;
-    pm_leader_try(l);
+    pm_election_campaign(l);
 }
 
-void pm_leader_put(struct pm_leader *l, const char *key, const cbor_item_t *value,
-                   uint64_t revision)
+void pm_election_apply_put(struct pm_election *l, const char *key, const cbor_item_t *value,
+                           uint64_t revision)
 {
     char leader[PM_NAME_MAX] = "";
     char boot[24] = "";
@@ -219,7 +220,7 @@
         if (pm_cbor_count(pm_cbor_get(value, "version"), &epoch))
             return;
         l->version_announced |= !strcmp(key + 9, l->settings->name) && epoch >= PM_PROTOCOL_VERSION;
-        peer = pm_settings_peer(l->settings, key + 9);
+        peer = pm_settings_find_peer(l->settings, key + 9);
         if (peer >= 0)
             l->peer_version[peer] =
                 (unsigned)MAX(l->peer_version[peer], MIN(epoch, PM_PROTOCOL_VERSION));
@@ -240,11 +241,11 @@
         l->epoch = epoch;
         l->epoch_revision = revision;
         if (l->leads && epoch > l->mine && strcmp(boot, l->boot)) {
-            pm_leader_lose(l, "another one leads");
+            pm_election_lose_leadership(l, "another one leads");
         } else if (l->leads && epoch > l->mine) {
-            pm_leader_adopt(l, epoch, revision);
+            pm_election_adopt_epoch(l, epoch, revision);
         } else if (!l->leads && l->block_revision && !l->check_busy) {
-            pm_leader_check(l, pm_clock_steady());
+            pm_election_check_epoch(l, pm_clock_monotonic());
         }
     } else if (!strcmp(key, "p/lead") && revision >= l->lead_revision) {
         l->lead_revision = revision;
@@ -253,7 +254,7 @@
     }
 }
 
-void pm_leader_drop(struct pm_leader *l, const char *key, uint64_t revision)
+void pm_election_apply_delete(struct pm_election *l, const char *key, uint64_t revision)
 {
     if (!strcmp(key, "p/lead") && revision >= l->lead_revision) {
         l->lead_revision = 0;
@@ -261,42 +262,42 @@
     }
 }
 
-void pm_leader_step_down(struct pm_leader *l, const char *why)
+void pm_election_step_down(struct pm_election *l, const char *why)
 {
     if (!l->leads)
         return;
-    l->standing_back_until = pm_clock_steady() + STAND_BACK_S;
-    pm_store_unhold(l->store, l->lease_id);
-    pm_leader_lose(l, why);
+    l->standing_back_until = pm_clock_monotonic() + STAND_BACK_S;
+    pm_store_lease_revoke(l->store, l->lease_id);
+    pm_election_lose_leadership(l, why);
 }
 
-void pm_leader_relist(struct pm_leader *l)
+void pm_election_snapshot_begin(struct pm_election *l)
 {
     l->lead_revision = 0;
     l->holder[0] = 0;
 }
 
-uint64_t pm_leader_epoch(const struct pm_leader *l)
+uint64_t pm_election_epoch(const struct pm_election *l)
 {
-    return pm_leader_acting_epoch(l);
+    return pm_election_acting_epoch(l);
 }
 
-uint64_t pm_leader_revision(const struct pm_leader *l)
+uint64_t pm_election_epoch_revision(const struct pm_election *l)
 {
     return l->leads ? l->mine_revision : l->epoch_revision;
 }
 
-bool pm_leader_refused_alone(const struct pm_leader *l, double now)
+bool pm_election_is_refused_alone(const struct pm_election *l, double now)
 {
-    return pm_store_refusing(l->store) && l->peer_served > 0 && now - l->peer_served < 2.5;
+    return pm_store_is_refusing(l->store) && l->peer_served > 0 && now - l->peer_served < 2.5;
 }
 
-const char *pm_leader_boot(const struct pm_leader *l)
+const char *pm_election_incarnation_id(const struct pm_election *l)
 {
     return l->boot;
 }
 
-void pm_leader_hold(struct pm_leader *l, const char *key, uint64_t revision)
+void pm_election_set_owned_shard(struct pm_election *l, const char *key, uint64_t revision)
 {
     if (l->leads || revision == l->block_revision)
         return;
@@ -309,65 +310,67 @@
         return;
     g_strlcpy(l->block_key, key, sizeof l->block_key);
     if (!l->check_busy)
-        pm_leader_check(l, pm_clock_steady());
+        pm_election_check_epoch(l, pm_clock_monotonic());
 }
 
-double pm_leader_confirmed_until(const struct pm_leader *l)
+double pm_election_confirmation_deadline(const struct pm_election *l)
 {
-    return MIN(l->confirmed + l->op->confirm_s * (1 - PM_DRIFT),
-               l->caught_up_at + most_staleness(l->settings) * (1 - PM_DRIFT));
+    return MIN(l->confirmed + l->op->confirm_s * (1 - PM_CLOCK_DRIFT_MAX),
+               l->caught_up_at + most_staleness(l->settings) * (1 - PM_CLOCK_DRIFT_MAX));
 }
 
-bool pm_leader_confirmed(const struct pm_leader *l, double now)
+bool pm_election_is_confirmed(const struct pm_election *l, double now)
 {
-    return pm_leader_acts(l) && !l->reach && now < pm_leader_confirmed_until(l);
+    return pm_election_may_act(l) && !l->reach && now < pm_election_confirmation_deadline(l);
 }
 
-double pm_leader_renewal_until(const struct pm_leader *l)
+double pm_election_outage_renewal_deadline(const struct pm_election *l)
 {
-    return l->renewal_confirmed + l->op->confirm_s * (1 - PM_DRIFT);
+    return l->renewal_confirmed + l->op->confirm_s * (1 - PM_CLOCK_DRIFT_MAX);
 }
 
-void pm_leader_confirm(struct pm_leader *l, double sent, uint64_t store_revision)
+void pm_election_confirm_epoch(struct pm_election *l, double sent, uint64_t store_revision)
 {
-    if (!pm_leader_acts(l))
+    if (!pm_election_may_act(l))
         return;
-    pm_leader_note_confirmed(l, sent);
+    pm_election_note_confirmed(l, sent);
     follow(l, sent, store_revision);
 }
 
-bool pm_leader_may_renew_in_outage(const struct pm_leader *l, double now)
+bool pm_election_may_renew_in_outage(const struct pm_election *l, double now)
 {
     return !l->leads && l->refused_since && l->epoch && l->heard <= l->epoch &&
-           now < pm_leader_renewal_until(l) && now - l->leader_heard > LEADER_S;
+           now < pm_election_outage_renewal_deadline(l) && now - l->leader_heard > LEADER_S;
 }
 
-double pm_leader_sure_since(const struct pm_leader *l)
+double pm_election_exclusive_since(const struct pm_election *l)
 {
-    return l->sure_since + (l->op->confirm_s + PM_LEADER_REFUSED_S) * (1 + PM_DRIFT) + TICK_S;
+    return l->sure_since +
+           (l->op->confirm_s + PM_ELECTION_REFUSAL_MAX_AGE_S) * (1 + PM_CLOCK_DRIFT_MAX) + TICK_S;
 }
 
-const char *pm_leader_other(const struct pm_leader *l)
+const char *pm_election_other_leader(const struct pm_election *l)
 {
     if (l->leads || !l->lead_revision || !strcmp(l->holder, l->settings->name))
         return NULL;
     return l->holder;
 }
 
-double pm_leader_floor(const struct pm_leader *l, uint64_t epoch)
+double pm_election_lease_lower_bound(const struct pm_election *l, uint64_t epoch)
 {
     double at = epoch ? l->ack_at : l->first_ack_at;
 
     if (!l->leads || !at || epoch > l->ack_epoch)
         return INFINITY;
-    return at + l->op->confirm_s * (1 + PM_DRIFT);
+    return at + l->op->confirm_s * (1 + PM_CLOCK_DRIFT_MAX);
 }
 
-struct pm_leader *pm_leader_new(struct ev_loop *loop, struct pm_store *store,
-                                struct pm_http_client *http, const struct pm_settings *settings,
-                                const struct pm_operator *op, const struct pm_leader_hooks *hooks)
+struct pm_election *pm_election_new(struct ev_loop *loop, struct pm_store *store,
+                                    struct pm_http_client *http, const struct pm_settings *settings,
+                                    const struct pm_operator_settings *op,
+                                    const struct pm_election_hooks *hooks)
 {
-    struct pm_leader *l = g_new0(struct pm_leader, 1);
+    struct pm_election *l = g_new0(struct pm_election, 1);
 
     l->loop = loop;
     l->store = store;
@@ -382,12 +385,12 @@
     return l;
 }
 
-void pm_leader_carry_links(struct pm_leader *l, const struct pm_leader_links *links)
+void pm_election_attach_links(struct pm_election *l, const struct pm_election_links *links)
 {
     l->links = *links;
 }
 
-void pm_leader_free(struct pm_leader *l)
+void pm_election_free(struct pm_election *l)
 {
     ev_timer_stop(l->loop, &l->tick);
     g_free(l);
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -19,26 +19,26 @@
 #include <stdint.h>
 
 struct ev_loop;
-struct pm_leader;
-struct pm_cancelled; /* jobs slice */
+struct pm_election;
+struct pm_cancellation; /* jobs slice */
 
-struct pm_leader_hooks {
+struct pm_election_hooks {
     void (*took)(void *arg, uint64_t epoch); /* leads, and the replica has caught up with that */
     void (*lost)(void *arg);
     void (*raised)(void *arg, uint64_t epoch); /* still leads, with a higher epoch */
     void (*confirmed)(void *arg);              /* a block newly held may be used */
     /* A peer says that this job's cancellation is durable. */
     void (*cancelled)(void *arg, const char *id, uint64_t revision);
-    /* Writes the jobs known cancelled after `revision`, as pm_jobs_cancelled_after. */
-    const struct pm_cancelled *(*list_cancelled)(void *arg, uint64_t revision, size_t most,
-                                                 size_t *n, bool *more);
+    /* Writes the jobs known cancelled after `revision`, as pm_jobs_list_cancellations. */
+    const struct pm_cancellation *(*list_cancelled)(void *arg, uint64_t revision, size_t most,
+                                                    size_t *n, bool *more);
     void (*reached)(void *arg, int peer,
                     uint64_t store_revision); /* a peer's replica goes to here */
     void *arg;
 };
 
 /* What the links slice has to do with the messages between controllers, and with who leads. */
-struct pm_leader_links {
+struct pm_election_links {
     double ask_every_s; /* peers are asked at least so often */
     /* The views to be told in an answer to a peer; owned by the caller. */
     unsigned char *(*pack)(void *arg, size_t *size);
@@ -50,68 +50,71 @@
     void *arg;
 };
 
-struct pm_leader *pm_leader_new(struct ev_loop *loop, struct pm_store *store,
-                                struct pm_http_client *http, const struct pm_settings *settings,
-                                const struct pm_operator *op, const struct pm_leader_hooks *hooks);
-void pm_leader_free(struct pm_leader *lead);
+struct pm_election *pm_election_new(struct ev_loop *loop, struct pm_store *store,
+                                    struct pm_http_client *http, const struct pm_settings *settings,
+                                    const struct pm_operator_settings *op,
+                                    const struct pm_election_hooks *hooks);
+void pm_election_free(struct pm_election *lead);
 /* From now on views of links travel with the messages between controllers. */
-void pm_leader_carry_links(struct pm_leader *lead, const struct pm_leader_links *links);
+void pm_election_attach_links(struct pm_election *lead, const struct pm_election_links *links);
 /* The replica's feed, for p/epoch and p/lead. */
-void pm_leader_put(struct pm_leader *lead, const char *key, const cbor_item_t *value,
-                   uint64_t revision);
-void pm_leader_drop(struct pm_leader *lead, const char *key, uint64_t revision);
+void pm_election_apply_put(struct pm_election *lead, const char *key, const cbor_item_t *value,
+                           uint64_t revision);
+void pm_election_apply_delete(struct pm_election *lead, const char *key, uint64_t revision);
 /* A new listing begins: p/lead is free unless it tells otherwise. */
-void pm_leader_relist(struct pm_leader *lead);
+void pm_election_snapshot_begin(struct pm_election *lead);
 
-uint64_t pm_leader_epoch(const struct pm_leader *lead);
-uint64_t pm_leader_revision(const struct pm_leader *lead); /* of p/epoch, as we wrote it */
+uint64_t pm_election_epoch(const struct pm_election *lead);
+uint64_t
+pm_election_epoch_revision(const struct pm_election *lead); /* of p/epoch, as we wrote it */
 /* Whether the epoch was confirmed recently enough to answer a worker, and the replica knows of
  * every cancellation that a user heard of before about the same time (safety invariants 5 and 7).
  */
-bool pm_leader_confirmed(const struct pm_leader *lead, double now);
+bool pm_election_is_confirmed(const struct pm_election *lead, double now);
 /* Steady time from which on that ends, if nothing confirms it anew: whatever rests on it is not to
  * be written later, should the process have stood still since it was decided. */
-double pm_leader_confirmed_until(const struct pm_leader *lead);
-/* The same for an answer that pm_leader_may_renew_in_outage allowed. */
-double pm_leader_renewal_until(const struct pm_leader *lead);
+double pm_election_confirmation_deadline(const struct pm_election *lead);
+/* The same for an answer that pm_election_may_renew_in_outage allowed. */
+double pm_election_outage_renewal_deadline(const struct pm_election *lead);
 /* A conditional transaction succeeded that was sent at `sent`: a confirmation. The state service
  * was at `store_revision` then. */
-void pm_leader_confirm(struct pm_leader *lead, double sent, uint64_t store_revision);
+void pm_election_confirm_epoch(struct pm_election *lead, double sent, uint64_t store_revision);
 /* How long after a cancellation was confirmed to its user somebody may still renew the lease of a
  * worker without knowing it. From then on it takes a lease until its tasks are gone. */
-double pm_leader_blind_s(const struct pm_settings *settings, const struct pm_operator *op);
+double pm_election_staleness_bound_s(const struct pm_settings *settings,
+                                     const struct pm_operator_settings *op);
 /* Raises the epoch while leading, so that commands under way with the old one die. With `key`,
  * drops that key in the same transaction, on the condition of its revision. */
-void pm_leader_raise(struct pm_leader *lead, const char *key, uint64_t revision);
+void pm_election_advance_epoch(struct pm_election *lead, const char *key, uint64_t revision);
 /* Not leading, but holding a block: the key and revision that stand for it, revision 0: none. The
  * epoch is then confirmed together with that revision. */
-void pm_leader_hold(struct pm_leader *lead, const char *key, uint64_t revision);
+void pm_election_set_owned_shard(struct pm_election *lead, const char *key, uint64_t revision);
 /* Whether the state service refuses us while it serves another controller. */
-bool pm_leader_refused_alone(const struct pm_leader *lead, double now);
+bool pm_election_is_refused_alone(const struct pm_election *lead, double now);
 /* The name of this process, unlike that of any other that has run or will run. */
-const char *pm_leader_boot(const struct pm_leader *lead);
+const char *pm_election_incarnation_id(const struct pm_election *lead);
 /* Leaves the lead to the others, and does not try for it itself for a while. */
-void pm_leader_step_down(struct pm_leader *lead, const char *why);
+void pm_election_step_down(struct pm_election *lead, const char *why);
 /* A transaction failed on the epoch's revision. */
-void pm_leader_suspect(struct pm_leader *lead);
+void pm_election_recheck_epoch(struct pm_election *lead);
 /* The name of the controller that leads as far as known, NULL when nobody does or it is us. */
-const char *pm_leader_other(const struct pm_leader *lead);
+const char *pm_election_other_leader(const struct pm_election *lead);
 /* Steady time since when nobody who did not know `epoch` can have answered a worker with 200: A
  * after a majority acknowledged it; INFINITY until then. Epoch 0: the first one of this term. */
-double pm_leader_floor(const struct pm_leader *lead, uint64_t epoch);
+double pm_election_lease_lower_bound(const struct pm_election *lead, uint64_t epoch);
 /* In an outage of the state service whose leader is not reached: whether this controller may answer
  * workers in its stead, with the epoch and no orders, so that their leases do not run out. A
  * majority that has read the state, knows no higher epoch and is refused itself confirms it, which
  * one controller that is refused alone never finds. */
-bool pm_leader_may_renew_in_outage(const struct pm_leader *lead, double now);
+bool pm_election_may_renew_in_outage(const struct pm_election *lead, double now);
 /* Steady time since when nobody can have answered a worker in our stead: we were confirmed without
  * a gap, and not refused, ever since. */
-double pm_leader_sure_since(const struct pm_leader *lead);
+double pm_election_exclusive_since(const struct pm_election *lead);
 /* The protocol version (base/protocol.h) that every controller named in the settings is known to
  * run, for good: written by the leader once each has said so. A controller that was not heard yet
  * counts as the first version; none that ran a later one comes back with an earlier one. */
-unsigned pm_leader_protocol_version(const struct pm_leader *lead);
+unsigned pm_election_protocol_version(const struct pm_election *lead);
 /* POST /peer on the back address. */
-void pm_leader_peer(struct pm_leader *lead, struct pm_http_request *req);
+void pm_election_handle_peer_request(struct pm_election *lead, struct pm_http_request *req);
 
 #endif
--- a/src/leadership/peers.c
+++ b/src/leadership/peers.c
@@ -17,16 +17,16 @@
 
 /* A question to one peer, which may take several messages. */
 struct ask {
-    struct pm_leader *lead;
+    struct pm_election *lead;
     int peer, round;
     double sent;   /* of the first page */
     uint64_t from; /* our replica's store revision by then */
 };
 
-static void ask_peer(struct pm_leader *l, struct ask *ask, uint64_t after);
+static void ask_peer(struct pm_election *l, struct ask *ask, uint64_t after);
 
 /* What the peer knows cancelled is known here now. False while it has more to tell. */
-static bool take_cancelled(struct pm_leader *l, struct ask *ask, const Pm__PeerTell *tell)
+static bool take_cancelled(struct pm_election *l, struct ask *ask, const Pm__PeerTell *tell)
 {
     uint64_t last = 0;
 
@@ -41,16 +41,16 @@
     return false;
 }
 
-static void on_acknowledged(struct pm_leader *l, int peer)
+static void on_acknowledged(struct pm_election *l, int peer)
 {
     int acks = 1;
 
     l->acked[peer] = true;
     for (int i = 0; i < l->settings->peers; i++)
         acks += l->acked[i];
-    if (l->ack_at || acks < pm_leader_majority(l))
+    if (l->ack_at || acks < pm_election_quorum(l))
         return;
-    l->ack_at = pm_clock_steady();
+    l->ack_at = pm_clock_monotonic();
     if (!l->first_ack_at)
         l->first_ack_at = l->ack_at;
 }
@@ -59,17 +59,18 @@
  * and has told all that was cancelled after our replica ends (safety invariant 7). A majority of
  * such votes confirms the epoch. We are one of it: what we were told of counts as much as what the
  * others were. */
-static void on_vote(struct pm_leader *l, const struct ask *ask, const Pm__PeerTell *tell)
+static void on_vote(struct pm_election *l, const struct ask *ask, const Pm__PeerTell *tell)
 {
     if (!tell->ready || !tell->lists || ask->round != l->ask_round ||
-        l->heard > pm_leader_acting_epoch(l) || tell->known > pm_leader_acting_epoch(l) ||
-        l->ask_epoch != pm_leader_acting_epoch(l))
+        l->heard > pm_election_acting_epoch(l) || tell->known > pm_election_acting_epoch(l) ||
+        l->ask_epoch != pm_election_acting_epoch(l))
         return;
-    if (pm_leader_acts(l) && ++l->ask_yes >= pm_leader_majority(l) && pm_store_refusing(l->store)) {
-        pm_leader_note_confirmed(l, ask->sent);
+    if (pm_election_may_act(l) && ++l->ask_yes >= pm_election_quorum(l) &&
+        pm_store_is_refusing(l->store)) {
+        pm_election_note_confirmed(l, ask->sent);
         l->caught_up_at = MAX(l->caught_up_at, ask->sent);
     }
-    if (!l->leads && tell->refused && ++l->renewal_votes >= pm_leader_majority(l) &&
+    if (!l->leads && tell->refused && ++l->renewal_votes >= pm_election_quorum(l) &&
         l->refused_since && ask->sent - l->refused_since > RENEWAL_AFTER_S)
         l->renewal_confirmed = MAX(l->renewal_confirmed, ask->sent);
 }
@@ -77,7 +78,7 @@
 static void on_peer(void *arg, int status, const unsigned char *body, size_t size)
 {
     struct ask *ask = arg;
-    struct pm_leader *l = ask->lead;
+    struct pm_election *l = ask->lead;
     Pm__PeerTell *tell = status == 200 ? pm__peer_tell__unpack(NULL, size, body) : NULL;
 
     if (!tell) {
@@ -86,16 +87,16 @@
     }
     l->peer_version[ask->peer] = MAX(l->peer_version[ask->peer], tell->protocol_version);
     if (tell->served)
-        l->peer_served = pm_clock_steady();
+        l->peer_served = pm_clock_monotonic();
     if (tell->known > l->heard)
         l->heard = tell->known;
     if (l->leads && tell->known >= l->mine) {
         if (tell->known > l->mine && !l->raising)
-            pm_leader_suspect(l);
+            pm_election_recheck_epoch(l);
         on_acknowledged(l, ask->peer);
     }
     if (!strcmp(tell->from, l->holder))
-        l->leader_heard = pm_clock_steady();
+        l->leader_heard = pm_clock_monotonic();
     if (l->links.unpack && tell->views.len)
         l->links.unpack(l->links.arg, ask->peer, tell->views.data, tell->views.len, ask->sent);
     if (take_cancelled(l, ask, tell)) {
@@ -106,7 +107,7 @@
 }
 
 /* Consumes `ask`, or leaves it to the answer. */
-static void ask_peer(struct pm_leader *l, struct ask *ask, uint64_t after)
+static void ask_peer(struct pm_election *l, struct ask *ask, uint64_t after)
 {
     Pm__PeerAsk message = PM__PEER_ASK__INIT;
     unsigned char data[256];
@@ -124,13 +125,13 @@
                  pm__peer_ask__pack(&message, data), PEER_S, TELL_MAX, on_peer, ask);
 }
 
-void pm_leader_ask_peers(struct pm_leader *l, double now)
+void pm_election_poll_peers(struct pm_election *l, double now)
 {
     l->asked = now;
     l->ask_round++;
-    l->ask_epoch = pm_leader_acting_epoch(l);
+    l->ask_epoch = pm_election_acting_epoch(l);
     l->ask_yes = 1; /* ourselves: who leads, or holds a block, has read the state */
-    l->renewal_votes = pm_store_ready(l->store) && pm_leader_refused_now(l, now);
+    l->renewal_votes = pm_store_is_ready(l->store) && pm_election_is_refused_now(l, now);
     for (int i = 0; i < l->settings->peers; i++) {
         struct ask *ask = g_new0(struct ask, 1);
         *ask = (struct ask){l, i, l->ask_round, now, pm_store_revision(l->store)};
@@ -138,12 +139,12 @@
     }
 }
 
-static void answer_peer(struct pm_leader *l, struct pm_http_request *req, const Pm__PeerAsk *ask)
+static void answer_peer(struct pm_election *l, struct pm_http_request *req, const Pm__PeerAsk *ask)
 {
     Pm__PeerTell tell = PM__PEER_TELL__INIT;
     Pm__Cancelled *entry;
     Pm__Cancelled **list;
-    const struct pm_cancelled *known;
+    const struct pm_cancellation *known;
     unsigned char *data;
     size_t n = 0;
     bool more = false;
@@ -160,10 +161,10 @@
     }
     tell.from = (char *)l->settings->name;
     tell.known = MAX(l->epoch, l->heard);
-    tell.ready = pm_store_ready(l->store);
-    tell.served =
-        !pm_store_refusing(l->store) && pm_clock_steady() - pm_store_served(l->store) < SERVED_S;
-    tell.refused = pm_leader_refused_now(l, pm_clock_steady());
+    tell.ready = pm_store_is_ready(l->store);
+    tell.served = !pm_store_is_refusing(l->store) &&
+                  pm_clock_monotonic() - pm_store_last_served_at(l->store) < SERVED_S;
+    tell.refused = pm_election_is_refused_now(l, pm_clock_monotonic());
     tell.store_revision = pm_store_revision(l->store);
     tell.lists = true;
     tell.cancelled = list;
@@ -180,10 +181,10 @@
     g_free(entry);
 }
 
-void pm_leader_peer(struct pm_leader *l, struct pm_http_request *req)
+void pm_election_handle_peer_request(struct pm_election *l, struct pm_http_request *req)
 {
     Pm__PeerAsk *ask = pm__peer_ask__unpack(NULL, req->body_size, req->body);
-    int peer = ask ? pm_settings_peer(l->settings, ask->from) : -1;
+    int peer = ask ? pm_settings_find_peer(l->settings, ask->from) : -1;
 
     if (peer < 0) {
         pm_error("lead.message", "malformed, or from a controller that is not known");
@@ -198,7 +199,7 @@
     if (ask->epoch > l->heard)
         l->heard = ask->epoch;
     if (l->leads && ask->epoch > l->mine)
-        pm_leader_suspect(l);
+        pm_election_recheck_epoch(l);
     answer_peer(l, req, ask);
     pm__peer_ask__free_unpacked(ask, NULL);
 }
--- a/src/leadership/take.c
+++ b/src/leadership/take.c
@@ -6,7 +6,7 @@
 #include <stdio.h>
 #include <string.h>
 
-static void put_epoch(struct pm_leader *l, struct pm_txn *txn, uint64_t epoch)
+static void put_epoch(struct pm_election *l, struct pm_txn *txn, uint64_t epoch)
 {
     pm_txn_put(txn, "p/epoch");
     pm_put_map(&txn->writes);
@@ -19,12 +19,12 @@
 
 static void on_reached(void *arg, bool ok)
 {
-    struct pm_leader *l = arg;
+    struct pm_election *l = arg;
 
     if (!l->leads || !l->reach)
         return;
     if (!ok) { /* the watch is slow: keep waiting */
-        pm_store_reach(l->store, l->reach, on_reached, l);
+        pm_store_wait_for_revision(l->store, l->reach, on_reached, l);
         return;
     }
     l->reach = 0;
@@ -34,8 +34,8 @@
 static void on_taken(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
 {
     struct attempt *attempt = arg;
-    struct pm_leader *l = attempt->lead;
-    double now = pm_clock_steady();
+    struct pm_election *l = attempt->lead;
+    double now = pm_clock_monotonic();
 
     (void)failed;
     l->candidate = false;
@@ -47,14 +47,14 @@
         l->lease_id = attempt->lease_id;
         l->renewed = l->checked = l->epoch_at = now;
         l->confirmed = l->sure_since = l->caught_up_at = attempt->sent; /* no say before `reach` */
-        l->ack_at = l->first_ack_at = pm_leader_majority(l) <= 1 ? now : 0;
+        l->ack_at = l->first_ack_at = pm_election_quorum(l) <= 1 ? now : 0;
         l->ack_epoch = l->mine;
         l->block_revision = 0;
         l->asked = 0;
         memset(l->acked, 0, sizeof l->acked);
         l->reach = store_revision;
         pm_info("lead.taken", "epoch %llu", (unsigned long long)l->mine);
-        pm_store_reach(l->store, store_revision, on_reached, l);
+        pm_store_wait_for_revision(l->store, store_revision, on_reached, l);
     } else {
         pm_debug("lead.try", "status %d", status);
     }
@@ -62,7 +62,7 @@
 }
 
 /* Whether nobody leads: p/lead is free, or its holder is a dead predecessor of this process. */
-bool pm_leader_vacant(const struct pm_leader *l)
+bool pm_election_is_lock_free(const struct pm_election *l)
 {
     return !l->lead_revision ||
            (!strcmp(l->holder, l->settings->name) && strcmp(l->holder_boot, l->boot));
@@ -70,27 +70,27 @@
 
 static void on_lease_id(void *arg, int status, uint64_t lease_id)
 {
-    struct pm_leader *l = arg;
+    struct pm_election *l = arg;
     struct pm_txn txn = {0};
     struct attempt *attempt;
     char key[PM_NAME_MAX + 8];
 
     /* Somebody else may have taken it while this was under way, and the replica know it by now: the
      * transaction below, on what the replica knows, would take it away again. */
-    if (status != 200 || !pm_leader_vacant(l)) {
+    if (status != 200 || !pm_election_is_lock_free(l)) {
         l->candidate = false;
-        l->vacant_since = pm_clock_steady();
+        l->vacant_since = pm_clock_monotonic();
         if (status == 200)
-            pm_store_unhold(l->store, lease_id);
+            pm_store_lease_revoke(l->store, lease_id);
         return;
     }
     attempt = g_new0(struct attempt, 1);
     attempt->lead = l;
     attempt->epoch = MAX(l->epoch, l->heard) + 1;
     attempt->lease_id = lease_id;
-    attempt->sent = pm_clock_steady();
-    pm_txn_if(&txn, "p/epoch", l->epoch_revision);
-    pm_txn_if(&txn, "p/lead", l->lead_revision);
+    attempt->sent = pm_clock_monotonic();
+    pm_txn_compare(&txn, "p/epoch", l->epoch_revision);
+    pm_txn_compare(&txn, "p/lead", l->lead_revision);
     put_epoch(l, &txn, attempt->epoch);
     pm_txn_put(&txn, "p/lead");
     pm_put_map(&txn.writes);
@@ -100,27 +100,27 @@
     pm_txn_put_end(&txn, lease_id);
     /* A leader holds no block: whatever it held becomes the leader's with the same stroke. */
     snprintf(key, sizeof key, "p/b/%s", l->settings->name);
-    pm_txn_drop(&txn, key);
+    pm_txn_delete(&txn, key);
     pm_store_commit(l->store, &txn, on_taken, attempt);
 }
 
-void pm_leader_try(struct pm_leader *l)
+void pm_election_campaign(struct pm_election *l)
 {
     l->candidate = true;
-    pm_store_hold(l->store, l->op->leader_ttl_s, on_lease_id, l);
+    pm_store_lease_grant(l->store, l->op->leader_ttl_s, on_lease_id, l);
 }
 
 /* ---- raising the epoch while leading ---- */
 
-void pm_leader_adopt(struct pm_leader *l, uint64_t epoch, uint64_t revision)
+void pm_election_adopt_epoch(struct pm_election *l, uint64_t epoch, uint64_t revision)
 {
     l->mine = l->epoch = epoch;
     l->mine_revision = l->epoch_revision = revision;
-    l->epoch_at = pm_clock_steady();
+    l->epoch_at = pm_clock_monotonic();
     /* Acknowledged anew: a holder that lost its block with the old epoch may answer its workers
      * until a majority knows this one. */
     memset(l->acked, 0, sizeof l->acked);
-    l->ack_at = pm_leader_majority(l) <= 1 ? pm_clock_steady() : 0;
+    l->ack_at = pm_election_quorum(l) <= 1 ? pm_clock_monotonic() : 0;
     l->ack_epoch = epoch;
     l->asked = 0;
     pm_info("lead.raised", "epoch %llu", (unsigned long long)epoch);
@@ -130,20 +130,20 @@
 static void on_raised(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
 {
     struct attempt *attempt = arg;
-    struct pm_leader *l = attempt->lead;
+    struct pm_election *l = attempt->lead;
 
     (void)failed;
     l->raising = false;
     if (l->leads && status == 200 && l->mine < attempt->epoch) {
-        pm_leader_adopt(l, attempt->epoch, store_revision);
-        pm_leader_confirm(l, attempt->sent, store_revision);
+        pm_election_adopt_epoch(l, attempt->epoch, store_revision);
+        pm_election_confirm_epoch(l, attempt->sent, store_revision);
     } else if (l->leads && status == 409) {
-        pm_leader_suspect(l);
+        pm_election_recheck_epoch(l);
     }
     g_free(attempt);
 }
 
-void pm_leader_raise(struct pm_leader *l, const char *key, uint64_t revision)
+void pm_election_advance_epoch(struct pm_election *l, const char *key, uint64_t revision)
 {
     struct pm_txn txn = {0};
     struct attempt *attempt;
@@ -154,12 +154,12 @@
     attempt = g_new0(struct attempt, 1);
     attempt->lead = l;
     attempt->epoch = MAX(l->mine, l->heard) + 1;
-    attempt->sent = pm_clock_steady();
-    pm_txn_if(&txn, "p/epoch", l->mine_revision);
+    attempt->sent = pm_clock_monotonic();
+    pm_txn_compare(&txn, "p/epoch", l->mine_revision);
     put_epoch(l, &txn, attempt->epoch);
     if (key) {
-        pm_txn_if(&txn, key, revision);
-        pm_txn_drop(&txn, key);
+        pm_txn_compare(&txn, key, revision);
+        pm_txn_delete(&txn, key);
     }
     pm_store_commit(l->store, &txn, on_raised, attempt);
 }
--- a/src/leadership/tests/controllers.h
+++ b/src/leadership/tests/controllers.h
@@ -23,12 +23,12 @@
 
 struct controller {
     struct pm_settings settings;
-    struct pm_operator op;
+    struct pm_operator_settings op;
     struct pm_http_client *http;
     struct pm_http_server *back;
     struct pm_store *store;
-    struct pm_leader *lead;
-    struct pm_cancels *cancels;
+    struct pm_election *lead;
+    struct pm_cancel_quorum *cancels;
     struct pm_name_tables tables;
     struct pm_jobs *jobs;
     const char *state_addr; /* NULL: the front one */
@@ -40,20 +40,20 @@
 {
     struct controller *c = arg;
 
-    pm_leader_put(c->lead, key, value, revision);
-    pm_cancels_put(c->cancels, key, value);
-    if (pm_jobs_put(c->jobs, key, value, revision) && pm_store_ready(c->store))
-        pm_cancels_read(c->cancels, revision);
+    pm_election_apply_put(c->lead, key, value, revision);
+    pm_cancel_quorum_apply_put(c->cancels, key, value);
+    if (pm_jobs_apply_put(c->jobs, key, value, revision) && pm_store_is_ready(c->store))
+        pm_cancel_quorum_note_read(c->cancels, revision);
 }
 
 static void on_drop(void *arg, const char *key, uint64_t revision)
 {
-    pm_leader_drop(((struct controller *)arg)->lead, key, revision);
+    pm_election_apply_delete(((struct controller *)arg)->lead, key, revision);
 }
 
 static void on_begin(void *arg)
 {
-    pm_leader_relist(((struct controller *)arg)->lead);
+    pm_election_snapshot_begin(((struct controller *)arg)->lead);
 }
 
 static void on_listed(void *arg)
@@ -89,18 +89,18 @@
 
 static void on_cancelled(void *arg, const char *id, uint64_t revision)
 {
-    pm_jobs_cancel(((struct controller *)arg)->jobs, id, revision);
+    pm_jobs_apply_cancellation(((struct controller *)arg)->jobs, id, revision);
 }
 
-static const struct pm_cancelled *on_list_cancelled(void *arg, uint64_t revision, size_t most,
-                                                    size_t *n, bool *more)
+static const struct pm_cancellation *on_list_cancelled(void *arg, uint64_t revision, size_t most,
+                                                       size_t *n, bool *more)
 {
-    return pm_jobs_cancelled_after(((struct controller *)arg)->jobs, revision, most, n, more);
+    return pm_jobs_list_cancellations(((struct controller *)arg)->jobs, revision, most, n, more);
 }
 
 static void on_reached(void *arg, int peer, uint64_t store_revision)
 {
-    pm_cancels_reached(((struct controller *)arg)->cancels, peer, store_revision);
+    pm_cancel_quorum_note_peer_revision(((struct controller *)arg)->cancels, peer, store_revision);
 }
 
 static void on_peer(void *arg, struct pm_http_request *req)
@@ -108,9 +108,9 @@
     struct controller *c = arg;
 
     if (!strcmp(req->path, "/cancelled"))
-        pm_cancels_peer(c->cancels, req);
+        pm_cancel_quorum_handle_peer_request(c->cancels, req);
     else
-        pm_leader_peer(c->lead, req);
+        pm_election_handle_peer_request(c->lead, req);
 }
 
 /* Names and addresses of `n` controllers that know one another. */
@@ -118,7 +118,7 @@
 {
     for (int i = 0; i < n; i++) {
         memset(&all[i], 0, sizeof all[i]);
-        pm_operator_defaults(&all[i].op);
+        pm_operator_settings_defaults(&all[i].op);
         books_begin(&all[i].tables, &all[i].settings);
         all[i].settings.size = n;
         snprintf(all[i].settings.name, PM_NAME_MAX, "n%d", i);
@@ -148,13 +148,13 @@
     c->jobs = pm_jobs_new(&c->tables);
     c->store = pm_store_new(
         loop, c->http, c->state_addr ? c->state_addr : fake_state_addr(state), 1000,
-        &(struct pm_store_feed){on_put, on_drop, on_begin, on_listed, on_caught_up, c});
-    c->lead =
-        pm_leader_new(loop, c->store, c->http, &c->settings, &c->op,
-                      &(struct pm_leader_hooks){on_took, on_lost, on_raised, on_confirmed,
-                                                on_cancelled, on_list_cancelled, on_reached, c});
-    c->cancels = pm_cancels_new(loop, c->store, c->http, &c->settings,
-                                &(struct pm_cancels_hooks){on_cancelled, c});
+        &(struct pm_store_observer){on_put, on_drop, on_begin, on_listed, on_caught_up, c});
+    c->lead = pm_election_new(loop, c->store, c->http, &c->settings, &c->op,
+                              &(struct pm_election_hooks){on_took, on_lost, on_raised, on_confirmed,
+                                                          on_cancelled, on_list_cancelled,
+                                                          on_reached, c});
+    c->cancels = pm_cancel_quorum_new(loop, c->store, c->http, &c->settings,
+                                      &(struct pm_cancel_quorum_hooks){on_cancelled, c});
     open_back(c);
 }
 
@@ -165,7 +165,7 @@
 
 static bool is_confirmed(void *arg)
 {
-    return pm_leader_confirmed(((struct controller *)arg)->lead, pm_clock_steady());
+    return pm_election_is_confirmed(((struct controller *)arg)->lead, pm_clock_monotonic());
 }
 
 static bool is_unconfirmed(void *arg)
@@ -175,28 +175,29 @@
 
 static bool has_read(void *arg)
 {
-    return pm_store_ready(((struct controller *)arg)->store);
+    return pm_store_is_ready(((struct controller *)arg)->store);
 }
 
 static bool is_refused(void *arg)
 {
-    return pm_store_refusing(((struct controller *)arg)->store);
+    return pm_store_is_refusing(((struct controller *)arg)->store);
 }
 
 static bool all_are_new(void *arg)
 {
-    return pm_leader_protocol_version(((struct controller *)arg)->lead) >= PM_PROTOCOL_DEPENDENCIES;
+    return pm_election_protocol_version(((struct controller *)arg)->lead) >=
+           PM_PROTOCOL_DEPENDENCIES;
 }
 
 static bool is_later(void *arg)
 {
-    return pm_clock_steady() > *(double *)arg;
+    return pm_clock_monotonic() > *(double *)arg;
 }
 
 /* Runs the loop for that long. */
 static inline void pass(double seconds)
 {
-    double later = pm_clock_steady() + seconds;
+    double later = pm_clock_monotonic() + seconds;
 
     assert_true(fake_run_until(loop, is_later, &later));
 }
--- a/src/leadership/tests/test_cancels.c
+++ b/src/leadership/tests/test_cancels.c
@@ -66,12 +66,12 @@
 
     snprintf(key, sizeof key, "p/j/%s", id);
     pm_txn_put(&txn, key);
-    pm_jobs_write(&c->tables, NULL, 4, PM_CANCELLED, false, &txn.writes);
+    pm_job_encode(&c->tables, NULL, 4, PM_JOB_CANCELLED, false, &txn.writes);
     pm_txn_put_end(&txn, 0);
     pm_store_commit(c->store, &txn, on_written, &w);
     assert_true(fake_run_until(loop, is_written, &w));
     assert_int_equal(w.status, 200);
-    pm_jobs_cancel(c->jobs, id, w.store_revision);
+    pm_jobs_apply_cancellation(c->jobs, id, w.store_revision);
     return w.store_revision;
 }
 
@@ -92,7 +92,7 @@
 {
     enum verdict verdict = OPEN;
 
-    pm_cancels_tell(c->cancels, id, revision, on_verdict, &verdict);
+    pm_cancel_quorum_publish(c->cancels, id, revision, on_verdict, &verdict);
     assert_true(fake_run_until(loop, is_judged, &verdict));
     return verdict == YES;
 }
@@ -105,7 +105,7 @@
 
 static bool knows(void *arg)
 {
-    return pm_jobs_cancelled(((struct controller *)arg)->jobs, "job-1") != 0;
+    return pm_jobs_cancellation_revision(((struct controller *)arg)->jobs, "job-1") != 0;
 }
 
 /* The leader, refused alone, hears of it at once by the message that makes it known. */
@@ -136,12 +136,13 @@
     begin_refused(all);
     shut_back(&all[0]);
     assert_true(confirm_to_user(&all[1], "job-1", cancel(&all[1], "job-1")));
-    told = pm_clock_steady();
+    told = pm_clock_monotonic();
     fake_state_outage(state, true);
     /* Neither blind nor helpless from then on: it knows, and is confirmed. */
-    while (pm_clock_steady() < told + 4) {
+    while (pm_clock_monotonic() < told + 4) {
         pass(0.02);
-        if (pm_clock_steady() > told + pm_leader_blind_s(&all[0].settings, &all[0].op))
+        if (pm_clock_monotonic() >
+            told + pm_election_staleness_bound_s(&all[0].settings, &all[0].op))
             assert_false(blind_and_confirmed(&all[0]));
     }
     assert_true(knows(&all[0]));
@@ -183,9 +184,9 @@
     shut_back(&all[0]);
     shut_back(&all[2]);
     revision = cancel(&all[1], "job-1");
-    asked = pm_clock_steady();
+    asked = pm_clock_monotonic();
     assert_false(confirm_to_user(&all[1], "job-1", revision));
-    assert_true(pm_clock_steady() - asked < 0.9);
+    assert_true(pm_clock_monotonic() - asked < 0.9);
     open_back(&all[2]);
     assert_true(confirm_to_user(&all[1], "job-1", revision));
     assert_true(knows(&all[2]));
@@ -200,7 +201,7 @@
 {
     struct wait_known *w = arg;
 
-    return pm_cancels_known(w->c->cancels, w->revision);
+    return pm_cancel_quorum_is_acked(w->c->cancels, w->revision);
 }
 
 /* Controllers that refuse one another, while the state service is well, say by way of it how far
@@ -225,7 +226,7 @@
     size_t n;
     bool more;
 
-    pm_jobs_cancelled_after(((struct controller *)arg)->jobs, 0, 5000, &n, &more);
+    pm_jobs_list_cancellations(((struct controller *)arg)->jobs, 0, 5000, &n, &more);
     return n == 1000;
 }
 
@@ -243,8 +244,8 @@
     for (int i = 0; i < 1000;
          i++) { /* many of one transaction, so of one revision, and out of order */
         snprintf(id, sizeof id, "job-%d", i);
-        pm_jobs_cancel(all[1].jobs, id, 100000 + (uint64_t)((i * 7) % 1000) / 12);
-        pm_jobs_cancel(all[2].jobs, id, 100000 + (uint64_t)((i * 7) % 1000) / 12);
+        pm_jobs_apply_cancellation(all[1].jobs, id, 100000 + (uint64_t)((i * 7) % 1000) / 12);
+        pm_jobs_apply_cancellation(all[2].jobs, id, 100000 + (uint64_t)((i * 7) % 1000) / 12);
     }
     fake_state_outage(state, true);
     assert_true(fake_run_until(loop, knows_all, &all[0]));
@@ -274,10 +275,11 @@
     fake_state_set_side(state, FAKE_WATCHES_HANG);
     shut_back(&all[0]);
     assert_true(confirm_to_user(&all[1], "job-1", cancel(&all[1], "job-1")));
-    told = pm_clock_steady();
-    while (pm_clock_steady() < told + 4) {
+    told = pm_clock_monotonic();
+    while (pm_clock_monotonic() < told + 4) {
         pass(0.02);
-        if (pm_clock_steady() > told + pm_leader_blind_s(&all[0].settings, &all[0].op))
+        if (pm_clock_monotonic() >
+            told + pm_election_staleness_bound_s(&all[0].settings, &all[0].op))
             assert_false(blind_and_confirmed(&all[0]));
     }
     fake_state_set_side(state, FAKE_OPEN);
@@ -290,15 +292,17 @@
 static void a_lease_fits_behind_the_last_blind_answer(void **arg)
 {
     static const double sites[][2] = {{12, 42}, {26.5, 56.5}, {44, 74}, {10, 20}, {60, 66}};
-    struct pm_operator op;
+    struct pm_operator_settings op;
 
     (void)arg;
-    pm_operator_defaults(&op);
+    pm_operator_settings_defaults(&op);
     for (size_t i = 0; i < G_N_ELEMENTS(sites); i++) {
         struct pm_settings *s = g_new0(struct pm_settings, 1);
         s->lease_s = sites[i][0];
         s->cancel_s = sites[i][1];
-        assert_true((pm_leader_blind_s(s, &op) + s->lease_s) * (1 + 2 * PM_DRIFT) < s->cancel_s);
+        assert_true((pm_election_staleness_bound_s(s, &op) + s->lease_s) *
+                        (1 + 2 * PM_CLOCK_DRIFT_MAX) <
+                    s->cancel_s);
         g_free(s);
     }
 }
@@ -355,13 +359,13 @@
     entry.id = "../../epoch";
     assert_int_equal(post(&all[1], &all[0], "/cancelled", data, pm__cancel_call__pack(&call, data)),
                      200);
-    pm_jobs_cancelled_after(all[0].jobs, 0, 10, &n, &more);
+    pm_jobs_list_cancellations(all[0].jobs, 0, 10, &n, &more);
     assert_int_equal(n, 0);
     entry.id = "job-1";
     for (int i = 0; i < 3; i++)
         assert_int_equal(
             post(&all[1], &all[0], "/cancelled", data, pm__cancel_call__pack(&call, data)), 200);
-    pm_jobs_cancelled_after(all[0].jobs, 0, 10, &n, &more);
+    pm_jobs_list_cancellations(all[0].jobs, 0, 10, &n, &more);
     assert_int_equal(n, 1);
     assert_false(more);
     g_free(large);
--- a/src/leadership/tests/test_leadership.c
+++ b/src/leadership/tests/test_leadership.c
@@ -37,7 +37,7 @@
 
 static bool knows_floor(void *arg)
 {
-    return isfinite(pm_leader_floor(((struct controller *)arg)->lead, 0));
+    return isfinite(pm_election_lease_lower_bound(((struct controller *)arg)->lead, 0));
 }
 
 static void one_leads_and_a_successor_has_a_higher_epoch(void **arg)
@@ -50,20 +50,20 @@
     start(&all[0]);
     assert_true(fake_run_until(loop, has_taken, &all[0]));
     assert_true(is_confirmed(&all[0]));
-    first = pm_leader_epoch(all[0].lead);
+    first = pm_election_epoch(all[0].lead);
     /* Of two controllers one is no majority: nobody else is known to have learned of the epoch. */
     assert_false(knows_floor(&all[0]));
     start(&all[1]);
     assert_true(fake_run_until(loop, knows_floor, &all[0]));
     assert_int_equal(all[1].took, 0); /* p/lead is held */
-    assert_string_equal(pm_leader_other(all[1].lead), "n0");
+    assert_string_equal(pm_election_other_leader(all[1].lead), "n0");
     /* The hold lapses: somebody takes over, with a higher epoch, and no two lead in the same. */
     all[0].took = 0;
     fake_state_lapse(state);
     for (int i = 0; !all[0].took && !all[1].took && i < 4000; i++)
         fake_run_until(loop, has_taken, &all[1]);
     assert_true(all[1].took > first);
-    assert_true(pm_leader_epoch(all[1].lead) > first);
+    assert_true(pm_election_epoch(all[1].lead) > first);
 }
 
 static unsigned count_takers(const struct controller *all, int n)
@@ -117,16 +117,16 @@
     acquaint(c, 1);
     start(c);
     assert_true(fake_run_until(loop, has_taken, c));
-    first = pm_leader_epoch(c->lead);
+    first = pm_election_epoch(c->lead);
     revision = fake_state_revision(state, "p/epoch");
     /* Carried out, but its answer is lost: the watch tells that the epoch is ours. */
     fake_state_swallow(state);
-    pm_leader_raise(c->lead, NULL, 0);
+    pm_election_advance_epoch(c->lead, NULL, 0);
     assert_true(fake_run_until(loop, has_raised, c));
     assert_int_equal(c->lost, 0);
-    assert_true(pm_leader_epoch(c->lead) > first);
-    assert_true(pm_leader_revision(c->lead) > revision);
-    assert_int_equal(pm_leader_revision(c->lead), fake_state_revision(state, "p/epoch"));
+    assert_true(pm_election_epoch(c->lead) > first);
+    assert_true(pm_election_epoch_revision(c->lead) > revision);
+    assert_int_equal(pm_election_epoch_revision(c->lead), fake_state_revision(state, "p/epoch"));
 }
 
 /* A command that was carried out may come again, later than a lease after it: by then its token
@@ -142,20 +142,20 @@
     c->settings.lease_s = 0.5;
     start(c);
     assert_true(fake_run_until(loop, has_taken, c));
-    first = pm_leader_epoch(c->lead);
-    began = pm_clock_steady();
+    first = pm_election_epoch(c->lead);
+    began = pm_clock_monotonic();
     assert_true(fake_run_until(loop, has_raised, c));
-    assert_true(pm_leader_epoch(c->lead) > first);
-    assert_true(pm_clock_steady() - began >= 0.7 * 0.5 - 0.1); /* and not all the time */
+    assert_true(pm_election_epoch(c->lead) > first);
+    assert_true(pm_clock_monotonic() - began >= 0.7 * 0.5 - 0.1); /* and not all the time */
     assert_int_equal(c->lost, 0);
     /* While the state service refuses it, it is not asked for one again and again. */
     fake_state_outage(state, true);
     assert_true(fake_run_until(loop, is_refused, c));
-    first = pm_leader_epoch(c->lead);
+    first = pm_election_epoch(c->lead);
     fake_state_outage(state, false);
     c->raised = 0;
     assert_true(fake_run_until(loop, has_raised, c));
-    assert_true(pm_leader_epoch(c->lead) > first);
+    assert_true(pm_election_epoch(c->lead) > first);
 }
 
 /* A process that stood still while its clocks ran on: what it was told before counts from then, so
@@ -172,12 +172,12 @@
     assert_true(fake_run_until(loop, has_taken, c));
     assert_true(fake_run_until(loop, is_confirmed, c));
     g_usleep(400 * 1000); /* its loop does not run */
-    woke = pm_clock_steady();
-    assert_false(pm_leader_confirmed(c->lead, woke));
+    woke = pm_clock_monotonic();
+    assert_false(pm_election_is_confirmed(c->lead, woke));
     /* An answer to what was asked before it stood still comes late, and says nothing of now. */
-    pm_leader_confirm(c->lead, woke - 0.35, 0);
-    assert_false(pm_leader_confirmed(c->lead, woke));
-    assert_true(pm_leader_sure_since(c->lead) >
+    pm_election_confirm_epoch(c->lead, woke - 0.35, 0);
+    assert_false(pm_election_is_confirmed(c->lead, woke));
+    assert_true(pm_election_exclusive_since(c->lead) >
                 woke); /* others may have answered workers meanwhile */
     assert_true(fake_run_until(loop, is_confirmed, c));
 }
@@ -207,14 +207,14 @@
     (void)arg;
     begin_outage(all);
     message.from = "n2";
-    message.epoch = pm_leader_epoch(all[0].lead) + 1;
+    message.epoch = pm_election_epoch(all[0].lead) + 1;
     pm_http_call(all[1].http, all[0].settings.peer_listen, "POST", "/peer", data,
                  pm__peer_ask__pack(&message, data), 30, 4096, on_told, &told);
     assert_true(fake_run_until(loop, is_told, &told));
     assert_int_equal(told, 200);
     assert_true(fake_run_until(loop, is_unconfirmed, &all[0]));
     for (int i = 0; i < 40; i++) { /* and so it stays, whatever n1 says */
-        double later = pm_clock_steady() + 0.05;
+        double later = pm_clock_monotonic() + 0.05;
         assert_true(fake_run_until(loop, is_later, &later));
         assert_false(is_confirmed(&all[0]));
     }
@@ -228,7 +228,7 @@
     (void)arg;
     begin_outage(all);
     /* Two of three that have read the state confirm it for longer than one confirmation lasts. */
-    later = pm_clock_steady() + 2 * all[0].op.confirm_s;
+    later = pm_clock_monotonic() + 2 * all[0].op.confirm_s;
     assert_true(fake_run_until(loop, is_later, &later));
     assert_true(fake_run_until(loop, is_confirmed, &all[0]));
     /* The third was started in the outage: it has read nothing, so its word counts for nothing. */
@@ -254,17 +254,17 @@
     assert_true(fake_run_until(loop, knows_floor, &all[0]));
     fake_state_hang(state, true);
     pm_http_server_free(all[1].back);
-    later = pm_clock_steady() + all[0].op.confirm_s + 0.5;
+    later = pm_clock_monotonic() + all[0].op.confirm_s + 0.5;
     assert_true(fake_run_until(loop, is_later, &later));
     assert_false(is_confirmed(&all[0]));
-    later = pm_clock_steady() + 1;
+    later = pm_clock_monotonic() + 1;
     assert_true(fake_run_until(loop, is_later, &later));
     assert_false(is_confirmed(&all[0]));
 }
 
 static bool is_caring(void *arg)
 {
-    return pm_leader_may_renew_in_outage(((struct controller *)arg)->lead, pm_clock_steady());
+    return pm_election_may_renew_in_outage(((struct controller *)arg)->lead, pm_clock_monotonic());
 }
 
 static bool is_caring_no_more(void *arg)
@@ -293,18 +293,18 @@
     fake_state_outage(state, true);
     assert_true(fake_run_until(loop, is_refused, &all[1]));
     assert_true(fake_run_until(loop, is_refused, &all[2]));
-    later = pm_clock_steady() + 4;
+    later = pm_clock_monotonic() + 4;
     assert_true(fake_run_until(loop, is_later, &later));
     assert_false(is_caring(&all[1])); /* the leader is there */
     pm_http_server_free(all[0].back);
     assert_true(fake_run_until(loop, is_caring, &all[1]));
     assert_true(fake_run_until(loop, is_caring, &all[2]));
-    assert_int_equal(pm_leader_epoch(all[1].lead), pm_leader_epoch(all[0].lead));
-    back = pm_clock_steady();
+    assert_int_equal(pm_election_epoch(all[1].lead), pm_election_epoch(all[0].lead));
+    back = pm_clock_monotonic();
     fake_state_outage(state, false);
     assert_true(fake_run_until(loop, is_caring_no_more, &all[1]));
     assert_true(fake_run_until(loop, is_confirmed, &all[0]));
-    assert_true(pm_leader_sure_since(all[0].lead) >= back + all[0].op.confirm_s);
+    assert_true(pm_election_exclusive_since(all[0].lead) >= back + all[0].op.confirm_s);
 }
 
 static void one_refused_alone_cares_for_nobody(void **arg)
@@ -316,7 +316,7 @@
     begin_outage(all); /* the third is not there: with the leader gone no majority is left */
     pm_http_server_free(all[0].back);
     assert_true(fake_run_until(loop, is_refused, &all[1]));
-    later = pm_clock_steady() + 5;
+    later = pm_clock_monotonic() + 5;
     assert_true(fake_run_until(loop, is_later, &later));
     assert_false(is_caring(&all[1]));
 }
@@ -361,9 +361,10 @@
 {
     struct controller *all = g_new0(struct controller, 3);
     struct pm_http_client *http = pm_http_client_new(loop, 8);
-    struct pm_store *writer = pm_store_new(
-        loop, http, fake_state_addr(state), 1000,
-        &(struct pm_store_feed){ignore_put, ignore_drop, on_listed, on_listed, on_caught_up, NULL});
+    struct pm_store *writer =
+        pm_store_new(loop, http, fake_state_addr(state), 1000,
+                     &(struct pm_store_observer){ignore_put, ignore_drop, on_listed, on_listed,
+                                                 on_caught_up, NULL});
     struct pm_txn txn = {0};
     int status = 0;
     double later;
@@ -378,13 +379,13 @@
     assert_true(fake_run_until(loop, has_read, &all[1]));
     fake_state_outage(state, true);
     start(&all[0]);
-    later = pm_clock_steady() + 1;
+    later = pm_clock_monotonic() + 1;
     assert_true(fake_run_until(loop, is_later, &later));
     assert_false(is_confirmed(&all[0]));
     assert_int_equal(all[0].took, 0);
     fake_state_outage(state, false);
     assert_true(fake_run_until(loop, has_taken, &all[0]));
-    assert_true(pm_leader_epoch(all[0].lead) > 5);
+    assert_true(pm_election_epoch(all[0].lead) > 5);
     assert_int_equal(all[1].took, 0);
 }
 
@@ -493,7 +494,7 @@
 static void assert_gate_opens(struct controller *c, double known_at)
 {
     assert_true(fake_run_until(loop, all_are_new, c));
-    assert_true(pm_clock_steady() - known_at < GATE_S);
+    assert_true(pm_clock_monotonic() - known_at < GATE_S);
 }
 
 /* The last one is replaced during an outage: nothing can be written then, and at its end all know.
@@ -511,7 +512,7 @@
     start(&all[2]);
     pass(1.5);
     assert_false(all_are_new(&all[0]));
-    end = pm_clock_steady();
+    end = pm_clock_monotonic();
     fake_state_outage(state, false);
     for (int i = 0; i < 3; i++)
         assert_gate_opens(&all[i], end);
@@ -528,7 +529,7 @@
     all[2].state_addr = "127.0.0.1:9"; /* nobody listens there */
     pm_http_server_free(before);
     start(&all[2]);
-    since = pm_clock_steady();
+    since = pm_clock_monotonic();
     assert_gate_opens(&all[0], since);
     assert_gate_opens(&all[1], since);
     assert_false(all_are_new(&all[2]));
@@ -551,7 +552,7 @@
     assert_false(all_are_new(&all[0]));
     pm_http_server_free(before);
     start(&all[2]);
-    since = pm_clock_steady();
+    since = pm_clock_monotonic();
     assert_gate_opens(&all[0], since);
     /* What it said before, held up on its way, closes nothing again. */
     ask_as_before(&all[1], &all[0]);
@@ -576,7 +577,7 @@
     assert_false(all_are_new(&all[1]));
     pm_http_server_free(before);
     start(&all[2]);
-    since = pm_clock_steady();
+    since = pm_clock_monotonic();
     assert_gate_opens(&all[1], since);
 }
 
@@ -630,7 +631,7 @@
         }
         assert_true(fake_run_until(loop, has_successor, all));
         for (int j = 1; j < 4; j++)
-            confirmed += pm_leader_epoch(all[j].lead) >= all[0].took + 1 && is_confirmed(&all[j]);
+            confirmed += pm_election_epoch(all[j].lead) >= all[0].took + 1 && is_confirmed(&all[j]);
         assert_true(confirmed <= 1);
     }
     assert_true(fake_state_revision(state, "p/epoch") - first <= 4 * 10);
--- a/src/leadership/versions.c
+++ b/src/leadership/versions.c
@@ -14,11 +14,11 @@
     (void)status;
     (void)store_revision;
     (void)failed;
-    ((struct pm_leader *)arg)->version_busy = false;
+    ((struct pm_election *)arg)->version_busy = false;
 }
 
-static void put_version(struct pm_leader *l, struct pm_txn *txn, const char *key, unsigned version,
-                        double now)
+static void put_version(struct pm_election *l, struct pm_txn *txn, const char *key,
+                        unsigned version, double now)
 {
     l->version_busy = true;
     l->announced_at = now;
@@ -31,7 +31,7 @@
 }
 
 /* The lowest version of all controllers. */
-static unsigned lowest_version(const struct pm_leader *l)
+static unsigned lowest_version(const struct pm_election *l)
 {
     unsigned lowest = PM_PROTOCOL_VERSION;
 
@@ -42,14 +42,14 @@
 
 /* Writes our own version, for those whom our messages do not reach; and, as the leader, the one
  * that all controllers are known to run, for good. */
-void pm_leader_announce_version(struct pm_leader *l, double now)
+void pm_election_publish_version(struct pm_election *l, double now)
 {
     struct pm_txn txn = {0};
     unsigned version;
     char key[PM_NAME_MAX + 16];
 
-    if (l->version_busy || now - l->announced_at < ANNOUNCE_PACE_S || !pm_store_ready(l->store) ||
-        pm_store_refusing(l->store))
+    if (l->version_busy || now - l->announced_at < ANNOUNCE_PACE_S ||
+        !pm_store_is_ready(l->store) || pm_store_is_refusing(l->store))
         return;
     if (!l->version_announced) {
         snprintf(key, sizeof key, "p/speaks/%s", l->settings->name);
@@ -57,13 +57,13 @@
         return;
     }
     version = lowest_version(l);
-    if (!l->leads || l->reach || version <= pm_leader_protocol_version(l))
+    if (!l->leads || l->reach || version <= pm_election_protocol_version(l))
         return;
-    pm_txn_if(&txn, "p/epoch", l->mine_revision);
+    pm_txn_compare(&txn, "p/epoch", l->mine_revision);
     put_version(l, &txn, "p/speaks", version, now);
 }
 
-unsigned pm_leader_protocol_version(const struct pm_leader *l)
+unsigned pm_election_protocol_version(const struct pm_election *l)
 {
     return MAX(l->common_version, PM_PROTOCOL_FIRST);
 }
--- a/src/links/fitness.c
+++ b/src/links/fitness.c
@@ -8,15 +8,15 @@
     RANK_SOME_ZONES = 2
 };
 
-static const char *const duty_names[PM_DUTIES] = {
-    [PM_DUTY_LEAD] = "lead",
-    [PM_DUTY_HOLD_BLOCKS] = "hold-blocks",
-    [PM_DUTY_ACCEPT] = "accept",
-    [PM_DUTY_ANSWER_POLLS] = "answer-polls",
-    [PM_DUTY_RENEW] = "renew-by-quorum",
+static const char *const duty_names[PM_CAPABILITY_COUNT] = {
+    [PM_CAPABILITY_LEAD] = "lead",
+    [PM_CAPABILITY_OWN_SHARD] = "hold-blocks",
+    [PM_CAPABILITY_ACCEPT_JOBS] = "accept",
+    [PM_CAPABILITY_ANSWER_POLLS] = "answer-polls",
+    [PM_CAPABILITY_RENEW_LEASES] = "renew-by-quorum",
 };
 
-const char *pm_duty_name(enum pm_duty duty)
+const char *pm_capability_name(enum pm_capability duty)
 {
     return duty_names[duty];
 }
@@ -92,11 +92,11 @@
 }
 
 struct pm_fitness_verdict pm_fitness_judge(const struct pm_matrix *matrix, int controller,
-                                           enum pm_duty duty)
+                                           enum pm_capability duty)
 {
-    if (duty == PM_DUTY_LEAD)
+    if (duty == PM_CAPABILITY_LEAD)
         return judge_lead(matrix, controller);
-    if (duty == PM_DUTY_RENEW)
+    if (duty == PM_CAPABILITY_RENEW_LEASES)
         return judge_renewing(matrix, controller);
     return judge_recording(&matrix->view[controller]);
 }
--- a/src/links/fitness.h
+++ b/src/links/fitness.h
@@ -8,13 +8,13 @@
 
 #include "links/matrix.h"
 
-enum pm_duty {
-    PM_DUTY_LEAD,         /* rank, place, rent */
-    PM_DUTY_HOLD_BLOCKS,  /* place jobs on leased machines */
-    PM_DUTY_ACCEPT,       /* submissions and cancellations, which must be durable */
-    PM_DUTY_ANSWER_POLLS, /* as fresh as the state service */
-    PM_DUTY_RENEW,        /* workers' leases by quorum, in an outage of the state service */
-    PM_DUTIES
+enum pm_capability {
+    PM_CAPABILITY_LEAD,         /* rank, place, rent */
+    PM_CAPABILITY_OWN_SHARD,    /* place jobs on leased machines */
+    PM_CAPABILITY_ACCEPT_JOBS,  /* submissions and cancellations, which must be durable */
+    PM_CAPABILITY_ANSWER_POLLS, /* as fresh as the state service */
+    PM_CAPABILITY_RENEW_LEASES, /* workers' leases by quorum, in an outage of the state service */
+    PM_CAPABILITY_COUNT
 };
 
 enum pm_fitness { PM_UNFIT, PM_IMPAIRED, PM_FIT };
@@ -25,8 +25,8 @@
 };
 
 struct pm_fitness_verdict pm_fitness_judge(const struct pm_matrix *matrix, int controller,
-                                           enum pm_duty duty);
-const char *pm_duty_name(enum pm_duty duty);
+                                           enum pm_capability duty);
+const char *pm_capability_name(enum pm_capability duty);
 const char *pm_fitness_name(enum pm_fitness fitness);
 
 /* How well the controller could lead, 0: not at all. A zone of which it knows nothing counts as it
--- a/src/links/links.c
+++ b/src/links/links.c
@@ -33,7 +33,7 @@
     struct pm_fitness_patience patience;
     struct pm_matrix matrix; /* view 0 is this controller's own */
     struct named_link state, cloud, peer[PM_PEERS_MAX], zone[PM_ZONES_MAX];
-    struct pm_fitness_verdict verdict[PM_DUTIES];
+    struct pm_fitness_verdict verdict[PM_CAPABILITY_COUNT];
     uint64_t stored_revision[PM_CONTROLLERS_MAX]; /* of p/links, as taken */
     struct pm_view written_view, writing_view;    /* in the state service; on its way there */
     double written_at, ticked_at, lagging_until;
@@ -209,19 +209,19 @@
 
 static void judge_duties(struct pm_links *links)
 {
-    for (int i = 0; i < PM_DUTIES; i++) {
-        enum pm_duty duty = (enum pm_duty)i;
+    for (int i = 0; i < PM_CAPABILITY_COUNT; i++) {
+        enum pm_capability duty = (enum pm_capability)i;
         struct pm_fitness_verdict verdict = pm_fitness_judge(&links->matrix, 0, duty);
         struct pm_fitness_verdict before = links->verdict[i];
         links->verdict[i] = verdict;
         if (verdict.fitness == before.fitness && links->ready)
             continue;
         if (links->trace)
-            pm_links_trace_change(links->trace, "duty", pm_duty_name(duty),
+            pm_links_trace_change(links->trace, "duty", pm_capability_name(duty),
                                   links->ready ? pm_fitness_name(before.fitness) : "",
                                   pm_fitness_name(verdict.fitness), verdict.reason);
-        if (duty == PM_DUTY_LEAD && links->ready)
-            pm_info("links.duty", "%s: %s%s%s", pm_duty_name(duty),
+        if (duty == PM_CAPABILITY_LEAD && links->ready)
+            pm_info("links.duty", "%s: %s%s%s", pm_capability_name(duty),
                     pm_fitness_name(verdict.fitness), *verdict.reason ? ": " : "", verdict.reason);
     }
     links->ready = true;
@@ -250,7 +250,7 @@
     judge_duties(links);
 }
 
-bool pm_links_lagging(const struct pm_links *links, double now)
+bool pm_links_is_lagging(const struct pm_links *links, double now)
 {
     return now < links->lagging_until;
 }
@@ -262,17 +262,17 @@
     return &links->matrix;
 }
 
-unsigned char *pm_links_pack(const struct pm_links *links, double now, size_t *size)
+unsigned char *pm_links_encode_views(const struct pm_links *links, double now, size_t *size)
 {
-    return pm_views_pack(&links->matrix, now, size);
+    return pm_views_encode(&links->matrix, now, size);
 }
 
-void pm_links_unpack(struct pm_links *links, int peer, const unsigned char *data, size_t size,
-                     double asked_at, double now)
+void pm_links_decode_views(struct pm_links *links, int peer, const unsigned char *data, size_t size,
+                           double asked_at, double now)
 {
     struct named_link *from = &links->peer[peer];
 
-    if (!pm_views_unpack(&links->matrix, data, size, asked_at, now)) {
+    if (!pm_views_decode(&links->matrix, data, size, asked_at, now)) {
         if (now - from->logged_at >= LOG_PACE_S)
             pm_error("links.message", "%s: malformed views", from->name);
         from->logged_at = now;
@@ -282,8 +282,8 @@
     pm_link_await(&from->link, true, now);
 }
 
-void pm_links_put(struct pm_links *links, const char *key, const cbor_item_t *value,
-                  uint64_t revision, double now)
+void pm_links_apply_put(struct pm_links *links, const char *key, const cbor_item_t *value,
+                        uint64_t revision, double now)
 {
     int controller = pm_matrix_controller(&links->matrix, key + strlen(PM_LINKS_PREFIX));
     struct pm_view view;
@@ -291,7 +291,7 @@
     if (controller <= 0 || revision <= links->stored_revision[controller])
         return;
     links->stored_revision[controller] = revision;
-    if (!pm_view_get(&links->matrix, value, &view)) {
+    if (!pm_view_decode(&links->matrix, value, &view)) {
         pm_error("links.value", "%s can't be read", key);
         return;
     }
@@ -315,21 +315,21 @@
     return false;
 }
 
-bool pm_links_write_due(const struct pm_links *links, double now)
+bool pm_links_is_write_due(const struct pm_links *links, double now)
 {
     if (!links->setting->observe || !links->ready || now - links->written_at < WRITE_PACE_S)
         return false;
     return misses_a_peer(links) || !says_the_same(&links->matrix.view[0], &links->written_view);
 }
 
-void pm_links_write(struct pm_links *links, struct pm_buf *out, double now)
+void pm_links_encode_view(struct pm_links *links, struct pm_buf *out, double now)
 {
-    pm_view_put(&links->matrix, out);
+    pm_view_encode(&links->matrix, out);
     links->writing_view = links->matrix.view[0];
     links->written_at = now;
 }
 
-void pm_links_written(struct pm_links *links, bool written)
+void pm_links_view_written(struct pm_links *links, bool written)
 {
     if (written)
         links->written_view = links->writing_view;
@@ -396,9 +396,9 @@
     return links->setting->decide && (state == PM_LINK_DOWN || state == PM_LINK_ONE_WAY);
 }
 
-bool pm_links_gives_way(struct pm_links *links, double led_for, double now)
+bool pm_links_should_yield_lead(struct pm_links *links, double led_for, double now)
 {
-    return links->setting->decide && !pm_links_lagging(links, now) &&
+    return links->setting->decide && !pm_links_is_lagging(links, now) &&
            pm_fitness_gives_way(&links->patience, &links->matrix, &links->times, led_for, now);
 }
 
@@ -452,11 +452,11 @@
     pm_put_end(out);
     pm_put_text(out, "duties");
     pm_put_list(out);
-    for (int i = 0; i < PM_DUTIES && view->at > 0; i++) {
+    for (int i = 0; i < PM_CAPABILITY_COUNT && view->at > 0; i++) {
         struct pm_fitness_verdict verdict =
-            pm_fitness_judge(&links->matrix, controller, (enum pm_duty)i);
+            pm_fitness_judge(&links->matrix, controller, (enum pm_capability)i);
         pm_put_map(out);
-        pm_put_pair_text(out, "duty", pm_duty_name((enum pm_duty)i));
+        pm_put_pair_text(out, "duty", pm_capability_name((enum pm_capability)i));
         pm_put_pair_text(out, "fitness", pm_fitness_name(verdict.fitness));
         pm_put_pair_text(out, "reason", verdict.reason);
         pm_put_end(out);
@@ -465,12 +465,12 @@
     pm_put_end(out);
 }
 
-void pm_links_put_status(const struct pm_links *links, struct pm_buf *out, double now)
+void pm_links_encode_status(const struct pm_links *links, struct pm_buf *out, double now)
 {
     pm_put_map(out);
     pm_put_pair_flag(out, "observe", links->setting->observe);
     pm_put_pair_flag(out, "decide", links->setting->decide);
-    pm_put_pair_flag(out, "lagging", pm_links_lagging(links, now));
+    pm_put_pair_flag(out, "lagging", pm_links_is_lagging(links, now));
     pm_put_pair_count(out, "trace_dropped",
                       links->trace ? pm_links_trace_dropped(links->trace) : 0);
     pm_put_text(out, "views");
--- a/src/links/links.h
+++ b/src/links/links.h
@@ -53,25 +53,25 @@
 #define PM_LINKS_TICK_S 0.5
 void pm_links_tick(struct pm_links *links, bool leads, uint64_t epoch, double now);
 /* This process lags, or stood still a moment ago: answers that it missed say nothing. */
-bool pm_links_lagging(const struct pm_links *links, double now);
+bool pm_links_is_lagging(const struct pm_links *links, double now);
 
 /* ---- the others' views ---- */
 
 const struct pm_matrix *pm_links_matrix(const struct pm_links *links);
 /* The message for a peer's answer; owned by the caller. */
-unsigned char *pm_links_pack(const struct pm_links *links, double now, size_t *size);
+unsigned char *pm_links_encode_views(const struct pm_links *links, double now, size_t *size);
 /* What the peer's answer, to a call sent at `asked_at`, told. */
-void pm_links_unpack(struct pm_links *links, int peer, const unsigned char *data, size_t size,
-                     double asked_at, double now);
+void pm_links_decode_views(struct pm_links *links, int peer, const unsigned char *data, size_t size,
+                           double asked_at, double now);
 /* The replica's feed, for p/links. */
-void pm_links_put(struct pm_links *links, const char *key, const cbor_item_t *value,
-                  uint64_t revision, double now);
+void pm_links_apply_put(struct pm_links *links, const char *key, const cbor_item_t *value,
+                        uint64_t revision, double now);
 /* Whether this controller's value ought to be written: it says something new, or has to be kept
  * fresh for a peer that is not reached. */
-bool pm_links_write_due(const struct pm_links *links, double now);
+bool pm_links_is_write_due(const struct pm_links *links, double now);
 /* The value to be written, and what became of that. */
-void pm_links_write(struct pm_links *links, struct pm_buf *out, double now);
-void pm_links_written(struct pm_links *links, bool written);
+void pm_links_encode_view(struct pm_links *links, struct pm_buf *out, double now);
+void pm_links_view_written(struct pm_links *links, bool written);
 
 /* ---- probes: which links have no traffic that tells of them ---- */
 
@@ -88,13 +88,13 @@
 bool pm_links_is_cut_off(const struct pm_links *links);
 /* Whether the leader, for `led_for` seconds, is to leave the lead to a controller that can lead
  * better. */
-bool pm_links_gives_way(struct pm_links *links, double led_for, double now);
+bool pm_links_should_yield_lead(struct pm_links *links, double led_for, double now);
 /* How much longer this controller is to wait than others before it takes a vacant lead. */
 double pm_links_candidate_wait_s(const struct pm_links *links, double now);
 /* Whether another controller, with a fresh view, could lead at least as well as this one. */
 bool pm_links_has_equal(const struct pm_links *links, double now);
 
 /* Links, matrix and fitness as a CBOR map, for the operators' tool. */
-void pm_links_put_status(const struct pm_links *links, struct pm_buf *out, double now);
+void pm_links_encode_status(const struct pm_links *links, struct pm_buf *out, double now);
 
 #endif
--- a/src/links/matrix.c
+++ b/src/links/matrix.c
@@ -25,7 +25,7 @@
 
     if (!strcmp(matrix->settings->name, name))
         return 0;
-    peer = pm_settings_peer(matrix->settings, name);
+    peer = pm_settings_find_peer(matrix->settings, name);
     return peer < 0 ? -1 : peer + 1;
 }
 
@@ -108,7 +108,7 @@
     g_free(message);
 }
 
-unsigned char *pm_views_pack(const struct pm_matrix *matrix, double now, size_t *size)
+unsigned char *pm_views_encode(const struct pm_matrix *matrix, double now, size_t *size)
 {
     Pm__Views views = PM__VIEWS__INIT;
     unsigned char *data;
@@ -138,7 +138,7 @@
 static void read_zone(const struct pm_matrix *matrix, const Pm__LinkSeen *link,
                       struct pm_view *view)
 {
-    int zone = pm_settings_zone(matrix->settings, link->name);
+    int zone = pm_settings_find_zone(matrix->settings, link->name);
 
     if (zone < 0)
         return;
@@ -170,7 +170,7 @@
     pm_matrix_take(matrix, controller, &view);
 }
 
-bool pm_views_unpack(struct pm_matrix *matrix, const unsigned char *data, size_t size,
+bool pm_views_decode(struct pm_matrix *matrix, const unsigned char *data, size_t size,
                      double asked_at, double now)
 {
     Pm__Views *views = size <= 4 * PM_VIEWS_BYTES_MAX ? pm__views__unpack(NULL, size, data) : NULL;
@@ -186,7 +186,7 @@
 
 /* ---- in the state service ---- */
 
-void pm_view_put(const struct pm_matrix *matrix, struct pm_buf *out)
+void pm_view_encode(const struct pm_matrix *matrix, struct pm_buf *out)
 {
     const struct pm_view *view = &matrix->view[0];
 
@@ -218,7 +218,7 @@
     return true;
 }
 
-bool pm_view_get(const struct pm_matrix *matrix, const cbor_item_t *value, struct pm_view *out)
+bool pm_view_decode(const struct pm_matrix *matrix, const cbor_item_t *value, struct pm_view *out)
 {
     memset(out, 0, sizeof *out);
     if (!get_state(value, "state", &out->state) || !get_state(value, "cloud", &out->cloud))
--- a/src/links/matrix.h
+++ b/src/links/matrix.h
@@ -47,15 +47,15 @@
 /* All fresh views as a message (links.proto), owned by the caller; `relayed` views are left out
  * where they would make it longer than PM_VIEWS_BYTES_MAX. */
 enum { PM_VIEWS_BYTES_MAX = 16 * 1024 };
-unsigned char *pm_views_pack(const struct pm_matrix *matrix, double now, size_t *size);
+unsigned char *pm_views_encode(const struct pm_matrix *matrix, double now, size_t *size);
 /* Takes what a peer's answer told, to a call that was sent at `asked_at`: as old as each says, and
  * as old as the call. Views of unknown controllers and states of unknown links are passed over.
  * False: malformed. */
-bool pm_views_unpack(struct pm_matrix *matrix, const unsigned char *data, size_t size,
+bool pm_views_decode(struct pm_matrix *matrix, const unsigned char *data, size_t size,
                      double asked_at, double now);
 
 /* This process's own view as a value for the state service (p/links/NAME), and back. */
-void pm_view_put(const struct pm_matrix *matrix, struct pm_buf *out);
-bool pm_view_get(const struct pm_matrix *matrix, const cbor_item_t *value, struct pm_view *out);
+void pm_view_encode(const struct pm_matrix *matrix, struct pm_buf *out);
+bool pm_view_decode(const struct pm_matrix *matrix, const cbor_item_t *value, struct pm_view *out);
 
 #endif
--- a/src/links/tests/test_fitness.c
+++ b/src/links/tests/test_fitness.c
@@ -72,7 +72,7 @@
     assert_int_equal(before, 0); /* nothing it decides could be recorded */
     matrix.view[1] = view_of(PM_LINK_FLAPPING, PM_LINK_UP, PM_LINK_UP, PM_LINK_UP);
     assert_true(pm_fitness_lead_rank(&matrix, 1, 0) > 0);
-    assert_int_equal(pm_fitness_judge(&matrix, 1, PM_DUTY_LEAD).fitness, PM_IMPAIRED);
+    assert_int_equal(pm_fitness_judge(&matrix, 1, PM_CAPABILITY_LEAD).fitness, PM_IMPAIRED);
 }
 
 /* Who never asked the workers is not better than who knows that some do not answer. */
@@ -159,10 +159,10 @@
     for (int s = 0; s < 5; s++)
         assert_false(pm_fitness_gives_way(&patience, &matrix, &times, 60, 100 + s));
     assert_true(pm_fitness_candidate_wait_s(&matrix, &times, 100) <= 0);
-    assert_int_equal(pm_fitness_judge(&matrix, 0, PM_DUTY_ACCEPT).fitness, PM_UNFIT);
-    assert_int_equal(pm_fitness_judge(&matrix, 0, PM_DUTY_RENEW).fitness, PM_FIT);
+    assert_int_equal(pm_fitness_judge(&matrix, 0, PM_CAPABILITY_ACCEPT_JOBS).fitness, PM_UNFIT);
+    assert_int_equal(pm_fitness_judge(&matrix, 0, PM_CAPABILITY_RENEW_LEASES).fitness, PM_FIT);
     matrix.view[0].peer[1] = matrix.view[0].peer[2] = PM_LINK_DOWN;
-    assert_int_equal(pm_fitness_judge(&matrix, 0, PM_DUTY_RENEW).fitness, PM_UNFIT);
+    assert_int_equal(pm_fitness_judge(&matrix, 0, PM_CAPABILITY_RENEW_LEASES).fitness, PM_UNFIT);
 }
 
 static void views_travel_with_their_age(void **arg)
@@ -181,9 +181,9 @@
     theirs.view[0].leads = true;
     g_strlcpy(theirs.view[0].endpoint[1][0], "10.0.0.1:9000", 64);
     theirs.view[pm_matrix_controller(&theirs, "node-3")].at = 90; /* expired: not relayed */
-    data = pm_views_pack(&theirs, 102, &size);
+    data = pm_views_encode(&theirs, 102, &size);
     pm_matrix_init(&ours, &receiver, 5);
-    assert_true(pm_views_unpack(&ours, data, size, 500, 500.2));
+    assert_true(pm_views_decode(&ours, data, size, 500, 500.2));
     from = pm_matrix_controller(&ours, "node-1");
     assert_true(ours.view[from].at > 497.9 && ours.view[from].at < 498.1);
     assert_true(ours.view[from].leads);
@@ -194,14 +194,14 @@
     assert_true(ours.view[0].at <= 0); /* what others say of us is not taken */
     /* The answer to a call of long ago, held back: read, and taken for nothing. */
     memset(ours.view, 0, sizeof ours.view);
-    assert_true(pm_views_unpack(&ours, data, size, 500, 520));
+    assert_true(pm_views_decode(&ours, data, size, 500, 520));
     assert_true(ours.view[from].at <= 0);
     /* An older one does not take the place of a newer one. */
-    assert_true(pm_views_unpack(&ours, data, size, 500, 500));
-    assert_true(pm_views_unpack(&ours, data, size, 498, 500));
+    assert_true(pm_views_decode(&ours, data, size, 500, 500));
+    assert_true(pm_views_decode(&ours, data, size, 498, 500));
     assert_true(ours.view[from].at > 497.9);
-    assert_false(pm_views_unpack(&ours, data, size - 3, 500, 500)); /* torn */
-    assert_false(pm_views_unpack(&ours, (const unsigned char *)"\xff\xff\xff", 3, 500, 500));
+    assert_false(pm_views_decode(&ours, data, size - 3, 500, 500)); /* torn */
+    assert_false(pm_views_decode(&ours, (const unsigned char *)"\xff\xff\xff", 3, 500, 500));
     g_free(data);
 }
 
@@ -220,17 +220,18 @@
     (void)arg;
     fill(&theirs, &sender);
     theirs.view[0].cloud = PM_LINK_DOWN;
-    pm_view_put(&theirs, &buf);
+    pm_view_encode(&theirs, &buf);
     value = pm_cbor_parse(buf.data, buf.size);
-    pm_links_put(links, "p/links/node-1", value, 7, 200);
+    pm_links_apply_put(links, "p/links/node-1", value, 7, 200);
     assert_true(pm_matrix_is_fresh(matrix, from, 204));
     assert_int_equal(matrix->view[from].cloud, PM_LINK_DOWN);
-    pm_links_put(links, "p/links/node-1", value, 7, 300); /* the same, read anew after a listing */
+    pm_links_apply_put(links, "p/links/node-1", value, 7,
+                       300); /* the same, read anew after a listing */
     assert_false(pm_matrix_is_fresh(matrix, from, 300));
-    pm_links_put(links, "p/links/nobody", value, 8, 300);
+    pm_links_apply_put(links, "p/links/nobody", value, 8, 300);
     pm_cbor_free(value);
     value = pm_cbor_parse("\xa0", 1); /* an empty map: kept out, and said */
-    pm_links_put(links, "p/links/node-1", value, 9, 300);
+    pm_links_apply_put(links, "p/links/node-1", value, 9, 300);
     assert_false(pm_matrix_is_fresh(matrix, from, 300));
     pm_cbor_free(value);
     pm_buf_free(&buf);
@@ -252,8 +253,8 @@
     (void)arg;
     fill(&theirs, &sender);
     g_strlcpy(theirs.view[0].endpoint[0][0], "10.0.0.1:9000", 64);
-    data = pm_views_pack(&theirs, 100, &size);
-    pm_links_unpack(links, 0, data, size, 100, 100);
+    data = pm_views_encode(&theirs, 100, &size);
+    pm_links_decode_views(links, 0, data, size, 100, 100);
     for (int s = 0; s < 6; s++) {
         const char *addr = pm_links_probe_zone_due(links, 0, 102 + 2 * s);
         assert_non_null(addr);
--- a/src/links/trace.c
+++ b/src/links/trace.c
@@ -199,7 +199,7 @@
 {
     struct change *change = g_new0(struct change, 1);
 
-    change->time_ns = (int64_t)(pm_clock_day() * 1e9);
+    change->time_ns = (int64_t)(pm_clock_wall() * 1e9);
     g_strlcpy(change->subject, subject, sizeof change->subject);
     g_strlcpy(change->name, name, sizeof change->name);
     g_strlcpy(change->from, from, sizeof change->from);
--- a/src/placement/empty.c
+++ b/src/placement/empty.c
@@ -16,34 +16,35 @@
 static bool movable(const struct pm_machine *m, double now)
 {
     for (guint j = 0; j < m->places->len; j++) {
-        const struct pm_place *place = g_ptr_array_index(m->places, j);
-        if (place->job->spec->form == PM_ARRAY)
+        const struct pm_placement *place = g_ptr_array_index(m->places, j);
+        if (place->job->spec->form == PM_WORKLOAD_ARRAY)
             continue; /* ends by itself */
-        if (place->job->spec->form != PM_SERVICE || place->state != PM_RUNNING || place->stop ||
-            now - place->ran_from < YOUNG_S || now - place->since < YOUNG_S)
+        if (place->job->spec->form != PM_WORKLOAD_SERVICE || place->state != PM_PLACEMENT_RUNNING ||
+            place->stop || now - place->ran_from < YOUNG_S || now - place->since < YOUNG_S)
             return false;
     }
     return true;
 }
 
 /* Whether another machine with the image has room for the place; takes it in `room`. */
-static bool takes(struct pm_plan *p, const struct pm_machine *from, const struct pm_place *place,
-                  double (*room)[2], double now)
+static bool takes(struct pm_scheduler *p, const struct pm_machine *from,
+                  const struct pm_placement *place, double (*room)[2], double now)
 {
     GPtrArray *all = pm_workers_all(p->workers);
     const struct pm_spec *spec = place->job->spec;
     struct spread at;
 
-    pm_plan_count_zones(place->job, &at);
+    pm_scheduler_count_zones(place->job, &at);
     at.zone[from->zone]--;
     at.total--;
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
-        if (!m || m == from || m->spot || !m->places->len || !pm_plan_has_image(m, spec->image) ||
-            !pm_plan_usable(p, m, now) || spec->gpus > 0 ||
+        if (!m || m == from || m->spot || !m->places->len ||
+            !pm_scheduler_has_image(m, spec->image) || !pm_scheduler_is_machine_usable(p, m, now) ||
+            spec->gpus > 0 ||
             room[i][0] - spec->cpus < CROWDED * p->tables->type[m->type].cpus - EPS ||
-            room[i][1] + EPS < spec->ram_gb || !pm_plan_zone_ok(place->job, &at, m->zone) ||
-            !pm_plan_allows(p->tables, place->job, m->type, m->zone, m->spot))
+            room[i][1] + EPS < spec->ram_gb || !pm_scheduler_zone_ok(place->job, &at, m->zone) ||
+            !pm_scheduler_is_machine_allowed(p->tables, place->job, m->type, m->zone, m->spot))
             continue;
         room[i][0] -= spec->cpus;
         room[i][1] -= spec->ram_gb;
@@ -54,16 +55,18 @@
 
 /* Moves one replica from the machine with most of them to one with the image and much more room, so
  * that no machine's end takes more than the reserve can hold. */
-static void balance(struct pm_plan *p, double now)
+static void balance(struct pm_scheduler *p, double now)
 {
     GPtrArray *all = pm_workers_all(p->workers);
-    struct pm_place *best = NULL;
+    struct pm_placement *best = NULL;
     double best_gain = 0;
     double *room = g_new(double, all->len + 1); /* NAN: not to be used */
 
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
-        room[i] = m && !m->spot && pm_plan_usable(p, m, now) ? pm_plan_yielding_room(m) : NAN;
+        room[i] = m && !m->spot && pm_scheduler_is_machine_usable(p, m, now)
+                      ? pm_scheduler_yielding_room(m)
+                      : NAN;
     }
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *from = g_ptr_array_index(all, i);
@@ -72,19 +75,20 @@
             continue;
         here = room[i];
         for (guint j = 0; j < from->places->len; j++) {
-            struct pm_place *place = g_ptr_array_index(from->places, j);
+            struct pm_placement *place = g_ptr_array_index(from->places, j);
             const struct pm_spec *spec = place->job->spec;
-            if (spec->form != PM_SERVICE || place->state != PM_RUNNING || place->stop ||
-                now - place->ran_from < YOUNG_S || spec->spread || spec->same_place)
+            if (spec->form != PM_WORKLOAD_SERVICE || place->state != PM_PLACEMENT_RUNNING ||
+                place->stop || now - place->ran_from < YOUNG_S || spec->spread || spec->same_place)
                 continue;
             for (guint k = 0; k < all->len; k++) {
                 const struct pm_machine *to = g_ptr_array_index(all, k);
                 double gain;
                 gain = room[k] - here - 2 * spec->cpus - p->tables->type[from->type].cpus * 0.25;
-                if (!(gain > best_gain) || !pm_plan_has_image(to, spec->image) ||
-                    !pm_plan_has_room(to, spec) ||
-                    !pm_plan_allows(p->tables, place->job, to->type, to->zone, to->spot) ||
-                    pm_plan_of_job(to, place->job) >= pm_plan_of_job(from, place->job))
+                if (!(gain > best_gain) || !pm_scheduler_has_image(to, spec->image) ||
+                    !pm_scheduler_has_free_capacity(to, spec) ||
+                    !pm_scheduler_is_machine_allowed(p->tables, place->job, to->type, to->zone,
+                                                     to->spot) ||
+                    pm_scheduler_of_job(to, place->job) >= pm_scheduler_of_job(from, place->job))
                     continue;
                 best_gain = gain;
                 best = place;
@@ -95,12 +99,13 @@
     if (!best)
         return;
     pm_debug("plan.balance", "%s/%u leaves %s", best->job->id, best->index, best->machine->name);
-    pm_workers_stop(best, 0);
+    pm_placement_stop(best, 0);
 }
 
 /* The ordinary machine that costs most for what it does, if its replicas find room and their images
  * elsewhere and the reserve stays; what they take there is taken off `room`. NULL: none. */
-static struct pm_machine *take_worst(struct pm_plan *p, double (*room)[2], double spare, double now)
+static struct pm_machine *take_worst(struct pm_scheduler *p, double (*room)[2], double spare,
+                                     double now)
 {
     GPtrArray *all = pm_workers_all(p->workers);
     size_t size = sizeof(double[2]) * (all->len + 1);
@@ -114,19 +119,19 @@
         double used;
         double value;
         bool fits = true;
-        if (!m || m->spot || !pm_plan_usable(p, m, now) || m->type < 0 || !m->places->len ||
-            now - m->rented < 60 || !movable(m, now))
+        if (!m || m->spot || !pm_scheduler_is_machine_usable(p, m, now) || m->type < 0 ||
+            !m->places->len || now - m->rented < 60 || !movable(m, now))
             continue;
-        used = p->tables->type[m->type].cpus - pm_plan_yielding_room(m);
+        used = p->tables->type[m->type].cpus - pm_scheduler_yielding_room(m);
         value =
             p->tables->type[m->type].price * (1 - used / MAX(p->tables->type[m->type].cpus, EPS));
         if (value <= worst_value || spare - p->tables->type[m->type].cpus < MAX(p->reserve, EPS))
             continue;
         memcpy(left, room, size);
         for (guint j = 0; j < m->places->len && fits; j++)
-            fits =
-                ((struct pm_place *)g_ptr_array_index(m->places, j))->job->spec->form == PM_ARRAY ||
-                takes(p, m, g_ptr_array_index(m->places, j), left, now);
+            fits = ((struct pm_placement *)g_ptr_array_index(m->places, j))->job->spec->form ==
+                       PM_WORKLOAD_ARRAY ||
+                   takes(p, m, g_ptr_array_index(m->places, j), left, now);
         if (!fits)
             continue;
         worst = m;
@@ -144,7 +149,7 @@
 
 /* Each replica is gone for the blink of a restart. Several machines at a time on a large fleet: at
  * one a second, hundreds stood half empty for minutes. */
-void pm_plan_consolidate(struct pm_plan *p, double now)
+void pm_scheduler_consolidate(struct pm_scheduler *p, double now)
 {
     GPtrArray *all = pm_workers_all(p->workers);
     double spare = 0;
@@ -159,13 +164,13 @@
     room = g_malloc0(sizeof(double[2]) * (all->len + 1));
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        if (!m || m->state != PM_UP || m->lent)
+        if (!m || m->state != PM_MACHINE_UP || m->lent)
             continue;
         draining += m->draining && m->places->len;
-        if (m->spot || !pm_plan_usable(p, m, now))
+        if (m->spot || !pm_scheduler_is_machine_usable(p, m, now))
             continue;
         ordinary++;
-        spare += pm_plan_yielding_room(m);
+        spare += pm_scheduler_yielding_room(m);
         room[i][0] = m->cpus;
         room[i][1] = m->ram_gb;
     }
@@ -179,9 +184,9 @@
         pm_info("plan.empty", "%s: %u tasks move or end", worst->name, worst->places->len);
         worst->draining = true;
         for (guint j = 0; j < worst->places->len; j++) {
-            struct pm_place *place = g_ptr_array_index(worst->places, j);
-            if (place->job->spec->form == PM_SERVICE)
-                pm_workers_stop(place, 0);
+            struct pm_placement *place = g_ptr_array_index(worst->places, j);
+            if (place->job->spec->form == PM_WORKLOAD_SERVICE)
+                pm_placement_stop(place, 0);
         }
     }
     if (!emptied && batch > 0)
--- a/src/placement/gangs.c
+++ b/src/placement/gangs.c
@@ -4,18 +4,18 @@
 #include <string.h>
 
 /* A gang starts whole: every task gets its machine in this run, or none does. */
-bool pm_plan_place_gang(struct pm_plan *p, struct pm_job *job, int only_zone, bool guarantee,
-                        double now)
+bool pm_scheduler_place_gang(struct pm_scheduler *p, struct pm_job *job, int only_zone,
+                             bool guarantee, double now)
 {
     struct spread at = {0};
     struct pm_machine **chosen;
     bool ok = true;
 
-    if (!pm_plan_within(p, job, job->entries, guarantee))
+    if (!pm_scheduler_within(p, job, job->entries, guarantee))
         return false;
     chosen = g_new0(struct pm_machine *, job->entries);
     for (uint32_t i = 0; ok && i < job->entries; i++) {
-        chosen[i] = pm_plan_best_machine(p, job, &at, only_zone, now);
+        chosen[i] = pm_scheduler_best_machine(p, job, &at, only_zone, now);
         ok = chosen[i] != NULL;
         if (ok) { /* taken for the time being, so that the next task sees it */
             chosen[i]->cpus -= job->spec->cpus;
@@ -33,7 +33,7 @@
     if (ok) {
         job->last_try++;
         for (uint32_t i = 0; i < job->entries; i++)
-            pm_plan_put_task(p, job, i, chosen[i], job->last_try, &at, now);
+            pm_scheduler_place_task(p, job, i, chosen[i], job->last_try, &at, now);
     }
     g_free(chosen);
     return ok;
@@ -41,30 +41,30 @@
 
 /* How many tasks of the gang the machine has room for once its array tasks have ended, and what is
  * being stopped is gone. */
-static uint32_t room_to_come(struct pm_plan *p, const struct pm_machine *m,
+static uint32_t room_to_come(struct pm_scheduler *p, const struct pm_machine *m,
                              const struct pm_job *job, int only_zone, double now)
 {
     double room[3] = {m->cpus, m->gpus, m->ram_gb};
 
-    if (!pm_plan_usable(p, m, now) || (only_zone >= 0 && m->zone != only_zone) ||
-        pm_plan_claimed_by_other(m, job, now) ||
-        !pm_plan_allows(p->tables, job, m->type, m->zone, m->spot))
+    if (!pm_scheduler_is_machine_usable(p, m, now) || (only_zone >= 0 && m->zone != only_zone) ||
+        pm_scheduler_claimed_by_other(m, job, now) ||
+        !pm_scheduler_is_machine_allowed(p->tables, job, m->type, m->zone, m->spot))
         return 0;
     for (guint j = 0; j < m->places->len; j++) {
-        const struct pm_place *place = g_ptr_array_index(m->places, j);
+        const struct pm_placement *place = g_ptr_array_index(m->places, j);
         const struct pm_spec *spec = place->job->spec;
-        if (place->state == PM_ENDED || (spec->form != PM_ARRAY && !place->stop))
+        if (place->state == PM_PLACEMENT_ENDED || (spec->form != PM_WORKLOAD_ARRAY && !place->stop))
             continue;
         room[0] += spec->cpus;
         room[1] += spec->gpus;
         room[2] += spec->ram_gb;
     }
-    return pm_spec_fit(job->spec, room[0], room[1], room[2]);
+    return pm_spec_tasks_that_fit(job->spec, room[0], room[1], room[2]);
 }
 
 /* A gang that waited too long to begin, and may stop nothing: machines where it would fit but for
  * array tasks, which end by themselves, are kept from other work until all of it has its room. */
-bool pm_plan_await_room(struct pm_plan *p, struct pm_job *job, int only_zone, double now)
+bool pm_scheduler_await_room(struct pm_scheduler *p, struct pm_job *job, int only_zone, double now)
 {
     GPtrArray *all = pm_workers_all(p->workers);
     uint32_t n = 0;
@@ -89,20 +89,21 @@
 
 /* A gang of high priority gets room for all of its tasks or for none, and claims it until it is
  * there: a part of a gang's room would be of use to nobody. */
-void pm_plan_clear_gang(struct pm_plan *p, struct pm_job *job, spoken *spoken_for, double now)
+void pm_scheduler_clear_gang(struct pm_scheduler *p, struct pm_job *job, spoken *spoken_for,
+                             double now)
 {
     GPtrArray *all = pm_workers_all(p->workers);
     size_t size = sizeof(spoken) * (all->len + 1);
     int zones = job->spec->same_place ? p->tables->settings->zones : 1;
 
-    if (job->priority < PM_URGENT || now < job->claims_until)
+    if (job->priority < PM_PRIORITY_URGENT || now < job->claims_until)
         return;
     for (int zone = 0; zone < zones; zone++) {
         int only = job->spec->same_place ? zone : -1;
         spoken *trial = g_memdup2(spoken_for, size);
         struct spread at = {0};
         uint32_t n = 0;
-        while (n < job->entries && pm_plan_clear_one(p, job, trial, &at, only, true, now))
+        while (n < job->entries && pm_scheduler_clear_one(p, job, trial, &at, only, true, now))
             n++;
         g_free(trial);
         if (n < job->entries)
@@ -110,7 +111,8 @@
         memset(&at, 0, sizeof at);
         job->claims_until = now + CLAIM_S;
         for (n = 0; n < job->entries; n++) {
-            struct pm_machine *m = pm_plan_clear_one(p, job, spoken_for, &at, only, false, now);
+            struct pm_machine *m =
+                pm_scheduler_clear_one(p, job, spoken_for, &at, only, false, now);
             if (!m)
                 break;
             m->claim = job;
--- a/src/placement/lease.c
+++ b/src/placement/lease.c
@@ -3,12 +3,12 @@
 
 #include <math.h>
 
-void pm_plan_add_want(struct pm_plan *p, struct pm_job *job, uint32_t tasks)
+void pm_scheduler_add_unmet_demand(struct pm_scheduler *p, struct pm_job *job, uint32_t tasks)
 {
-    g_array_append_vals(p->wants, &(struct pm_want){job, tasks}, 1);
+    g_array_append_vals(p->wants, &(struct pm_unmet_demand){job, tasks}, 1);
 }
 
-uint32_t pm_plan_within_guarantee(struct pm_plan *p, const struct pm_job *job)
+uint32_t pm_scheduler_tasks_within_guarantee(struct pm_scheduler *p, const struct pm_job *job)
 {
     const struct pm_spec *spec = job->spec;
     double left = p->tables->settings->team[spec->team].cpus - p->actual[spec->team];
@@ -16,7 +16,7 @@
     uint32_t placed;
     uint32_t n;
 
-    pm_jobs_count(job, &done, &placed);
+    pm_job_count_tasks(job, &done, &placed);
     if (left <= 0 || spec->cpus <= 0)
         return 0;
     n = (uint32_t)MIN(floor((left + EPS) / spec->cpus),
@@ -25,7 +25,7 @@
     return n;
 }
 
-GPtrArray *pm_plan_find_whole(struct pm_plan *p, uint64_t epoch, double now)
+GPtrArray *pm_scheduler_find_idle_machines(struct pm_scheduler *p, uint64_t epoch, double now)
 {
     GPtrArray *all = pm_workers_all(p->workers);
 
@@ -33,30 +33,30 @@
     p->spare = -1;
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        if (m && m->type >= 0 && m->zone >= 0 && !m->places->len && pm_plan_usable(p, m, now) &&
-            pm_workers_clean(m, epoch))
+        if (m && m->type >= 0 && m->zone >= 0 && !m->places->len &&
+            pm_scheduler_is_machine_usable(p, m, now) && pm_machine_is_drained(m, epoch))
             g_ptr_array_add(p->whole, m);
     }
     return p->whole;
 }
 
-bool pm_plan_whole(struct pm_plan *p, const struct pm_machine *m, const struct pm_job *job,
-                   double now)
+bool pm_scheduler_is_machine_leasable(struct pm_scheduler *p, const struct pm_machine *m,
+                                      const struct pm_job *job, double now)
 {
-    if (m->lent || !pm_plan_allows(p->tables, job, m->type, m->zone, m->spot) ||
-        !pm_plan_has_room(m, job->spec))
+    if (m->lent || !pm_scheduler_is_machine_allowed(p->tables, job, m->type, m->zone, m->spot) ||
+        !pm_scheduler_has_free_capacity(m, job->spec))
         return false;
     if (m->spot)
         return true;
     if (p->spare < 0) {
         p->totals.at = -1; /* counted anew: this run has placed since */
-        p->spare = pm_plan_spare(p, now);
+        p->spare = pm_scheduler_headroom_cpus(p, now);
     }
     return p->spare - m->cpus >= p->reserve;
 }
 
-struct pm_machine *pm_plan_whole_machine(struct pm_plan *p, const struct pm_job *job,
-                                         uint32_t tasks, double now)
+struct pm_machine *pm_scheduler_pick_idle_machine(struct pm_scheduler *p, const struct pm_job *job,
+                                                  uint32_t tasks, double now)
 {
     struct pm_machine *best = NULL;
     double best_score = -INFINITY;
@@ -64,9 +64,9 @@
     for (guint i = 0; i < p->whole->len; i++) {
         struct pm_machine *m = g_ptr_array_index(p->whole, i);
         double value;
-        if (!pm_plan_whole(p, m, job, now))
+        if (!pm_scheduler_is_machine_leasable(p, m, job, now))
             continue;
-        value = (pm_plan_has_image(m, job->spec->image) ? 3 : 0) + (m->spot ? 5 : 0) -
+        value = (pm_scheduler_has_image(m, job->spec->image) ? 3 : 0) + (m->spot ? 5 : 0) -
                 2 * MAX(0, m->cpus - tasks * job->spec->cpus) / MAX(m->cpus, EPS);
         if (value > best_score) {
             best_score = value;
@@ -78,7 +78,7 @@
     return best;
 }
 
-bool pm_plan_may_clear(struct pm_plan *p, const struct pm_job *job, int machine)
+bool pm_scheduler_may_preempt_machine(struct pm_scheduler *p, const struct pm_job *job, int machine)
 {
     GPtrArray *active = pm_jobs_active(p->jobs);
 
@@ -91,12 +91,13 @@
         for (int k = 0; k < other->nchunks && !there; k++) {
             const GArray *stored_places = other->chunk[k] ? other->chunk[k]->stored_places : NULL;
             for (guint s = 0; stored_places && s < stored_places->len && !there; s++)
-                there = g_array_index(stored_places, struct pm_stored_place, s).machine == machine;
+                there =
+                    g_array_index(stored_places, struct pm_stored_placement, s).machine == machine;
         }
         if (!there)
             continue;
         team = &p->tables->settings->team[other->spec->team];
-        if (other->spec->team == job->spec->team || other->priority == PM_PRODUCTION ||
+        if (other->spec->team == job->spec->team || other->priority == PM_PRIORITY_PRODUCTION ||
             p->actual[other->spec->team] - p->yielding[other->spec->team] <= team->cpus + EPS)
             return false;
         p->yielding[other->spec->team] += other->spec->cpus;
@@ -104,8 +105,8 @@
     return true;
 }
 
-void pm_plan_yield(struct pm_place *place)
+void pm_scheduler_preempt_placement(struct pm_placement *place)
 {
-    if (!place->stop && place->state != PM_ENDED)
-        pm_workers_stop(place, pm_plan_leave_for(place, false));
+    if (!place->stop && place->state != PM_PLACEMENT_ENDED)
+        pm_placement_stop(place, pm_scheduler_leave_for(place, false));
 }
--- a/src/placement/ledger.c
+++ b/src/placement/ledger.c
@@ -13,9 +13,9 @@
 
 /* Best-effort work declares a minimum runtime of zero: it is unallocated and free of charge, until
  * it has waited too long to begin: from then on it is charged, and does not yield at once. */
-bool pm_plan_unallocated(const struct pm_job *job)
+bool pm_scheduler_is_unallocated(const struct pm_job *job)
 {
-    return job->priority == PM_BEST_EFFORT && !job->aged;
+    return job->priority == PM_PRIORITY_BEST_EFFORT && !job->aged;
 }
 
 static double machine_share(const struct pm_name_tables *tables, const struct pm_spec *spec,
@@ -27,7 +27,7 @@
     return t->gpus > 0 ? MAX(share, spec->gpus / t->gpus) : share;
 }
 
-static void turn_buckets(struct pm_plan *p, double day)
+static void turn_buckets(struct pm_scheduler *p, double day)
 {
     double width = p->op->window_h * 3600 / BUCKETS;
     /* Counted from a window before the epoch of time, so that no index is below zero. */
@@ -45,13 +45,13 @@
     }
 }
 
-static void charge(struct pm_plan *p, const struct pm_job *job, const struct pm_machine *m,
+static void charge(struct pm_scheduler *p, const struct pm_job *job, const struct pm_machine *m,
                    double span)
 {
     struct ledger *l = &p->ledger[job->spec->team];
     double amount = span * machine_share(p->tables, job->spec, m);
 
-    if (pm_plan_unallocated(job))
+    if (pm_scheduler_is_unallocated(job))
         return;
     l->bucket[p->bucket % BUCKETS] += amount;
     l->sum += amount;
@@ -59,7 +59,7 @@
 
 /* Jobs that holders place: what the replica says of them counts for the guarantees and the ledger.
  */
-static void account_away(struct pm_plan *p, double span)
+static void account_away(struct pm_scheduler *p, double span)
 {
     GPtrArray *active = pm_jobs_active(p->jobs);
 
@@ -72,7 +72,8 @@
             const GArray *stored_places = job->chunk[k] ? job->chunk[k]->stored_places : NULL;
             for (guint s = 0; stored_places && s < stored_places->len; s++) {
                 const struct pm_machine *m = pm_workers_at(
-                    p->workers, g_array_index(stored_places, struct pm_stored_place, s).machine);
+                    p->workers,
+                    g_array_index(stored_places, struct pm_stored_placement, s).machine);
                 p->actual[spec->team] += spec->cpus;
                 if (m && m->type >= 0)
                     charge(p, job, m, span);
@@ -82,7 +83,7 @@
 }
 
 /* Adds what ran since the last run to the teams' occupied time, and counts what they use now. */
-void pm_plan_account(struct pm_plan *p, double now, double day)
+void pm_scheduler_charge_occupancy(struct pm_scheduler *p, double now, double day)
 {
     GPtrArray *all = pm_workers_all(p->workers);
     double span = p->charged_at ? MIN(now - p->charged_at, 5) : 0;
@@ -93,23 +94,23 @@
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
         for (guint j = 0; m && j < m->places->len; j++) {
-            const struct pm_place *place = g_ptr_array_index(m->places, j);
+            const struct pm_placement *place = g_ptr_array_index(m->places, j);
             const struct pm_spec *spec = place->job->spec;
-            if (place->state == PM_ENDED)
+            if (place->state == PM_PLACEMENT_ENDED)
                 continue;
             p->actual[spec->team] += spec->cpus;
             if (place->stop)
                 p->yielding[spec->team] += spec->cpus;
-            if (m->type >= 0 && place->state >= PM_DURABLE)
+            if (m->type >= 0 && place->state >= PM_PLACEMENT_DURABLE)
                 charge(p, place->job, m, span);
         }
     }
     account_away(p, span);
-    pm_use_count(p, now);
+    pm_quota_count(p, now);
     p->charged_at = now;
 }
 
-double pm_plan_ratio(struct pm_plan *p, int team)
+double pm_scheduler_usage_ratio(struct pm_scheduler *p, int team)
 {
     const struct pm_settings *s = p->tables->settings;
     double total = 0;
@@ -123,7 +124,7 @@
 
 /* As JSON, so far as it fits the value: a table of the images, and for each machine their places in
  * it, ordinary machines first, for those are the services'. */
-static void write_images(const struct pm_plan *p, size_t others, struct pm_buf *out)
+static void write_images(const struct pm_scheduler *p, size_t others, struct pm_buf *out)
 {
     GPtrArray *all = pm_workers_all(p->workers);
     size_t most = (size_t)(p->tables->settings->value_kb * 1024 * 0.85);
@@ -144,13 +145,13 @@
     for (int spot = 0; spot < 2; spot++)
         for (guint i = 0; i < all->len && used < most; i++) {
             const struct pm_machine *m = g_ptr_array_index(all, i);
-            if (!m || !m->ncached || m->state != PM_UP || m->spot != spot)
+            if (!m || !m->ncached || m->state != PM_MACHINE_UP || m->spot != spot)
                 continue;
             pm_put_text(&machines, m->name);
             pm_put_list(&machines);
             used += strlen(m->name) + 6;
             for (int k = 0; k < m->ncached && used < most; k++) {
-                const struct pm_cached *c = &m->cached[k];
+                const struct pm_cached_image *c = &m->cached[k];
                 if (place[c->image] < 0) {
                     const char *image = pm_names_text(p->tables->images, c->image);
                     place[c->image] = known++;
@@ -172,7 +173,7 @@
     g_free(place);
 }
 
-void pm_plan_read_images(struct pm_plan *p, const cbor_item_t *value)
+void pm_scheduler_decode_cached_images(struct pm_scheduler *p, const cbor_item_t *value)
 {
     GPtrArray *all = pm_workers_all(p->workers);
     cbor_item_t *images = pm_cbor_get(value, "images");
@@ -185,13 +186,13 @@
         cbor_item_t *list = m ? pm_cbor_get(images, m->name) : NULL;
         if (!list || m->ncached)
             continue;
-        for (size_t k = 0; k < pm_cbor_length(list) && m->ncached < PM_CACHE_MAX; k++) {
-            struct pm_cached *c = &m->cached[m->ncached];
+        for (size_t k = 0; k < pm_cbor_length(list) && m->ncached < PM_CACHED_IMAGES_MAX; k++) {
+            struct pm_cached_image *c = &m->cached[m->ncached];
             if (pm_cbor_count(pm_cbor_at(list, k), &place) || place >= pm_cbor_length(table) / 2 ||
                 pm_cbor_text(pm_cbor_at(table, 2 * place), name, sizeof name) ||
                 pm_cbor_number(pm_cbor_at(table, 2 * place + 1), &c->gb))
                 continue;
-            c->image = pm_names_add(p->tables->images, name);
+            c->image = pm_names_intern(p->tables->images, name);
             m->ncached++;
         }
     }
@@ -199,7 +200,7 @@
 
 /* When each zone was last heard, in time of day: a new leader that never hears one can tell from it
  * when the leases there ran out. */
-static void write_heard(const struct pm_plan *p, double now, double day, struct pm_buf *out)
+static void write_heard(const struct pm_scheduler *p, double now, double day, struct pm_buf *out)
 {
     const struct pm_settings *s = p->tables->settings;
     GPtrArray *all = pm_workers_all(p->workers);
@@ -220,7 +221,7 @@
 
 /* The jobs that keep failing, so that a new leader need not learn it at the others' cost. Nothing
  * is written where there are none. Returns about how many bytes of JSON that takes. */
-static size_t write_failing(const struct pm_plan *p, struct pm_buf *out)
+static size_t write_failing(const struct pm_scheduler *p, struct pm_buf *out)
 {
     GPtrArray *active = pm_jobs_active(p->jobs);
     size_t used = 0;
@@ -228,7 +229,7 @@
 
     for (guint i = 0; i < active->len && n < FAILING_MAX; i++) {
         const struct pm_job *job = g_ptr_array_index(active, i);
-        if (job->state != PM_LIVE || !job->spec || !pm_fault_job_failing(job))
+        if (job->state != PM_JOB_LIVE || !job->spec || !pm_failures_is_job_failing(job))
             continue;
         if (n++ == 0) {
             pm_put_text(out, "failing");
@@ -242,7 +243,7 @@
     return used;
 }
 
-void pm_plan_read_failing(struct pm_plan *p, const cbor_item_t *value, double now)
+void pm_scheduler_decode_failing_jobs(struct pm_scheduler *p, const cbor_item_t *value, double now)
 {
     cbor_item_t *failing = pm_cbor_get(value, "failing");
     char id[PM_ID_MAX];
@@ -252,12 +253,13 @@
         if (pm_cbor_text(pm_cbor_at(failing, i), id, sizeof id))
             continue;
         job = pm_jobs_find(p->jobs, id);
-        if (job && job->state == PM_LIVE && job->spec)
-            pm_fault_told(job, now);
+        if (job && job->state == PM_JOB_LIVE && job->spec)
+            pm_failures_report_job(job, now);
     }
 }
 
-void pm_plan_write_ledger(const struct pm_plan *p, double now, double day, struct pm_buf *out)
+void pm_scheduler_encode_ledger(const struct pm_scheduler *p, double now, double day,
+                                struct pm_buf *out)
 {
     pm_put_map(out);
     pm_put_pair_number(out, "day", day);
@@ -271,7 +273,7 @@
     pm_put_end(out);
 }
 
-void pm_plan_read_ledger(struct pm_plan *p, const cbor_item_t *value)
+void pm_scheduler_decode_ledger(struct pm_scheduler *p, const cbor_item_t *value)
 {
     cbor_item_t *teams = pm_cbor_get(value, "teams");
     double day;
@@ -290,7 +292,7 @@
     }
 }
 
-void pm_plan_learn(struct pm_plan *p, struct pm_job *job, double seconds)
+void pm_scheduler_record_run_time(struct pm_scheduler *p, struct pm_job *job, double seconds)
 {
     int c = job->spec->class_index;
     double ratio;
@@ -304,7 +306,7 @@
     p->factor[c] = (p->factor[c] > 0 ? p->factor[c] : 1) * 0.99 + ratio * 0.01;
 }
 
-double pm_plan_expected(const struct pm_plan *p, const struct pm_job *job)
+double pm_scheduler_estimate_remaining_s(const struct pm_scheduler *p, const struct pm_job *job)
 {
     int c = job->spec->class_index;
     double factor = c < CLASSES_MAX && p->factor[c] > 0 ? p->factor[c] : 1;
--- a/src/placement/plan.c
+++ b/src/placement/plan.c
@@ -6,86 +6,88 @@
 
 #define RETRY_WAITS_S 30.0 /* a failing job's try waits so long for room before it is a want */
 
-struct pm_plan *pm_plan_new(struct pm_name_tables *tables, struct pm_jobs *jobs,
-                            struct pm_workers *workers, const struct pm_operator *op)
+struct pm_scheduler *pm_scheduler_new(struct pm_name_tables *tables, struct pm_jobs *jobs,
+                                      struct pm_workers *workers,
+                                      const struct pm_operator_settings *op)
 {
-    struct pm_plan *p = g_new0(struct pm_plan, 1);
+    struct pm_scheduler *p = g_new0(struct pm_scheduler, 1);
 
     p->tables = tables;
     p->jobs = jobs;
     p->workers = workers;
     p->op = op;
     p->sees_all = p->writable = true;
-    p->wants = g_array_new(FALSE, FALSE, sizeof(struct pm_want));
+    p->wants = g_array_new(FALSE, FALSE, sizeof(struct pm_unmet_demand));
     p->queue = g_ptr_array_new();
     p->room = g_ptr_array_new();
     p->whole = g_ptr_array_new();
-    pm_plan_preempt_begin(p);
+    pm_scheduler_preempt_begin(p);
     p->hopeless = g_array_new(FALSE, TRUE, sizeof(struct need));
     return p;
 }
 
-void pm_plan_free(struct pm_plan *p)
+void pm_scheduler_free(struct pm_scheduler *p)
 {
     g_array_free(p->wants, TRUE);
     g_ptr_array_free(p->queue, TRUE);
     g_ptr_array_free(p->room, TRUE);
     g_ptr_array_free(p->whole, TRUE);
-    pm_plan_preempt_end(p);
+    pm_scheduler_preempt_end(p);
     g_array_free(p->hopeless, TRUE);
     g_free(p);
 }
 
-void pm_plan_reset(struct pm_plan *p)
+void pm_scheduler_reset(struct pm_scheduler *p)
 {
     p->charged_at = 0;
     g_array_set_size(p->wants, 0);
 }
 
-const GArray *pm_plan_wants(const struct pm_plan *p)
+const GArray *pm_scheduler_unmet_demand(const struct pm_scheduler *p)
 {
     return p->wants;
 }
 
-void pm_plan_set_reserve(struct pm_plan *p, double cpus)
+void pm_scheduler_set_reserve(struct pm_scheduler *p, double cpus)
 {
     p->reserve = cpus;
 }
 
-void pm_plan_set_sees_all(struct pm_plan *p, bool sees_all)
+void pm_scheduler_set_full_view(struct pm_scheduler *p, bool sees_all)
 {
     p->sees_all = sees_all;
 }
 
-void pm_plan_set_writable(struct pm_plan *p, bool writable)
+void pm_scheduler_set_writable(struct pm_scheduler *p, bool writable)
 {
     p->writable = writable;
 }
 
 /* Within the team's limit, and, if asked, its guarantee. */
-bool pm_plan_within(const struct pm_plan *p, const struct pm_job *job, uint32_t tasks,
-                    bool guarantee)
+bool pm_scheduler_within(const struct pm_scheduler *p, const struct pm_job *job, uint32_t tasks,
+                         bool guarantee)
 {
     const struct pm_team_setting *team = &p->tables->settings->team[job->spec->team];
 
     if (job->nplaced + tasks > job->parallelism)
         return false; /* the block's lease allows no more at once */
-    if (job->spec->form == PM_ARRAY && job->nplaced && pm_fault_job_failing(job))
+    if (job->spec->form == PM_WORKLOAD_ARRAY && job->nplaced && pm_failures_is_job_failing(job))
         return false; /* one at a time */
     if (guarantee &&
         (p->actual[job->spec->team] + tasks * job->spec->cpus > team->cpus + EPS ||
-         pm_use_total(p, job->spec->team).gpus + tasks * job->spec->gpus > team->gpus + EPS))
+         pm_quota_total(p, job->spec->team).gpus + tasks * job->spec->gpus > team->gpus + EPS))
         return false;
     /* Always the limit too: leases out count for it, though they are not in use yet. */
-    return pm_use_allows(p, job->spec, tasks);
+    return pm_quota_allows(p, job->spec, tasks);
 }
 
-void pm_plan_put_task(struct pm_plan *p, struct pm_job *job, uint32_t index, struct pm_machine *m,
-                      uint32_t attempt, struct spread *at, double now)
+void pm_scheduler_place_task(struct pm_scheduler *p, struct pm_job *job, uint32_t index,
+                             struct pm_machine *m, uint32_t attempt, struct spread *at, double now)
 {
-    pm_workers_place(p->workers, job, index, m, attempt, m->session, PM_INTENT, now);
-    pm_job_touch(job, index);
-    pm_use_add_own(p, job->spec, 1);
+    pm_workers_add_placement(p->workers, job, index, m, attempt, m->session, PM_PLACEMENT_PROPOSED,
+                             now);
+    pm_job_mark_dirty(job, index);
+    pm_quota_add_own(p, job->spec, 1);
     p->actual[job->spec->team] += job->spec->cpus;
     at->zone[m->zone]++;
     at->total++;
@@ -94,7 +96,7 @@
         g_ptr_array_remove(p->room, m);
     pm_debug("plan.place", "%s/%u try %u on %s, %s uses %g of %g: own %g, leased %g, stray %g",
              job->id, index, attempt, m->name, p->tables->settings->team[job->spec->team].name,
-             pm_use_total(p, job->spec->team).cpus,
+             pm_quota_total(p, job->spec->team).cpus,
              p->tables->settings->team[job->spec->team].cpus_max, p->use[job->spec->team].own.cpus,
              p->use[job->spec->team].leased.cpus, p->use[job->spec->team].stray.cpus);
 }
@@ -104,17 +106,18 @@
                              double now)
 {
     for (uint32_t i = from; i < job->entries; i++) {
-        const struct pm_task *task = pm_job_peek(job, i);
+        const struct pm_task *task = pm_job_find_task(job, i);
         if (!task || (!task->done && !task->place && task->not_before <= now)) {
-            if (job->spec->form == PM_GANG || pm_job_has_room(tables, job, i))
+            if (job->spec->form == PM_WORKLOAD_GANG || pm_job_value_has_room(tables, job, i))
                 return i;
-            i |= PM_HALF - 1; /* the others of this half, too, wait until a place there is free */
+            i |= PM_HALF_CHUNK_TASKS -
+                 1; /* the others of this half, too, wait until a place there is free */
         }
     }
     return job->entries;
 }
 
-static uint32_t place_tasks(struct pm_plan *p, struct pm_job *job, bool guarantee, double now)
+static uint32_t place_tasks(struct pm_scheduler *p, struct pm_job *job, bool guarantee, double now)
 {
     struct pm_machine *m = NULL;
     struct spread at;
@@ -122,62 +125,63 @@
     uint32_t i;
     const struct pm_task *task;
 
-    while (job->hint < job->entries && (task = pm_job_peek(job, job->hint)) &&
+    while (job->hint < job->entries && (task = pm_job_find_task(job, job->hint)) &&
            (task->done || task->place))
         job->hint++;
     i = job->hint;
-    pm_plan_count_zones(job, &at);
+    pm_scheduler_count_zones(job, &at);
     while (p->steps < STEPS_MAX) {
         i = next_waiting(p->tables, job, i, now);
-        if (i >= job->entries || !pm_plan_within(p, job, 1, guarantee))
+        if (i >= job->entries || !pm_scheduler_within(p, job, 1, guarantee))
             break;
         /* Array tasks fill a machine before the next one is looked for. */
-        if (!m || job->spec->form != PM_ARRAY || job->spec->spread ||
-            !pm_plan_has_room(m, job->spec)) {
-            struct need need = pm_plan_need_of(p, job, &at, -1);
-            if (pm_plan_hopeless(p, &need))
+        if (!m || job->spec->form != PM_WORKLOAD_ARRAY || job->spec->spread ||
+            !pm_scheduler_has_free_capacity(m, job->spec)) {
+            struct need need = pm_scheduler_need_of(p, job, &at, -1);
+            if (pm_scheduler_is_unschedulable(p, &need))
                 break;
-            m = pm_plan_best_machine(p, job, &at, -1, now);
+            m = pm_scheduler_best_machine(p, job, &at, -1, now);
             if (!m)
                 g_array_append_val(p->hopeless, need);
         }
-        if (!m || pm_plan_better_cleared(p, m, job, &at, now) || pm_plan_rather_waits(p, m, job))
+        if (!m || pm_scheduler_better_cleared(p, m, job, &at, now) ||
+            pm_scheduler_rather_waits(p, m, job))
             break;
-        pm_plan_put_task(p, job, i, m, ++job->last_try, &at, now);
+        pm_scheduler_place_task(p, job, i, m, ++job->last_try, &at, now);
         placed++;
         i++;
     }
     return placed;
 }
 
-static uint32_t place_job(struct pm_plan *p, struct pm_job *job, bool guarantee, double now)
+static uint32_t place_job(struct pm_scheduler *p, struct pm_job *job, bool guarantee, double now)
 {
     int zones;
 
-    if (pm_fault_job_failing(job) && !pm_fault_may_retry(job, now))
+    if (pm_failures_is_job_failing(job) && !pm_failures_may_retry(job, now))
         return 0;
-    if (job->spec->form != PM_GANG)
+    if (job->spec->form != PM_WORKLOAD_GANG)
         return place_tasks(p, job, guarantee, now);
     /* The old attempt's tasks hold their machines, and their zones, until they are gone. */
     if (job->nplaced || job->ndone || next_waiting(p->tables, job, 0, now) > 0)
         return 0;
     for (uint32_t i = 0; i < job->entries; i++) {
-        const struct pm_task *task = pm_job_peek(job, i);
+        const struct pm_task *task = pm_job_find_task(job, i);
         if (task && task->not_before > now)
             return 0;
     }
     zones = job->spec->same_place ? p->tables->settings->zones : 1;
     for (int zone = 0; zone < zones; zone++)
-        if (pm_plan_place_gang(p, job, job->spec->same_place ? zone : -1, guarantee, now))
+        if (pm_scheduler_place_gang(p, job, job->spec->same_place ? zone : -1, guarantee, now))
             return job->entries;
     for (int zone = 0; zone < zones; zone++)
         if (job->starving && now > job->claims_until - CLAIM_S / 2 &&
-            pm_plan_await_room(p, job, job->spec->same_place ? zone : -1, now))
+            pm_scheduler_await_room(p, job, job->spec->same_place ? zone : -1, now))
             break;
     return 0;
 }
 
-static void note_cold_start(struct pm_plan *p, double now)
+static void note_cold_start(struct pm_scheduler *p, double now)
 {
     GPtrArray *active = pm_jobs_active(p->jobs);
 
@@ -186,7 +190,7 @@
         return;
     for (guint i = 0; i < active->len; i++) {
         const struct pm_job *job = g_ptr_array_index(active, i);
-        if (job->spec && job->spec->form == PM_SERVICE && job->nplaced)
+        if (job->spec && job->spec->form == PM_WORKLOAD_SERVICE && job->nplaced)
             return;
     }
     p->cold_until = now + 2 * p->op->replica_due_s;
@@ -194,7 +198,7 @@
 }
 
 /* What the run at hand looks at again and again, looked at once. */
-static void survey(struct pm_plan *p, double now)
+static void survey(struct pm_scheduler *p, double now)
 {
     GPtrArray *all = pm_workers_all(p->workers);
 
@@ -205,26 +209,26 @@
         struct pm_machine *m = g_ptr_array_index(all, i);
         if (!m || m->type < 0 || m->zone < 0)
             continue;
-        if (m->state == PM_BOOTING && pm_plan_boots_soon(p->tables, m, now))
+        if (m->state == PM_MACHINE_BOOTING && pm_scheduler_boots_soon(p->tables, m, now))
             p->soon[m->type][m->zone][m->spot] = true;
-        else if (m->cpus > EPS && pm_plan_usable(p, m, now))
+        else if (m->cpus > EPS && pm_scheduler_is_machine_usable(p, m, now))
             g_ptr_array_add(p->room, m);
     }
 }
 
-void pm_plan_begin(struct pm_plan *p, double now, double day)
+void pm_scheduler_begin(struct pm_scheduler *p, double now, double day)
 {
     p->steps = 0;
     p->totals.at = -1;
     p->day = day;
-    pm_plan_account(p, now, day);
-    pm_plan_stop_the_lost(p, now);
-    pm_plan_measure_left(p);
-    pm_plan_mark_starving(p, now);
+    pm_scheduler_charge_occupancy(p, now, day);
+    pm_scheduler_stop_disallowed_tasks(p, now);
+    pm_scheduler_measure_left(p);
+    pm_scheduler_mark_starving(p, now);
     note_cold_start(p, now);
     survey(p, now);
     for (int t = 0; t < p->tables->settings->teams; t++)
-        p->ratio[t] = pm_plan_ratio(p, t);
+        p->ratio[t] = pm_scheduler_usage_ratio(p, t);
 }
 
 /* How many tasks of the job wait for nothing but room: a reason to stop others, or to rent. What
@@ -233,14 +237,15 @@
  * broken wrongly, it would never run on a deployment that has no machine for it. */
 static uint32_t count_wanted(const struct pm_job *job, double now)
 {
-    if (!pm_fault_job_failing(job))
-        return pm_job_startable(job, now);
+    if (!pm_failures_is_job_failing(job))
+        return pm_job_startable_tasks(job, now);
     if (job->nplaced || now < job->faults.retry_at + RETRY_WAITS_S)
         return 0;
-    return MIN(pm_job_startable(job, now), job->spec->form == PM_GANG ? job->entries : 1);
+    return MIN(pm_job_startable_tasks(job, now),
+               job->spec->form == PM_WORKLOAD_GANG ? job->entries : 1);
 }
 
-int pm_plan_place(struct pm_plan *p, double now)
+int pm_scheduler_place(struct pm_scheduler *p, double now)
 {
     GPtrArray *active = pm_jobs_active(p->jobs);
     double held_cpus[PM_TEAMS_MAX] = {0};
@@ -248,17 +253,17 @@
     g_ptr_array_set_size(p->queue, 0);
     for (guint i = 0; i < active->len; i++) {
         struct pm_job *job = g_ptr_array_index(active, i);
-        if (!job->delegated && pm_job_waiting(job))
+        if (!job->delegated && pm_job_waiting_tasks(job))
             g_ptr_array_add(p->queue, job);
     }
-    pm_plan_rank(p, p->queue);
+    pm_scheduler_rank(p, p->queue);
     g_array_set_size(p->wants, 0);
     /* What is within a guarantee goes before what is beyond one; ratio order rules in both. Else
      * work that was stopped for a guarantee would be the first to take the room again. */
     for (guint i = 0; i < p->queue->len && p->steps < STEPS_MAX; i++) {
         struct pm_job *job = g_ptr_array_index(p->queue, i);
-        if (!pm_plan_unallocated(job))
-            place_job(p, job, job->priority != PM_PRODUCTION, now);
+        if (!pm_scheduler_is_unallocated(job))
+            place_job(p, job, job->priority != PM_PRIORITY_PRODUCTION, now);
     }
     for (guint i = 0; i < p->queue->len; i++) {
         struct pm_job *job = g_ptr_array_index(p->queue, i);
@@ -268,26 +273,27 @@
         if (p->steps < STEPS_MAX)
             place_job(p, job, false, now);
         left = count_wanted(job, now);
-        if (!left || (job->spec->form == PM_GANG && job->nplaced))
+        if (!left || (job->spec->form == PM_WORKLOAD_GANG && job->nplaced))
             continue;
         /* More than the team's limit allows is no reason to rent or to stop anything. */
-        room = team->cpus_max - pm_use_total(p, job->spec->team).cpus - held_cpus[job->spec->team];
+        room =
+            team->cpus_max - pm_quota_total(p, job->spec->team).cpus - held_cpus[job->spec->team];
         if (job->spec->cpus > 0)
             left = (uint32_t)MIN((double)left, MAX(0, floor((room + EPS) / job->spec->cpus)));
-        if (job->spec->form == PM_GANG && left < job->entries)
+        if (job->spec->form == PM_WORKLOAD_GANG && left < job->entries)
             continue;
         if (!left)
             continue;
         held_cpus[job->spec->team] += left * job->spec->cpus;
-        pm_plan_add_want(p, job, left);
+        pm_scheduler_add_unmet_demand(p, job, left);
     }
     return p->steps;
 }
 
-int pm_plan_run(struct pm_plan *p, double now, double day)
+int pm_scheduler_run(struct pm_scheduler *p, double now, double day)
 {
-    pm_plan_begin(p, now, day);
-    pm_plan_place(p, now);
-    pm_plan_preempt(p, now);
+    pm_scheduler_begin(p, now, day);
+    pm_scheduler_place(p, now);
+    pm_scheduler_preempt(p, now);
     return p->steps;
 }
--- a/src/placement/preempt.c
+++ b/src/placement/preempt.c
@@ -7,7 +7,7 @@
 #define CLEARING_S 4.0    /* what is stopped is gone within this, for the most part */
 #define LEAVE_EXTRA_S 1.0 /* granted beyond filing_s, so that the save ends in time */
 
-static bool gets_guarantee(const struct pm_plan *p, const struct pm_job *job)
+static bool gets_guarantee(const struct pm_scheduler *p, const struct pm_job *job)
 {
     int team = job->spec->team;
 
@@ -15,15 +15,15 @@
            p->tables->settings->team[team].cpus + EPS;
 }
 
-static bool beyond_guarantee(const struct pm_plan *p, int team)
+static bool beyond_guarantee(const struct pm_scheduler *p, int team)
 {
     return p->actual[team] - p->yielding[team] > p->tables->settings->team[team].cpus + EPS;
 }
 
 /* Urgent work beyond its team's guarantee leaves alone what another team has within its own: that
  * may stop it in turn, and so on without end. */
-static bool may_urge(const struct pm_plan *p, const struct pm_job *job,
-                     const struct pm_place *place)
+static bool may_urge(const struct pm_scheduler *p, const struct pm_job *job,
+                     const struct pm_placement *place)
 {
     int theirs = place->job->spec->team;
 
@@ -31,12 +31,12 @@
            beyond_guarantee(p, theirs);
 }
 
-bool pm_plan_yields_to(const struct pm_plan *p, const struct pm_job *job,
-                       const struct pm_job *other)
+bool pm_scheduler_yields_to(const struct pm_scheduler *p, const struct pm_job *job,
+                            const struct pm_job *other)
 {
     int team = job->spec->team;
 
-    if (job->priority == PM_PRODUCTION)
+    if (job->priority == PM_PRIORITY_PRODUCTION)
         return false;
     return job->priority < other->priority ||
            (p->sees_all && team != other->spec->team && beyond_guarantee(p, team));
@@ -49,34 +49,36 @@
  * The rules add two that come first: work of a lower priority yields to a higher one, and work
  * beyond its team's guarantee yields to a team that is within its own. They also forbid stopping
  * work of equal or higher priority in every other case, so ratio alone is not enough. */
-static bool may_preempt(struct pm_plan *p, const struct pm_job *job, const struct pm_place *place,
-                        double now)
+static bool may_preempt(struct pm_scheduler *p, const struct pm_job *job,
+                        const struct pm_placement *place, double now)
 {
     const struct pm_spec *mine = job->spec;
     const struct pm_spec *theirs = place->job->spec;
     bool is_protected;
 
-    if (place->stop || place->state == PM_ENDED || place->job == job)
+    if (place->stop || place->state == PM_PLACEMENT_ENDED || place->job == job)
         return false;
-    if (pm_plan_unallocated(place->job) && job->priority > place->job->priority)
+    if (pm_scheduler_is_unallocated(place->job) && job->priority > place->job->priority)
         return true;
-    if (pm_plan_unallocated(job))
+    if (pm_scheduler_is_unallocated(job))
         return false;
-    if (p->sees_all && mine->team != theirs->team && place->job->priority < PM_PRODUCTION &&
-        gets_guarantee(p, job) && beyond_guarantee(p, theirs->team))
+    if (p->sees_all && mine->team != theirs->team &&
+        place->job->priority < PM_PRIORITY_PRODUCTION && gets_guarantee(p, job) &&
+        beyond_guarantee(p, theirs->team))
         return true;
     if (place->job->priority >= job->priority)
         return false;
-    if (job->priority == PM_PRODUCTION || (job->priority >= PM_URGENT && may_urge(p, job, place)))
+    if (job->priority == PM_PRIORITY_PRODUCTION ||
+        (job->priority >= PM_PRIORITY_URGENT && may_urge(p, job, place)))
         return true;
-    if (job->priority >= PM_URGENT)
+    if (job->priority >= PM_PRIORITY_URGENT)
         return false;
     is_protected = now - place->since < p->op->min_runtime_s;
     return !is_protected && theirs->bookmark_s > 0 && p->ratio[mine->team] < p->ratio[theirs->team];
 }
 
 /* What is lost when the task is stopped now, in seconds of its work. */
-static double loss(const struct pm_place *place, double now)
+static double loss(const struct pm_placement *place, double now)
 {
     const struct pm_spec *spec = place->job->spec;
     double ran = place->ran_from ? now - place->ran_from : 0;
@@ -84,7 +86,7 @@
     return spec->bookmark_s > 0 ? spec->filing_s + fmod(ran, spec->bookmark_s) : ran;
 }
 
-double pm_plan_leave_for(const struct pm_place *place, bool hurry)
+double pm_scheduler_leave_for(const struct pm_placement *place, bool hurry)
 {
     const struct pm_spec *spec = place->job->spec;
 
@@ -92,7 +94,7 @@
 }
 
 struct victim {
-    struct pm_place *place;
+    struct pm_placement *place;
     double loss;
 };
 
@@ -104,14 +106,14 @@
     return x->loss < y->loss ? -1 : x->loss > y->loss;
 }
 
-static const struct victim *victim_at(const struct pm_plan *p, guint i)
+static const struct victim *victim_at(const struct pm_scheduler *p, guint i)
 {
     return &g_array_index(p->victims, struct victim, i);
 }
 
 /* Whether one more task of the job finds room on the machine once the first `*n` of p->victims are
  * stopped, besides what is being stopped already; `cost` is what that loses. */
-static bool can_clear(struct pm_plan *p, const struct pm_job *job, const struct pm_machine *m,
+static bool can_clear(struct pm_scheduler *p, const struct pm_job *job, const struct pm_machine *m,
                       const spoken *spoken_for, guint *n, double *cost, double now)
 {
     const struct pm_spec *need = job->spec;
@@ -119,13 +121,13 @@
 
     *cost = 0;
     g_array_set_size(p->victims, 0);
-    if (!pm_plan_has_image(m, need->image))
-        *cost = 1e4 * (1 + pm_plan_fetches_before(p, m, need) +
+    if (!pm_scheduler_has_image(m, need->image))
+        *cost = 1e4 * (1 + pm_scheduler_fetches_before(p, m, need) +
                        need->image_gb / MAX(p->tables->type[m->type].pull_gb_per_s, EPS));
     for (guint j = 0; j < m->places->len; j++) {
-        struct pm_place *place = g_ptr_array_index(m->places, j);
+        struct pm_placement *place = g_ptr_array_index(m->places, j);
         const struct pm_spec *spec = place->job->spec;
-        if (place->stop && place->state != PM_ENDED) {
+        if (place->stop && place->state != PM_PLACEMENT_ENDED) {
             room[0] += spec->cpus;
             room[1] += spec->gpus;
             room[2] += spec->ram_gb;
@@ -156,65 +158,66 @@
  * that each task that wants room passes over most machines without a look at their places. */
 struct candidate {
     struct pm_machine *machine;
-    double room[PM_PRODUCTION + 1];
+    double room[PM_PRIORITY_PRODUCTION + 1];
 };
 
-void pm_plan_preempt_begin(struct pm_plan *p)
+void pm_scheduler_preempt_begin(struct pm_scheduler *p)
 {
     p->candidates = g_array_new(FALSE, FALSE, sizeof(struct candidate));
     p->victims = g_array_new(FALSE, FALSE, sizeof(struct victim));
 }
 
-void pm_plan_preempt_end(struct pm_plan *p)
+void pm_scheduler_preempt_end(struct pm_scheduler *p)
 {
     g_array_free(p->candidates, TRUE);
     g_array_free(p->victims, TRUE);
 }
 
-static void add_candidate(struct pm_plan *p, struct pm_machine *m)
+static void add_candidate(struct pm_scheduler *p, struct pm_machine *m)
 {
     struct candidate candidate = {.machine = m};
     bool any = m->cpus > EPS; /* free room serves without stopping anything */
 
-    for (int k = 0; k <= PM_PRODUCTION; k++)
+    for (int k = 0; k <= PM_PRIORITY_PRODUCTION; k++)
         candidate.room[k] = m->cpus;
     for (guint j = 0; j < m->places->len; j++) {
-        const struct pm_place *place = g_ptr_array_index(m->places, j);
-        int from = place->stop ? PM_BEST_EFFORT : (int)place->job->priority + 1;
-        if (place->state == PM_ENDED)
+        const struct pm_placement *place = g_ptr_array_index(m->places, j);
+        int from = place->stop ? PM_PRIORITY_BEST_EFFORT : (int)place->job->priority + 1;
+        if (place->state == PM_PLACEMENT_ENDED)
             continue;
-        any |= from <= PM_PRODUCTION;
-        for (int k = from; k <= PM_PRODUCTION; k++)
+        any |= from <= PM_PRIORITY_PRODUCTION;
+        for (int k = from; k <= PM_PRIORITY_PRODUCTION; k++)
             candidate.room[k] += place->job->spec->cpus;
     }
     if (any)
         g_array_append_val(p->candidates, candidate);
 }
 
-static void find_candidates(struct pm_plan *p, double now)
+static void find_candidates(struct pm_scheduler *p, double now)
 {
     GPtrArray *all = pm_workers_all(p->workers);
 
     g_array_set_size(p->candidates, 0);
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        if (m && pm_plan_usable(p, m, now))
+        if (m && pm_scheduler_is_machine_usable(p, m, now))
             add_candidate(p, m);
     }
 }
 
 /* The priority below which the job may stop work, whatever else has to hold. */
-static enum pm_priority stops_below(const struct pm_plan *p, const struct pm_job *job)
+static enum pm_priority stops_below(const struct pm_scheduler *p, const struct pm_job *job)
 {
-    bool guarantee = p->sees_all && !pm_plan_unallocated(job);
+    bool guarantee = p->sees_all && !pm_scheduler_is_unallocated(job);
 
-    return guarantee ? PM_PRODUCTION : job->priority;
+    return guarantee ? PM_PRIORITY_PRODUCTION : job->priority;
 }
 
 /* Makes room for one task of the job where that loses least, and speaks for it; a machine where
  * enough is being stopped already serves without more. With `dry`, only the latter. */
-struct pm_machine *pm_plan_clear_one(struct pm_plan *p, struct pm_job *job, spoken *spoken_for,
-                                     struct spread *at, int only_zone, bool dry, double now)
+struct pm_machine *pm_scheduler_clear_one(struct pm_scheduler *p, struct pm_job *job,
+                                          spoken *spoken_for, struct spread *at, int only_zone,
+                                          bool dry, double now)
 {
     struct pm_machine *best = NULL;
     enum pm_priority below = stops_below(p, job);
@@ -227,8 +230,8 @@
         struct pm_machine *m = candidate->machine;
         if (candidate->room[below] - spoken_for[m->index][0] + EPS < job->spec->cpus ||
             (only_zone >= 0 && m->zone != only_zone) ||
-            !pm_plan_allows(p->tables, job, m->type, m->zone, m->spot) ||
-            !pm_plan_zone_ok(job, at, m->zone) || pm_plan_claimed_by_other(m, job, now) ||
+            !pm_scheduler_is_machine_allowed(p->tables, job, m->type, m->zone, m->spot) ||
+            !pm_scheduler_zone_ok(job, at, m->zone) || pm_scheduler_claimed_by_other(m, job, now) ||
             !can_clear(p, job, m, spoken_for, &n, &cost, now) || cost >= best_cost)
             continue;
         best = m;
@@ -239,10 +242,11 @@
     if (!dry) {
         can_clear(p, job, best, spoken_for, &n, &cost, now);
         for (guint v = 0; v < n; v++) {
-            struct pm_place *place = victim_at(p, v)->place;
+            struct pm_placement *place = victim_at(p, v)->place;
             pm_info("plan.preempt", "%s/%u on %s for %s", place->job->id, place->index, best->name,
                     job->id);
-            pm_workers_stop(place, pm_plan_leave_for(place, job->priority == PM_PRODUCTION));
+            pm_placement_stop(
+                place, pm_scheduler_leave_for(place, job->priority == PM_PRIORITY_PRODUCTION));
             p->yielding[place->job->spec->team] += place->job->spec->cpus;
             p->steps++;
         }
@@ -259,15 +263,15 @@
 }
 
 /* The lowest priority of anything that runs. */
-static enum pm_priority lowest_priority(struct pm_plan *p)
+static enum pm_priority lowest_priority(struct pm_scheduler *p)
 {
     GPtrArray *all = pm_workers_all(p->workers);
-    enum pm_priority lowest = PM_PRODUCTION;
+    enum pm_priority lowest = PM_PRIORITY_PRODUCTION;
 
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
         for (guint j = 0; m && j < m->places->len; j++) {
-            const struct pm_place *place = g_ptr_array_index(m->places, j);
+            const struct pm_placement *place = g_ptr_array_index(m->places, j);
             lowest = MIN(lowest, place->job->priority);
         }
     }
@@ -275,7 +279,7 @@
 }
 
 /* Whether a team other than this one uses more than its guarantee. */
-static bool beyond_others(const struct pm_plan *p, int team)
+static bool beyond_others(const struct pm_scheduler *p, int team)
 {
     const struct pm_settings *s = p->tables->settings;
 
@@ -285,7 +289,7 @@
     return false;
 }
 
-void pm_plan_preempt(struct pm_plan *p, double now)
+void pm_scheduler_preempt(struct pm_scheduler *p, double now)
 {
     GPtrArray *all = pm_workers_all(p->workers);
     enum pm_priority lowest;
@@ -297,28 +301,28 @@
     find_candidates(p, now);
     spoken_for = g_malloc0(sizeof(spoken) * (all->len + 1));
     for (guint i = 0; i < p->wants->len && p->steps < STEPS_MAX; i++) {
-        struct pm_want *want = &g_array_index(p->wants, struct pm_want, i);
+        struct pm_unmet_demand *want = &g_array_index(p->wants, struct pm_unmet_demand, i);
         struct pm_job *job = want->job;
         struct spread at;
         uint32_t made = 0;
         /* A replica that rather waits than crowds a machine (rather_waits) would not take the room:
          * what was stopped for it would take it again, and so on without end. */
-        if (pm_plan_awaits_boot(p, job))
+        if (pm_scheduler_awaits_boot(p, job))
             continue;
         if (job->delegated)
             continue; /* the leader calls machines back for it */
-        if (job->spec->form == PM_GANG) {
-            pm_plan_clear_gang(p, job, spoken_for, now);
+        if (job->spec->form == PM_WORKLOAD_GANG) {
+            pm_scheduler_clear_gang(p, job, spoken_for, now);
             continue;
         }
         if (job->priority <= lowest && !(p->sees_all && beyond_others(p, job->spec->team)))
             continue; /* nothing that runs may be stopped for it */
-        pm_plan_count_zones(job, &at);
+        pm_scheduler_count_zones(job, &at);
         while (made < MIN(want->tasks, 16)) {
-            struct need need = pm_plan_need_of(p, job, &at, job->spec->team);
-            if (pm_plan_hopeless(p, &need))
+            struct need need = pm_scheduler_need_of(p, job, &at, job->spec->team);
+            if (pm_scheduler_is_unschedulable(p, &need))
                 break;
-            if (!pm_plan_clear_one(p, job, spoken_for, &at, -1, false, now)) {
+            if (!pm_scheduler_clear_one(p, job, spoken_for, &at, -1, false, now)) {
                 g_array_append_val(p->hopeless, need);
                 break;
             }
@@ -328,12 +332,12 @@
     g_free(spoken_for);
 }
 
-static void stop_gang(struct pm_plan *p, struct pm_job *job, double leave_s)
+static void stop_gang(struct pm_scheduler *p, struct pm_job *job, double leave_s)
 {
     for (uint32_t i = 0; i < job->entries; i++) {
-        const struct pm_task *task = pm_job_peek(job, i);
+        const struct pm_task *task = pm_job_find_task(job, i);
         if (task && task->place && !task->place->stop) {
-            pm_workers_stop(task->place, leave_s);
+            pm_placement_stop(task->place, leave_s);
             p->steps++;
         }
     }
@@ -341,62 +345,65 @@
 
 /* A machine that will be taken: what can save does so now, gangs stop whole, a replica moves, and
  * a task that cannot save runs on only where it may well end in time. */
-static void heed_notice(struct pm_plan *p, struct pm_machine *m, double now)
+static void heed_notice(struct pm_scheduler *p, struct pm_machine *m, double now)
 {
     double left = m->recall_at - now;
 
     for (guint j = 0; j < m->places->len; j++) {
-        struct pm_place *place = g_ptr_array_index(m->places, j);
+        struct pm_placement *place = g_ptr_array_index(m->places, j);
         const struct pm_spec *spec = place->job->spec;
-        double remains =
-            pm_plan_expected(p, place->job) - (place->ran_from ? now - place->ran_from : 0);
-        if (place->stop || place->state == PM_ENDED || place->state == PM_INTENT)
+        double remains = pm_scheduler_estimate_remaining_s(p, place->job) -
+                         (place->ran_from ? now - place->ran_from : 0);
+        if (place->stop || place->state == PM_PLACEMENT_ENDED ||
+            place->state == PM_PLACEMENT_PROPOSED)
             continue;
         /* The notice may be off by half. */
-        if (spec->form != PM_SERVICE && place->ran_from && remains > -10 && remains < left * 0.4)
+        if (spec->form != PM_WORKLOAD_SERVICE && place->ran_from && remains > -10 &&
+            remains < left * 0.4)
             continue;
-        if (spec->form == PM_GANG) {
-            stop_gang(p, place->job, pm_plan_leave_for(place, false));
+        if (spec->form == PM_WORKLOAD_GANG) {
+            stop_gang(p, place->job, pm_scheduler_leave_for(place, false));
             continue;
         }
-        pm_workers_stop(place, pm_plan_leave_for(place, false));
+        pm_placement_stop(place, pm_scheduler_leave_for(place, false));
         p->steps++;
     }
 }
 
 /* One whose job is cancelled goes at once; a gang whose attempt lost a task goes whole. */
-void pm_plan_stop_the_lost(struct pm_plan *p, double now)
+void pm_scheduler_stop_disallowed_tasks(struct pm_scheduler *p, double now)
 {
     GPtrArray *active = pm_jobs_active(p->jobs);
     GPtrArray *all = pm_workers_all(p->workers);
 
     for (guint i = 0; i < active->len; i++) {
         struct pm_job *job = g_ptr_array_index(active, i);
-        if (job->spec && !job->delegated && job->spec->form == PM_GANG && job->nplaced &&
-            job->state == PM_LIVE && !job->ndone && job->nplaced < job->entries)
+        if (job->spec && !job->delegated && job->spec->form == PM_WORKLOAD_GANG && job->nplaced &&
+            job->state == PM_JOB_LIVE && !job->ndone && job->nplaced < job->entries)
             stop_gang(p, job, 0);
     }
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
         for (guint j = 0; m && j < m->places->len;) {
-            struct pm_place *place = g_ptr_array_index(m->places, j);
-            if (place->state == PM_INTENT && (place->job->state != PM_LIVE || place->stop)) {
+            struct pm_placement *place = g_ptr_array_index(m->places, j);
+            if (place->state == PM_PLACEMENT_PROPOSED &&
+                (place->job->state != PM_JOB_LIVE || place->stop)) {
                 /* Never launched: nothing needs proof. */
                 uint32_t index = place->index;
                 struct pm_job *job = place->job;
-                pm_workers_unplace(p->workers, place);
-                pm_job_touch(job, index);
+                pm_workers_remove_placement(p->workers, place);
+                pm_job_mark_dirty(job, index);
                 p->steps++;
                 continue;
             }
-            if (place->job->state != PM_LIVE && place->state != PM_ENDED &&
+            if (place->job->state != PM_JOB_LIVE && place->state != PM_PLACEMENT_ENDED &&
                 !(place->stop && place->leave_s <= 0)) {
-                pm_workers_stop(place, 0);
+                pm_placement_stop(place, 0);
                 p->steps++;
             }
             j++;
         }
-        if (m && m->recall_at && m->state == PM_UP)
+        if (m && m->recall_at && m->state == PM_MACHINE_UP)
             heed_notice(p, m, now);
     }
 }
