--- a/src/placement/rank.c
+++ b/src/placement/rank.c
@@ -5,9 +5,9 @@
 #include <string.h>
 
 #define BEGIN_S                                                                                    \
-    215.0           /* within which every job is to have begun whole: see pm_plan_mark_starving    \
-                     */
-#define OLD_S 150.0 /* what has waited for less is not looked at for that */
+    215.0 /* within which every job is to have begun whole: see pm_scheduler_mark_starving         \
+           */
+#define OLD_S 150.0            /* what has waited for less is not looked at for that */
 #define STARVING_SHARE 0.75    /* of the machines that may go to what would be late for that */
 #define BEST_EFFORT_SHARE 0.25 /* the same, for best-effort work */
 #define BEGUN_KEEP_S                                                                               \
@@ -17,11 +17,11 @@
 #define SURE_SHARE 0.7   /* of the machines' time, to be counted on for that */
 #define NO_DUE 1e12      /* more than any work */
 
-static struct pm_plan *ranking; /* qsort has no argument for its comparison */
+static struct pm_scheduler *ranking; /* qsort has no argument for its comparison */
 
 /* What waits for others does not wait for room: its times count from when it may start. The ends of
  * what it needs are in the state service, so that a new leader counts from the same moment. */
-double pm_plan_since(const struct pm_job *job)
+double pm_scheduler_since(const struct pm_job *job)
 {
     return job->spec->ndependencies ? job->since : job->spec->submitted;
 }
@@ -39,8 +39,8 @@
     const struct pm_job *x = *(struct pm_job *const *)a;
     const struct pm_job *y = *(struct pm_job *const *)b;
 
-    if (pm_plan_since(x) != pm_plan_since(y))
-        return pm_plan_since(x) < pm_plan_since(y) ? -1 : 1;
+    if (pm_scheduler_since(x) != pm_scheduler_since(y))
+        return pm_scheduler_since(x) < pm_scheduler_since(y) ? -1 : 1;
     return strcmp(x->id, y->id);
 }
 
@@ -53,17 +53,17 @@
 
     /* Production first, whatever the ratios: the rules let it preempt the rest, so ranking it lower
      * would only start work in order to stop it. Unallocated work takes what is left. */
-    if ((x->priority == PM_PRODUCTION) != (y->priority == PM_PRODUCTION))
-        return x->priority == PM_PRODUCTION ? -1 : 1;
+    if ((x->priority == PM_PRIORITY_PRODUCTION) != (y->priority == PM_PRIORITY_PRODUCTION))
+        return x->priority == PM_PRIORITY_PRODUCTION ? -1 : 1;
     /* Urgent work next, for the same reason: it may stop lower work, whichever team's that is. */
-    if ((x->priority >= PM_URGENT) != (y->priority >= PM_URGENT))
-        return x->priority >= PM_URGENT ? -1 : 1;
-    if (pm_plan_unallocated(x) != pm_plan_unallocated(y))
-        return pm_plan_unallocated(x) ? 1 : -1;
+    if ((x->priority >= PM_PRIORITY_URGENT) != (y->priority >= PM_PRIORITY_URGENT))
+        return x->priority >= PM_PRIORITY_URGENT ? -1 : 1;
+    if (pm_scheduler_is_unallocated(x) != pm_scheduler_is_unallocated(y))
+        return pm_scheduler_is_unallocated(x) ? 1 : -1;
     if (x->starving != y->starving)
         return x->starving ? -1 : 1;
-    if (x->starving && pm_plan_since(x) != pm_plan_since(y))
-        return pm_plan_since(x) < pm_plan_since(y) ? -1 : 1;
+    if (x->starving && pm_scheduler_since(x) != pm_scheduler_since(y))
+        return pm_scheduler_since(x) < pm_scheduler_since(y) ? -1 : 1;
     rx = ranking->ratio[x->spec->team];
     ry = ranking->ratio[y->spec->team];
     if (rx != ry)
@@ -75,7 +75,7 @@
     return by_age(a, b);
 }
 
-void pm_plan_rank(struct pm_plan *p, GPtrArray *jobs)
+void pm_scheduler_rank(struct pm_scheduler *p, GPtrArray *jobs)
 {
     ranking = p;
     g_ptr_array_sort(jobs, by_rank);
@@ -85,7 +85,7 @@
  * When there is more than the machines can do, that keeps most jobs in time, whichever time the
  * users reckon by, and needs no estimate of what the machines will do, which a few late jobs would
  * upset for all behind them. Without any time to keep, a job goes after those that have one. */
-void pm_plan_measure_left(struct pm_plan *p)
+void pm_scheduler_measure_left(struct pm_scheduler *p)
 {
     GPtrArray *active = pm_jobs_active(p->jobs);
 
@@ -96,12 +96,12 @@
         if (job->spec && !job->unmet && !job->since)
             job->since = ready_since(job, p->day);
         job->left = 0;
-        if (!job->spec || job->spec->form != PM_ARRAY)
+        if (!job->spec || job->spec->form != PM_WORKLOAD_ARRAY)
             continue;
         if (job->delegated) /* the leader knows of these what their holders wrote down */
-            pm_jobs_count(job, &done, &placed);
+            pm_job_count_tasks(job, &done, &placed);
         job->left = (job->entries - MIN(done, job->entries) - 0.5 * placed) * job->spec->cpus *
-                    (pm_plan_expected(p, job) + 1);
+                    (pm_scheduler_estimate_remaining_s(p, job) + 1);
         if (isinf(job->due))
             job->left += NO_DUE;
     }
@@ -110,11 +110,11 @@
 /* Best-effort work that went first in order to begin has begun: it yields at once again. */
 static void note_begun(struct pm_job *job, double now)
 {
-    if (!job->begun && !pm_job_waiting(job) && job->nplaced + job->ndone > 0) {
+    if (!job->begun && !pm_job_waiting_tasks(job) && job->nplaced + job->ndone > 0) {
         job->begun = true;
         job->begun_at = now;
     }
-    if (job->aged && job->begun && job->priority == PM_BEST_EFFORT &&
+    if (job->aged && job->begun && job->priority == PM_PRIORITY_BEST_EFFORT &&
         now - job->begun_at >= BEGUN_KEEP_S)
         job->aged = false;
 }
@@ -122,8 +122,8 @@
 /* Whether the job may yet come to go first for its age. */
 static bool may_starve(const struct pm_job *job)
 {
-    return !job->delegated && pm_job_waiting(job) && !pm_fault_job_failing(job) &&
-           !(job->begun && job->priority == PM_BEST_EFFORT);
+    return !job->delegated && pm_job_waiting_tasks(job) && !pm_failures_is_job_failing(job) &&
+           !(job->begun && job->priority == PM_PRIORITY_BEST_EFFORT);
 }
 
 /* Ratio and size order what waits, and each could hold a job back for ever: a team with a high
@@ -132,11 +132,11 @@
  * the others: as late as the machines, with what else is as old, can still do it in time. Never on
  * all of the machines: when there is more than they can do, all would end up waiting for that
  * bound, and hardly anything would be in time. */
-void pm_plan_mark_starving(struct pm_plan *p, double now)
+void pm_scheduler_mark_starving(struct pm_scheduler *p, double now)
 {
     GPtrArray *active = pm_jobs_active(p->jobs);
     GPtrArray *old = g_ptr_array_new();
-    double pool = MAX(pm_plan_pool(p, now), 1);
+    double pool = MAX(pm_scheduler_batch_capacity_cpus(p, now), 1);
     double work = 0;
     double cpus = 0;
     guint overdue = 0;
@@ -144,31 +144,32 @@
     for (guint i = 0; i < active->len; i++) {
         struct pm_job *job = g_ptr_array_index(active, i);
         job->starving = false;
-        if (!job->spec || job->state != PM_LIVE)
+        if (!job->spec || job->state != PM_JOB_LIVE)
             continue;
         note_begun(job, now);
         if (job->aged)
             cpus += job->nplaced * job->spec->cpus;
-        if (may_starve(job) && p->day - pm_plan_since(job) > OLD_S)
+        if (may_starve(job) && p->day - pm_scheduler_since(job) > OLD_S)
             g_ptr_array_add(old, job);
     }
     g_ptr_array_sort(old, by_age);
     for (guint i = 0; i < old->len; i++) {
         const struct pm_job *job = g_ptr_array_index(old, i);
-        double left = BEGIN_S - (p->day - pm_plan_since(job));
-        if (job->spec->form == PM_GANG) /* finds its room in one piece, or waits on */
+        double left = BEGIN_S - (p->day - pm_scheduler_since(job));
+        if (job->spec->form == PM_WORKLOAD_GANG) /* finds its room in one piece, or waits on */
             left -= GANG_ROOM_S;
-        else if (job->spec->form == PM_ARRAY)
-            work += pm_job_waiting(job) * (pm_plan_expected(p, job) + 1) * job->spec->cpus;
+        else if (job->spec->form == PM_WORKLOAD_ARRAY)
+            work += pm_job_waiting_tasks(job) * (pm_scheduler_estimate_remaining_s(p, job) + 1) *
+                    job->spec->cpus;
         if (work >= left * pool * SURE_SHARE)
             overdue = i + 1;
     }
     for (guint i = 0; i < overdue && cpus < STARVING_SHARE * pool; i++) {
         struct pm_job *job = g_ptr_array_index(old, i);
-        if (job->priority == PM_BEST_EFFORT && cpus >= BEST_EFFORT_SHARE * pool)
+        if (job->priority == PM_PRIORITY_BEST_EFFORT && cpus >= BEST_EFFORT_SHARE * pool)
             continue;
         job->starving = job->aged = true;
-        cpus += pm_job_waiting(job) * job->spec->cpus;
+        cpus += pm_job_waiting_tasks(job) * job->spec->cpus;
     }
     g_ptr_array_free(old, TRUE);
 }
--- a/src/placement/tests/test_ledger.c
+++ b/src/placement/tests/test_ledger.c
@@ -18,10 +18,10 @@
     const double day = 1700000010.5;
     struct pm_settings settings = {0};
     struct pm_name_tables tables;
-    struct pm_operator op;
+    struct pm_operator_settings op;
     struct pm_jobs *jobs;
     struct pm_workers *workers;
-    struct pm_plan *plan;
+    struct pm_scheduler *plan;
     struct pm_machine *machine;
     struct pm_buf out = {0};
     size_t size;
@@ -30,7 +30,7 @@
 
     (void)state;
     assert_non_null(value);
-    pm_operator_defaults(&op);
+    pm_operator_settings_defaults(&op);
     books_begin(&tables, &settings);
     settings.value_kb = 4;
     settings.teams = 2;
@@ -41,26 +41,26 @@
     g_strlcpy(settings.zone_name[1], "b", sizeof settings.zone_name[1]);
     jobs = pm_jobs_new(&tables);
     workers = pm_workers_new(&tables, jobs, BOOKS_HOOKS);
-    plan = pm_plan_new(&tables, jobs, workers, &op);
+    plan = pm_scheduler_new(&tables, jobs, workers, &op);
     machine = pm_workers_add(workers, "i-000231");
     pm_workers_set_type(workers, machine, 0);
     machine->zone = 1;
     machine->reported = true;
     machine->heard = now - 10;
-    machine->state = PM_UP;
-    pm_plan_read_ledger(plan, value);
-    pm_plan_read_images(plan, value);
+    machine->state = PM_MACHINE_UP;
+    pm_scheduler_decode_ledger(plan, value);
+    pm_scheduler_decode_cached_images(plan, value);
     assert_int_equal(machine->ncached, 2);
     assert_string_equal(pm_names_text(tables.images, machine->cached[0].image), "img-07");
     assert_true(machine->cached[0].gb == 6.2);
-    assert_true(pm_plan_ratio(plan, 0) > pm_plan_ratio(plan, 1));
-    pm_plan_write_ledger(plan, now, day, &out);
+    assert_true(pm_scheduler_usage_ratio(plan, 0) > pm_scheduler_usage_ratio(plan, 1));
+    pm_scheduler_encode_ledger(plan, now, day, &out);
     assert_int_equal(out.size, size);
     assert_memory_equal(out.data, bytes, size);
     pm_cbor_free(value);
     g_free(bytes);
     pm_buf_free(&out);
-    pm_plan_free(plan);
+    pm_scheduler_free(plan);
     pm_workers_free(workers);
     pm_jobs_free(jobs);
     books_end(&tables);
@@ -71,37 +71,37 @@
 {
     struct pm_settings settings = {0};
     struct pm_name_tables tables;
-    struct pm_operator op;
+    struct pm_operator_settings op;
     struct pm_spec spec = {.zone = -1, .types = 1, .entries = 9, .cpus = 1, .due_s = -1};
     struct pm_jobs *jobs;
     struct pm_workers *workers;
-    struct pm_plan *plan;
+    struct pm_scheduler *plan;
     struct pm_job *broken;
     const struct pm_job *sound;
     struct pm_buf out = {0};
     cbor_item_t *value;
 
     (void)state;
-    pm_operator_defaults(&op);
+    pm_operator_settings_defaults(&op);
     books_begin(&tables, &settings);
     jobs = pm_jobs_new(&tables);
     workers = pm_workers_new(&tables, jobs, BOOKS_HOOKS);
-    plan = pm_plan_new(&tables, jobs, workers, &op);
+    plan = pm_scheduler_new(&tables, jobs, workers, &op);
     broken = books_feed(&tables, jobs, "job-1", &spec, 1);
     sound = books_feed(&tables, jobs, "job-2", &spec, 2);
-    pm_fault_told(broken, 100);
-    pm_plan_write_ledger(plan, 100, 1700000010, &out);
+    pm_failures_report_job(broken, 100);
+    pm_scheduler_encode_ledger(plan, 100, 1700000010, &out);
     value = pm_cbor_parse(out.data, out.size);
-    broken->faults = (struct pm_job_faults){0}; /* another controller takes the lead */
-    pm_plan_read_failing(plan, value, 200);
-    assert_true(pm_fault_job_failing(broken));
-    assert_false(pm_fault_may_retry(broken, 200));
-    assert_true(pm_fault_may_retry(broken, 203)); /* and tries it soon */
-    assert_false(pm_fault_job_failing(sound));
-    pm_plan_read_ledger(plan, value);
+    broken->faults = (struct pm_job_failures){0}; /* another controller takes the lead */
+    pm_scheduler_decode_failing_jobs(plan, value, 200);
+    assert_true(pm_failures_is_job_failing(broken));
+    assert_false(pm_failures_may_retry(broken, 200));
+    assert_true(pm_failures_may_retry(broken, 203)); /* and tries it soon */
+    assert_false(pm_failures_is_job_failing(sound));
+    pm_scheduler_decode_ledger(plan, value);
     pm_cbor_free(value);
     pm_buf_free(&out);
-    pm_plan_free(plan);
+    pm_scheduler_free(plan);
     pm_workers_free(workers);
     pm_jobs_free(jobs);
     books_end(&tables);
--- a/src/placement/tests/test_scale.c
+++ b/src/placement/tests/test_scale.c
@@ -14,11 +14,11 @@
 enum { MACHINES = 6000, VALUE = 4096, ANSWER = 64 * 1024, NOW = 500 };
 
 static struct pm_settings settings;
-static struct pm_operator op;
+static struct pm_operator_settings op;
 static struct pm_name_tables tables;
 static struct pm_jobs *jobs;
 static struct pm_workers *workers;
-static struct pm_plan *plan;
+static struct pm_scheduler *plan;
 
 static size_t json_of(struct pm_buf *buf)
 {
@@ -36,13 +36,13 @@
 {
     (void)state;
     memset(&settings, 0, sizeof settings);
-    pm_operator_defaults(&op);
+    pm_operator_settings_defaults(&op);
     books_begin(&tables, &settings);
     settings.value_kb = 4;
     tables.type[0].local_gb = 40;
     jobs = pm_jobs_new(&tables);
     workers = pm_workers_new(&tables, jobs, BOOKS_HOOKS);
-    plan = pm_plan_new(&tables, jobs, workers, &op);
+    plan = pm_scheduler_new(&tables, jobs, workers, &op);
     for (int i = 0; i < MACHINES; i++) {
         char name[32];
         struct pm_machine *m;
@@ -50,7 +50,7 @@
         m = pm_workers_add(workers, name);
         pm_workers_set_type(workers, m, 0);
         m->zone = 0;
-        m->state = PM_UP;
+        m->state = PM_MACHINE_UP;
         m->spot = i % 2;
         m->reported = m->listed = true;
         m->session = 1;
@@ -58,7 +58,7 @@
         for (int k = 0; k < 12; k++) {
             char image[32];
             snprintf(image, sizeof image, "img-%02d", (i + k) % 26);
-            m->cached[m->ncached].image = pm_names_add(tables.images, image);
+            m->cached[m->ncached].image = pm_names_intern(tables.images, image);
             m->cached[m->ncached++].gb = 1.8372645182736455 + k / 3.0;
         }
     }
@@ -68,7 +68,7 @@
 static int tear_down(void **state)
 {
     (void)state;
-    pm_plan_free(plan);
+    pm_scheduler_free(plan);
     pm_workers_free(workers);
     pm_jobs_free(jobs);
     books_end(&tables);
@@ -79,7 +79,7 @@
 {
     struct pm_spec spec = {.zone = -1,
                            .types = ~(uint64_t)0,
-                           .priority = PM_NORMAL,
+                           .priority = PM_PRIORITY_NORMAL,
                            .entries = entries,
                            .cpus = 4,
                            .ram_gb = 8,
@@ -98,13 +98,13 @@
     struct pm_machine *first;
 
     (void)state;
-    pm_plan_write_ledger(plan, 1e9, 1e9, &buf);
+    pm_scheduler_encode_ledger(plan, 1e9, 1e9, &buf);
     item = pm_cbor_parse(buf.data, buf.size);
     assert_true(json_of(&buf) <= VALUE);
     /* What fits is read back, by a leader that knows nothing yet. */
     first = pm_workers_find(workers, "i-100000");
     first->ncached = 0;
-    pm_plan_read_images(plan, item);
+    pm_scheduler_decode_cached_images(plan, item);
     assert_true(first->ncached > 0);
     assert_int_equal(first->cached[0].image, pm_names_find(tables.images, "img-00"));
     pm_cbor_free(item);
@@ -114,7 +114,7 @@
  * however its tasks lie, and so do the orders to any machine. */
 static void the_largest_array_is_placed_in_bounded_steps(void **state)
 {
-    struct pm_job *large = wait_for("job-000000000000000000000001", PM_ENTRIES_MAX);
+    struct pm_job *large = wait_for("job-000000000000000000000001", PM_JOB_TASKS_MAX);
     struct pm_job *small = wait_for("job-2", 8);
     uint32_t before = 0;
     int rounds = 0;
@@ -122,7 +122,7 @@
     (void)state;
     do {
         uint32_t placed;
-        pm_plan_run(plan, NOW, NOW);
+        pm_scheduler_run(plan, NOW, NOW);
         placed = large->nplaced + small->nplaced;
         assert_true(placed - before <= 400); /* the lock is held for one plan */
         before = placed;
@@ -134,11 +134,11 @@
         struct pm_buf buf = {0};
         if (!large->chunk[k] || !large->chunk[k]->task)
             continue;
-        pm_jobs_write_chunk(&tables, large, k, -1, &buf);
+        pm_chunk_encode(&tables, large, k, -1, &buf);
         assert_true(json_of(&buf) <= VALUE);
         for (int half = 0; half < 2; half++) {
             pm_buf_free(&buf);
-            pm_jobs_write_chunk(&tables, large, k, half, &buf);
+            pm_chunk_encode(&tables, large, k, half, &buf);
             assert_true(json_of(&buf) <= VALUE / 2);
         }
     }
@@ -146,8 +146,8 @@
         struct pm_machine *m = pm_workers_at(workers, i);
         struct pm_buf buf = {0};
         for (guint j = 0; j < m->places->len; j++)
-            ((struct pm_place *)g_ptr_array_index(m->places, j))->state = PM_DURABLE;
-        assert_int_equal(pm_workers_orders(m, true, 1, &buf), 4);
+            ((struct pm_placement *)g_ptr_array_index(m->places, j))->state = PM_PLACEMENT_DURABLE;
+        assert_int_equal(pm_workers_encode_commands(m, true, 1, &buf), 4);
         assert_true(json_of(&buf) <= ANSWER);
     }
 }
@@ -160,8 +160,8 @@
     enum { HOMES = 400 };
     struct pm_spec spec = {.zone = -1,
                            .types = ~(uint64_t)0,
-                           .form = PM_SERVICE,
-                           .priority = PM_PRODUCTION,
+                           .form = PM_WORKLOAD_SERVICE,
+                           .priority = PM_PRIORITY_PRODUCTION,
                            .entries = HOMES,
                            .cpus = 2,
                            .ram_gb = 4,
@@ -174,23 +174,24 @@
     tables.type[0].price = 1;
     for (int i = 0; i < MACHINES; i++) {
         struct pm_machine *m = pm_workers_at(workers, i);
-        struct pm_place *place;
+        struct pm_placement *place;
         m->spot = i >= HOMES;
         m->rented = NOW - 200;
         m->ncached = 1;
         m->cached[0].image = spec.image;
         if (i >= HOMES)
             continue;
-        place = pm_workers_place(workers, job, (uint32_t)i, m, 1, 1, PM_RUNNING, NOW - 100);
+        place = pm_workers_add_placement(workers, job, (uint32_t)i, m, 1, 1, PM_PLACEMENT_RUNNING,
+                                         NOW - 100);
         place->ran_from = NOW - 100;
     }
-    pm_plan_begin(plan, NOW, NOW);
-    pm_plan_consolidate(plan, NOW);
+    pm_scheduler_begin(plan, NOW, NOW);
+    pm_scheduler_consolidate(plan, NOW);
     for (int i = 0; i < HOMES; i++) {
         const struct pm_machine *m = pm_workers_at(workers, i);
         draining += m->draining;
         for (guint k = 0; m->draining && k < m->places->len; k++)
-            assert_true(((struct pm_place *)g_ptr_array_index(m->places, k))->stop);
+            assert_true(((struct pm_placement *)g_ptr_array_index(m->places, k))->stop);
     }
     assert_in_range(draining, 4, HOMES / 20);
 }
@@ -201,7 +202,7 @@
     enum { TASKS = 128 };
     struct pm_spec spec = {.zone = -1,
                            .types = ~(uint64_t)0,
-                           .priority = PM_BEST_EFFORT,
+                           .priority = PM_PRIORITY_BEST_EFFORT,
                            .entries = TASKS,
                            .cpus = 16. / TASKS,
                            .ram_gb = 0.5,
@@ -215,17 +216,18 @@
 
     (void)state;
     for (int i = 1; i < MACHINES; i++)
-        pm_workers_at(workers, i)->state = PM_BOOTING;
+        pm_workers_at(workers, i)->state = PM_MACHINE_BOOTING;
     for (uint32_t i = 0; i < TASKS; i++)
-        pm_workers_place(workers, small, i, m, 1, 1, PM_RUNNING, NOW - 50)->ran_from = NOW - 50;
-    spec.priority = PM_NORMAL;
+        pm_workers_add_placement(workers, small, i, m, 1, 1, PM_PLACEMENT_RUNNING, NOW - 50)
+            ->ran_from = NOW - 50;
+    spec.priority = PM_PRIORITY_NORMAL;
     spec.entries = 1;
     spec.cpus = 16;
     spec.ram_gb = 64;
     books_feed(&tables, jobs, "job-2", &spec, 2);
-    pm_plan_run(plan, NOW, NOW);
+    pm_scheduler_run(plan, NOW, NOW);
     for (guint i = 0; i < m->places->len; i++)
-        stopped += ((const struct pm_place *)g_ptr_array_index(m->places, i))->stop;
+        stopped += ((const struct pm_placement *)g_ptr_array_index(m->places, i))->stop;
     assert_int_equal(stopped, TASKS);
 }
 
--- a/src/placement/tests/test_traces.c
+++ b/src/placement/tests/test_traces.c
@@ -18,17 +18,18 @@
 
 struct world {
     struct pm_settings settings;
-    struct pm_operator op;
+    struct pm_operator_settings op;
     struct pm_name_tables tables;
     struct pm_jobs *jobs;
     struct pm_workers *workers;
-    struct pm_plan *plan;
+    struct pm_scheduler *plan;
     double now;
     uint64_t epoch, revision;
     GString *said;
 };
 
-static void on_ended(void *arg, struct pm_place *place, enum pm_end end, bool saved, double now)
+static void on_ended(void *arg, struct pm_placement *place, enum pm_task_exit end, bool saved,
+                     double now)
 {
     static const char *const ends[] = {"", "done", "stopped", "error", "refused", "gang", "gone"};
     struct world *w = arg;
@@ -39,7 +40,7 @@
                            saved ? " saved" : "");
 }
 
-static void on_ran(void *arg, struct pm_place *place, double now)
+static void on_ran(void *arg, struct pm_placement *place, double now)
 {
     (void)arg;
     (void)place;
@@ -49,7 +50,7 @@
 static void world_begin(struct world *w)
 {
     memset(w, 0, sizeof *w);
-    pm_operator_defaults(&w->op);
+    pm_operator_settings_defaults(&w->op);
     w->settings.txn_ops = 12;
     w->settings.value_kb = 16;
     w->settings.lease_s = 12;
@@ -62,7 +63,7 @@
     w->jobs = pm_jobs_new(&w->tables);
     w->workers =
         pm_workers_new(&w->tables, w->jobs, &(struct pm_workers_hooks){on_ended, on_ran, w});
-    w->plan = pm_plan_new(&w->tables, w->jobs, w->workers, &w->op);
+    w->plan = pm_scheduler_new(&w->tables, w->jobs, w->workers, &w->op);
     w->epoch = 1;
     w->revision = 1;
     w->now = 100;
@@ -71,7 +72,7 @@
 
 static void world_end(struct world *w)
 {
-    pm_plan_free(w->plan);
+    pm_scheduler_free(w->plan);
     pm_workers_free(w->workers);
     pm_jobs_free(w->jobs);
     books_end(&w->tables);
@@ -98,7 +99,7 @@
 
 static void do_type(struct world *w, char **words)
 {
-    int index = pm_names_add(w->tables.types, words[1]);
+    int index = pm_names_intern(w->tables.types, words[1]);
 
     w->tables.type[index] = (struct pm_type){.cpus = number(words, "cpus", 16),
                                              .ram_gb = number(words, "ram", 64),
@@ -129,7 +130,7 @@
 
     assert_non_null(value);
     snprintf(key, sizeof key, "p/j/%s", id);
-    pm_jobs_put(w->jobs, key, value, ++w->revision);
+    pm_jobs_apply_put(w->jobs, key, value, ++w->revision);
     pm_cbor_free(value);
     pm_buf_free(buf);
 }
@@ -139,7 +140,7 @@
 {
     struct pm_buf buf = {0};
 
-    pm_jobs_write(&w->tables, spec, spec->entries, state, true, &buf);
+    pm_job_encode(&w->tables, spec, spec->entries, state, true, &buf);
     feed_value(w, id, &buf);
 }
 
@@ -150,7 +151,7 @@
     struct pm_buf buf = {0};
 
     w->tables.protocol_version = PM_PROTOCOL_END_TIMES;
-    pm_jobs_write_done(&w->tables, &done, false, &buf);
+    pm_job_encode_done(&w->tables, &done, false, &buf);
     feed_value(w, words[1], &buf);
 }
 
@@ -167,7 +168,7 @@
     }
     pm_workers_reset(w->workers);
     pm_jobs_reset_work(w->jobs);
-    pm_plan_reset(w->plan);
+    pm_scheduler_reset(w->plan);
 }
 
 /* job ID team=T form=array|group|standing priority=... entries=N cpus=N ram=N needs=ID ... */
@@ -185,7 +186,7 @@
             spec.team = i;
     for (int i = 0; i < 3; i++)
         if (!strcmp(forms[i], form))
-            spec.form = (enum pm_form)i;
+            spec.form = (enum pm_workload_kind)i;
     for (int i = 0; i < 4; i++)
         if (!strcmp(priorities[i], priority))
             spec.priority = (enum pm_priority)i;
@@ -194,14 +195,14 @@
     spec.ram_gb = number(words, "ram", 4);
     spec.gpus = number(words, "gpus", 0);
     spec.image_gb = 1;
-    spec.image = pm_names_add(w->tables.images, word(words, "image", "img"));
-    spec.class_index = pm_names_add(w->tables.classes, "class");
+    spec.image = pm_names_intern(w->tables.images, word(words, "image", "img"));
+    spec.class_index = pm_names_intern(w->tables.classes, "class");
     spec.bookmark_s = number(words, "saves", 0);
     spec.filing_s = 2;
     spec.expected_s = number(words, "expected", 60);
     spec.due_s = number(words, "due", -1);
     spec.spot = number(words, "spot", 0) > 0;
-    spec.zone = pm_settings_zone(&w->settings, word(words, "room", ""));
+    spec.zone = pm_settings_find_zone(&w->settings, word(words, "room", ""));
     spec.same_place = number(words, "same_place", 0) > 0;
     spec.spread = number(words, "spread", 0) > 0;
     spec.submitted = 1000 + w->now;
@@ -211,7 +212,7 @@
         pm_spec_set_dependencies(&w->tables, &spec, ids);
         g_ptr_array_free(ids, TRUE);
     }
-    feed_job(w, words[1], &spec, PM_LIVE);
+    feed_job(w, words[1], &spec, PM_JOB_LIVE);
     g_free(spec.dependencies);
 }
 
@@ -232,10 +233,11 @@
     char **part = g_strsplit_set(words[1], "/:", 3);
     struct pm_machine *m = pm_workers_add(w->workers, words[2]);
 
-    pm_workers_place(w->workers, pm_jobs_find(w->jobs, part[0]),
-                     (uint32_t)strtoul(part[1], NULL, 10), m, (uint32_t)strtoul(part[2], NULL, 10),
-                     (uint64_t)number(words, "shift", 1), PM_DURABLE, w->now);
-    m->state = PM_UP;
+    pm_workers_add_placement(w->workers, pm_jobs_find(w->jobs, part[0]),
+                             (uint32_t)strtoul(part[1], NULL, 10), m,
+                             (uint32_t)strtoul(part[2], NULL, 10),
+                             (uint64_t)number(words, "shift", 1), PM_PLACEMENT_DURABLE, w->now);
+    m->state = PM_MACHINE_UP;
     m->heard = w->now;
     g_strfreev(part);
 }
@@ -252,7 +254,7 @@
     struct pm_buf buf = {0};
     cbor_item_t *report = read_message(w, words);
 
-    pm_workers_kill_cancelled(w->workers, report, &buf);
+    pm_workers_encode_cancel_kills(w->workers, report, &buf);
     say_orders(w, &buf);
     pm_cbor_free(report);
 }
@@ -262,7 +264,7 @@
 {
     struct pm_machine *m = pm_workers_find(w->workers, words[1]);
 
-    pm_workers_gone(w->workers, m, w->now);
+    pm_workers_mark_lost(w->workers, m, w->now);
     pm_workers_remove(w->workers, m);
 }
 
@@ -271,7 +273,7 @@
     struct pm_job *job = pm_jobs_find(w->jobs, words[1]);
     struct pm_spec spec = *job->spec;
 
-    feed_job(w, words[1], &spec, PM_CANCELLED);
+    feed_job(w, words[1], &spec, PM_JOB_CANCELLED);
 }
 
 /* report|direct HOST shift.sequence number token=N type=T zone=Z spot=0|1 [recall=S] [unlisted=1]
@@ -322,13 +324,13 @@
     return report;
 }
 
-static void do_message(struct world *w, char **words, enum pm_message kind)
+static void do_message(struct world *w, char **words, enum pm_task_list_source kind)
 {
     cbor_item_t *report = read_message(w, words);
     struct pm_machine *m;
     bool fresh;
 
-    m = pm_workers_report(w->workers, report, kind, w->epoch, w->now, &fresh);
+    m = pm_workers_apply_heartbeat(w->workers, report, kind, w->epoch, w->now, &fresh);
     if (m && !number(words, "unlisted", 0))
         m->listed = true; /* the cloud told of it */
     if (!m)
@@ -368,12 +370,12 @@
     struct pm_buf buf = {0};
 
     if (direct)
-        pm_workers_direct_begin(w->workers, m);
-    pm_workers_orders(m, direct, w->epoch, &buf);
+        pm_worker_push_begin(w->workers, m);
+    pm_workers_encode_commands(m, direct, w->epoch, &buf);
     say_orders(w, &buf);
 }
 
-static void each_place(struct world *w, void (*visit)(struct world *, struct pm_place *))
+static void each_place(struct world *w, void (*visit)(struct world *, struct pm_placement *))
 {
     GPtrArray *all = pm_workers_all(w->workers);
 
@@ -384,7 +386,7 @@
     }
 }
 
-static void say_place(struct world *w, struct pm_place *place)
+static void say_place(struct world *w, struct pm_placement *place)
 {
     static const char *const states[] = {"intent",  "durable", "fetching", "waiting",
                                          "running", "saving",  "ended"};
@@ -394,11 +396,11 @@
                            place->stop ? " stop" : "");
 }
 
-static void make_durable(struct world *w, struct pm_place *place)
+static void make_durable(struct world *w, struct pm_placement *place)
 {
     (void)w;
-    if (place->state == PM_INTENT)
-        place->state = PM_DURABLE;
+    if (place->state == PM_PLACEMENT_PROPOSED)
+        place->state = PM_PLACEMENT_DURABLE;
 }
 
 static void clean_chunks(struct world *w)
@@ -421,18 +423,18 @@
 /* told JOB: cancelled, by a peer's word */
 static void do_told(struct world *w, char **words)
 {
-    if (!pm_jobs_cancel(w->jobs, words[1], ++w->revision))
+    if (!pm_jobs_apply_cancellation(w->jobs, words[1], ++w->revision))
         g_string_append(w->said, "> known\n");
 }
 
 static void do_report(struct world *w, char **words)
 {
-    do_message(w, words, PM_REPORT);
+    do_message(w, words, PM_SOURCE_HEARTBEAT);
 }
 
 static void do_direct(struct world *w, char **words)
 {
-    do_message(w, words, PM_DIRECT);
+    do_message(w, words, PM_SOURCE_PUSH);
 }
 
 static void do_places(struct world *w, char **words)
@@ -444,7 +446,7 @@
 static void do_plan(struct world *w, char **words)
 {
     (void)words;
-    pm_plan_run(w->plan, w->now, 1000 + w->now);
+    pm_scheduler_run(w->plan, w->now, 1000 + w->now);
 }
 
 static void do_durable(struct world *w, char **words)
@@ -470,16 +472,16 @@
     struct pm_machine *m = machine_of(w, words);
     uint64_t number_of = (uint64_t)number(words, "as", (double)m->direct_open);
 
-    if (!pm_workers_direct_done(m, number_of, w->epoch, status))
+    if (!pm_worker_push_done(m, number_of, w->epoch, status))
         g_string_append(w->said, "> not the open one\n");
-    else if (status == PM_HTTP_LOST)
-        pm_workers_unheard(m, "a /do has no answer", w->now);
+    else if (status == PM_HTTP_NO_ANSWER)
+        pm_machine_note_delivery_failure(m, "a /do has no answer", w->now);
 }
 
 /* unanswered HOST [as=N]: a /do has no answer */
 static void do_unanswered(struct world *w, char **words)
 {
-    end_direct(w, words, PM_HTTP_LOST);
+    end_direct(w, words, PM_HTTP_NO_ANSWER);
 }
 
 /* answered HOST [as=N] */
@@ -494,7 +496,7 @@
     const struct pm_job *job = pm_jobs_find(w->jobs, words[1]);
 
     g_string_append_printf(w->said, "> %u\n",
-                           pm_plan_lease_tasks(w->plan, job->spec, strtod(words[2], NULL)));
+                           pm_scheduler_leasable_tasks(w->plan, job->spec, strtod(words[2], NULL)));
 }
 
 /* away JOB WIDTH: leased to another controller */
@@ -509,7 +511,7 @@
 /* lease HOST: with no other controller since time 0 */
 static void do_lease(struct world *w, char **words)
 {
-    bool lapsed = pm_workers_lapsed(machine_of(w, words), 0, w->settings.lease_s, w->now);
+    bool lapsed = pm_workers_is_lease_expired(machine_of(w, words), 0, w->settings.lease_s, w->now);
 
     g_string_append(w->said, lapsed ? "> lapsed\n" : "> holds\n");
 }
@@ -517,20 +519,20 @@
 /* speaks HOST: do its reports come here? */
 static void do_speaks(struct world *w, char **words)
 {
-    bool mute = pm_workers_mute(machine_of(w, words), &w->settings, w->now);
+    bool mute = pm_machine_is_not_reporting(machine_of(w, words), &w->settings, w->now);
 
     g_string_append(w->said, mute ? "> mute\n" : "> speaks\n");
 }
 
 static void do_answer(struct world *w, char **words)
 {
-    pm_workers_answered(machine_of(w, words), w->epoch, w->now);
+    pm_machine_note_ack(machine_of(w, words), w->epoch, w->now);
 }
 
 /* hears HOST: does what we send arrive there? */
 static void do_hears(struct world *w, char **words)
 {
-    if (pm_workers_deaf(machine_of(w, words), w->now))
+    if (pm_machine_is_unreachable(machine_of(w, words), w->now))
         g_string_append(w->said, "> deaf\n");
     else
         g_string_append(w->said, machine_of(w, words)->unheard ? "> unsure\n" : "> hears\n");
@@ -539,7 +541,7 @@
 /* fault HOST: is the machine to be given up? */
 static void do_fault(struct world *w, char **words)
 {
-    bool faulty = pm_fault_machine_faulty(machine_of(w, words));
+    bool faulty = pm_failures_is_machine_faulty(machine_of(w, words));
 
     g_string_append(w->said, faulty ? "> faulty\n" : "> sound\n");
 }
@@ -547,7 +549,7 @@
 /* broken JOB: does it fail wherever it runs? */
 static void do_broken(struct world *w, char **words)
 {
-    bool failing = pm_fault_job_failing(pm_jobs_find(w->jobs, words[1]));
+    bool failing = pm_failures_is_job_failing(pm_jobs_find(w->jobs, words[1]));
 
     g_string_append(w->said, failing ? "> failing\n" : "> sound\n");
 }
@@ -556,11 +558,11 @@
  * rented for */
 static void do_wants(struct world *w, char **words)
 {
-    const GArray *wants = pm_plan_wants(w->plan);
+    const GArray *wants = pm_scheduler_unmet_demand(w->plan);
 
     (void)words;
     for (guint i = 0; i < wants->len; i++) {
-        const struct pm_want *want = &g_array_index(wants, struct pm_want, i);
+        const struct pm_unmet_demand *want = &g_array_index(wants, struct pm_unmet_demand, i);
         g_string_append_printf(w->said, "> %s %u\n", want->job->id, want->tasks);
     }
 }
@@ -570,15 +572,15 @@
 static void do_check(struct world *w, char **words)
 {
     (void)words;
-    pm_plan_check_starts(w->plan, w->now);
-    if (pm_plan_violations(w->plan))
+    pm_scheduler_recheck_quota(w->plan, w->now);
+    if (pm_scheduler_quota_violations(w->plan))
         g_string_append_printf(w->said, "> %llu violations\n",
-                               (unsigned long long)pm_plan_violations(w->plan));
+                               (unsigned long long)pm_scheduler_quota_violations(w->plan));
 }
 
 static void do_lapsed(struct world *w, char **words)
 {
-    pm_workers_gone(w->workers, machine_of(w, words), w->now);
+    pm_workers_mark_lost(w->workers, machine_of(w, words), w->now);
 }
 
 static void step(struct world *w, char **words)
--- a/src/placement/use.c
+++ b/src/placement/use.c
@@ -14,14 +14,15 @@
 #define NEAR_LIMIT 0.9 /* a team that uses this share of its limit is told of with the state */
 #define UNLIMITED 1e9  /* a limit from here on is none */
 
-#ifdef PM_PLANTED_ACCOUNT /* a test's build, in which the account is off by a task: see src/soak   \
-                           */
+#ifdef PM_PLANTED_QUOTA_FAULT /* a test's build, in which the account is off by a task: see        \
+                               * src/soak                                                          \
+                               */
 #define PLANTED_CPUS 2.0
 #else
 #define PLANTED_CPUS 0.0
 #endif
 
-static void add(struct pm_use *use, const struct pm_spec *spec, double tasks)
+static void add(struct pm_quota_usage *use, const struct pm_spec *spec, double tasks)
 {
     use->cpus += tasks * spec->cpus;
     use->gpus += tasks * spec->gpus;
@@ -34,26 +35,26 @@
     uint32_t done;
     uint32_t placed;
 
-    pm_jobs_count(job, &done, &placed);
+    pm_job_count_tasks(job, &done, &placed);
     return MAX(MIN(job->parallelism, job->entries - MIN(done, job->entries)), placed);
 }
 
-static void count_machine(struct pm_plan *p, const struct pm_machine *m)
+static void count_machine(struct pm_scheduler *p, const struct pm_machine *m)
 {
     /* An old copy of a report shows tasks that have ended since: they count, but prove nothing. */
     bool heeds_us = m->told && m->token >= m->told;
 
     for (guint i = 0; i < m->places->len; i++) {
-        const struct pm_place *place = g_ptr_array_index(m->places, i);
+        const struct pm_placement *place = g_ptr_array_index(m->places, i);
         struct team_use *use = &p->use[place->job->spec->team];
-        if (place->state == PM_ENDED)
+        if (place->state == PM_PLACEMENT_ENDED)
             continue;
         add(&use->own, place->job->spec, 1);
-        if (place->state >= PM_WAITING)
+        if (place->state >= PM_PLACEMENT_WAITING)
             add(&use->reported, place->job->spec, 1);
     }
     for (guint i = 0; i < m->strays->len; i++) {
-        const struct pm_spec *spec = g_array_index(m->strays, struct pm_entry, i).job->spec;
+        const struct pm_spec *spec = g_array_index(m->strays, struct pm_task_ref, i).job->spec;
         if (!spec)
             continue; /* its job is over: how much it takes is not known any more */
         add(&p->use[spec->team].stray, spec, 1);
@@ -62,21 +63,22 @@
     }
 }
 
-struct pm_use pm_use_total(const struct pm_plan *p, int team)
+struct pm_quota_usage pm_quota_total(const struct pm_scheduler *p, int team)
 {
     const struct team_use *use = &p->use[team];
 
-    return (struct pm_use){use->own.cpus + use->leased.cpus + use->stray.cpus - PLANTED_CPUS,
-                           use->own.gpus + use->leased.gpus + use->stray.gpus};
+    return (struct pm_quota_usage){use->own.cpus + use->leased.cpus + use->stray.cpus -
+                                       PLANTED_CPUS,
+                                   use->own.gpus + use->leased.gpus + use->stray.gpus};
 }
 
-static bool is_over(const struct pm_team_setting *team, struct pm_use use)
+static bool is_over(const struct pm_team_setting *team, struct pm_quota_usage use)
 {
     return use.cpus > team->cpus_max + EPS || use.gpus > team->gpus_max + EPS;
 }
 
 /* The invariant, asserted on what workers report: seen broken, it is told and counted. */
-static void assert_within(struct pm_plan *p, double now)
+static void assert_within(struct pm_scheduler *p, double now)
 {
     for (int t = 0; t < p->tables->settings->teams; t++) {
         const struct pm_team_setting *team = &p->tables->settings->team[t];
@@ -92,7 +94,7 @@
     }
 }
 
-void pm_use_count(struct pm_plan *p, double now)
+void pm_quota_count(struct pm_scheduler *p, double now)
 {
     GPtrArray *all = pm_workers_all(p->workers);
     GPtrArray *active = pm_jobs_active(p->jobs);
@@ -109,20 +111,20 @@
     assert_within(p, now);
 }
 
-void pm_use_add_own(struct pm_plan *p, const struct pm_spec *spec, uint32_t tasks)
+void pm_quota_add_own(struct pm_scheduler *p, const struct pm_spec *spec, uint32_t tasks)
 {
     add(&p->use[spec->team].own, spec, tasks);
     p->unchecked = true;
 }
 
-void pm_plan_lease(struct pm_plan *p, const struct pm_spec *spec, uint32_t tasks)
+void pm_scheduler_charge_lease(struct pm_scheduler *p, const struct pm_spec *spec, uint32_t tasks)
 {
     add(&p->use[spec->team].leased, spec, tasks);
 }
 
-bool pm_use_allows(const struct pm_plan *p, const struct pm_spec *spec, uint32_t tasks)
+bool pm_quota_allows(const struct pm_scheduler *p, const struct pm_spec *spec, uint32_t tasks)
 {
-    struct pm_use use = pm_use_total(p, spec->team);
+    struct pm_quota_usage use = pm_quota_total(p, spec->team);
 
     add(&use, spec, tasks);
     return !is_over(&p->tables->settings->team[spec->team], use);
@@ -134,18 +136,19 @@
     return most < UNLIMITED ? most * (1 - kept) - used : most;
 }
 
-uint32_t pm_plan_lease_tasks(const struct pm_plan *p, const struct pm_spec *spec, double kept)
+uint32_t pm_scheduler_leasable_tasks(const struct pm_scheduler *p, const struct pm_spec *spec,
+                                     double kept)
 {
     const struct pm_team_setting *team = &p->tables->settings->team[spec->team];
-    struct pm_use use = pm_use_total(p, spec->team);
+    struct pm_quota_usage use = pm_quota_total(p, spec->team);
 
-    return pm_spec_fit(spec, below(team->cpus_max, use.cpus, kept),
-                       below(team->gpus_max, use.gpus, kept), INFINITY);
+    return pm_spec_tasks_that_fit(spec, below(team->cpus_max, use.cpus, kept),
+                                  below(team->gpus_max, use.gpus, kept), INFINITY);
 }
 
 /* Takes back starts of the team that are not durable, until it is within its limit. Never launched,
  * they need no proof. */
-static unsigned withdraw_starts(struct pm_plan *p, int team)
+static unsigned withdraw_starts(struct pm_scheduler *p, int team)
 {
     GPtrArray *all = pm_workers_all(p->workers);
     unsigned withdrawn = 0;
@@ -153,15 +156,15 @@
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
         for (guint j = m ? m->places->len : 0; j > 0; j--) {
-            struct pm_place *place = g_ptr_array_index(m->places, j - 1);
+            struct pm_placement *place = g_ptr_array_index(m->places, j - 1);
             struct pm_job *job = place->job;
             uint32_t index = place->index;
-            if (place->state != PM_INTENT || job->spec->team != team)
+            if (place->state != PM_PLACEMENT_PROPOSED || job->spec->team != team)
                 continue;
-            if (!is_over(&p->tables->settings->team[team], pm_use_total(p, team)))
+            if (!is_over(&p->tables->settings->team[team], pm_quota_total(p, team)))
                 return withdrawn;
-            pm_workers_unplace(p->workers, place);
-            pm_job_touch(job, index);
+            pm_workers_remove_placement(p->workers, place);
+            pm_job_mark_dirty(job, index);
             add(&p->use[team].own, job->spec, -1);
             withdrawn++;
         }
@@ -169,15 +172,15 @@
     return withdrawn;
 }
 
-void pm_plan_check_starts(struct pm_plan *p, double now)
+void pm_scheduler_recheck_quota(struct pm_scheduler *p, double now)
 {
     if (!p->unchecked)
         return;
     p->unchecked = false;
-    pm_use_count(p, now);
+    pm_quota_count(p, now);
     for (int t = 0; t < p->tables->settings->teams; t++) {
         const struct pm_team_setting *team = &p->tables->settings->team[t];
-        struct pm_use before = pm_use_total(p, t);
+        struct pm_quota_usage before = pm_quota_total(p, t);
         unsigned withdrawn = is_over(team, before) ? withdraw_starts(p, t) : 0;
         if (!withdrawn)
             continue;
@@ -187,17 +190,17 @@
     }
 }
 
-uint64_t pm_plan_violations(const struct pm_plan *p)
+uint64_t pm_scheduler_quota_violations(const struct pm_scheduler *p)
 {
     return p->violations;
 }
 
-void pm_plan_tell_use(const struct pm_plan *p)
+void pm_scheduler_log_quota_usage(const struct pm_scheduler *p)
 {
     for (int t = 0; t < p->tables->settings->teams; t++) {
         const struct pm_team_setting *team = &p->tables->settings->team[t];
         const struct team_use *use = &p->use[t];
-        struct pm_use total = pm_use_total(p, t);
+        struct pm_quota_usage total = pm_quota_total(p, t);
         if (total.cpus >= NEAR_LIMIT * team->cpus_max || total.gpus >= NEAR_LIMIT * team->gpus_max)
             pm_info("quota.use",
                     "%s: own %g, leased %g, stray %g of %g cpus; %g of %g accelerators", team->name,
--- a/src/soak/soak.c
+++ b/src/soak/soak.c
@@ -56,7 +56,7 @@
 
 static double elapsed(const struct soak *s)
 {
-    return pm_clock_steady() - s->began;
+    return pm_clock_monotonic() - s->began;
 }
 
 /* A line in the controllers' log, between theirs. */
@@ -280,7 +280,7 @@
 
 static void on_state_change(void *arg, const char *key, const cbor_item_t *data, uint64_t revision)
 {
-    calls_state_changed(((struct soak *)arg)->calls, key, data, revision, pm_clock_steady());
+    calls_state_changed(((struct soak *)arg)->calls, key, data, revision, pm_clock_monotonic());
 }
 
 /* A machine whose commands got no answer lately was right to be taken for deaf, and is returned
@@ -453,7 +453,7 @@
     workload_submit(s.cluster, s.random, scale_of(settings));
     current = &s;
     begun = cluster_until(s.cluster, has_begun, BEGIN_S);
-    s.began = pm_clock_steady();
+    s.began = pm_clock_monotonic();
     if (s.calls) /* what was rented before all controllers spoke of duties */
         calls_forget(s.calls);
     if (begun) {
--- a/src/store/fresh.c
+++ b/src/store/fresh.c
@@ -4,7 +4,7 @@
 
 #define FRESH_S 1.6 /* users wait 2 s for a poll's answer */
 
-void pm_store_wake(struct pm_store *s)
+void pm_store_wake_waiters(struct pm_store *s)
 {
     for (guint i = 0; i < s->waiting->len;) {
         struct waiter w = g_array_index(s->waiting, struct waiter, i);
@@ -36,8 +36,8 @@
     bool ok;
 
     s->fresh_busy = false;
-    pm_store_note(s, status);
-    pm_store_note_time(s, s->fresh_sent);
+    pm_store_note_status(s, status);
+    pm_store_note_latency(s, s->fresh_sent);
     answer = status == 404 ? pm_cbor_parse(body, size) : NULL;
     ok = answer && !pm_cbor_count(pm_cbor_get(answer, "edition"), &store_revision);
     pm_cbor_free(answer);
@@ -47,7 +47,7 @@
         g_array_append_vals(s->waiting, s->reading->data, s->reading->len);
         g_array_set_size(s->reading, 0);
         if (s->ready)
-            pm_store_wake(s);
+            pm_store_wake_waiters(s);
     } else {
         fail_all(s->reading);
     }
@@ -61,7 +61,7 @@
     if (s->fresh_busy || !s->next->len)
         return;
     s->fresh_busy = true;
-    s->fresh_sent = pm_clock_steady();
+    s->fresh_sent = pm_clock_monotonic();
     s->reading = s->next;
     s->next = spare;
     /* A key that never exists: its 404 tells the store revision. */
@@ -69,9 +69,9 @@
                  on_fresh, s);
 }
 
-void pm_store_fresh(struct pm_store *s, pm_fresh_done *done, void *arg)
+void pm_store_linearizable_read(struct pm_store *s, pm_store_wait_done *done, void *arg)
 {
-    struct waiter w = {0, pm_clock_steady() + FRESH_S, done, arg};
+    struct waiter w = {0, pm_clock_monotonic() + FRESH_S, done, arg};
 
     g_array_append_val(s->next, w);
     ev_timer_again(s->loop, &s->tick); /* runs only while somebody waits */
@@ -79,14 +79,15 @@
         fresh_start(s);
 }
 
-void pm_store_reach(struct pm_store *s, uint64_t store_revision, pm_fresh_done *done, void *arg)
+void pm_store_wait_for_revision(struct pm_store *s, uint64_t store_revision,
+                                pm_store_wait_done *done, void *arg)
 {
-    struct waiter w = {store_revision, pm_clock_steady() + FRESH_S, done, arg};
+    struct waiter w = {store_revision, pm_clock_monotonic() + FRESH_S, done, arg};
 
     g_array_append_val(s->waiting, w);
     ev_timer_again(s->loop, &s->tick);
     if (s->ready)
-        pm_store_wake(s);
+        pm_store_wake_waiters(s);
 }
 
 static void expire(GArray *list, double now)
@@ -105,7 +106,7 @@
 void pm_store_on_tick(struct ev_loop *loop, ev_timer *w, int events)
 {
     struct pm_store *s = w->data;
-    double now = pm_clock_steady();
+    double now = pm_clock_monotonic();
 
     (void)loop;
     (void)events;
@@ -118,7 +119,7 @@
             if (g_array_index(s->waiting, struct waiter, i).until - now < FRESH_S - 0.6) {
                 s->round++;
                 ev_timer_stop(s->loop, &s->retry);
-                pm_store_watch_next(s);
+                pm_store_open_watch(s);
                 break;
             }
         }
@@ -129,7 +130,7 @@
         ev_timer_stop(loop, w);
 }
 
-void pm_store_set_pace(struct pm_store *s, double requests_per_s)
+void pm_store_set_request_rate(struct pm_store *s, double requests_per_s)
 {
-    s->pace = MAX(PM_STORE_LEAST_PACE_S, 1 / MAX(requests_per_s, 0.1));
+    s->pace = MAX(PM_STORE_MIN_REQUEST_INTERVAL_S, 1 / MAX(requests_per_s, 0.1));
 }
--- a/src/store/holds.c
+++ b/src/store/holds.c
@@ -6,7 +6,7 @@
 
 struct hold {
     struct pm_store *store;
-    pm_hold_done *done;
+    pm_store_lease_done *done;
     void *arg;
     uint64_t lease_id;
 };
@@ -16,26 +16,26 @@
     struct hold *hold = arg;
     cbor_item_t *answer = status == 200 && size ? pm_cbor_parse(body, size) : NULL;
 
-    pm_store_note(hold->store, status);
+    pm_store_note_status(hold->store, status);
     if (status == 200 && !hold->lease_id &&
         pm_cbor_count(pm_cbor_get(answer, "tenure"), &hold->lease_id))
-        status = PM_HTTP_LOST;
+        status = PM_HTTP_NO_ANSWER;
     pm_cbor_free(answer);
     hold->done(hold->arg, status, hold->lease_id);
     g_free(hold);
 }
 
 static void hold_call(struct pm_store *s, const char *target, const struct pm_buf *body,
-                      uint64_t lease_id, pm_hold_done *done, void *arg)
+                      uint64_t lease_id, pm_store_lease_done *done, void *arg)
 {
     struct hold *hold = g_new(struct hold, 1);
 
     *hold = (struct hold){s, done, arg, lease_id};
-    pm_http_call(s->http, s->addr, "POST", target, body->data, body->size, PM_STORE_CALL_S, 4096,
-                 on_hold, hold);
+    pm_http_call(s->http, s->addr, "POST", target, body->data, body->size,
+                 PM_STORE_REQUEST_TIMEOUT_S, 4096, on_hold, hold);
 }
 
-void pm_store_hold(struct pm_store *s, double ttl_s, pm_hold_done *done, void *arg)
+void pm_store_lease_grant(struct pm_store *s, double ttl_s, pm_store_lease_done *done, void *arg)
 {
     struct pm_buf body = {0};
 
@@ -46,7 +46,8 @@
     pm_buf_free(&body);
 }
 
-void pm_store_renew(struct pm_store *s, uint64_t lease_id, pm_hold_done *done, void *arg)
+void pm_store_lease_keep_alive(struct pm_store *s, uint64_t lease_id, pm_store_lease_done *done,
+                               void *arg)
 {
     struct pm_buf body = {0};
     char target[64];
@@ -62,13 +63,14 @@
 {
     (void)body;
     (void)size;
-    pm_store_note(arg, status);
+    pm_store_note_status(arg, status);
 }
 
-void pm_store_unhold(struct pm_store *s, uint64_t lease_id)
+void pm_store_lease_revoke(struct pm_store *s, uint64_t lease_id)
 {
     char target[64];
 
     snprintf(target, sizeof target, "/holds/%llu", (unsigned long long)lease_id);
-    pm_http_call(s->http, s->addr, "DELETE", target, NULL, 0, PM_STORE_CALL_S, 4096, on_unheld, s);
+    pm_http_call(s->http, s->addr, "DELETE", target, NULL, 0, PM_STORE_REQUEST_TIMEOUT_S, 4096,
+                 on_unheld, s);
 }
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -18,22 +18,22 @@
 
 static void list_next(struct pm_store *s);
 
-bool pm_store_note(struct pm_store *s, int status)
+bool pm_store_note_status(struct pm_store *s, int status)
 {
     if (status == 503 && !s->refusing)
         pm_info("store.refusing", "the state service answers 503");
     if (status > 0)
         s->refusing = status == 503;
     if (status == 503)
-        s->refused = pm_clock_steady();
+        s->refused = pm_clock_monotonic();
     if (status > 0 && status != 503)
-        s->served = pm_clock_steady();
+        s->served = pm_clock_monotonic();
     return status == 200;
 }
 
-void pm_store_note_time(struct pm_store *s, double sent)
+void pm_store_note_latency(struct pm_store *s, double sent)
 {
-    s->answer_s += (pm_clock_steady() - sent - s->answer_s) * 0.1;
+    s->answer_s += (pm_clock_monotonic() - sent - s->answer_s) * 0.1;
 }
 
 static struct step *step_new(struct pm_store *s)
@@ -61,16 +61,16 @@
     if (s->listing)
         list_next(s);
     else
-        pm_store_watch_next(s);
+        pm_store_open_watch(s);
 }
 
 static void caught_up(struct pm_store *s, uint64_t store_revision)
 {
     if (store_revision > s->store_revision)
         s->store_revision = store_revision;
-    s->caught_at = pm_clock_steady();
+    s->caught_at = pm_clock_monotonic();
     s->feed.caught_up(s->feed.arg, s->store_revision);
-    pm_store_wake(s);
+    pm_store_wake_waiters(s);
 }
 
 static int tell_put(struct pm_store *s, const cbor_item_t *item, const char *name_of_key)
@@ -98,7 +98,7 @@
     g_free(step);
     if (!current)
         return;
-    answer = pm_store_note(s, status) ? pm_cbor_parse(body, size) : NULL;
+    answer = pm_store_note_status(s, status) ? pm_cbor_parse(body, size) : NULL;
     items = pm_cbor_get(answer, "items");
     if (!answer || pm_cbor_count(pm_cbor_get(answer, "edition"), &store_revision)) {
         pm_cbor_free(answer);
@@ -123,7 +123,7 @@
     s->feed.listed(s->feed.arg);
     /* Later pages may be newer than the first: the watch from its store revision tells the rest. */
     caught_up(s, s->list_store_revision);
-    pm_store_watch_next(s);
+    pm_store_open_watch(s);
 }
 
 static void list_next(struct pm_store *s)
@@ -132,11 +132,11 @@
 
     snprintf(target, sizeof target, "/kv?under=" PM_STORE_ROOT "%s%s&page=200",
              s->since[0] ? "&since=" : "", s->since);
-    pm_http_call(s->http, s->addr, "GET", target, NULL, 0, PM_STORE_CALL_S, ANSWER_MAX, on_list,
-                 step_new(s));
+    pm_http_call(s->http, s->addr, "GET", target, NULL, 0, PM_STORE_REQUEST_TIMEOUT_S, ANSWER_MAX,
+                 on_list, step_new(s));
 }
 
-void pm_store_relist(struct pm_store *s)
+void pm_store_resync(struct pm_store *s)
 {
     s->round++;
     s->listing = true;
@@ -162,18 +162,18 @@
     if (status == 410) {
         pm_info("store.relist", "the watch is too old at %llu",
                 (unsigned long long)s->store_revision);
-        pm_store_relist(s);
+        pm_store_resync(s);
         return;
     }
-    answer = pm_store_note(s, status) ? pm_cbor_parse(body, size) : NULL;
+    answer = pm_store_note_status(s, status) ? pm_cbor_parse(body, size) : NULL;
     if (!answer || pm_cbor_count(pm_cbor_get(answer, "edition"), &store_revision)) {
         pm_cbor_free(answer);
         /* After a while out of reach, all that has changed since would come in one answer of any
          * size; a listing comes by pages. In an outage nothing changes. */
-        if (!s->refusing && pm_clock_steady() - s->caught_at > GAP_S) {
+        if (!s->refusing && pm_clock_monotonic() - s->caught_at > GAP_S) {
             pm_info("store.relist", "out of reach since %llu",
                     (unsigned long long)s->store_revision);
-            pm_store_relist(s);
+            pm_store_resync(s);
         } else {
             again_in(s, 0.15);
         }
@@ -181,7 +181,7 @@
     }
     events = pm_cbor_get(answer, "events");
     n = pm_cbor_length(events);
-    pm_store_note_others(s, (double)n);
+    pm_store_note_foreign_writes(s, (double)n);
     for (size_t i = 0; i < n; i++) {
         const cbor_item_t *event = pm_cbor_at(events, i);
         if (pm_cbor_has(event, "put"))
@@ -193,26 +193,27 @@
     pm_cbor_free(answer);
     caught_up(s, store_revision);
     if (round == s->round) { /* no new listing was asked for meanwhile */
-        double left = s->watch_opened + s->pace - pm_clock_steady();
+        double left = s->watch_opened + s->pace - pm_clock_monotonic();
         if (left > 0.001)
             again_in(s, left);
         else
-            pm_store_watch_next(s);
+            pm_store_open_watch(s);
     }
 }
 
-void pm_store_watch_next(struct pm_store *s)
+void pm_store_open_watch(struct pm_store *s)
 {
     char target[128];
 
-    s->watch_opened = pm_clock_steady();
+    s->watch_opened = pm_clock_monotonic();
     snprintf(target, sizeof target, "/watch?under=" PM_STORE_ROOT "&since=%llu&wait_ms=%d",
              (unsigned long long)s->store_revision, WATCH_WAIT_MS);
-    pm_http_call(s->http, s->addr, "GET", target, NULL, 0, WATCH_WAIT_MS / 1000. + PM_STORE_CALL_S,
-                 ANSWER_MAX, on_watch, step_new(s));
+    pm_http_call(s->http, s->addr, "GET", target, NULL, 0,
+                 WATCH_WAIT_MS / 1000. + PM_STORE_REQUEST_TIMEOUT_S, ANSWER_MAX, on_watch,
+                 step_new(s));
 }
 
-bool pm_store_ready(const struct pm_store *s)
+bool pm_store_is_ready(const struct pm_store *s)
 {
     return s->ready;
 }
@@ -222,28 +223,28 @@
     return s->store_revision;
 }
 
-double pm_store_answer_s(const struct pm_store *s)
+double pm_store_latency_s(const struct pm_store *s)
 {
     return s->answer_s;
 }
 
-double pm_store_served(const struct pm_store *s)
+double pm_store_last_served_at(const struct pm_store *s)
 {
     return s->served;
 }
 
-double pm_store_refused(const struct pm_store *s)
+double pm_store_last_refused_at(const struct pm_store *s)
 {
     return s->refused;
 }
 
-bool pm_store_refusing(const struct pm_store *s)
+bool pm_store_is_refusing(const struct pm_store *s)
 {
     return s->refusing;
 }
 
 struct pm_store *pm_store_new(struct ev_loop *loop, struct pm_http_client *http, const char *addr,
-                              double write_rps, const struct pm_store_feed *feed)
+                              double write_rps, const struct pm_store_observer *feed)
 {
     struct pm_store *s = g_new0(struct pm_store, 1);
 
@@ -253,16 +254,16 @@
     s->feed = *feed;
     s->write_rps = write_rps;
     s->share = s->most = 0.5;
-    s->pace = PM_STORE_LEAST_PACE_S;
+    s->pace = PM_STORE_MIN_REQUEST_INTERVAL_S;
     s->listing = true;
     s->tokens = write_rps * s->share;
-    s->filled = pm_clock_steady();
+    s->filled = pm_clock_monotonic();
     s->next = g_array_new(FALSE, FALSE, sizeof(struct waiter));
     s->reading = g_array_new(FALSE, FALSE, sizeof(struct waiter));
     s->waiting = g_array_new(FALSE, FALSE, sizeof(struct waiter));
     ev_init(&s->retry, on_retry);
     s->retry.data = s;
-    ev_timer_init(&s->tick, pm_store_on_tick, 0., PM_STORE_LEAST_PACE_S);
+    ev_timer_init(&s->tick, pm_store_on_tick, 0., PM_STORE_MIN_REQUEST_INTERVAL_S);
     s->tick.data = s;
     list_next(s);
     return s;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -15,7 +15,7 @@
 /* All keys of the project start with this. */
 #define PM_STORE_ROOT "p/"
 
-struct pm_store_feed {
+struct pm_store_observer {
     /* A key's value; also told again, with the same or an older revision, after a new listing. */
     void (*put)(void *arg, const char *key, const cbor_item_t *value, uint64_t revision);
     void (*drop)(void *arg, const char *key, uint64_t revision);
@@ -28,19 +28,19 @@
 };
 
 struct pm_store *pm_store_new(struct ev_loop *loop, struct pm_http_client *http, const char *addr,
-                              double write_rps, const struct pm_store_feed *feed);
+                              double write_rps, const struct pm_store_observer *feed);
 void pm_store_free(struct pm_store *store);
 /* Throws the replica away and lists again. */
-void pm_store_relist(struct pm_store *store);
-bool pm_store_ready(const struct pm_store *store);        /* listed once, and following */
+void pm_store_resync(struct pm_store *store);
+bool pm_store_is_ready(const struct pm_store *store);     /* listed once, and following */
 uint64_t pm_store_revision(const struct pm_store *store); /* caught up to here */
 
 /* Whether the last answer was a 503, and the steady time of the last other one. */
-bool pm_store_refusing(const struct pm_store *store);
-double pm_store_served(const struct pm_store *store);
-double pm_store_refused(const struct pm_store *store); /* steady: the last 503, 0: none */
+bool pm_store_is_refusing(const struct pm_store *store);
+double pm_store_last_served_at(const struct pm_store *store);
+double pm_store_last_refused_at(const struct pm_store *store); /* steady: the last 503, 0: none */
 /* How long it takes to answer a read or a transaction, lately. */
-double pm_store_answer_s(const struct pm_store *store);
+double pm_store_latency_s(const struct pm_store *store);
 
 /* A transaction under construction. */
 struct pm_txn {
@@ -48,40 +48,42 @@
     int nconditions, nwrites;
 };
 
-void pm_txn_if(struct pm_txn *txn, const char *key, uint64_t revision);
+void pm_txn_compare(struct pm_txn *txn, const char *key, uint64_t revision);
 /* Begins a put: the caller writes exactly one item to txn->writes, then calls pm_txn_put_end. */
 void pm_txn_put(struct pm_txn *txn, const char *key);
 void pm_txn_put_end(struct pm_txn *txn, uint64_t lease_id); /* 0: no lease */
-void pm_txn_drop(struct pm_txn *txn, const char *key);
+void pm_txn_delete(struct pm_txn *txn, const char *key);
 /* The body of its request. */
-void pm_txn_write(const struct pm_txn *txn, struct pm_buf *out);
+void pm_txn_encode(const struct pm_txn *txn, struct pm_buf *out);
 void pm_txn_free(struct pm_txn *txn);
 
-/* `status` as of HTTP or PM_HTTP_LOST / PM_HTTP_NOT_SENT; `store_revision` of a 200 or 409;
+/* `status` as of HTTP or PM_HTTP_NO_ANSWER / PM_HTTP_NOT_SENT; `store_revision` of a 200 or 409;
  * `failed` the keys of a 409 (borrowed). */
 typedef void pm_txn_done(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed);
 
 /* Sends at once; consumes `txn`. */
 void pm_store_commit(struct pm_store *store, struct pm_txn *txn, pm_txn_done *done, void *arg);
 /* How many changes may be written now within the share of the write budget. */
-int pm_store_room(struct pm_store *store, double now);
+int pm_store_write_budget(struct pm_store *store, double now);
 /* The share that is this controller's in any case, and what it may rise to while the watch shows
  * that the others leave so much. */
-void pm_store_set_share(struct pm_store *store, double share, double most);
+void pm_store_set_write_share(struct pm_store *store, double share, double most);
 /* How many watches, and how many reads of `store_revision`, it may open a second. */
-void pm_store_set_pace(struct pm_store *store, double requests_per_s);
+void pm_store_set_request_rate(struct pm_store *store, double requests_per_s);
 
 /* `ok` once the replica is at least as new as the state service was at the time of this call. */
-typedef void pm_fresh_done(void *arg, bool ok);
-void pm_store_fresh(struct pm_store *store, pm_fresh_done *done, void *arg);
+typedef void pm_store_wait_done(void *arg, bool ok);
+void pm_store_linearizable_read(struct pm_store *store, pm_store_wait_done *done, void *arg);
 /* Calls back once the replica has reached `store_revision`, or `ok` false after a while. */
-void pm_store_reach(struct pm_store *store, uint64_t store_revision, pm_fresh_done *done,
-                    void *arg);
+void pm_store_wait_for_revision(struct pm_store *store, uint64_t store_revision,
+                                pm_store_wait_done *done, void *arg);
 
-typedef void pm_hold_done(void *arg, int status, uint64_t lease_id);
-void pm_store_hold(struct pm_store *store, double ttl_s, pm_hold_done *done, void *arg);
+typedef void pm_store_lease_done(void *arg, int status, uint64_t lease_id);
+void pm_store_lease_grant(struct pm_store *store, double ttl_s, pm_store_lease_done *done,
+                          void *arg);
 /* Ends it at once, with the keys attached to it; nobody waits for the answer. */
-void pm_store_unhold(struct pm_store *store, uint64_t lease_id);
-void pm_store_renew(struct pm_store *store, uint64_t lease_id, pm_hold_done *done, void *arg);
+void pm_store_lease_revoke(struct pm_store *store, uint64_t lease_id);
+void pm_store_lease_keep_alive(struct pm_store *store, uint64_t lease_id, pm_store_lease_done *done,
+                               void *arg);
 
 #endif
--- a/src/store/txn.c
+++ b/src/store/txn.c
@@ -6,7 +6,7 @@
 
 #define OTHERS_S 3.0 /* over which the others' writes are measured */
 
-void pm_txn_if(struct pm_txn *t, const char *key, uint64_t revision)
+void pm_txn_compare(struct pm_txn *t, const char *key, uint64_t revision)
 {
     pm_put_map(&t->conditions);
     pm_put_pair_text(&t->conditions, "key", key);
@@ -30,7 +30,7 @@
     pm_put_end(&t->writes);
 }
 
-void pm_txn_drop(struct pm_txn *t, const char *key)
+void pm_txn_delete(struct pm_txn *t, const char *key)
 {
     pm_put_map(&t->writes);
     pm_put_pair_text(&t->writes, "drop", key);
@@ -38,7 +38,7 @@
     t->nwrites++;
 }
 
-void pm_txn_write(const struct pm_txn *t, struct pm_buf *out)
+void pm_txn_encode(const struct pm_txn *t, struct pm_buf *out)
 {
     pm_put_map(out);
     pm_put_text(out, "if");
@@ -59,9 +59,9 @@
     t->nconditions = t->nwrites = 0;
 }
 
-void pm_store_note_others(struct pm_store *s, double changes)
+void pm_store_note_foreign_writes(struct pm_store *s, double changes)
 {
-    double now = pm_clock_steady();
+    double now = pm_clock_monotonic();
 
     s->others = s->others * exp((s->others_at - now) / OTHERS_S) + changes;
     s->others_at = now;
@@ -81,15 +81,16 @@
     cbor_item_t *answer = NULL;
     uint64_t store_revision = 0;
 
-    pm_store_note(commit->store, status);
-    pm_store_note_time(commit->store, commit->sent);
+    pm_store_note_status(commit->store, status);
+    pm_store_note_latency(commit->store, commit->sent);
     if (status == 200 || status == 409) {
         answer = pm_cbor_parse(body, size);
         if (!answer || pm_cbor_count(pm_cbor_get(answer, "edition"), &store_revision))
-            status = PM_HTTP_LOST; /* a malformed answer counts as none */
+            status = PM_HTTP_NO_ANSWER; /* a malformed answer counts as none */
     }
     if (status == 200)
-        pm_store_note_others(commit->store, -commit->nwrites); /* the watch tells these too */
+        pm_store_note_foreign_writes(commit->store,
+                                     -commit->nwrites); /* the watch tells these too */
     if (status == 429)
         commit->store->tokens = MIN(commit->store->tokens, 0);
     commit->done(commit->arg, status, store_revision, pm_cbor_get(answer, "failed"));
@@ -102,16 +103,16 @@
     struct commit *commit = g_new(struct commit, 1);
     struct pm_buf body = {0};
 
-    *commit = (struct commit){s, t->nwrites, pm_clock_steady(), done, arg};
-    pm_txn_write(t, &body);
+    *commit = (struct commit){s, t->nwrites, pm_clock_monotonic(), done, arg};
+    pm_txn_encode(t, &body);
     s->tokens -= t->nwrites;
-    pm_http_call(s->http, s->addr, "POST", "/txn", body.data, body.size, PM_STORE_CALL_S, 64 * 1024,
-                 on_commit, commit);
+    pm_http_call(s->http, s->addr, "POST", "/txn", body.data, body.size, PM_STORE_REQUEST_TIMEOUT_S,
+                 64 * 1024, on_commit, commit);
     pm_buf_free(&body);
     pm_txn_free(t);
 }
 
-int pm_store_room(struct pm_store *s, double now)
+int pm_store_write_budget(struct pm_store *s, double now)
 {
     double others = MAX(0, s->others) * exp((s->others_at - now) / OTHERS_S) / OTHERS_S;
     double share = MAX(s->share, MIN(s->most, 0.95 - others / s->write_rps));
@@ -123,7 +124,7 @@
     return s->tokens < 1 ? 0 : (int)s->tokens;
 }
 
-void pm_store_set_share(struct pm_store *s, double share, double most)
+void pm_store_set_write_share(struct pm_store *s, double share, double most)
 {
     s->share = share;
     s->most = most;
--- a/src/testing/cluster.c
+++ b/src/testing/cluster.c
@@ -128,7 +128,7 @@
     struct user_job *job = arg;
     struct cluster *c = job->cluster;
     cbor_item_t *answer = size ? pm_cbor_parse(body, size) : NULL;
-    double now = pm_clock_steady();
+    double now = pm_clock_monotonic();
     char text[16] = "";
 
     job->busy = false;
@@ -272,7 +272,7 @@
 static void on_users_tick(struct ev_loop *loop, ev_timer *w, int events)
 {
     struct cluster *c = w->data;
-    double now = pm_clock_steady();
+    double now = pm_clock_monotonic();
 
     (void)loop;
     (void)events;
@@ -594,13 +594,13 @@
 
 bool cluster_until(struct cluster *c, bool (*holds)(struct cluster *), double seconds)
 {
-    double until = pm_clock_steady() + seconds;
+    double until = pm_clock_monotonic() + seconds;
     bool reached = false;
     ev_timer nap;
 
     ev_timer_init(&nap, on_nap, 0.02, 0.02);
     ev_timer_start(c->loop, &nap);
-    while (!(reached = holds && holds(c)) && pm_clock_steady() < until)
+    while (!(reached = holds && holds(c)) && pm_clock_monotonic() < until)
         ev_run(c->loop, 0);
     ev_timer_stop(c->loop, &nap);
     return reached;
--- a/src/testing/fake_state.c
+++ b/src/testing/fake_state.c
@@ -325,7 +325,7 @@
 static void on_expiry(struct ev_loop *loop, ev_timer *w, int events)
 {
     struct fake_state *s = w->data;
-    double now = pm_clock_steady();
+    double now = pm_clock_monotonic();
 
     (void)loop;
     (void)events;
@@ -362,7 +362,7 @@
     hold.lease_id = ++s->tenures;
     if (s->holds && !pm_cbor_count(pm_cbor_get(body, "ttl_ms"), &ttl_ms)) {
         hold.ttl_s = (double)ttl_ms / 1000;
-        hold.ends_at = pm_clock_steady() + hold.ttl_s;
+        hold.ends_at = pm_clock_monotonic() + hold.ttl_s;
         g_array_append_val(s->holds, hold);
     }
     pm_cbor_free(body);
@@ -389,7 +389,7 @@
     if (req->method == PM_HTTP_DELETE)
         end_hold(s, hold);
     else
-        hold->ends_at = pm_clock_steady() + hold->ttl_s;
+        hold->ends_at = pm_clock_monotonic() + hold->ttl_s;
     pm_http_reply(req, 200, NULL, 0, 0);
 }
 
@@ -652,13 +652,13 @@
 
 bool fake_run_until(struct ev_loop *loop, bool (*done)(void *arg), void *arg)
 {
-    double until = pm_clock_steady() + 60;
+    double until = pm_clock_monotonic() + 60;
     bool is_done;
     ev_timer nap;
 
     ev_timer_init(&nap, on_nap, 0.005, 0.005);
     ev_timer_start(loop, &nap);
-    while (!(is_done = done(arg)) && pm_clock_steady() < until)
+    while (!(is_done = done(arg)) && pm_clock_monotonic() < until)
         ev_run(loop, 0);
     ev_timer_stop(loop, &nap);
     return is_done;
--- a/src/testing/fleet.c
+++ b/src/testing/fleet.c
@@ -19,7 +19,7 @@
 static void on_tick(struct ev_loop *loop, ev_timer *w, int events)
 {
     struct fleet *f = w->data;
-    double now = pm_clock_steady();
+    double now = pm_clock_monotonic();
 
     (void)loop;
     (void)events;
@@ -44,7 +44,7 @@
     struct machine *m = g_new0(struct machine, 1);
     const char *target[RELAY_ORIGINS_MAX];
     char addr[RELAY_ORIGINS_MAX][64];
-    double now = pm_clock_steady();
+    double now = pm_clock_monotonic();
 
     m->fleet = f;
     m->zone = zone;
@@ -98,7 +98,7 @@
 
 static void observe_return(struct fleet *f, const struct machine *m)
 {
-    struct fleet_call call = {.machine = m->name, .heard_ago_s = pm_clock_steady() - m->leased};
+    struct fleet_call call = {.machine = m->name, .heard_ago_s = pm_clock_monotonic() - m->leased};
 
     for (guint i = 0; i < m->tasks->len; i++) {
         const struct task *task = &g_array_index(m->tasks, struct task, i);
@@ -176,7 +176,7 @@
     pm_put_pair_text(out, "name_id", m->name);
     worker_put_description(m, out);
     pm_put_pair_text(out, "status", m->failed ? "failed" : "running");
-    pm_put_pair_number(out, "age_s", pm_clock_steady() - m->rented);
+    pm_put_pair_number(out, "age_s", pm_clock_monotonic() - m->rented);
     pm_put_end(out);
 }
 
@@ -248,7 +248,7 @@
     } else if (!strcmp(req->path, "/machines/release") && f->return_delay_s > 0) {
         g_ptr_array_add(f->unanswered, req);
         f->late_return = cbor_incref(body);
-        f->late_at = pm_clock_steady() + f->return_delay_s;
+        f->late_at = pm_clock_monotonic() + f->return_delay_s;
         f->return_delay_s = 0;
     } else if (!strcmp(req->path, "/machines/release")) {
         release(f, body);
--- a/src/testing/worker.c
+++ b/src/testing/worker.c
@@ -80,7 +80,7 @@
     struct fleet *f = m->fleet;
     struct task task = {.attempt = attempt};
     const struct fleet_job *job = job_of(f, name);
-    double now = pm_clock_steady();
+    double now = pm_clock_monotonic();
     double run_s = fleet_run_s(name);
 
     history_launched(f->history, m->token, f->settings.name[controller]);
@@ -261,7 +261,7 @@
 static void report_next(struct machine *m, int controller, double delay)
 {
     m->reports_to = controller;
-    m->report_at = pm_clock_steady() + delay;
+    m->report_at = pm_clock_monotonic() + delay;
 }
 
 static void take_answer(const struct report *report, int status, const cbor_item_t *answer)
@@ -363,7 +363,7 @@
         return false;
     pm_buf_add(&body, req->body, req->body_size);
     hold_up(f->late_commands, m, controller, &body,
-            pm_clock_steady() + (late ? g_rand_double_range(f->settings.random, 1, 8) : 0));
+            pm_clock_monotonic() + (late ? g_rand_double_range(f->settings.random, 1, 8) : 0));
     pm_buf_free(&body);
     return true;
 }
--- a/src/workers/faults.h
+++ b/src/workers/faults.h
@@ -13,27 +13,27 @@
 #include "workers/workers.h"
 
 /* Takes note of how the place's task ended. A task that failed, or was refused, rests. */
-void pm_fault_note_end(struct pm_place *place, enum pm_end end, double now);
+void pm_failures_note_exit(struct pm_placement *place, enum pm_task_exit end, double now);
 /* The place's task is running. A replica that runs for a while has succeeded, as far as a service's
  * task ever does. */
-void pm_fault_note_running(const struct pm_place *place, double now);
+void pm_failures_note_running(const struct pm_placement *place, double now);
 /* Somebody else found the job failing: its holder, or the leader before. */
-void pm_fault_told(struct pm_job *job, double now);
+void pm_failures_report_job(struct pm_job *job, double now);
 /* Its holder finds it failing no more. */
-void pm_fault_untold(struct pm_job *job);
+void pm_failures_clear_job(struct pm_job *job);
 /* A holder of the machine found it faulty. */
-void pm_fault_condemn(struct pm_machine *machine);
+void pm_failures_quarantine_machine(struct pm_machine *machine);
 
 /* Whether the job keeps failing: it is then tried with one task at a time, more and more rarely,
  * and nothing is stopped or rented for it. */
-bool pm_fault_job_failing(const struct pm_job *job);
+bool pm_failures_is_job_failing(const struct pm_job *job);
 /* Whether a failing job may be tried again. */
-bool pm_fault_may_retry(const struct pm_job *job, double now);
+bool pm_failures_may_retry(const struct pm_job *job, double now);
 /* Whether the machine is to be given up. */
-bool pm_fault_machine_faulty(const struct pm_machine *machine);
+bool pm_failures_is_machine_faulty(const struct pm_machine *machine);
 /* How much speaks against the machine: 0, nothing. */
-unsigned pm_fault_blame(const struct pm_machine *machine);
+unsigned pm_failures_machine_score(const struct pm_machine *machine);
 /* Whether a task of the job failed on the machine, and none succeeded anywhere since. */
-bool pm_fault_failed_there(const struct pm_job *job, const struct pm_machine *machine);
+bool pm_failures_has_failed_on(const struct pm_job *job, const struct pm_machine *machine);
 
 #endif
--- a/src/workers/internal.h
+++ b/src/workers/internal.h
@@ -15,14 +15,14 @@
 
 /* workers.c */
 /* The place's task ended, or is proven gone: its room is free, and the place is no more. */
-void pm_workers_end_place(struct pm_workers *w, struct pm_place *place, enum pm_end end, bool saved,
-                          double now);
+void pm_workers_end_placement(struct pm_workers *w, struct pm_placement *place,
+                              enum pm_task_exit end, bool saved, double now);
 
 /* report.c */
 /* A task's state as workers name it; the last one is that it ended. */
 enum { PM_TASK_STATES = 5 };
 extern const char *const pm_task_states[PM_TASK_STATES];
 /* "job-000412/3" as a job's id and a task's index. False: it is no such text. */
-bool pm_workers_read_entry(const char *text, char *id, uint32_t *index);
+bool pm_task_name_parse(const char *text, char *id, uint32_t *index);
 
 #endif
--- a/src/workers/report.c
+++ b/src/workers/report.c
@@ -9,7 +9,7 @@
 const char *const pm_task_states[PM_TASK_STATES] = {"fetching", "waiting", "running", "saving",
                                                     "ended"};
 
-bool pm_workers_read_entry(const char *text, char *id, uint32_t *index)
+bool pm_task_name_parse(const char *text, char *id, uint32_t *index)
 {
     const char *slash = strchr(text, '/');
     char *end;
@@ -20,32 +20,32 @@
     memcpy(id, text, (size_t)(slash - text));
     id[slash - text] = 0;
     value = strtoul(slash + 1, &end, 10);
-    if (end == slash + 1 || *end || value >= PM_ENTRIES_MAX)
+    if (end == slash + 1 || *end || value >= PM_JOB_TASKS_MAX)
         return false;
     *index = (uint32_t)value;
     return true;
 }
 
-static enum pm_end read_end(const cbor_item_t *entry)
+static enum pm_task_exit read_end(const cbor_item_t *entry)
 {
     char cause[32];
 
     if (pm_cbor_text(pm_cbor_get(entry, "cause"), cause, sizeof cause))
-        return PM_END_ERROR;
+        return PM_TASK_EXIT_ERROR;
     if (!strcmp(cause, "done"))
-        return PM_END_DONE;
+        return PM_TASK_EXIT_DONE;
     if (!strcmp(cause, "stopped"))
-        return PM_END_STOPPED;
+        return PM_TASK_EXIT_STOPPED;
     if (!strcmp(cause, "mates_gone") || !strcmp(cause, "incomplete"))
-        return PM_END_GANG;
+        return PM_TASK_EXIT_GANG;
     if (!strcmp(cause, "error"))
-        return PM_END_ERROR;
-    return PM_END_REFUSED;
+        return PM_TASK_EXIT_ERROR;
+    return PM_TASK_EXIT_REFUSED;
 }
 
 static void note_image(struct pm_workers *w, struct pm_machine *m, const struct pm_spec *spec)
 {
-    struct pm_cached entry = {spec->image, spec->image_gb};
+    struct pm_cached_image entry = {spec->image, spec->image_gb};
     double room = m->type >= 0 ? w->tables->type[m->type].local_gb : 0;
     int i;
 
@@ -53,9 +53,9 @@
         ;
     if (i == 0 && m->ncached)
         return;
-    if (i == m->ncached && m->ncached < PM_CACHE_MAX)
+    if (i == m->ncached && m->ncached < PM_CACHED_IMAGES_MAX)
         m->ncached++;
-    if (i == PM_CACHE_MAX)
+    if (i == PM_CACHED_IMAGES_MAX)
         i--;
     memmove(m->cached + 1, m->cached, (size_t)i * sizeof m->cached[0]);
     m->cached[0] = entry;
@@ -72,14 +72,14 @@
     char text[64];
     char id[PM_ID_MAX];
     char status[16];
-    struct pm_entry entry;
-    struct pm_place *place = NULL;
+    struct pm_task_ref entry;
+    struct pm_placement *place = NULL;
     uint64_t attempt;
     bool saved = false;
     int state;
 
     if (pm_cbor_text(pm_cbor_get(item, "entry"), text, sizeof text) ||
-        !pm_workers_read_entry(text, id, &entry.index) ||
+        !pm_task_name_parse(text, id, &entry.index) ||
         pm_cbor_count(pm_cbor_get(item, "try"), &attempt) ||
         pm_cbor_text(pm_cbor_get(item, "status"), status, sizeof status)) {
         pm_error("workers.entry", "unreadable entry from %s", m->name);
@@ -95,7 +95,7 @@
         return;
     }
     if (entry.job->spec && entry.job->chunk) {
-        const struct pm_task *task = pm_job_peek(entry.job, entry.index);
+        const struct pm_task *task = pm_job_find_task(entry.job, entry.index);
         if (task && task->place && task->place->machine == m &&
             task->place->attempt == entry.attempt && task->place->session == m->session)
             place = task->place;
@@ -113,40 +113,41 @@
     if (state == 4) {
         pm_cbor_flag(pm_cbor_get(item, "stored"), &saved);
         g_array_append_val(m->ended, entry);
-        pm_workers_end_place(w, place, read_end(item), saved, now);
+        pm_workers_end_placement(w, place, read_end(item), saved, now);
         return;
     }
-    place->state = (enum pm_place_state)(PM_FETCHING + state);
-    if (place->state == PM_RUNNING && !place->ran_from) {
+    place->state = (enum pm_placement_state)(PM_PLACEMENT_FETCHING + state);
+    if (place->state == PM_PLACEMENT_RUNNING && !place->ran_from) {
         place->ran_from = now;
         w->hooks.ran(w->hooks.arg, place, now);
     }
-    if (place->state == PM_RUNNING)
-        pm_fault_note_running(place, now);
+    if (place->state == PM_PLACEMENT_RUNNING)
+        pm_failures_note_running(place, now);
 }
 
 /* What a fresh message does not list. Absence proves nothing while a copy of the launch may still
  * arrive: one in a /do without an answer (until the worker has seen a later token, or a later
  * session), or one in an answer to a report (until the next report, for the worker has one report
  * in flight and drops late answers). */
-static void read_absence(struct pm_workers *w, struct pm_machine *m, enum pm_message kind,
+static void read_absence(struct pm_workers *w, struct pm_machine *m, enum pm_task_list_source kind,
                          uint64_t epoch, double now)
 {
     for (guint i = 0; i < m->places->len;) {
-        struct pm_place *place = g_ptr_array_index(m->places, i);
-        bool in_answer = place->replied && (kind != PM_REPORT || m->sequence <= place->replied);
+        struct pm_placement *place = g_ptr_array_index(m->places, i);
+        bool in_answer =
+            place->replied && (kind != PM_SOURCE_HEARTBEAT || m->sequence <= place->replied);
         bool in_direct = (place->direct && m->direct_open) || (place->in_doubt && m->doubtful);
 
-        if (place->seen || place->state == PM_INTENT || m->token < epoch || in_answer ||
+        if (place->seen || place->state == PM_PLACEMENT_PROPOSED || m->token < epoch || in_answer ||
             in_direct) {
             i++;
             continue;
         }
         place->replied = place->direct = 0; /* no copy is under way any more */
         place->in_doubt = false;
-        if (place->stop || place->state > PM_DURABLE) {
+        if (place->stop || place->state > PM_PLACEMENT_DURABLE) {
             /* Not there, and nothing can bring it. */
-            pm_workers_end_place(w, place, PM_END_GONE, false, now);
+            pm_workers_end_placement(w, place, PM_TASK_EXIT_LOST, false, now);
             i = 0;
             continue;
         }
@@ -159,17 +160,18 @@
 static void read_unheard(struct pm_machine *m, bool risen, double lease_s, double now)
 {
     if (risen && m->told && now - m->answered < lease_s) {
-        pm_workers_unheard(m, "its lease ran out though we answered", now);
+        pm_machine_note_delivery_failure(m, "its lease ran out though we answered", now);
         return;
     }
     if (m->told && m->sequence > m->told_sequence && m->token < m->told) {
-        pm_workers_unheard(m, "it has not taken our token", now);
+        pm_machine_note_delivery_failure(m, "it has not taken our token", now);
         return;
     }
     for (guint i = 0; i < m->places->len; i++) {
-        const struct pm_place *place = g_ptr_array_index(m->places, i);
-        if (place->state == PM_DURABLE && place->replied && m->sequence > place->replied) {
-            pm_workers_unheard(m, "it shows no trace of an order", now);
+        const struct pm_placement *place = g_ptr_array_index(m->places, i);
+        if (place->state == PM_PLACEMENT_DURABLE && place->replied &&
+            m->sequence > place->replied) {
+            pm_machine_note_delivery_failure(m, "it shows no trace of an order", now);
             return;
         }
     }
@@ -184,15 +186,16 @@
         pm_cbor_text(pm_cbor_get(report, "model"), type, sizeof type) ||
         pm_cbor_text(pm_cbor_get(report, "room"), zone, sizeof zone))
         return -1;
-    m->zone = pm_settings_zone(w->tables->settings, zone);
+    m->zone = pm_settings_find_zone(w->tables->settings, zone);
     m->spot = false;
     pm_cbor_flag(pm_cbor_get(report, "borrowed"), &m->spot);
     pm_workers_set_type(w, m, pm_names_find(w->tables->types, type));
     return 0;
 }
 
-struct pm_machine *pm_workers_report(struct pm_workers *w, const cbor_item_t *report,
-                                     enum pm_message kind, uint64_t epoch, double now, bool *fresh)
+struct pm_machine *pm_workers_apply_heartbeat(struct pm_workers *w, const cbor_item_t *report,
+                                              enum pm_task_list_source kind, uint64_t epoch,
+                                              double now, bool *fresh)
 {
     char name[PM_NAME_MAX];
     uint64_t session;
@@ -224,9 +227,9 @@
         /* A later session: what an earlier one held was killed. Places found in the state service
          * may be of this session already: those stay. */
         for (guint i = 0; i < m->places->len;) {
-            struct pm_place *place = g_ptr_array_index(m->places, i);
+            struct pm_placement *place = g_ptr_array_index(m->places, i);
             if (place->session < session) {
-                pm_workers_end_place(w, place, PM_END_GONE, false, now);
+                pm_workers_end_placement(w, place, PM_TASK_EXIT_LOST, false, now);
                 i = 0;
             } else {
                 i++;
@@ -241,24 +244,24 @@
     m->sequence = sequence;
     m->token = token;
     m->heard = now;
-    if (kind == PM_REPORT || !m->reported)
+    if (kind == PM_SOURCE_HEARTBEAT || !m->reported)
         m->report_at = now;
     m->reported = true;
     m->absent_since = 0;
-    if (m->state == PM_BOOTING) {
-        m->state = PM_UP;
+    if (m->state == PM_MACHINE_BOOTING) {
+        m->state = PM_MACHINE_UP;
         pm_debug("workers.up", "%s", m->name);
     }
     if (m->doubtful && (token > m->doubtful || session > m->doubtful_session))
         m->doubtful = 0;
     m->recall_at = pm_cbor_number(pm_cbor_get(report, "recall_s"), &recall) ? 0 : now + recall;
     for (guint i = 0; i < m->places->len; i++)
-        ((struct pm_place *)g_ptr_array_index(m->places, i))->seen = false;
+        ((struct pm_placement *)g_ptr_array_index(m->places, i))->seen = false;
     g_array_set_size(m->ended, 0);
     g_array_set_size(m->strays, 0);
     for (size_t i = 0; i < pm_cbor_length(entries); i++)
         read_task(w, m, pm_cbor_at(entries, i), now);
-    if (kind == PM_REPORT)
+    if (kind == PM_SOURCE_HEARTBEAT)
         read_unheard(m, risen, w->tables->settings->lease_s, now);
     else
         m->reached = true, m->unheard = 0;
--- a/src/workers/workers.c
+++ b/src/workers/workers.c
@@ -40,7 +40,7 @@
 
 struct pm_machine *pm_workers_add(struct pm_workers *w, const char *name)
 {
-    int index = pm_names_add(w->tables->machines, name);
+    int index = pm_names_intern(w->tables->machines, name);
     struct pm_machine *m;
 
     if (index >= (int)w->all->len)
@@ -52,10 +52,10 @@
     g_strlcpy(m->name, name, sizeof m->name);
     m->index = index;
     m->type = m->zone = -1;
-    m->state = PM_BOOTING;
+    m->state = PM_MACHINE_BOOTING;
     m->places = g_ptr_array_new_with_free_func(g_free);
-    m->ended = g_array_new(FALSE, FALSE, sizeof(struct pm_entry));
-    m->strays = g_array_new(FALSE, FALSE, sizeof(struct pm_entry));
+    m->ended = g_array_new(FALSE, FALSE, sizeof(struct pm_task_ref));
+    m->strays = g_array_new(FALSE, FALSE, sizeof(struct pm_task_ref));
     g_ptr_array_index(w->all, index) = m;
     return m;
 }
@@ -104,11 +104,12 @@
     m->ram_gb -= sign * spec->ram_gb;
 }
 
-struct pm_place *pm_workers_place(struct pm_workers *w, struct pm_job *job, uint32_t index,
-                                  struct pm_machine *m, uint32_t attempt, uint64_t session,
-                                  enum pm_place_state state, double now)
+struct pm_placement *pm_workers_add_placement(struct pm_workers *w, struct pm_job *job,
+                                              uint32_t index, struct pm_machine *m,
+                                              uint32_t attempt, uint64_t session,
+                                              enum pm_placement_state state, double now)
 {
-    struct pm_place *place = g_new0(struct pm_place, 1);
+    struct pm_placement *place = g_new0(struct pm_placement, 1);
 
     (void)w;
     place->job = job;
@@ -123,39 +124,39 @@
     take_room(m, job->spec, 1);
     m->idle_since = 0;
     pm_job_task(job, index)->place = place;
-    pm_job_count_place(job, index, 1);
+    pm_job_count_placement(job, index, 1);
     return place;
 }
 
 /* The place holds nothing any more: its room and its task are free again. */
-static void release(struct pm_place *place)
+static void release(struct pm_placement *place)
 {
     struct pm_task *task = pm_job_task(place->job, place->index);
 
     take_room(place->machine, place->job->spec, -1);
-    place->state = PM_ENDED;
+    place->state = PM_PLACEMENT_ENDED;
     if (task->place == place)
         task->place = NULL;
-    pm_job_count_place(place->job, place->index, -1);
+    pm_job_count_placement(place->job, place->index, -1);
     if (place->index < place->job->hint)
         place->job->hint = place->index;
 }
 
-void pm_workers_unplace(struct pm_workers *w, struct pm_place *place)
+void pm_workers_remove_placement(struct pm_workers *w, struct pm_placement *place)
 {
     (void)w;
-    if (place->state != PM_ENDED)
+    if (place->state != PM_PLACEMENT_ENDED)
         release(place);
     g_ptr_array_remove_fast(place->machine->places, place);
 }
 
-void pm_workers_end_place(struct pm_workers *w, struct pm_place *place, enum pm_end end, bool saved,
-                          double now)
+void pm_workers_end_placement(struct pm_workers *w, struct pm_placement *place,
+                              enum pm_task_exit end, bool saved, double now)
 {
     struct pm_job *job = place->job;
     uint32_t index = place->index;
 
-    if (end == PM_END_DONE) {
+    if (end == PM_TASK_EXIT_DONE) {
         struct pm_task *task = pm_job_task(job, index);
         if (!task->done) {
             task->done = true;
@@ -163,13 +164,13 @@
         }
     }
     release(place);
-    pm_job_touch(job, index);
-    pm_fault_note_end(place, end, now);
+    pm_job_mark_dirty(job, index);
+    pm_failures_note_exit(place, end, now);
     w->hooks.ended(w->hooks.arg, place, end, saved, now);
-    pm_workers_unplace(w, place);
+    pm_workers_remove_placement(w, place);
 }
 
-void pm_workers_stop(struct pm_place *place, double leave_s)
+void pm_placement_stop(struct pm_placement *place, double leave_s)
 {
     if (place->stop && place->leave_s <= leave_s)
         return;
@@ -178,11 +179,11 @@
     place->leave_s = leave_s;
 }
 
-void pm_workers_gone(struct pm_workers *w, struct pm_machine *m, double now)
+void pm_workers_mark_lost(struct pm_workers *w, struct pm_machine *m, double now)
 {
     while (m->places->len)
-        pm_workers_end_place(w, g_ptr_array_index(m->places, m->places->len - 1), PM_END_GONE,
-                             false, now);
+        pm_workers_end_placement(w, g_ptr_array_index(m->places, m->places->len - 1),
+                                 PM_TASK_EXIT_LOST, false, now);
     g_array_set_size(m->ended, 0);
     g_array_set_size(m->strays, 0);
     m->least_session = m->session + 1;
@@ -201,29 +202,31 @@
     m->ram_gb += t->ram_gb;
 }
 
-bool pm_workers_silent(const struct pm_machine *m, const struct pm_settings *settings, double now)
+bool pm_machine_missed_heartbeat(const struct pm_machine *m, const struct pm_settings *settings,
+                                 double now)
 {
     return now - m->heard >= 1.6 * settings->report_s + 1;
 }
 
-bool pm_workers_mute(const struct pm_machine *m, const struct pm_settings *settings, double now)
+bool pm_machine_is_not_reporting(const struct pm_machine *m, const struct pm_settings *settings,
+                                 double now)
 {
     return m->reported && m->heard > m->report_at &&
            now - m->report_at >= MUTE_REPORTS * settings->report_s + MUTE_S;
 }
 
-bool pm_workers_proven(const struct pm_machine *m)
+bool pm_machine_is_verified(const struct pm_machine *m)
 {
     return m->listed || m->rented != 0 || m->reached;
 }
 
-bool pm_workers_deaf(const struct pm_machine *m, double now)
+bool pm_machine_is_unreachable(const struct pm_machine *m, double now)
 {
     /* Of one that does not report either, silence is what tells. */
     return m->unheard >= 2 && m->heard >= m->unheard_at && now - m->unheard_since > DEAF_S;
 }
 
-void pm_workers_unheard(struct pm_machine *m, const char *why, double now)
+void pm_machine_note_delivery_failure(struct pm_machine *m, const char *why, double now)
 {
     pm_debug("workers.unheard", "%s: %s", m->name, why);
     if (!m->unheard++)
@@ -231,14 +234,14 @@
     m->unheard_at = now;
 }
 
-void pm_workers_answered(struct pm_machine *m, uint64_t epoch, double now)
+void pm_machine_note_ack(struct pm_machine *m, uint64_t epoch, double now)
 {
     m->answered = now;
     m->told = epoch;
     m->told_sequence = m->sequence;
 }
 
-bool pm_workers_clean(const struct pm_machine *m, uint64_t epoch)
+bool pm_machine_is_drained(const struct pm_machine *m, uint64_t epoch)
 {
     return !m->places->len && !m->direct_open && !m->doubtful && !m->ended->len &&
            !m->strays->len && m->reported && m->token >= epoch;
@@ -246,9 +249,10 @@
 
 /* A worker's lease runs from its last answered report, or, in a session that none was answered in,
  * from that session's begin: a machine that was only reached by /do so far is not a silent one. */
-bool pm_workers_lapsed(const struct pm_machine *m, double floor, double lease_s, double now)
+bool pm_workers_is_lease_expired(const struct pm_machine *m, double floor, double lease_s,
+                                 double now)
 {
     double base = MAX(MAX(m->answered, m->session_heard), floor);
 
-    return now > base + lease_s * (1 + 2 * PM_DRIFT) + 0.2;
+    return now > base + lease_s * (1 + 2 * PM_CLOCK_DRIFT_MAX) + 0.2;
 }
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -9,24 +9,24 @@
 #include "jobs/jobs.h"
 
 enum pm_machine_state {
-    PM_BOOTING,  /* rented, not reported yet */
-    PM_UP,       /* reports */
-    PM_RELEASING /* being returned: never used again */
+    PM_MACHINE_BOOTING,  /* rented, not reported yet */
+    PM_MACHINE_UP,       /* reports */
+    PM_MACHINE_RELEASING /* being returned: never used again */
 };
 
-enum pm_end {
-    PM_END_NONE,
-    PM_END_DONE,
-    PM_END_STOPPED,
-    PM_END_ERROR,
-    PM_END_REFUSED,
-    PM_END_GANG,
-    PM_END_GONE
+enum pm_task_exit {
+    PM_TASK_EXIT_NONE,
+    PM_TASK_EXIT_DONE,
+    PM_TASK_EXIT_STOPPED,
+    PM_TASK_EXIT_ERROR,
+    PM_TASK_EXIT_REFUSED,
+    PM_TASK_EXIT_GANG,
+    PM_TASK_EXIT_LOST
 };
 
-enum { PM_CACHE_MAX = 32 };
+enum { PM_CACHED_IMAGES_MAX = 32 };
 
-struct pm_fault_record { /* a job whose tasks failed on a machine since the last that succeeded */
+struct pm_failure_record { /* a job whose tasks failed on a machine since the last that succeeded */
     const struct pm_job *job;
     unsigned failures;
 };
@@ -36,7 +36,7 @@
     int index, type, zone;
     bool spot;
     enum pm_machine_state state;
-    GPtrArray *places;         /* of struct pm_place, owned */
+    GPtrArray *places;         /* of struct pm_placement, owned */
     double cpus, gpus, ram_gb; /* free */
     /* From the worker. */
     uint64_t session, sequence, token;
@@ -53,8 +53,8 @@
     uint64_t told, told_sequence; /* the epoch, and the sequence number of the report, last answered
                                      with 200 */
     double recall_at;             /* steady: when the cloud takes it, 0: no notice */
-    GArray *ended;                /* of struct pm_entry: ended there, to be forgotten */
-    GArray *strays; /* of struct pm_entry: there, but not by our replica: to be killed */
+    GArray *ended;                /* of struct pm_task_ref: ended there, to be forgotten */
+    GArray *strays; /* of struct pm_task_ref: there, but not by our replica: to be killed */
     const struct pm_job *claim; /* a gang whose room is being cleared here (placement) */
     /* Tasks are being stopped here for this job; until then the room is kept for it (placement). */
     const struct pm_job *clearing_for;
@@ -81,18 +81,18 @@
     double runs_since; /* steady: first listed as running, 0: never */
     bool listed, failed;
     double release_retry;
-    GArray *fault_records; /* of struct pm_fault_record (workers/faults.h), NULL: none */
+    GArray *fault_records; /* of struct pm_failure_record (workers/faults.h), NULL: none */
     bool condemned;        /* found faulty by its holder */
     int ncached;           /* images that it holds, latest use first, as far as we know */
-    struct pm_cached {
+    struct pm_cached_image {
         int image;
         double gb;
-    } cached[PM_CACHE_MAX];
+    } cached[PM_CACHED_IMAGES_MAX];
     char name[PM_NAME_MAX];
     char endpoint[64];
 };
 
-struct pm_entry {
+struct pm_task_ref {
     struct pm_job *job;
     uint32_t index, attempt;
 };
@@ -102,8 +102,9 @@
 struct pm_workers_hooks {
     /* A place's task ended or is proven gone. It holds nothing any more, and is itself gone after
      * this call. */
-    void (*ended)(void *arg, struct pm_place *place, enum pm_end end, bool saved, double now);
-    void (*ran)(void *arg, struct pm_place *place, double now); /* first seen running */
+    void (*ended)(void *arg, struct pm_placement *place, enum pm_task_exit end, bool saved,
+                  double now);
+    void (*ran)(void *arg, struct pm_placement *place, double now); /* first seen running */
     void *arg;
 };
 
@@ -123,57 +124,60 @@
 void pm_workers_set_type(struct pm_workers *workers, struct pm_machine *machine, int type);
 /* Whether it is known to be there: rented by us or listed, or it answered. A report alone may be a
  * copy that comes long after its machine is gone. */
-bool pm_workers_proven(const struct pm_machine *machine);
+bool pm_machine_is_verified(const struct pm_machine *machine);
 /* Whether our answers and commands do not arrive there, though its reports do. */
-bool pm_workers_deaf(const struct pm_machine *machine, double now);
+bool pm_machine_is_unreachable(const struct pm_machine *machine, double now);
 /* A sign that something we sent did not arrive. */
-void pm_workers_unheard(struct pm_machine *machine, const char *why, double now);
+void pm_machine_note_delivery_failure(struct pm_machine *machine, const char *why, double now);
 /* A report was answered with 200. */
-void pm_workers_answered(struct pm_machine *machine, uint64_t epoch, double now);
+void pm_machine_note_ack(struct pm_machine *machine, uint64_t epoch, double now);
 /* Whether it answers commands but reports to nobody here: nothing renews its lease. */
-bool pm_workers_mute(const struct pm_machine *machine, const struct pm_settings *settings,
-                     double now);
+bool pm_machine_is_not_reporting(const struct pm_machine *machine,
+                                 const struct pm_settings *settings, double now);
 /* Whether it has missed a report, by how they come on a quiet day. */
-bool pm_workers_silent(const struct pm_machine *machine, const struct pm_settings *settings,
-                       double now);
+bool pm_machine_missed_heartbeat(const struct pm_machine *machine,
+                                 const struct pm_settings *settings, double now);
 /* Whether nothing is there, and nothing to it is under way or in doubt. */
-bool pm_workers_clean(const struct pm_machine *machine, uint64_t epoch);
+bool pm_machine_is_drained(const struct pm_machine *machine, uint64_t epoch);
 
 /* The replica' record of a place: an intent of ours, or one found in the state service. */
-struct pm_place *pm_workers_place(struct pm_workers *workers, struct pm_job *job, uint32_t index,
-                                  struct pm_machine *machine, uint32_t attempt, uint64_t session,
-                                  enum pm_place_state state, double now);
+struct pm_placement *pm_workers_add_placement(struct pm_workers *workers, struct pm_job *job,
+                                              uint32_t index, struct pm_machine *machine,
+                                              uint32_t attempt, uint64_t session,
+                                              enum pm_placement_state state, double now);
 /* Removes a place that is ended, or was an intent that never became durable. */
-void pm_workers_unplace(struct pm_workers *workers, struct pm_place *place);
+void pm_workers_remove_placement(struct pm_workers *workers, struct pm_placement *place);
 
 /* What sort of message carries the worker's task list. */
-enum pm_message { PM_REPORT, PM_DIRECT };
+enum pm_task_list_source { PM_SOURCE_HEARTBEAT, PM_SOURCE_PUSH };
 
 /* Takes in a worker's report. Returns NULL when malformed. `fresh` tells whether it was newer than
  * what we had. `epoch` is the one in force. */
-struct pm_machine *pm_workers_report(struct pm_workers *workers, const cbor_item_t *report,
-                                     enum pm_message kind, uint64_t epoch, double now, bool *fresh);
+struct pm_machine *pm_workers_apply_heartbeat(struct pm_workers *workers, const cbor_item_t *report,
+                                              enum pm_task_list_source kind, uint64_t epoch,
+                                              double now, bool *fresh);
 /* Writes the orders due for a machine as a CBOR list. With `direct`, launches and kills only; the
  * places told to launch are marked. Returns how many orders. */
-int pm_workers_orders(struct pm_machine *machine, bool direct, uint64_t epoch, struct pm_buf *out);
+int pm_workers_encode_commands(struct pm_machine *machine, bool direct, uint64_t epoch,
+                               struct pm_buf *out);
 /* Writes a kill for each task in the report whose job is known cancelled, by the attempt reported,
  * and nothing else: a list that is safe to send whoever may command the worker. */
-void pm_workers_kill_cancelled(struct pm_workers *workers, const cbor_item_t *report,
-                               struct pm_buf *out);
+void pm_workers_encode_cancel_kills(struct pm_workers *workers, const cbor_item_t *report,
+                                    struct pm_buf *out);
 /* Whether /do would carry something. */
-bool pm_workers_direct_due(const struct pm_machine *machine);
-/* A /do is about to be sent: its number, under which pm_workers_orders notes what it carries. Never
- * 0, and never the same twice, also after a reset. */
-uint64_t pm_workers_direct_begin(struct pm_workers *workers, struct pm_machine *machine);
+bool pm_worker_push_is_due(const struct pm_machine *machine);
+/* A /do is about to be sent: its number, under which pm_workers_encode_commands notes what it
+ * carries. Never 0, and never the same twice, also after a reset. */
+uint64_t pm_worker_push_begin(struct pm_workers *workers, struct pm_machine *machine);
 /* That /do, sent at `epoch`, came to this; on no answer, launches it carried stay in doubt. False:
  * it is not the one that is open, but from before a reset. */
-bool pm_workers_direct_done(struct pm_machine *machine, uint64_t number, uint64_t epoch,
-                            int status);
+bool pm_worker_push_done(struct pm_machine *machine, uint64_t number, uint64_t epoch, int status);
 /* Everything on the machine is gone, its session over: the lease lapsed, or it was released. */
-void pm_workers_gone(struct pm_workers *workers, struct pm_machine *machine, double now);
+void pm_workers_mark_lost(struct pm_workers *workers, struct pm_machine *machine, double now);
 /* Whether the lease of what is on the machine has lapsed for certain. `floor` is the steady time
  * since when no other controller can have answered it, INFINITY if that is not known. */
-bool pm_workers_lapsed(const struct pm_machine *machine, double floor, double lease_s, double now);
-void pm_workers_stop(struct pm_place *place, double leave_s);
+bool pm_workers_is_lease_expired(const struct pm_machine *machine, double floor, double lease_s,
+                                 double now);
+void pm_placement_stop(struct pm_placement *place, double leave_s);
 
 #endif
