--- a/src/api/api.c
+++ b/src/api/api.c
@@ -125,7 +125,8 @@
 static void reply_final(struct item *item, const struct pm_job *job)
 {
     if (job->state == PM_JOB_CANCELLED)
-        pm_cancel_quorum_publish(item->intake->cancels, job->id, job->cancelled, on_known, item);
+        pm_cancel_quorum_publish(item->intake->cancels, job->id, job->cancellation_revision,
+                                 on_known, item);
     else
         reply_state(item, job);
 }
@@ -151,7 +152,8 @@
     cbor_item_t *value;
     size_t n;
 
-    pm_job_encode(item->intake->tables, item->spec, item->spec->entries, PM_JOB_LIVE, true, &buf);
+    pm_job_encode(item->intake->tables, item->spec, item->spec->task_count, PM_JOB_LIVE, true,
+                  &buf);
     value = pm_cbor_parse(buf.data, buf.size);
     n = pm_cbor_json_size(value);
     pm_cbor_free(value);
@@ -168,14 +170,14 @@
     if (!item->size)
         item->size = value_size(item);
     /* A value that can't be kept would have all that is written with it refused. */
-    if ((double)item->size > in->tables->settings->value_kb * 1024)
+    if ((double)item->size > in->tables->settings->store_value_kb * 1024)
         return "too large to be kept";
     for (guint i = 0; item->dependencies && i < item->dependencies->len; i++) {
         const char *id = g_ptr_array_index(item->dependencies, i);
         const struct pm_job *job = pm_jobs_find(in->jobs, id);
         if (!strcmp(id, item->id))
             return "it needs itself";
-        if (job && job->spec && job->spec->form == PM_WORKLOAD_SERVICE)
+        if (job && job->spec && job->spec->kind == PM_WORKLOAD_SERVICE)
             return "it needs a service";
         if (!job)
             return "it needs a job that was never accepted";
@@ -239,8 +241,8 @@
     uint32_t k = item->listed;
     char key[64];
 
-    for (; k < item->spec->overflow_lists && txn.nwrites < in->tables->settings->txn_ops &&
-           txn.writes.size < 40 * 1024;
+    for (; k < item->spec->overflow_lists &&
+           txn.write_count < in->tables->settings->store_txn_ops && txn.writes.size < 40 * 1024;
          k++) {
         snprintf(key, sizeof key, "p/n/%s/%u", item->id, k);
         pm_txn_put(&txn, key);
@@ -377,9 +379,10 @@
     pm_txn_compare(txn, key, job ? job->revision : 0);
     pm_txn_put(txn, key);
     if (item->kind == SUBMIT)
-        pm_job_encode(in->tables, item->spec, item->spec->entries, PM_JOB_LIVE, true, &txn->writes);
+        pm_job_encode(in->tables, item->spec, item->spec->task_count, PM_JOB_LIVE, true,
+                      &txn->writes);
     else if (job) /* whoever is cancelled is known */
-        pm_job_encode(in->tables, job->spec, job->entries, PM_JOB_CANCELLED, job->spec != NULL,
+        pm_job_encode(in->tables, job->spec, job->task_count, PM_JOB_CANCELLED, job->spec != NULL,
                       &txn->writes);
     pm_txn_put_end(txn, 0);
     g_ptr_array_add(f->items, item);
@@ -391,7 +394,7 @@
     double now = pm_clock_monotonic();
 
     while (in->queue.length && in->in_flight < IN_FLIGHT_MAX) {
-        int room = MIN(pm_store_write_budget(in->store, now), in->tables->settings->txn_ops);
+        int room = MIN(pm_store_write_budget(in->store, now), in->tables->settings->store_txn_ops);
         struct pm_txn txn = {0};
         struct flight *f;
         guint waiting = in->queue.length;
@@ -401,7 +404,7 @@
         f = g_new0(struct flight, 1);
         f->intake = in;
         f->items = g_ptr_array_new();
-        while (waiting-- > 0 && txn.nwrites < room && txn.writes.size < 40 * 1024) {
+        while (waiting-- > 0 && txn.write_count < room && txn.writes.size < 40 * 1024) {
             struct item *item = g_queue_pop_head(&in->queue);
             const struct pm_job *job = pm_jobs_find(in->jobs, item->id);
             if (now - item->arrived > GIVE_UP_S)
@@ -502,7 +505,7 @@
     item->dependencies = dependencies;
     item->spec = g_new(struct pm_spec, 1);
     *item->spec = spec;
-    item->spec->submitted = pm_clock_wall();
+    item->spec->submitted_wall = pm_clock_wall();
     decide(item);
 }
 
--- a/src/base/operator.c
+++ b/src/base/operator.c
@@ -26,7 +26,7 @@
                   .half_life_s = 30,
                   .expire_s = 5,
                   .trace_mb = 16},
-        .duties = {.ttl_s = 5, .clean_after_s = 3600, .record_period_s = 3600, .record_mb = 64},
+        .roles = {.ttl_s = 5, .gc_after_s = 3600, .audit_log_period_s = 3600, .audit_log_mb = 64},
     };
 }
 
@@ -171,15 +171,16 @@
                         const struct duties_form *form)
 {
     if (form->fence)
-        out->fence = *form->fence;
+        out->enabled = *form->fence;
     take(taker, &out->ttl_s, form->ttl_s, "duties.ttl_s", 1, 600);
-    take(taker, &out->clean_after_s, form->clean_after_s, "duties.clean_after_s", 1, 31536000);
-    take(taker, &out->record_period_s, form->record_period_s, "duties.record_period_s", 1, 604800);
+    take(taker, &out->gc_after_s, form->clean_after_s, "duties.clean_after_s", 1, 31536000);
+    take(taker, &out->audit_log_period_s, form->record_period_s, "duties.record_period_s", 1,
+         604800);
     if (form->record_dir)
-        snprintf(out->record_dir, sizeof out->record_dir, "%s", form->record_dir);
+        snprintf(out->audit_log_dir, sizeof out->audit_log_dir, "%s", form->record_dir);
     if (form->record_mb)
-        out->record_mb = *form->record_mb;
-    if (!taker->failed && (out->record_mb < 1 || out->record_mb > 65536)) {
+        out->audit_log_mb = *form->record_mb;
+    if (!taker->failed && (out->audit_log_mb < 1 || out->audit_log_mb > 65536)) {
         snprintf(taker->err, taker->err_size, "duties.record_mb: outside 1 to 65536");
         taker->failed = true;
     }
@@ -208,7 +209,7 @@
     if (form->links)
         take_links(taker, &out->links, form->links);
     if (form->duties)
-        take_duties(taker, &out->duties, form->duties);
+        take_duties(taker, &out->roles, form->duties);
 }
 
 int pm_operator_settings_load(struct pm_operator_settings *out, const char *path, char *err,
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -87,9 +87,9 @@
 
 static void read_teams(struct reader *r, struct pm_settings *out)
 {
-    out->teams = want_count(r, "settings.teams", 1, PM_TEAMS_MAX);
-    for (int i = 0; i < out->teams; i++) {
-        struct pm_team_setting *team = &out->team[i];
+    out->team_count = want_count(r, "settings.teams", 1, PM_TEAMS_MAX);
+    for (int i = 0; i < out->team_count; i++) {
+        struct pm_team_setting *team = &out->teams[i];
         want_text(r, at("settings.teams", i, "name"), team->name, sizeof team->name);
         team->cpus = want_number(r, at("settings.teams", i, "cpus"), 0, 1e9);
         team->cpus_max = want_number(r, at("settings.teams", i, "cpus_max"), 0, 1e9);
@@ -105,9 +105,9 @@
 
 static void read_aims(struct reader *r, struct pm_settings *out)
 {
-    out->aims = want_count(r, "settings.objectives", 0, PM_OBJECTIVES_MAX);
-    for (int i = 0; i < out->aims; i++) {
-        struct pm_objective_setting *aim = &out->aim[i];
+    out->objective_count = want_count(r, "settings.objectives", 0, PM_OBJECTIVES_MAX);
+    for (int i = 0; i < out->objective_count; i++) {
+        struct pm_objective_setting *aim = &out->objectives[i];
         /* Kinds not known here may come in any form: that keeps nothing from starting. */
         if (pm_toml_text(r->doc, at("settings.objectives", i, "kind"), aim->kind, sizeof aim->kind))
             aim->kind[0] = 0;
@@ -130,38 +130,38 @@
         return -1;
     want_text(r, "host_name", out->name, sizeof out->name);
     want_text(r, "domain", out->zone, sizeof out->zone);
-    want_addr(r, "serve_on", out->listen, sizeof out->listen);
-    want_addr(r, "back", out->peer_listen, sizeof out->peer_listen);
-    out->peers = want_count(r, "peers", 0, PM_PEERS_MAX);
-    for (int i = 0; i < out->peers; i++) {
-        struct pm_peer_setting *peer = &out->peer[i];
+    want_addr(r, "serve_on", out->listen_addr, sizeof out->listen_addr);
+    want_addr(r, "back", out->peer_listen_addr, sizeof out->peer_listen_addr);
+    out->peer_count = want_count(r, "peers", 0, PM_PEERS_MAX);
+    for (int i = 0; i < out->peer_count; i++) {
+        struct pm_peer_setting *peer = &out->peers[i];
         want_text(r, at("peers", i, "host_name"), peer->name, sizeof peer->name);
         want_text(r, at("peers", i, "domain"), peer->zone, sizeof peer->zone);
         want_addr(r, at("peers", i, "peer_addr"), peer->addr, sizeof peer->addr);
     }
-    want_addr(r, "outside.cloud", out->cloud, sizeof out->cloud);
-    want_addr(r, "outside.state", out->state, sizeof out->state);
-    out->size = (int)want_number(r, "settings.size", 1, 64);
-    out->zones = want_count(r, "settings.zones", 1, PM_ZONES_MAX);
-    for (int i = 0; i < out->zones; i++)
-        want_text(r, at("settings.zones", i, ""), out->zone_name[i], PM_NAME_MAX);
+    want_addr(r, "outside.cloud", out->cloud_addr, sizeof out->cloud_addr);
+    want_addr(r, "outside.state", out->store_addr, sizeof out->store_addr);
+    out->cluster_size = (int)want_number(r, "settings.size", 1, 64);
+    out->zone_count = want_count(r, "settings.zones", 1, PM_ZONES_MAX);
+    for (int i = 0; i < out->zone_count; i++)
+        want_text(r, at("settings.zones", i, ""), out->zone_names[i], PM_NAME_MAX);
     read_teams(r, out);
     read_aims(r, out);
-    out->report_s = want_number(r, "settings.workers.report_s", 0.01, 1e5);
+    out->heartbeat_s = want_number(r, "settings.workers.report_s", 0.01, 1e5);
     out->lease_s = want_number(r, "settings.workers.lease_s", 0.1, 1e6);
     out->gang_wait_s = want_number(r, "settings.workers.gang_wait_s", 0, 1e6);
     out->gang_peer_s = want_number(r, "settings.workers.gang_peer_s", 0, 1e6);
-    out->cancel_s = want_number(r, "settings.workers.cancel_s", 0, 1e6);
-    out->state_rps = want_limit(r, "rps", 1, 1e9);
-    out->state_write_rps = want_limit(r, "write_rps", 1, 1e9);
-    out->value_kb = want_limit(r, "value_kb", 1, 1e6);
-    out->value_kb_now = want_number(r, "settings.state.value_kb", 1, 1e6);
+    out->cancel_deadline_s = want_number(r, "settings.workers.cancel_s", 0, 1e6);
+    out->store_rps = want_limit(r, "rps", 1, 1e9);
+    out->store_write_rps = want_limit(r, "write_rps", 1, 1e9);
+    out->store_value_kb = want_limit(r, "value_kb", 1, 1e6);
+    out->store_value_kb_initial = want_number(r, "settings.state.value_kb", 1, 1e6);
     /* Taking the lead is one transaction of three changes. */
-    out->txn_ops = (int)want_limit(r, "txn_ops", 3, 1e6);
+    out->store_txn_ops = (int)want_limit(r, "txn_ops", 3, 1e6);
     out->cloud_rps = want_number(r, "settings.cloud.rps", 0.01, 1e9);
-    out->list_lag_s = want_number(r, "settings.cloud.list_lag_s", 0, 1e6);
+    out->inventory_lag_s = want_number(r, "settings.cloud.list_lag_s", 0, 1e6);
     out->cores = want_number(r, "settings.quota.cores", 0.001, 1e6);
-    out->mem_mb = want_number(r, "settings.quota.mem_mb", 1, 1e9);
+    out->memory_mb = want_number(r, "settings.quota.mem_mb", 1, 1e9);
     out->sockets = (int)want_number(r, "settings.quota.sockets", 16, 1e9);
     pm_toml_free(r->doc);
     return r->failed ? -1 : 0;
@@ -169,16 +169,16 @@
 
 int pm_settings_find_peer(const struct pm_settings *settings, const char *name)
 {
-    for (int i = 0; i < settings->peers; i++)
-        if (!strcmp(settings->peer[i].name, name))
+    for (int i = 0; i < settings->peer_count; i++)
+        if (!strcmp(settings->peers[i].name, name))
             return i;
     return -1;
 }
 
 int pm_settings_find_zone(const struct pm_settings *settings, const char *name)
 {
-    for (int i = 0; i < settings->zones; i++)
-        if (!strcmp(settings->zone_name[i], name))
+    for (int i = 0; i < settings->zone_count; i++)
+        if (!strcmp(settings->zone_names[i], name))
             return i;
     return -1;
 }
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -34,25 +34,25 @@
 struct pm_settings {
     char name[PM_NAME_MAX];
     char zone[PM_NAME_MAX];
-    char listen[64], peer_listen[64];
-    int peers;
-    struct pm_peer_setting peer[PM_PEERS_MAX];
-    char cloud[64], state[64];
-    int size;
-    int zones;
-    char zone_name[PM_ZONES_MAX][PM_NAME_MAX];
-    int teams;
-    struct pm_team_setting team[PM_TEAMS_MAX];
-    int aims;
-    struct pm_objective_setting aim[PM_OBJECTIVES_MAX];
-    double report_s, lease_s, gang_wait_s, gang_peer_s, cancel_s;
+    char listen_addr[64], peer_listen_addr[64];
+    int peer_count;
+    struct pm_peer_setting peers[PM_PEERS_MAX];
+    char cloud_addr[64], store_addr[64];
+    int cluster_size;
+    int zone_count;
+    char zone_names[PM_ZONES_MAX][PM_NAME_MAX];
+    int team_count;
+    struct pm_team_setting teams[PM_TEAMS_MAX];
+    int objective_count;
+    struct pm_objective_setting objectives[PM_OBJECTIVES_MAX];
+    double heartbeat_s, lease_s, gang_wait_s, gang_peer_s, cancel_deadline_s;
     /* The limits of the state service that are kept to: the smaller of those in force and those
      * that `state.next` tells to come without notice. */
-    double state_rps, state_write_rps, value_kb;
-    int txn_ops;
-    double value_kb_now; /* in force as the process starts */
-    double cloud_rps, list_lag_s;
-    double cores, mem_mb;
+    double store_rps, store_write_rps, store_value_kb;
+    int store_txn_ops;
+    double store_value_kb_initial; /* in force as the process starts */
+    double cloud_rps, inventory_lag_s;
+    double cores, memory_mb;
     int sockets;
 };
 
@@ -71,12 +71,12 @@
 
 /* Duties that one controller holds (duties slice). */
 struct pm_roles_setting {
-    bool fence;             /* rent and return under a lease, a token and durable intents */
-    double ttl_s;           /* of the lease */
-    double clean_after_s;   /* a stored key of no use goes after this long without a change */
-    char record_dir[256];   /* where the record of actions is kept; "": nowhere */
-    double record_period_s; /* one file for each such period */
-    unsigned record_mb;     /* how much of it is kept */
+    bool enabled;              /* rent and return under a lease, a token and durable intents */
+    double ttl_s;              /* of the lease */
+    double gc_after_s;         /* a stored key of no use goes after this long without a change */
+    char audit_log_dir[256];   /* where the record of actions is kept; "": nowhere */
+    double audit_log_period_s; /* one file for each such period */
+    unsigned audit_log_mb;     /* how much of it is kept */
 };
 
 /* The operators' settings; every value has a default (see docs/operations.md). */
@@ -92,7 +92,7 @@
     double backlog_s;     /* array work that is late anyway is worked off within this */
     double warm_share;    /* spare room kept for services, as a share of what they use */
     struct pm_links_setting links;
-    struct pm_roles_setting duties;
+    struct pm_roles_setting roles;
 };
 
 /* 0, or -1 with a message that names the field and its path. */
--- a/src/base/tests/test_base.c
+++ b/src/base/tests/test_base.c
@@ -125,10 +125,10 @@
     assert_int_equal(pm_settings_load(&s, path, err, sizeof err), 0);
     unlink(path);
     assert_string_equal(s.name, "n0");
-    assert_int_equal(s.teams, 1);
-    assert_true(s.team[0].cpus_max > 1e6); /* 0: no limit */
-    assert_true(s.team[0].gpus_max == 2.0);
-    assert_true(s.report_s == 2.0);
+    assert_int_equal(s.team_count, 1);
+    assert_true(s.teams[0].cpus_max > 1e6); /* 0: no limit */
+    assert_true(s.teams[0].gpus_max == 2.0);
+    assert_true(s.heartbeat_s == 2.0);
 }
 
 static void names_the_field_at_fault(void **state)
@@ -160,10 +160,10 @@
     assert_int_equal(pm_settings_load(&s, path, err, sizeof err), 0);
     unlink(path);
     g_free(text);
-    assert_true(s.value_kb == 2.0);
-    assert_true(s.value_kb_now == 16.0);
-    assert_int_equal(s.txn_ops, 12);
-    assert_true(s.state_write_rps == 30.0); /* nothing is said of it */
+    assert_true(s.store_value_kb == 2.0);
+    assert_true(s.store_value_kb_initial == 16.0);
+    assert_int_equal(s.store_txn_ops, 12);
+    assert_true(s.store_write_rps == 30.0); /* nothing is said of it */
     for (int i = 0; i < 3; i++) {
         char *field =
             g_strdup_printf("settings.state.next.%.*s", (int)strcspn(wrong[i], " "), wrong[i]);
--- a/src/base/tests/test_wire_formats.c
+++ b/src/base/tests/test_wire_formats.c
@@ -81,10 +81,10 @@
 
 static void peers_messages_are_as_recorded(void **arg)
 {
-    Pm__PeerAsk ask = PM__PEER_ASK__INIT;
-    Pm__PeerTell tell = PM__PEER_TELL__INIT;
-    Pm__Cancelled cancelled = PM__CANCELLED__INIT;
-    Pm__Cancelled *list[] = {&cancelled};
+    Pm__PeerRequest ask = PM__PEER_REQUEST__INIT;
+    Pm__PeerResponse tell = PM__PEER_RESPONSE__INIT;
+    Pm__Cancellation cancelled = PM__CANCELLATION__INIT;
+    Pm__Cancellation *list[] = {&cancelled};
     unsigned char views[] = {1, 2, 3};
 
     (void)arg;
@@ -97,15 +97,15 @@
     cancelled.id = "job-000412";
     cancelled.revision = 413;
     tell.from = "n1";
-    tell.known = 42;
-    tell.ready = true;
-    tell.served = true;
-    tell.refused = true;
+    tell.highest_epoch = 42;
+    tell.has_state = true;
+    tell.store_serving = true;
+    tell.store_refusing = true;
     tell.store_revision = 414;
-    tell.lists = true;
+    tell.has_cancellations = true;
     tell.cancelled = list;
     tell.n_cancelled = 1;
-    tell.more = true;
+    tell.has_more = true;
     tell.protocol_version = 5;
     tell.views.data = views;
     tell.views.len = sizeof views;
@@ -114,10 +114,10 @@
 
 static void cancellations_messages_are_as_recorded(void **arg)
 {
-    Pm__CancelCall call = PM__CANCEL_CALL__INIT;
-    Pm__CancelTell tell = PM__CANCEL_TELL__INIT;
-    Pm__Cancelled cancelled = PM__CANCELLED__INIT;
-    Pm__Cancelled *list[] = {&cancelled};
+    Pm__CancellationRequest call = PM__CANCELLATION_REQUEST__INIT;
+    Pm__CancellationResponse tell = PM__CANCELLATION_RESPONSE__INIT;
+    Pm__Cancellation cancelled = PM__CANCELLATION__INIT;
+    Pm__Cancellation *list[] = {&cancelled};
 
     (void)arg;
     cancelled.id = "job-000412";
@@ -134,8 +134,8 @@
 
 static void blocks_messages_are_as_recorded(void **arg)
 {
-    Pm__BlockCall call = PM__BLOCK_CALL__INIT;
-    Pm__BlockTell tell = PM__BLOCK_TELL__INIT;
+    Pm__ShardRequest call = PM__SHARD_REQUEST__INIT;
+    Pm__ShardResponse tell = PM__SHARD_RESPONSE__INIT;
     char *leaving[] = {"i-000001", "i-000002"};
     char *stop[] = {"i-000002"};
     char *clean[] = {"i-000003"};
@@ -146,21 +146,21 @@
     (void)arg;
     call.from = "n0";
     call.epoch = 41;
-    call.leaving = leaving;
-    call.n_leaving = 2;
+    call.revoking = leaving;
+    call.n_revoking = 2;
     call.stop = stop;
     call.n_stop = 1;
     assert_message(&call.base, BLOCK_CALL);
-    tell.boot = "0123456789abcdef";
+    tell.incarnation_id = "0123456789abcdef";
     tell.ready = true;
-    tell.helpless = true;
-    tell.doubt = true;
-    tell.clean = clean;
-    tell.n_clean = 1;
-    tell.bad = bad;
-    tell.n_bad = 1;
-    tell.silent = silent;
-    tell.n_silent = 1;
+    tell.workers_unreachable = true;
+    tell.launch_outcome_unknown = true;
+    tell.drained = clean;
+    tell.n_drained = 1;
+    tell.quarantined = bad;
+    tell.n_quarantined = 1;
+    tell.unreachable = silent;
+    tell.n_unreachable = 1;
     tell.failing = failing;
     tell.n_failing = 1;
     assert_message(&tell.base, BLOCK_TELL);
@@ -169,12 +169,12 @@
 /* Two controllers and two zones, as node-0 sees them. */
 static struct pm_settings view_settings(const char *self, const char *other)
 {
-    struct pm_settings settings = {.size = 2, .peers = 1, .zones = 2};
+    struct pm_settings settings = {.cluster_size = 2, .peer_count = 1, .zone_count = 2};
 
     g_strlcpy(settings.name, self, sizeof settings.name);
-    g_strlcpy(settings.peer[0].name, other, sizeof settings.peer[0].name);
-    g_strlcpy(settings.zone_name[0], "a", sizeof settings.zone_name[0]);
-    g_strlcpy(settings.zone_name[1], "b", sizeof settings.zone_name[1]);
+    g_strlcpy(settings.peers[0].name, other, sizeof settings.peers[0].name);
+    g_strlcpy(settings.zone_names[0], "a", sizeof settings.zone_names[0]);
+    g_strlcpy(settings.zone_names[1], "b", sizeof settings.zone_names[1]);
     return settings;
 }
 
@@ -244,8 +244,8 @@
     books_begin(&tables, &settings);
     assert_non_null(value);
     assert_true(pm_machine_types_decode(&tables, value));
-    type = &tables.type[pm_names_find(tables.types, "bokhylla")];
-    assert_int_equal(tables.ntypes, 2);
+    type = &tables.types[pm_names_find(tables.type_names, "bokhylla")];
+    assert_int_equal(tables.type_count, 2);
     assert_int_equal((int)type->cpus, 16);
     assert_int_equal((int)type->gpus, 2);
     assert_int_equal((int)type->ram_gb, 64);
@@ -304,7 +304,7 @@
 /* The acknowledgement of a cancellation by way of the state service: written, and read. */
 static void stored_acknowledgements_are_as_recorded(void **arg)
 {
-    static struct pm_settings settings = {.size = 3, .peers = 2};
+    static struct pm_settings settings = {.cluster_size = 3, .peer_count = 2};
     struct ev_loop *loop = ev_loop_new(EVFLAG_AUTO);
     struct fake_state *state = fake_state_new(loop);
     struct pm_http_client *http = pm_http_client_new(loop, 16);
@@ -319,8 +319,8 @@
 
     (void)arg;
     strcpy(settings.name, "n0");
-    strcpy(settings.peer[0].name, "n1");
-    strcpy(settings.peer[1].name, "n2");
+    strcpy(settings.peers[0].name, "n1");
+    strcpy(settings.peers[1].name, "n2");
     cancels = pm_cancel_quorum_new(loop, store, http, &settings,
                                    &(struct pm_cancel_quorum_hooks){ignore_cancelled, NULL});
     pm_cancel_quorum_note_read(cancels, 1);
--- a/src/blocks/ask.c
+++ b/src/blocks/ask.c
@@ -42,9 +42,9 @@
             e->state = HELD;
         } else if (e->state == REMOVING && e->serial && e->serial <= serial) {
             if (m) {
-                m->lent = 0;
-                m->reported = false; /* its worker has to come back to us first */
-                m->floor = m->heard = pm_clock_monotonic();
+                m->shard_owner = 0;
+                m->has_heartbeat = false; /* its worker has to come back to us first */
+                m->lease_lower_bound = m->last_message_at = pm_clock_monotonic();
                 m->idle_since = 0;
             }
             g_array_remove_index(k->entries, i);
@@ -111,11 +111,11 @@
         pm_put_pair_text(&txn.writes, "host", m->name);
         pm_put_pair_text(&txn.writes, "endpoint", m->endpoint);
         if (m->type >= 0)
-            pm_put_pair_text(&txn.writes, "model", pm_names_text(b->tables->types, m->type));
+            pm_put_pair_text(&txn.writes, "model", pm_names_text(b->tables->type_names, m->type));
         if (m->zone >= 0)
-            pm_put_pair_text(&txn.writes, "room", s->zone_name[m->zone]);
+            pm_put_pair_text(&txn.writes, "room", s->zone_names[m->zone]);
         pm_put_pair_flag(&txn.writes, "borrowed", m->spot);
-        pm_put_pair_count(&txn.writes, "shift", m->session);
+        pm_put_pair_count(&txn.writes, "shift", m->incarnation);
         pm_put_end(&txn.writes);
     }
     pm_put_end(&txn.writes);
@@ -162,7 +162,7 @@
 
 static struct entry *find_entry(const struct pm_shards *b, struct block *k, const char *machine)
 {
-    int index = pm_names_find(b->tables->machines, machine);
+    int index = pm_names_find(b->tables->machine_names, machine);
 
     for (guint i = 0; i < k->entries->len; i++)
         if (g_array_index(k->entries, struct entry, i).machine == index)
@@ -171,7 +171,7 @@
 }
 
 /* Which of its jobs the holder finds failing, and which no more. */
-static void take_failing(struct block *k, const Pm__BlockTell *tell, double now)
+static void take_failing(struct block *k, const Pm__ShardResponse *tell, double now)
 {
     for (guint i = 0; i < k->given->len; i++) {
         struct pm_job *job = g_ptr_array_index(k->given, i);
@@ -190,53 +190,53 @@
     struct flight *f = arg;
     struct pm_shards *b = f->blocks;
     struct block *k = &b->block[f->index];
-    Pm__BlockTell *tell = NULL;
+    Pm__ShardResponse *tell = NULL;
 
     if (b->leading && b->round == f->round) {
         k->asking = false;
-        tell = status == 200 ? pm__block_tell__unpack(NULL, size, body) : NULL;
+        tell = status == 200 ? pm__shard_response__unpack(NULL, size, body) : NULL;
     }
     g_free(f);
     if (!tell)
         return;
-    g_strlcpy(k->boot, tell->boot, sizeof k->boot);
+    g_strlcpy(k->boot, tell->incarnation_id, sizeof k->boot);
     k->ready = tell->ready;
-    b->doubt |= tell->doubt;
-    if (!tell->helpless)
+    b->doubt |= tell->launch_outcome_unknown;
+    if (!tell->workers_unreachable)
         k->alive = pm_clock_monotonic();
-    for (size_t i = 0; i < tell->n_clean; i++) {
-        struct entry *e = find_entry(b, k, tell->clean[i]);
+    for (size_t i = 0; i < tell->n_drained; i++) {
+        struct entry *e = find_entry(b, k, tell->drained[i]);
         if (!e || e->state != LEAVING)
             continue;
         e->state = REMOVING;
         e->serial = 0;
         k->dirty = true;
     }
-    for (size_t i = 0; i < tell->n_bad; i++) {
-        struct entry *e = find_entry(b, k, tell->bad[i]);
+    for (size_t i = 0; i < tell->n_quarantined; i++) {
+        struct entry *e = find_entry(b, k, tell->quarantined[i]);
         if (!e || e->state > HELD)
             continue;
         e->state = LEAVING;
         e->stop = true;
         if (pm_workers_at(b->workers, e->machine))
-            b->hooks.bad(b->hooks.arg, pm_workers_at(b->workers, e->machine));
+            b->hooks.machine_quarantined(b->hooks.arg, pm_workers_at(b->workers, e->machine));
     }
-    for (size_t i = 0; i < tell->n_silent; i++) {
-        struct pm_machine *m = pm_workers_find(b->workers, tell->silent[i]);
-        if (!m || !m->lent)
+    for (size_t i = 0; i < tell->n_unreachable; i++) {
+        struct pm_machine *m = pm_workers_find(b->workers, tell->unreachable[i]);
+        if (!m || !m->shard_owner)
             continue;
-        if (pm_clock_monotonic() - m->silent_told > 2)
-            m->silent_since = pm_clock_monotonic();
-        m->silent_told = pm_clock_monotonic();
+        if (pm_clock_monotonic() - m->owner_reported_silent_at > 2)
+            m->owner_silent_since = pm_clock_monotonic();
+        m->owner_reported_silent_at = pm_clock_monotonic();
     }
     take_failing(k, tell, pm_clock_monotonic());
-    pm__block_tell__free_unpacked(tell, NULL);
+    pm__shard_response__free_unpacked(tell, NULL);
     pm_shards_exchange(b, pm_clock_monotonic());
 }
 
 static void ask(struct pm_shards *b, struct block *k, double now)
 {
-    Pm__BlockCall call = PM__BLOCK_CALL__INIT;
+    Pm__ShardRequest call = PM__SHARD_REQUEST__INIT;
     struct flight *f = g_new0(struct flight, 1);
     char **leaving = g_new0(char *, k->entries->len + 1);
     char **stop = g_new0(char *, k->entries->len + 1);
@@ -247,21 +247,21 @@
     k->asking = true;
     call.from = (char *)b->tables->settings->name;
     call.epoch = pm_election_epoch(b->lead);
-    call.leaving = leaving;
+    call.revoking = leaving;
     call.stop = stop;
     for (guint i = 0; i < k->entries->len; i++) {
         struct entry *e = &g_array_index(k->entries, struct entry, i);
         if (e->state != LEAVING)
             continue;
-        leaving[call.n_leaving++] = (char *)pm_names_text(b->tables->machines, e->machine);
+        leaving[call.n_revoking++] = (char *)pm_names_text(b->tables->machine_names, e->machine);
         if (e->stop)
-            stop[call.n_stop++] = (char *)pm_names_text(b->tables->machines, e->machine);
+            stop[call.n_stop++] = (char *)pm_names_text(b->tables->machine_names, e->machine);
     }
-    size = pm__block_call__get_packed_size(&call);
+    size = pm__shard_request__get_packed_size(&call);
     data = g_malloc(size + 1);
-    pm__block_call__pack(&call, data);
+    pm__shard_request__pack(&call, data);
     *f = (struct flight){b, (int)(k - b->block), b->round, 0};
-    pm_http_call(b->http, b->tables->settings->peer[f->index].addr, "POST", "/block", data, size,
+    pm_http_call(b->http, b->tables->settings->peers[f->index].addr, "POST", "/block", data, size,
                  ASK_S, 64 * 1024, on_told, f);
     g_free(data);
     g_free(leaving);
--- a/src/blocks/blocks.c
+++ b/src/blocks/blocks.c
@@ -29,10 +29,10 @@
     b->lead = lead;
     b->hooks = *hooks;
     g_strlcpy(b->boot, pm_election_incarnation_id(lead), sizeof b->boot);
-    b->n = tables->settings->peers + 1;
+    b->n = tables->settings->peer_count + 1;
     for (int i = 0; i < b->n; i++) {
         struct block *k = &b->block[i];
-        k->name = i < b->n - 1 ? tables->settings->peer[i].name : tables->settings->name;
+        k->name = i < b->n - 1 ? tables->settings->peers[i].name : tables->settings->name;
         snprintf(k->key, sizeof k->key, "p/b/%s", k->name);
         k->machines = g_array_new(FALSE, FALSE, sizeof(int));
         k->jobs = g_array_new(FALSE, FALSE, sizeof(struct seen_job));
@@ -55,7 +55,7 @@
 
 const char *pm_shards_owner_of(const struct pm_shards *b, const char *machine)
 {
-    int index = pm_names_find(b->tables->machines, machine);
+    int index = pm_names_find(b->tables->machine_names, machine);
 
     for (int i = 0; index >= 0 && i < b->n; i++)
         for (guint j = 0; j < b->block[i].machines->len; j++)
@@ -85,7 +85,8 @@
     for (size_t i = 0; i < pm_cbor_length(hosts); i++) {
         if (pm_cbor_text(pm_cbor_get(pm_cbor_at(hosts, i), "host"), name, sizeof name))
             continue;
-        g_array_append_vals(k->machines, (int[]){pm_names_intern(b->tables->machines, name)}, 1);
+        g_array_append_vals(k->machines, (int[]){pm_names_intern(b->tables->machine_names, name)},
+                            1);
     }
     g_array_set_size(k->jobs, 0);
     for (size_t i = 0; i < pm_cbor_length(jobs); i++) {
@@ -175,10 +176,10 @@
         for (guint j = 0; j < k->machines->len; j++) {
             struct entry entry = {.machine = g_array_index(k->machines, int, j), .state = HELD};
             struct pm_machine *m =
-                pm_workers_add(b->workers, pm_names_text(b->tables->machines, entry.machine));
-            m->lent = i + 1;
+                pm_workers_add(b->workers, pm_names_text(b->tables->machine_names, entry.machine));
+            m->shard_owner = i + 1;
             m->state = PM_MACHINE_UP;
-            m->heard = now;
+            m->last_message_at = now;
             g_array_append_val(k->entries, entry);
         }
         if (k->revision)
@@ -227,11 +228,11 @@
                 pm_workers_at(b->workers, g_array_index(k->entries, struct entry, j).machine);
             if (!m)
                 continue;
-            m->lent = 0;
-            m->reported = false;
-            m->heard = pm_clock_monotonic();
-            m->floor = 0; /* until a majority knows the raised epoch */
-            m->since_epoch = pm_election_epoch(b->lead);
+            m->shard_owner = 0;
+            m->has_heartbeat = false;
+            m->last_message_at = pm_clock_monotonic();
+            m->lease_lower_bound = 0; /* until a majority knows the raised epoch */
+            m->reclaimed_epoch = pm_election_epoch(b->lead);
         }
         given = k->given;
         k->given = g_ptr_array_new();
@@ -240,7 +241,7 @@
             struct pm_job *job = g_ptr_array_index(given, j);
             job->delegated = false;
             job->parallelism = UINT32_MAX;
-            b->hooks.back(b->hooks.arg, job);
+            b->hooks.job_returned(b->hooks.arg, job);
         }
         g_ptr_array_free(given, TRUE);
         b->hooks.changed(b->hooks.arg);
--- a/src/blocks/blocks.h
+++ b/src/blocks/blocks.h
@@ -19,11 +19,12 @@
 struct pm_shards;
 
 struct pm_shards_hooks {
-    void (*changed)(void *arg);                         /* plan again */
-    void (*back)(void *arg, struct pm_job *job);        /* a job came back with a lost block */
-    void (*bad)(void *arg, struct pm_machine *machine); /* its holder says that tasks fail there */
+    void (*changed)(void *arg);                          /* plan again */
+    void (*job_returned)(void *arg, struct pm_job *job); /* a job came back with a lost block */
+    void (*machine_quarantined)(
+        void *arg, struct pm_machine *machine); /* its holder says that tasks fail there */
     /* Holder: this controller's block as it now is; `granted` false: none. */
-    void (*mine)(void *arg, bool granted);
+    void (*owned)(void *arg, bool granted);
     void *arg;
 };
 
--- a/src/blocks/hold.c
+++ b/src/blocks/hold.c
@@ -42,16 +42,16 @@
     m = pm_workers_add(b->workers, name);
     m->state = PM_MACHINE_UP;
     m->listed = true;
-    m->heard = m->floor = now; /* the leader answered it no later than this */
-    m->rented = now;           /* the leader has proof of it */
+    m->last_message_at = m->lease_lower_bound = now; /* the leader answered it no later than this */
+    m->rented_at = now;                              /* the leader has proof of it */
     pm_cbor_text(pm_cbor_get(host, "endpoint"), m->endpoint, sizeof m->endpoint);
     pm_cbor_flag(pm_cbor_get(host, "borrowed"), &m->spot);
     pm_cbor_count(pm_cbor_get(host, "shift"), &session);
-    m->session = session;
+    m->incarnation = session;
     if (!pm_cbor_text(pm_cbor_get(host, "room"), text, sizeof text))
         m->zone = pm_settings_find_zone(b->tables->settings, text);
     if (!pm_cbor_text(pm_cbor_get(host, "model"), text, sizeof text))
-        pm_workers_set_type(b->workers, m, pm_names_find(b->tables->types, text));
+        pm_workers_set_type(b->workers, m, pm_names_find(b->tables->type_names, text));
 }
 
 void pm_shards_join(struct pm_shards *b, const cbor_item_t *value, double now)
@@ -65,7 +65,7 @@
     for (size_t i = 0; i < pm_cbor_length(hosts); i++)
         join_machine(b, pm_cbor_at(hosts, i), now);
     b->mine_granted = granted;
-    b->hooks.mine(b->hooks.arg, granted);
+    b->hooks.owned(b->hooks.arg, granted);
 }
 
 void pm_shards_leave_all(struct pm_shards *b)
@@ -73,7 +73,7 @@
     if (!b->mine_granted)
         return;
     b->mine_granted = false;
-    b->hooks.mine(b->hooks.arg, false);
+    b->hooks.owned(b->hooks.arg, false);
 }
 
 uint64_t pm_shards_owned_revision(const struct pm_shards *b)
@@ -101,7 +101,7 @@
 }
 
 /* The jobs of the block that keep failing. */
-static void tell_failing(struct pm_shards *b, Pm__BlockTell *tell)
+static void tell_failing(struct pm_shards *b, Pm__ShardResponse *tell)
 {
     const GArray *jobs = pm_shards_own(b)->jobs;
 
@@ -115,8 +115,8 @@
 
 void pm_shards_handle_peer_request(struct pm_shards *b, struct pm_http_request *req)
 {
-    Pm__BlockCall *call = pm__block_call__unpack(NULL, req->body_size, req->body);
-    Pm__BlockTell tell = PM__BLOCK_TELL__INIT;
+    Pm__ShardRequest *call = pm__shard_request__unpack(NULL, req->body_size, req->body);
+    Pm__ShardResponse tell = PM__SHARD_RESPONSE__INIT;
     GPtrArray *all = pm_workers_all(b->workers);
     double now = pm_clock_monotonic();
     unsigned char *data;
@@ -128,48 +128,49 @@
         pm_http_reply(req, 400, NULL, 0, 0);
         return;
     }
-    tell.boot = b->boot;
+    tell.incarnation_id = b->boot;
     tell.ready = pm_store_is_ready(b->store) && !pm_store_is_refusing(b->store) &&
-                 now - pm_store_last_served_at(b->store) < 7 && b->tables->ntypes > 0;
-    for (size_t i = 0; !b->leading && b->mine_granted && i < call->n_leaving; i++) {
-        struct pm_machine *m = pm_workers_find(b->workers, call->leaving[i]);
+                 now - pm_store_last_served_at(b->store) < 7 && b->tables->type_count > 0;
+    for (size_t i = 0; !b->leading && b->mine_granted && i < call->n_revoking; i++) {
+        struct pm_machine *m = pm_workers_find(b->workers, call->revoking[i]);
         if (!m)
             continue;
-        m->leaving = true;
-        for (guint j = 0; j < m->places->len; j++)
+        m->revoking = true;
+        for (guint j = 0; j < m->placements->len; j++)
             for (size_t s = 0; s < call->n_stop; s++)
                 if (!strcmp(call->stop[s], m->name))
-                    pm_scheduler_preempt_placement(g_ptr_array_index(m->places, j));
+                    pm_scheduler_preempt_placement(g_ptr_array_index(m->placements, j));
         /* Said once, and kept: a clean machine that is leaving is answered no more. */
         if (pm_machine_is_drained(m, pm_election_epoch(b->lead)))
-            m->left = true;
-        if (m->left)
-            add_name(&tell.clean, &tell.n_clean, m->name);
+            m->returned = true;
+        if (m->returned)
+            add_name(&tell.drained, &tell.n_drained, m->name);
     }
     for (guint i = 0; !b->leading && b->mine_granted && i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
         if (!m)
             continue;
         up++;
-        heard += now - m->heard < 6;
-        tell.doubt |= m->doubtful && m->doubtful >= pm_election_epoch(b->lead);
+        heard += now - m->last_message_at < 6;
+        tell.launch_outcome_unknown |=
+            m->unknown_outcome_epoch && m->unknown_outcome_epoch >= pm_election_epoch(b->lead);
         if (pm_failures_is_machine_faulty(m))
-            add_name(&tell.bad, &tell.n_bad, m->name);
-        if (m->reported && (pm_machine_is_unreachable(m, now) ||
-                            pm_machine_missed_heartbeat(m, b->tables->settings, now)))
-            add_name(&tell.silent, &tell.n_silent, m->name);
+            add_name(&tell.quarantined, &tell.n_quarantined, m->name);
+        if (m->has_heartbeat && (pm_machine_is_unreachable(m, now) ||
+                                 pm_machine_missed_heartbeat(m, b->tables->settings, now)))
+            add_name(&tell.unreachable, &tell.n_unreachable, m->name);
     }
     if (!b->leading && b->mine_granted)
         tell_failing(b, &tell);
-    tell.helpless = (up > 1 && !heard) || (b->mine_granted && !tell.ready);
-    size = pm__block_tell__get_packed_size(&tell);
+    tell.workers_unreachable = (up > 1 && !heard) || (b->mine_granted && !tell.ready);
+    size = pm__shard_response__get_packed_size(&tell);
     data = g_malloc(size + 1);
-    pm__block_tell__pack(&tell, data);
+    pm__shard_response__pack(&tell, data);
     pm_http_reply(req, 200, data, size, 0);
     g_free(data);
-    g_free(tell.clean);
-    g_free(tell.bad);
-    g_free(tell.silent);
+    g_free(tell.drained);
+    g_free(tell.quarantined);
+    g_free(tell.unreachable);
     g_free(tell.failing);
-    pm__block_call__free_unpacked(call, NULL);
+    pm__shard_request__free_unpacked(call, NULL);
 }
--- a/src/blocks/lend.c
+++ b/src/blocks/lend.c
@@ -16,11 +16,11 @@
 {
     const struct pm_spec *spec = job->spec;
 
-    return job->state == PM_JOB_LIVE && spec && spec->form == PM_WORKLOAD_ARRAY && spec->spot &&
-           !job->unmet && job->priority != PM_PRIORITY_PRODUCTION &&
-           job->priority != PM_PRIORITY_BEST_EFFORT && !spec->same_place && !spec->spread &&
-           !pm_failures_is_job_failing(job) && !job->delegated && !job->nplaced && !job->ndone &&
-           !job->tried;
+    return job->state == PM_JOB_LIVE && spec && spec->kind == PM_WORKLOAD_ARRAY && spec->spot &&
+           !job->unmet_dependencies && job->priority != PM_PRIORITY_PRODUCTION &&
+           job->priority != PM_PRIORITY_BEST_EFFORT && !spec->same_zone && !spec->spread_zones &&
+           !pm_failures_is_job_failing(job) && !job->delegated && !job->placed_count &&
+           !job->done_count && !job->write_attempted;
 }
 
 static bool alive(const struct block *k, double now)
@@ -39,7 +39,7 @@
 /* Whether it holds one more job, with so many machines. */
 static bool has_space(const struct pm_shards *b, const struct block *k, unsigned machines)
 {
-    return value_size(b, k) + 50 + 150.0 * machines < b->tables->settings->value_kb * 1024;
+    return value_size(b, k) + 50 + 150.0 * machines < b->tables->settings->store_value_kb * 1024;
 }
 
 static double load(const struct block *k)
@@ -49,7 +49,7 @@
     for (guint i = 0; i < k->given->len; i++) {
         const struct pm_job *job = g_ptr_array_index(k->given, i);
         if (job->state == PM_JOB_LIVE && job->spec)
-            tasks += job->entries * job->spec->cpus;
+            tasks += job->task_count * job->spec->cpus;
     }
     return tasks;
 }
@@ -61,10 +61,10 @@
         for (guint j = 0; j < b->block[i].given->len; j++) {
             struct pm_job *job = g_ptr_array_index(b->block[i].given, j);
             uint32_t more;
-            if (!job->spec || job->state != PM_JOB_LIVE || job->parallelism >= job->entries)
+            if (!job->spec || job->state != PM_JOB_LIVE || job->parallelism >= job->task_count)
                 continue;
             more = MIN(pm_scheduler_leasable_tasks(b->plan, job->spec, KEPT_SHARE),
-                       job->entries - job->parallelism);
+                       job->task_count - job->parallelism);
             if (!more)
                 continue;
             job->parallelism += more;
@@ -100,9 +100,9 @@
         double room[3];
         if (taken[i] || !pm_scheduler_is_machine_leasable(b->plan, m, job, now))
             continue;
-        room[0] = m->cpus;
-        room[1] = m->gpus;
-        room[2] = m->ram_gb;
+        room[0] = m->free_cpus;
+        room[1] = m->free_gpus;
+        room[2] = m->free_ram_gb;
         n += room_fit(room, job->spec);
         taken[i] = mark;
         ++*machines;
@@ -129,7 +129,7 @@
             continue;
         /* What its lease allows at once counts against the limit as long as it is delegated. */
         job->parallelism =
-            MIN(pm_scheduler_leasable_tasks(b->plan, job->spec, KEPT_SHARE), job->entries);
+            MIN(pm_scheduler_leasable_tasks(b->plan, job->spec, KEPT_SHARE), job->task_count);
         if (job->parallelism &&
             whole_room(b, job, whole, taken, i + 1, &machines, now) >= job->parallelism)
             for (int j = 0; j < b->n - 1; j++) {
@@ -146,7 +146,7 @@
         g_ptr_array_add(best->given, job);
         best->dirty = true;
         pm_debug("blocks.give", "%s of %s to %s, %u at once", job->id,
-                 b->tables->settings->team[job->spec->team].name, best->name, job->parallelism);
+                 b->tables->settings->teams[job->spec->team].name, best->name, job->parallelism);
     }
     g_free(taken);
 }
@@ -174,18 +174,18 @@
 
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
-        if (!m || !m->lent || m->type < 0)
+        if (!m || !m->shard_owner || m->type < 0)
             continue;
-        room[i][0] = b->tables->type[m->type].cpus;
-        room[i][1] = b->tables->type[m->type].gpus;
-        room[i][2] = b->tables->type[m->type].ram_gb;
+        room[i][0] = b->tables->types[m->type].cpus;
+        room[i][1] = b->tables->types[m->type].gpus;
+        room[i][2] = b->tables->types[m->type].ram_gb;
     }
     for (guint i = 0; i < active->len; i++) {
         const struct pm_job *job = g_ptr_array_index(active, i);
         if (!job->delegated || !job->spec)
             continue;
-        for (int k = 0; k < job->nchunks; k++) {
-            const GArray *stored_places = job->chunk[k] ? job->chunk[k]->stored_places : NULL;
+        for (int k = 0; k < job->chunk_count; k++) {
+            const GArray *stored_places = job->chunks[k] ? job->chunks[k]->stored_placements : NULL;
             for (guint s = 0; stored_places && s < stored_places->len; s++) {
                 int index = g_array_index(stored_places, struct pm_stored_placement, s).machine;
                 if (index < 0 || index >= (int)all->len)
@@ -224,10 +224,10 @@
         if (!m)
             return;
         e.machine = m->index;
-        m->lent = (int)(s->block - b->block) + 1;
-        room[m->index][0] = m->cpus;
-        room[m->index][1] = m->gpus;
-        room[m->index][2] = m->ram_gb;
+        m->shard_owner = (int)(s->block - b->block) + 1;
+        room[m->index][0] = m->free_cpus;
+        room[m->index][1] = m->free_gpus;
+        room[m->index][2] = m->free_ram_gb;
         n = MIN(room_fit(room[m->index], s->job->spec), s->waiting);
         take_off(room[m->index], s->job->spec, n);
         s->waiting -= n;
@@ -255,9 +255,9 @@
                 !pm_scheduler_is_machine_allowed(b->tables, s->job, m->type, m->zone, m->spot) ||
                 !pm_scheduler_may_preempt_machine(b->plan, s->job, e->machine))
                 continue;
-            room[0] = b->tables->type[m->type].cpus;
-            room[1] = b->tables->type[m->type].gpus;
-            room[2] = b->tables->type[m->type].ram_gb;
+            room[0] = b->tables->types[m->type].cpus;
+            room[1] = b->tables->types[m->type].gpus;
+            room[2] = b->tables->types[m->type].ram_gb;
             n = room_fit(room, s->job->spec);
             if (!n)
                 continue;
@@ -324,7 +324,7 @@
         uint32_t placed;
         uint32_t left;
         pm_job_count_tasks(job, &done, &placed);
-        left = job->entries - MIN(job->entries, done + placed);
+        left = job->task_count - MIN(job->task_count, done + placed);
         short_of[i].job = job;
         short_of[i].waiting = MIN(left, job->parallelism - MIN(job->parallelism, placed));
         short_of[i].block = block_of(b, job);
--- a/src/blocks/tests/test_blocks.c
+++ b/src/blocks/tests/test_blocks.c
@@ -139,14 +139,14 @@
 {
     memset(s, 0, sizeof *s);
     pm_operator_settings_defaults(&s->op);
-    s->settings.size = 2;
-    s->settings.peers = 1;
+    s->settings.cluster_size = 2;
+    s->settings.peer_count = 1;
     books_begin(&s->tables, &s->settings);
-    s->settings.report_s = 1000; /* the machine of this test reports once */
+    s->settings.heartbeat_s = 1000; /* the machine of this test reports once */
     g_strlcpy(s->settings.name, name, PM_NAME_MAX);
-    snprintf(s->settings.peer_listen, 64, "127.0.0.1:%d", port);
-    g_strlcpy(s->settings.peer[0].name, peer, PM_NAME_MAX);
-    snprintf(s->settings.peer[0].addr, 64, "127.0.0.1:%d", peer_port);
+    snprintf(s->settings.peer_listen_addr, 64, "127.0.0.1:%d", port);
+    g_strlcpy(s->settings.peers[0].name, peer, PM_NAME_MAX);
+    snprintf(s->settings.peers[0].addr, 64, "127.0.0.1:%d", peer_port);
 }
 
 static void start(struct side *s)
@@ -165,7 +165,7 @@
     s->blocks =
         pm_shards_new(&s->tables, s->jobs, s->workers, s->plan, s->store, s->http, s->lead,
                       &(struct pm_shards_hooks){on_nothing, on_job_back, on_bad, on_mine, s});
-    s->back = pm_http_server_new(loop, s->settings.peer_listen, 16, on_peer, s);
+    s->back = pm_http_server_new(loop, s->settings.peer_listen_addr, 16, on_peer, s);
     assert_non_null(s->back);
 }
 
@@ -225,19 +225,19 @@
     struct wanted wanted = {s, id};
     char key[64];
     struct pm_spec spec = {.zone = -1,
-                           .types = ~(uint64_t)0,
-                           .entries = 2,
+                           .allowed_types = ~(uint64_t)0,
+                           .task_count = 2,
                            .cpus = 4,
                            .ram_gb = 4,
                            .spot = true,
-                           .spread = spread,
+                           .spread_zones = spread,
                            .priority = PM_PRIORITY_NORMAL,
-                           .due_s = -1};
+                           .deadline_s = -1};
     static int status;
     struct pm_txn txn = {0};
 
-    spec.class_index = pm_names_intern(s->tables.classes, "train");
-    spec.image = pm_names_intern(s->tables.images, "img");
+    spec.class_index = pm_names_intern(s->tables.class_names, "train");
+    spec.image = pm_names_intern(s->tables.image_names, "img");
     snprintf(key, sizeof key, "p/j/%s", id);
     pm_txn_put(&txn, key);
     pm_job_encode(&s->tables, &spec, 2, PM_JOB_LIVE, true, &txn.writes);
@@ -338,7 +338,7 @@
     assert_int_equal(pm_jobs_find(holder.jobs, "job-1")->parallelism, 2);
     assert_true(pm_jobs_find(leader.jobs, "job-1")->delegated);
     m = pm_workers_find(leader.workers, "i-000001");
-    assert_int_equal(m->lent, 1);
+    assert_int_equal(m->shard_owner, 1);
     assert_string_equal(pm_shards_owner_of(leader.blocks, "i-000001"), "n1");
     assert_string_equal(pm_shards_owner_of(holder.blocks, "i-000001"), "n1");
     /* A holder answers workers only with the epoch and its block confirmed. */
@@ -353,12 +353,12 @@
     assert_true(pm_election_epoch(leader.lead) > epoch);
     assert_int_equal(fake_state_revision(state, "p/b/n1"), 0);
     assert_false(pm_jobs_find(leader.jobs, "job-1")->delegated);
-    assert_int_equal(m->lent, 0);
+    assert_int_equal(m->shard_owner, 0);
     /* Its lease counts from when a majority knows the new epoch, and not before. */
-    assert_true(m->since_epoch == pm_election_epoch(leader.lead));
-    assert_false(
-        pm_workers_is_lease_expired(m, pm_election_lease_lower_bound(leader.lead, m->since_epoch),
-                                    0.001, pm_clock_monotonic() + 1000));
+    assert_true(m->reclaimed_epoch == pm_election_epoch(leader.lead));
+    assert_false(pm_workers_is_lease_expired(
+        m, pm_election_lease_lower_bound(leader.lead, m->reclaimed_epoch), 0.001,
+        pm_clock_monotonic() + 1000));
 }
 
 static bool is_failing(void *arg)
@@ -388,7 +388,7 @@
     assert_true(fake_run_until(loop, is_granted, NULL));
     pm_failures_report_job(pm_jobs_find(holder.jobs, "job-1"), pm_clock_monotonic());
     assert_true(fake_run_until(loop, is_failing, &failing));
-    leader.tables.type[0].cpus = 2; /* the machine leased with it has room for none of its tasks */
+    leader.tables.types[0].cpus = 2; /* the machine leased with it has room for none of its tasks */
     allot_once();
     assert_int_equal(wants->len, 0);
     /* One of its tasks succeeds. */
@@ -455,22 +455,23 @@
     later = pm_clock_monotonic() + 2.5; /* the holder has said that it is ready */
     assert_true(fake_run_until(loop, is_over, &later));
     write_job(&leader, "job-1", false);
-    leader.settings.value_kb = 0.2; /* a block with the job, but not with a machine beside it */
+    leader.settings.store_value_kb =
+        0.2; /* a block with the job, but not with a machine beside it */
     pm_scheduler_begin(leader.plan, pm_clock_monotonic(), 1e6);
     pm_shards_assign_jobs(leader.blocks, pm_clock_monotonic());
     assert_false(pm_jobs_find(leader.jobs, "job-1")->delegated);
-    leader.settings.value_kb = 0.4;
+    leader.settings.store_value_kb = 0.4;
     pm_shards_assign_jobs(leader.blocks, pm_clock_monotonic());
     assert_true(pm_jobs_find(leader.jobs, "job-1")->delegated);
     pm_shards_assign_machines(leader.blocks, pm_clock_monotonic());
-    assert_int_equal(pm_workers_find(leader.workers, "i-000001")->lent, 1);
+    assert_int_equal(pm_workers_find(leader.workers, "i-000001")->shard_owner, 1);
 }
 
 static bool listen_again(void *arg)
 {
     struct side *s = arg;
 
-    s->back = pm_http_server_new(loop, s->settings.peer_listen, 16, on_peer, s);
+    s->back = pm_http_server_new(loop, s->settings.peer_listen_addr, 16, on_peer, s);
     return s->back != NULL;
 }
 
--- a/src/cmd/plan-bench/main.c
+++ b/src/cmd/plan-bench/main.c
@@ -54,25 +54,25 @@
 {
     bool service = n % 4 == 0;
     struct pm_spec spec = {.zone = -1,
-                           .types = ~(uint64_t)0,
-                           .form = service ? PM_WORKLOAD_SERVICE : PM_WORKLOAD_ARRAY,
+                           .allowed_types = ~(uint64_t)0,
+                           .kind = service ? PM_WORKLOAD_SERVICE : PM_WORKLOAD_ARRAY,
                            .priority = service ? PM_PRIORITY_PRODUCTION : PM_PRIORITY_NORMAL,
-                           .entries = service ? 5 : ENTRIES,
+                           .task_count = service ? 5 : ENTRIES,
                            .cpus = service ? 2 : 4,
                            .ram_gb = service ? 13 : 29,
                            .image_gb = 1,
                            .spot = !service,
-                           .spread = service,
-                           .expected_s = service ? 0 : 15,
-                           .due_s = service ? -1 : 60,
-                           .submitted = now};
+                           .spread_zones = service,
+                           .estimated_run_s = service ? 0 : 15,
+                           .deadline_s = service ? -1 : 60,
+                           .submitted_wall = now};
     struct pm_buf buf = {0};
     cbor_item_t *value;
     char text[64];
 
     snprintf(text, sizeof text, "img-%02d", n % 26);
-    spec.class_index = pm_names_intern(tables.classes, service ? "search" : "render");
-    spec.image = pm_names_intern(tables.images, text);
+    spec.class_index = pm_names_intern(tables.class_names, service ? "search" : "render");
+    spec.image = pm_names_intern(tables.image_names, text);
     if (nneeds) {
         GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
         for (int i = 0; i < nneeds; i++)
@@ -80,7 +80,7 @@
         pm_spec_set_dependencies(&tables, &spec, ids);
         g_ptr_array_free(ids, TRUE);
     }
-    pm_job_encode(&tables, &spec, spec.entries, PM_JOB_LIVE, true, &buf);
+    pm_job_encode(&tables, &spec, spec.task_count, PM_JOB_LIVE, true, &buf);
     g_free(spec.dependencies);
     value = pm_cbor_parse(buf.data, buf.size);
     snprintf(text, sizeof text, "p/j/job-%06d", n);
@@ -99,19 +99,19 @@
     pm_put_map(&buf);
     pm_put_pair_text(&buf, "host", m->name);
     pm_put_pair_text(&buf, "endpoint", "127.0.0.1:9");
-    pm_put_pair_text(&buf, "model", pm_names_text(tables.types, m->type));
-    pm_put_pair_text(&buf, "room", settings.zone_name[m->zone]);
+    pm_put_pair_text(&buf, "model", pm_names_text(tables.type_names, m->type));
+    pm_put_pair_text(&buf, "room", settings.zone_names[m->zone]);
     pm_put_pair_flag(&buf, "borrowed", m->spot);
     pm_put_pair_count(&buf, "shift", 1);
     pm_put_pair_count(&buf, "tally", m->sequence + 1);
     pm_put_pair_count(&buf, "mandate", 1);
     pm_put_text(&buf, "entries");
     pm_put_list(&buf);
-    for (guint i = 0; i < m->places->len; i++) {
-        const struct pm_placement *place = g_ptr_array_index(m->places, i);
+    for (guint i = 0; i < m->placements->len; i++) {
+        const struct pm_placement *place = g_ptr_array_index(m->placements, i);
         char entry[64];
-        bool over = ended && place->job->spec->form == PM_WORKLOAD_ARRAY;
-        snprintf(entry, sizeof entry, "%s/%u", place->job->id, place->index);
+        bool over = ended && place->job->spec->kind == PM_WORKLOAD_ARRAY;
+        snprintf(entry, sizeof entry, "%s/%u", place->job->id, place->task_index);
         pm_put_map(&buf);
         pm_put_pair_text(&buf, "entry", entry);
         pm_put_pair_count(&buf, "try", place->attempt);
@@ -130,28 +130,28 @@
 
 static void begin(int machines)
 {
-    strcpy(settings.zone_name[0], "a");
-    strcpy(settings.zone_name[1], "b");
-    settings.zones = 2;
-    settings.teams = 1;
-    strcpy(settings.team[0].name, "team");
-    settings.team[0].cpus_max = settings.team[0].gpus_max = 1e12;
-    settings.report_s = 8;
+    strcpy(settings.zone_names[0], "a");
+    strcpy(settings.zone_names[1], "b");
+    settings.zone_count = 2;
+    settings.team_count = 1;
+    strcpy(settings.teams[0].name, "team");
+    settings.teams[0].cpus_max = settings.teams[0].gpus_max = 1e12;
+    settings.heartbeat_s = 8;
     settings.lease_s = 44;
-    settings.txn_ops = 8;
+    settings.store_txn_ops = 8;
     tables.settings = &settings;
-    tables.classes = pm_names_new();
-    tables.images = pm_names_new();
-    tables.types = pm_names_new();
-    tables.machines = pm_names_new();
+    tables.class_names = pm_names_new();
+    tables.image_names = pm_names_new();
+    tables.type_names = pm_names_new();
+    tables.machine_names = pm_names_new();
     tables.dependency_ids = pm_names_new();
-    pm_names_intern(tables.types, "small");
-    pm_names_intern(tables.types, "large");
-    tables.type[0] =
+    pm_names_intern(tables.type_names, "small");
+    pm_names_intern(tables.type_names, "large");
+    tables.types[0] =
         (struct pm_type){.cpus = 4, .ram_gb = 32, .local_gb = 35, .pull_gb_per_s = 0.2};
-    tables.type[1] =
+    tables.types[1] =
         (struct pm_type){.cpus = 16, .ram_gb = 128, .local_gb = 40, .pull_gb_per_s = 0.4};
-    tables.ntypes = 2;
+    tables.type_count = 2;
     jobs = pm_jobs_new(&tables);
     workers = pm_workers_new(&tables, jobs, &(struct pm_workers_hooks){on_ended, on_ran, NULL});
     for (int i = 0; i < machines; i++) {
@@ -292,8 +292,8 @@
         longest = took > longest ? took : longest;
         for (int i = 0; i < machines; i++) {
             struct pm_machine *m = g_ptr_array_index(all, i);
-            for (guint j = 0; j < m->places->len; j++) {
-                struct pm_placement *place = g_ptr_array_index(m->places, j);
+            for (guint j = 0; j < m->placements->len; j++) {
+                struct pm_placement *place = g_ptr_array_index(m->placements, j);
                 if (place->state == PM_PLACEMENT_PROPOSED)
                     place->state = PM_PLACEMENT_RUNNING;
             }
--- a/src/cmd/pumicectl/drain.c
+++ b/src/cmd/pumicectl/drain.c
@@ -158,7 +158,7 @@
 
 struct pm_report pm_drain(const struct pm_settings *settings, const char *duty, double timeout_s)
 {
-    struct state_client client = {.loop = ev_loop_new(EVFLAG_AUTO), .addr = settings->state};
+    struct state_client client = {.loop = ev_loop_new(EVFLAG_AUTO), .addr = settings->store_addr};
     struct pm_report out;
 
     client.http = pm_http_client_new(client.loop, CONNECTIONS_MAX);
--- a/src/cmd/pumicectl/gather.c
+++ b/src/cmd/pumicectl/gather.c
@@ -64,12 +64,13 @@
     ev_timer deadline;
 
     memset(out, 0, sizeof *out);
-    out->controllers = settings->peers + 1;
-    out->controller[0] = (struct pm_answer){.name = settings->name, .addr = settings->peer_listen};
-    for (int i = 0; i < settings->peers; i++)
+    out->controllers = settings->peer_count + 1;
+    out->controller[0] =
+        (struct pm_answer){.name = settings->name, .addr = settings->peer_listen_addr};
+    for (int i = 0; i < settings->peer_count; i++)
         out->controller[i + 1] =
-            (struct pm_answer){.name = settings->peer[i].name, .addr = settings->peer[i].addr};
-    out->lead = (struct pm_answer){.name = "state service", .addr = settings->state};
+            (struct pm_answer){.name = settings->peers[i].name, .addr = settings->peers[i].addr};
+    out->lead = (struct pm_answer){.name = "state service", .addr = settings->store_addr};
     out->epoch = out->lead;
     for (int i = 0; i < out->controllers + 2; i++) {
         bool state = i >= out->controllers;
--- a/src/cmd/pumicemount/duties.c
+++ b/src/cmd/pumicemount/duties.c
@@ -41,7 +41,7 @@
 /* Takes away some keys that nobody needs; the transaction refuses a holder that was replaced. */
 static void clean(struct pm_controller *n, double now)
 {
-    int most = MIN(pm_store_write_budget(n->store, now) - CLEAN_SPARE, n->settings->txn_ops);
+    int most = MIN(pm_store_write_budget(n->store, now) - CLEAN_SPARE, n->settings->store_txn_ops);
     uint64_t token = pm_roles_token(n->duties, PM_ROLE_GARBAGE_COLLECTION);
     struct pm_txn txn = {0};
 
@@ -61,8 +61,8 @@
 void pm_controller_tick_roles(struct pm_controller *n, double now)
 {
     struct pm_roles_conditions grounds = {
-        .supported = pm_election_protocol_version(n->lead) >= PM_PROTOCOL_ROLES,
-        .leads = n->leading,
+        .is_supported = pm_election_protocol_version(n->lead) >= PM_PROTOCOL_ROLES,
+        .is_leader = n->leading,
         .epoch_revision = n->leading ? pm_election_epoch_revision(n->lead) : 0,
     };
 
@@ -72,18 +72,19 @@
 
 void pm_controller_init_roles(struct pm_controller *n)
 {
-    const struct pm_roles_setting *setting = &n->op->duties;
+    const struct pm_roles_setting *setting = &n->op->roles;
     struct pm_audit_log *record = NULL;
     char err[512];
 
-    if (setting->record_dir[0]) {
-        record = pm_audit_log_new(setting->record_dir, n->settings->name, setting->record_period_s,
-                                  setting->record_mb, err, sizeof err);
+    if (setting->audit_log_dir[0]) {
+        record =
+            pm_audit_log_new(setting->audit_log_dir, n->settings->name, setting->audit_log_period_s,
+                             setting->audit_log_mb, err, sizeof err);
         if (!record) /* the service goes on without */
             pm_error("duty.record", "%s", err);
     }
     n->duties = pm_roles_new(n->store, n->settings, setting, pm_election_incarnation_id(n->lead),
                              n->trace, record, &(struct pm_roles_hooks){on_taken, on_drained, n});
     pm_autoscaler_set_duties(n->fleet, n->duties);
-    n->clean = pm_gc_new(n->settings, setting->clean_after_s);
+    n->clean = pm_gc_new(n->settings, setting->gc_after_s);
 }
--- a/src/cmd/pumicemount/links.c
+++ b/src/cmd/pumicemount/links.c
@@ -43,7 +43,7 @@
 
 static bool is_ours(const struct pm_controller *n, const struct pm_machine *m)
 {
-    return m && m->state == PM_MACHINE_UP && !m->lent && n->ruling;
+    return m && m->state == PM_MACHINE_UP && !m->shard_owner && n->ruling;
 }
 
 static void add_endpoint(struct pm_links_zone_census *census, const char *endpoint)
@@ -70,12 +70,12 @@
         add_endpoint(pm_machine_missed_heartbeat(m, n->settings, now) ? &silent[m->zone]
                                                                       : &census[m->zone],
                      m->endpoint);
-        if (!m->reported)
+        if (!m->has_heartbeat)
             continue;
         census[m->zone].up++;
-        census[m->zone].deaf += pm_machine_is_unreachable(m, now);
+        census[m->zone].unreachable += pm_machine_is_unreachable(m, now);
     }
-    for (int zone = 0; zone < n->settings->zones; zone++) {
+    for (int zone = 0; zone < n->settings->zone_count; zone++) {
         for (int i = 0; i < PM_VIEW_ENDPOINTS; i++)
             add_endpoint(&census[zone], silent[zone].endpoint[i]);
         pm_links_count_zone(n->links, zone, &census[zone], now);
@@ -103,9 +103,9 @@
     if (pm_links_probe_state_due(n->links, now))
         pm_store_linearizable_read(n->store, on_fresh, n);
     if (pm_links_probe_cloud_due(n->links, now))
-        pm_http_call(n->http, n->settings->cloud, "GET", "/machine_types", NULL, 0, PROBE_TIMEOUT_S,
-                     PROBE_ANSWER_MAX, on_probed, n);
-    for (int zone = 0; zone < n->settings->zones; zone++) {
+        pm_http_call(n->http, n->settings->cloud_addr, "GET", "/machine_types", NULL, 0,
+                     PROBE_TIMEOUT_S, PROBE_ANSWER_MAX, on_probed, n);
+    for (int zone = 0; zone < n->settings->zone_count; zone++) {
         const char *addr = pm_links_probe_zone_due(n->links, zone, now);
         if (addr)
             pm_http_call(n->http, addr, "GET", "/status", NULL, 0, PROBE_TIMEOUT_S,
@@ -149,12 +149,12 @@
 static void step_down_if_unheard(struct pm_controller *n, double now)
 {
     GPtrArray *all = pm_workers_all(n->workers);
-    double limit = MAX(UNHEARD_LEAST_S, UNHEARD_REPORTS * n->settings->report_s);
+    double limit = MAX(UNHEARD_LEAST_S, UNHEARD_REPORTS * n->settings->heartbeat_s);
     int silent = 0;
     int deaf = 0;
     int up = 0;
 
-    if (!n->settings->peers || now - n->took_at < limit)
+    if (!n->settings->peer_count || now - n->took_at < limit)
         return;
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
@@ -162,7 +162,7 @@
             continue;
         up++;
         /* An answer to a command is none: a worker whose reports come nowhere loses its lease. */
-        silent += now - MAX(m->report_at, n->took_at) >= limit;
+        silent += now - MAX(m->last_heartbeat_at, n->took_at) >= limit;
         deaf += pm_machine_is_unreachable(m, now);
     }
     /* Any report counts, also one that an outage keeps from being answered. */
--- a/src/cmd/pumicemount/main.c
+++ b/src/cmd/pumicemount/main.c
@@ -63,11 +63,11 @@
     loop = ev_default_loop(EVFLAG_AUTO);
     if (!loop || !pm_controller_new(loop, &settings, &op))
         return 1;
-    for (int i = 0; i < settings.teams; i++)
+    for (int i = 0; i < settings.team_count; i++)
         pm_info("node.team", "%s: %g cpus, %g at most; %g accelerators, %g at most",
-                settings.team[i].name, settings.team[i].cpus, settings.team[i].cpus_max,
-                settings.team[i].gpus, settings.team[i].gpus_max);
-    pm_info("node.start", "%s, serving %s", PM_VERSION, settings.listen);
+                settings.teams[i].name, settings.teams[i].cpus, settings.teams[i].cpus_max,
+                settings.teams[i].gpus, settings.teams[i].gpus_max);
+    pm_info("node.start", "%s, serving %s", PM_VERSION, settings.listen_addr);
     ev_run(loop, 0);
     return 0;
 }
--- a/src/cmd/pumicemount/node.c
+++ b/src/cmd/pumicemount/node.c
@@ -54,23 +54,23 @@
                                        "refused", "its gang", "gone"};
     struct pm_controller *n = arg;
     struct pm_job *job = place->job;
-    struct pm_task *task = pm_job_task(job, place->index);
+    struct pm_task *task = pm_job_task(job, place->task_index);
     struct pm_machine *m = place->machine;
 
-    pm_debug("task.ended", "%s/%u try %u on %s: %s%s", job->id, place->index, place->attempt,
+    pm_debug("task.ended", "%s/%u try %u on %s: %s%s", job->id, place->task_index, place->attempt,
              m->name, ends[end], saved ? " saved" : "");
-    if (end != PM_TASK_EXIT_DONE && place->ran_from && job->spec->bookmark_s > 0)
-        task->resumed = true;
+    if (end != PM_TASK_EXIT_DONE && place->running_since && job->spec->checkpoint_interval_s > 0)
+        task->was_resumed = true;
     /* What was stopped to make room does not compete for that room at once. */
-    if (end != PM_TASK_EXIT_DONE && place->stop && job->spec->form == PM_WORKLOAD_ARRAY)
-        pm_job_back_off(job, place->index, now + YIELDED_S);
+    if (end != PM_TASK_EXIT_DONE && place->should_stop && job->spec->kind == PM_WORKLOAD_ARRAY)
+        pm_job_back_off(job, place->task_index, now + YIELDED_S);
     if (end == PM_TASK_EXIT_DONE) {
-        if (place->ran_from && !task->resumed)
-            pm_scheduler_record_run_time(n->plan, job, now - place->ran_from);
-        if (job->spec->form == PM_WORKLOAD_GANG) { /* its tasks complete together */
-            for (uint32_t i = 0; i < job->entries; i++)
+        if (place->running_since && !task->was_resumed)
+            pm_scheduler_record_run_time(n->plan, job, now - place->running_since);
+        if (job->spec->kind == PM_WORKLOAD_GANG) { /* its tasks complete together */
+            for (uint32_t i = 0; i < job->task_count; i++)
                 pm_job_task(job, i)->done = true;
-            job->ndone = job->entries;
+            job->done_count = job->task_count;
         }
     }
 }
@@ -78,8 +78,8 @@
 static void on_ran(void *arg, struct pm_placement *place, double now)
 {
     (void)arg;
-    pm_debug("task.runs", "%s/%u try %u on %s after %.2f", place->job->id, place->index,
-             place->attempt, place->machine->name, now - place->since);
+    pm_debug("task.runs", "%s/%u try %u on %s after %.2f", place->job->id, place->task_index,
+             place->attempt, place->machine->name, now - place->placed_at);
 }
 
 static void on_gone(void *arg, struct pm_machine *m)
@@ -135,20 +135,21 @@
 {
     int places = 0;
 
-    for (int k = 0; job->spec && k < job->nchunks; k++) {
+    for (int k = 0; job->spec && k < job->chunk_count; k++) {
         GArray *stored_places =
-            job->chunk[k] && job->chunk[k]->stored ? job->chunk[k]->stored_places : NULL;
+            job->chunks[k] && job->chunks[k]->stored ? job->chunks[k]->stored_placements : NULL;
         for (guint s = 0; stored_places && s < stored_places->len; s++) {
             struct pm_stored_placement *spot =
                 &g_array_index(stored_places, struct pm_stored_placement, s);
             struct pm_machine *m =
-                pm_workers_add(n->workers, pm_names_text(n->tables.machines, spot->machine));
-            pm_workers_add_placement(n->workers, job, (uint32_t)k * PM_CHUNK_TASKS + spot->task, m,
-                                     spot->attempt, spot->session, PM_PLACEMENT_DURABLE, now);
+                pm_workers_add(n->workers, pm_names_text(n->tables.machine_names, spot->machine));
+            pm_workers_add_placement(n->workers, job,
+                                     (uint32_t)k * PM_CHUNK_TASKS + spot->task_in_chunk, m,
+                                     spot->attempt, spot->incarnation, PM_PLACEMENT_DURABLE, now);
             if (m->state ==
                 PM_MACHINE_BOOTING) { /* its worker may be silent by now: counted from here */
                 m->state = PM_MACHINE_UP;
-                m->heard = now;
+                m->last_message_at = now;
             }
             places++;
         }
@@ -202,7 +203,7 @@
 /* Who does not lead writes users' requests and its block's placements. */
 static void share_of_others(struct pm_controller *n)
 {
-    double share = 0.8 / MAX(2, n->settings->size - 1);
+    double share = 0.8 / MAX(2, n->settings->cluster_size - 1);
 
     pm_store_set_write_share(n->store, share, share);
 }
@@ -307,10 +308,10 @@
         }
     } else if (!strcmp(key, "p/types")) {
         n->types_revision = revision;
-        if (!n->tables.ntypes && !pm_machine_types_decode(&n->tables, value))
+        if (!n->tables.type_count && !pm_machine_types_decode(&n->tables, value))
             pm_error("fleet.types", "unreadable machine types in the state service");
     } else if ((job = pm_jobs_apply_put(n->jobs, key, value, revision))) {
-        if (job->cancelled == revision && pm_store_is_ready(n->store))
+        if (job->cancellation_revision == revision && pm_store_is_ready(n->store))
             pm_cancel_quorum_note_read(n->cancels, revision);
         pm_controller_plan_soon(n);
     }
@@ -432,10 +433,10 @@
 static void make_names(struct pm_name_tables *tables, const struct pm_settings *settings)
 {
     tables->settings = settings;
-    tables->classes = pm_names_new();
-    tables->images = pm_names_new();
-    tables->types = pm_names_new();
-    tables->machines = pm_names_new();
+    tables->class_names = pm_names_new();
+    tables->image_names = pm_names_new();
+    tables->type_names = pm_names_new();
+    tables->machine_names = pm_names_new();
     tables->dependency_ids = pm_names_new();
 }
 
@@ -466,10 +467,10 @@
     const struct pm_settings *settings = n->settings;
 
     n->store = pm_store_new(
-        n->loop, n->http, settings->state, settings->state_write_rps,
+        n->loop, n->http, settings->store_addr, settings->store_write_rps,
         &(struct pm_store_observer){on_put, on_drop, on_begin, on_listed, on_caught_up, n});
     share_of_others(n);
-    pm_store_set_request_rate(n->store, STORE_SHARE * settings->state_rps / settings->size);
+    pm_store_set_request_rate(n->store, STORE_SHARE * settings->store_rps / settings->cluster_size);
     n->lead = pm_election_new(n->loop, n->store, n->http, settings, n->op,
                               &(struct pm_election_hooks){on_took, on_lost, on_raised,
                                                           on_lead_confirmed, on_cancelled,
@@ -511,13 +512,13 @@
 static bool start_servers(struct pm_controller *n)
 {
     const struct pm_settings *settings = n->settings;
-    int back = MAX(16, MIN(settings->sockets / 16, 8 * settings->peers));
+    int back = MAX(16, MIN(settings->sockets / 16, 8 * settings->peer_count));
     int front = settings->sockets - settings->sockets / CLIENT_SHARE - back -
                 settings->sockets / SOCKETS_SPARE_SHARE - SOCKETS_SPARE;
 
-    n->front = listen_on(n, settings->listen, MAX(8, front), on_front);
+    n->front = listen_on(n, settings->listen_addr, MAX(8, front), on_front);
     if (n->front)
-        n->back = listen_on(n, settings->peer_listen, back, on_back);
+        n->back = listen_on(n, settings->peer_listen_addr, back, on_back);
     return n->front && n->back;
 }
 
--- a/src/cmd/pumicemount/planning.c
+++ b/src/cmd/pumicemount/planning.c
@@ -44,7 +44,7 @@
         n->due = false;
         g_mutex_unlock(&n->wake_lock);
         g_mutex_lock(&n->lock);
-        if (n->ruling && n->tables.ntypes) {
+        if (n->ruling && n->tables.type_count) {
             double began = pm_clock_monotonic();
             plan(n);
             n->plan_cost = n->plan_cost * 0.7 + (pm_clock_monotonic() - began) * 0.3;
@@ -104,8 +104,8 @@
     pm_scheduler_recheck_quota(n->plan, now);
     grounds.epoch_revision = pm_election_epoch_revision(n->lead);
     if (!n->leading) {
-        grounds.block_key = n->block_key;
-        grounds.block_revision = pm_shards_owned_revision(n->blocks);
+        grounds.shard_key = n->block_key;
+        grounds.shard_revision = pm_shards_owned_revision(n->blocks);
     }
     next = pm_commit_run(n->commit, &grounds, now, pm_clock_wall());
     n->commit_ended = pm_clock_monotonic();
--- a/src/cmd/pumicemount/round.c
+++ b/src/cmd/pumicemount/round.c
@@ -55,19 +55,19 @@
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
         double base;
-        if (!m || !m->places->len || m->lent)
+        if (!m || !m->placements->len || m->shard_owner)
             continue;
-        base = m->floor;
+        base = m->lease_lower_bound;
         if (!base && n->leading) {
-            base = pm_election_lease_lower_bound(n->lead, m->since_epoch);
-            if (m->since_epoch && isfinite(base))
-                m->floor = base;
+            base = pm_election_lease_lower_bound(n->lead, m->reclaimed_epoch);
+            if (m->reclaimed_epoch && isfinite(base))
+                m->lease_lower_bound = base;
         }
         /* Another controller may have answered it in our stead. */
         base = MAX(base, pm_election_exclusive_since(n->lead));
         if (!pm_workers_is_lease_expired(m, base, n->settings->lease_s, now))
             continue;
-        pm_info("workers.lapsed", "%s with %u places", m->name, m->places->len);
+        pm_info("workers.lapsed", "%s with %u places", m->name, m->placements->len);
         pm_workers_mark_lost(n->workers, m, now);
         pm_controller_plan_soon(n);
     }
@@ -77,11 +77,12 @@
 static bool is_worth_asking(const struct pm_controller *n, const struct pm_machine *m, double now)
 {
     bool known = m->endpoint[0] && m->listed;
-    bool silent = m->state == PM_MACHINE_UP && now - m->heard > 1.25 * n->settings->report_s + 0.4;
+    bool silent = m->state == PM_MACHINE_UP &&
+                  now - m->last_message_at > 1.25 * n->settings->heartbeat_s + 0.4;
 
-    if (!m->reported && known)
+    if (!m->has_heartbeat && known)
         return true;
-    if (m->reported && (m->unheard || !pm_machine_is_verified(m)))
+    if (m->has_heartbeat && (m->delivery_failures || !pm_machine_is_verified(m)))
         return true; /* does it hear us, is it there at all? */
     return silent;   /* perhaps it reaches another controller only */
 }
@@ -94,17 +95,18 @@
 
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        if (!m || m->state == PM_MACHINE_RELEASING || m->lent)
+        if (!m || m->state == PM_MACHINE_RELEASING || m->shard_owner)
             continue;
-        doubtful |= m->doubtful && m->token <= m->doubtful &&
-                    m->doubtful >= pm_election_epoch(n->lead) && now - m->heard < 3;
+        doubtful |= m->unknown_outcome_epoch && m->fencing_token <= m->unknown_outcome_epoch &&
+                    m->unknown_outcome_epoch >= pm_election_epoch(n->lead) &&
+                    now - m->last_message_at < 3;
         /* A worker that has not come to us yet is asked: the answer is its report, and it learns
          * our token. A wrong session is refused, with the report all the same. */
         if (asked >= ASK_MAX)
             continue; /* the others are asked next time: not all workers at once */
         if (is_worth_asking(n, m, now))
             pm_controller_push_commands(n, m, true);
-        asked += m->direct_open != 0;
+        asked += m->push_in_flight != 0;
     }
     if (doubtful && n->leading && now - n->raised_at > 6) {
         n->raised_at = now;
@@ -116,15 +118,15 @@
 static void count_machine(struct pm_controller *n, const struct pm_machine *m,
                           struct pm_controller_counts *counts, double now)
 {
-    counts->up += m->state == PM_MACHINE_UP && !m->lent;
+    counts->up += m->state == PM_MACHINE_UP && !m->shard_owner;
     counts->booting += m->state == PM_MACHINE_BOOTING;
-    counts->lent += m->lent > 0;
-    counts->silent +=
-        m->state == PM_MACHINE_UP && !m->lent && pm_machine_missed_heartbeat(m, n->settings, now);
+    counts->lent += m->shard_owner > 0;
+    counts->silent += m->state == PM_MACHINE_UP && !m->shard_owner &&
+                      pm_machine_missed_heartbeat(m, n->settings, now);
     if (m->state != PM_MACHINE_UP)
         return;
-    counts->cpus += n->tables.type[m->type].cpus;
-    counts->idle += m->lent ? 0 : m->cpus;
+    counts->cpus += n->tables.types[m->type].cpus;
+    counts->idle += m->shard_owner ? 0 : m->free_cpus;
 }
 
 static void count_job(const struct pm_job *job, struct pm_controller_counts *counts)
@@ -135,9 +137,9 @@
     if (job->delegated && job->spec) {
         pm_job_count_tasks(job, &done, &running);
         counts->placed += running;
-        counts->delegated += job->entries - MIN(job->entries, done + running);
+        counts->delegated += job->task_count - MIN(job->task_count, done + running);
     } else {
-        counts->placed += job->nplaced;
+        counts->placed += job->placed_count;
         counts->waiting += pm_job_waiting_tasks(job);
     }
 }
@@ -184,7 +186,7 @@
     (void)events;
     pm_controller_tick_links(n, now);
     pm_controller_tick_roles(n, now);
-    if (!n->tables.ntypes && pm_store_is_ready(n->store))
+    if (!n->tables.type_count && pm_store_is_ready(n->store))
         pm_autoscaler_request_machine_types(n->fleet, now);
     if (n->ruling) {
         judge_leases(n, now);
--- a/src/cmd/pumicemount/toolbox.c
+++ b/src/cmd/pumicemount/toolbox.c
@@ -49,16 +49,16 @@
 
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
-        if (m && m->lent > 0 && m->lent <= n->settings->peers)
-            held[m->lent - 1]++;
+        if (m && m->shard_owner > 0 && m->shard_owner <= n->settings->peer_count)
+            held[m->shard_owner - 1]++;
     }
     pm_put_text(out, "holders");
     pm_put_list(out);
-    for (int i = 0; i < n->settings->peers; i++) {
+    for (int i = 0; i < n->settings->peer_count; i++) {
         if (!held[i])
             continue;
         pm_put_map(out);
-        pm_put_pair_text(out, "controller", n->settings->peer[i].name);
+        pm_put_pair_text(out, "controller", n->settings->peers[i].name);
         pm_put_pair_count(out, "machines", held[i]);
         pm_put_end(out);
     }
@@ -123,15 +123,15 @@
     GString *names = g_string_new(NULL);
     unsigned named = 0;
 
-    for (uint32_t i = 0; job->spec && i < job->spec->ndependencies && named < NAMED_MOST; i++) {
+    for (uint32_t i = 0; job->spec && i < job->spec->dependency_count && named < NAMED_MOST; i++) {
         const char *id = pm_names_text(n->tables.dependency_ids, job->spec->dependencies[i]);
         const struct pm_job *needed = pm_jobs_find(n->jobs, id);
         if (needed && needed->state == PM_JOB_DONE)
             continue;
         g_string_append_printf(names, "%s%s", named++ ? ", " : "", id);
     }
-    if (job->unmet > named)
-        g_string_append_printf(names, " and %u more", job->unmet - named);
+    if (job->unmet_dependencies > named)
+        g_string_append_printf(names, " and %u more", job->unmet_dependencies - named);
     put_reason(out, "waits-for-jobs", names->str);
     g_string_free(names, TRUE);
 }
@@ -152,10 +152,10 @@
             !pm_scheduler_is_machine_allowed(&n->tables, job, m->type, m->zone, m->spot))
             continue;
         booting += m->state == PM_MACHINE_BOOTING;
-        if (m->state != PM_MACHINE_UP || m->lent)
+        if (m->state != PM_MACHINE_UP || m->shard_owner)
             continue;
         allowed++;
-        fit += pm_spec_tasks_that_fit(spec, m->cpus, m->gpus, m->ram_gb);
+        fit += pm_spec_tasks_that_fit(spec, m->free_cpus, m->free_gpus, m->free_ram_gb);
     }
     snprintf(detail, sizeof detail,
              "%u machines may run it, with room for %u of its tasks; %u boot", allowed, fit,
@@ -169,7 +169,7 @@
     int zone = job->spec->zone;
 
     if (zone >= 0 && own->zone[zone] != PM_LINK_UNKNOWN && !pm_link_usable(own->zone[zone]))
-        put_reason(out, "zone-not-reached", n->settings->zone_name[zone]);
+        put_reason(out, "zone-not-reached", n->settings->zone_names[zone]);
 }
 
 static void put_reasons(struct pm_controller *n, const struct pm_job *job, struct pm_buf *out,
@@ -180,7 +180,7 @@
     if (!pm_controller_is_store_writable(n, now))
         put_reason(out, "not-recorded",
                    "this controller does not reach the state service; it places nothing");
-    if (job->incomplete || job->unmet) {
+    if (job->dependencies_incomplete || job->unmet_dependencies) {
         put_unmet(n, job, out);
         return;
     }
@@ -204,7 +204,7 @@
         return;
     }
     if (!pm_scheduler_leasable_tasks(n->plan, job->spec, 0))
-        put_reason(out, "team-limit", n->settings->team[job->spec->team].name);
+        put_reason(out, "team-limit", n->settings->teams[job->spec->team].name);
     else
         put_room(n, job, out);
 }
@@ -231,7 +231,7 @@
     if (job) {
         pm_job_count_tasks(job, &done, &running);
         pm_put_pair_text(out, "state", state_name(job, running));
-        pm_put_pair_count(out, "tasks", job->entries);
+        pm_put_pair_count(out, "tasks", job->task_count);
         pm_put_pair_count(out, "done", done);
         pm_put_pair_count(out, "running", running);
     }
--- a/src/duties/duties.c
+++ b/src/duties/duties.c
@@ -40,14 +40,14 @@
 {
     d->grounds = *grounds;
     for (int duty = 0; duty < PM_ROLE_COUNT; duty++)
-        if (pm_roles_follows_lead((enum pm_role)duty) && !grounds->leads)
+        if (pm_roles_follows_lead((enum pm_role)duty) && !grounds->is_leader)
             pm_roles_lose(d, (enum pm_role)duty, "does not lead any more");
     if (!pm_roles_are_active(d) || !pm_store_is_ready(d->store))
         return;
     pm_roles_keep_lease_alive(d, now);
     if (!d->lease_id || now >= d->valid_until)
         return;
-    if (grounds->leads && grounds->epoch_revision)
+    if (grounds->is_leader && grounds->epoch_revision)
         pm_roles_acquire_as_leader(d);
     pm_roles_acquire_if_vacant(d, PM_ROLE_GARBAGE_COLLECTION, now);
     for (int duty = 0; duty < PM_ROLE_COUNT; duty++) {
@@ -81,7 +81,7 @@
     if (!pm_roles_is_ours(d, duty)) {
         if (revision > duty->token)
             pm_roles_lose(d, name, "another controller holds it");
-    } else if (lease_id == d->lease_id && (d->grounds.leads || !pm_roles_follows_lead(name))) {
+    } else if (lease_id == d->lease_id && (d->grounds.is_leader || !pm_roles_follows_lead(name))) {
         pm_roles_acquire(d, name, revision); /* the answer to our transaction may have been lost */
     }
 }
--- a/src/duties/duties.h
+++ b/src/duties/duties.h
@@ -25,7 +25,7 @@
 struct pm_audit_log;
 
 struct pm_roles_hooks {
-    void (*taken)(void *arg); /* a duty was taken: what is open can be finished */
+    void (*acquired)(void *arg); /* a duty was taken: what is open can be finished */
     /* An operator asked for it, and it was given up. */
     void (*drained)(void *arg, enum pm_role duty);
     void *arg;
@@ -33,8 +33,8 @@
 
 /* What this controller's hold on duties rests on. */
 struct pm_roles_conditions {
-    bool supported;          /* every controller knows duties and intents */
-    bool leads;              /* renting and returning follow the lead */
+    bool is_supported;       /* every controller knows duties and intents */
+    bool is_leader;          /* renting and returning follow the lead */
     uint64_t epoch_revision; /* of p/epoch, while leading */
 };
 
--- a/src/duties/holding.c
+++ b/src/duties/holding.c
@@ -13,7 +13,7 @@
 
 bool pm_roles_are_active(const struct pm_roles *d)
 {
-    return d->grounds.supported && (d->setting->fence || g_hash_table_size(d->intents) > 0);
+    return d->grounds.is_supported && (d->setting->enabled || g_hash_table_size(d->intents) > 0);
 }
 
 uint64_t pm_roles_token(const struct pm_roles *d, enum pm_role duty)
@@ -139,7 +139,7 @@
 {
     struct taking *taking = arg;
     struct pm_roles *d = taking->duties;
-    bool current = taking->lease_id == d->lease_id && (!taking->led || d->grounds.leads);
+    bool current = taking->lease_id == d->lease_id && (!taking->led || d->grounds.is_leader);
 
     (void)failed;
     for (int duty = 0; duty < PM_ROLE_COUNT; duty++) {
@@ -150,7 +150,7 @@
             pm_roles_acquire(d, (enum pm_role)duty, store_revision);
     }
     if (status == 200 && current)
-        d->hooks.taken(d->hooks.arg);
+        d->hooks.acquired(d->hooks.arg);
     g_free(taking);
 }
 
@@ -229,7 +229,7 @@
     if (!own->vacant_since)
         own->vacant_since = now;
     if (now < own->stand_back_until ||
-        now - own->vacant_since < (d->grounds.leads ? LEADER_VACANT_S : VACANT_S))
+        now - own->vacant_since < (d->grounds.is_leader ? LEADER_VACANT_S : VACANT_S))
         return;
     wanted[duty] = true;
     take(d, wanted, false);
--- a/src/duties/intents.c
+++ b/src/duties/intents.c
@@ -46,7 +46,7 @@
     struct pm_txn txn = {0};
     char key[sizeof PM_INTENT_KEY_PREFIX + PM_INTENT_NAME];
 
-    if (!pm_roles_holds(d, duty, now) || !d->grounds.leads) {
+    if (!pm_roles_holds(d, duty, now) || !d->grounds.is_leader) {
         pm_intent_free(intent);
         return false;
     }
@@ -157,8 +157,8 @@
     char key[sizeof PM_INTENT_KEY_PREFIX + PM_INTENT_NAME];
     unsigned due = pm_roles_count(d, duty, true);
     int most = due >= CLOSING_MOST
-                   ? d->settings->txn_ops
-                   : MIN(pm_store_write_budget(d->store, now), d->settings->txn_ops);
+                   ? d->settings->store_txn_ops
+                   : MIN(pm_store_write_budget(d->store, now), d->settings->store_txn_ops);
 
     if (!due || d->closing_busy[duty] || !pm_roles_holds(d, duty, now) || most < 1)
         return;
--- a/src/duties/tests/test_callers.c
+++ b/src/duties/tests/test_callers.c
@@ -84,8 +84,9 @@
 static void the_cloud_is_called_from(void **state)
 {
     (void)state;
-    assert_users("settings->cloud,", "cmd/pumicemount/links.c 1, fleet/calls.c 1, fleet/list.c 1, "
-                                     "fleet/types.c 1");
+    assert_users("settings->cloud_addr,",
+                 "cmd/pumicemount/links.c 1, fleet/calls.c 1, fleet/list.c 1, "
+                 "fleet/types.c 1");
     assert_users("\"/machines/release\"", "fleet/calls.c 1");
     assert_users("\"/machines\"", "fleet/calls.c 1");
     assert_users("send_to_cloud(", "fleet/calls.c 3"); /* itself, to rent, to return */
@@ -95,7 +96,7 @@
 {
     (void)state;
     assert_users("pm_txn_delete(", "duties/clean.c 1, duties/holding.c 3, duties/intents.c 1, "
-                                 "jobs/commit.c 2, leadership/take.c 2, store/txn.c 1");
+                                   "jobs/commit.c 2, leadership/take.c 2, store/txn.c 1");
 }
 
 int main(void)
--- a/src/duties/tests/test_clean.c
+++ b/src/duties/tests/test_clean.c
@@ -21,8 +21,8 @@
     (void)state;
     memset(&settings, 0, sizeof settings);
     strcpy(settings.name, "node-0");
-    strcpy(settings.peer[0].name, "node-1");
-    settings.peers = 1;
+    strcpy(settings.peers[0].name, "node-1");
+    settings.peer_count = 1;
     cleaner = pm_gc_new(&settings, AFTER_S);
     return 0;
 }
@@ -54,8 +54,8 @@
     struct pm_txn txn = {0};
     int count = pm_gc_add_due_deletes(cleaner, &txn, MOST, now);
 
-    assert_int_equal(count, txn.nwrites);
-    assert_int_equal(count, txn.nconditions); /* each on its revision */
+    assert_int_equal(count, txn.write_count);
+    assert_int_equal(count, txn.compare_count); /* each on its revision */
     if (key)
         assert_non_null(memmem(txn.writes.data, txn.writes.size, key, strlen(key)));
     pm_txn_free(&txn);
--- a/src/duties/tests/test_duties.c
+++ b/src/duties/tests/test_duties.c
@@ -77,14 +77,14 @@
 {
     memset(c, 0, sizeof *c);
     snprintf(c->settings.name, sizeof c->settings.name, "%s", name);
-    c->settings.txn_ops = 12;
-    c->setting = (struct pm_roles_setting){.fence = true, .ttl_s = TTL_S};
+    c->settings.store_txn_ops = 12;
+    c->setting = (struct pm_roles_setting){.enabled = true, .ttl_s = TTL_S};
     c->store = pm_store_new(
         loop, http, addr, 1000,
         &(struct pm_store_observer){on_put, on_drop, on_begin, on_listed, on_caught_up, c});
     c->duties = pm_roles_new(c->store, &c->settings, &c->setting, boot, NULL, NULL,
                              &(struct pm_roles_hooks){on_taken, on_drained, c});
-    c->grounds.supported = true;
+    c->grounds.is_supported = true;
 }
 
 static bool never(void *arg)
@@ -171,7 +171,7 @@
 {
     put_number("p/epoch", "epoch", epoch);
     assert_true(fake_run_until(loop, knows_epoch, c));
-    c->grounds.leads = true;
+    c->grounds.is_leader = true;
 }
 
 static int set_up(void **arg)
@@ -313,8 +313,8 @@
 static void nothing_is_written_while_not_all_know_duties(void **arg)
 {
     (void)arg;
-    second.grounds.supported = false;
-    second.grounds.leads = true;
+    second.grounds.is_supported = false;
+    second.grounds.is_leader = true;
     tick(&second);
     assert_false(pm_roles_are_active(second.duties));
     assert_true(pm_roles_are_active(first.duties));
@@ -325,7 +325,7 @@
 static void what_others_began_is_kept_to(void **arg)
 {
     (void)arg;
-    second.setting.fence = false;
+    second.setting.enabled = false;
     tick(&second);
     assert_false(pm_roles_are_active(second.duties));
     assert_true(intend(&first, "i-1"));
--- a/src/fleet/boots.c
+++ b/src/fleet/boots.c
@@ -25,7 +25,8 @@
 static bool is_up(const struct pm_machine *m)
 {
     /* When a holder's machine was rented is not known here. */
-    return m->state == PM_MACHINE_UP && m->type >= 0 && m->zone >= 0 && !m->lent && m->rented > 0;
+    return m->state == PM_MACHINE_UP && m->type >= 0 && m->zone >= 0 && !m->shard_owner &&
+           m->rented_at > 0;
 }
 
 static void note_overdue(struct pm_autoscaler *f, const struct pm_machine *m, double now)
@@ -36,7 +37,7 @@
         return;
     kind = pm_autoscaler_kind_of(f, m);
     kind->overdue++;
-    kind->oldest_overdue = MIN(kind->oldest_overdue, m->rented);
+    kind->oldest_overdue = MIN(kind->oldest_overdue, m->rented_at);
 }
 
 static void note_up(struct pm_autoscaler *f, const struct pm_machine *m)
@@ -46,17 +47,17 @@
     if (!is_up(m))
         return;
     kind = pm_autoscaler_kind_of(f, m);
-    kind->up_since += m->rented >= kind->oldest_overdue;
-    if (m->session == 1 && m->rented > f->took_at)
-        kind->longest_boot = MAX(kind->longest_boot, m->session_heard - m->rented);
+    kind->up_since += m->rented_at >= kind->oldest_overdue;
+    if (m->incarnation == 1 && m->rented_at > f->took_at)
+        kind->longest_boot = MAX(kind->longest_boot, m->incarnation_seen_at - m->rented_at);
 }
 
 void pm_autoscaler_track_boots(struct pm_autoscaler *f, double now)
 {
     GPtrArray *all = pm_workers_all(f->workers);
 
-    for (int type = 0; type < f->tables->ntypes; type++)
-        for (int zone = 0; zone < f->tables->settings->zones; zone++)
+    for (int type = 0; type < f->tables->type_count; type++)
+        for (int zone = 0; zone < f->tables->settings->zone_count; zone++)
             for (int spot = 0; spot < 2; spot++) {
                 struct kind *kind = &f->kind[type][zone][spot];
                 kind->overdue = kind->up_since = 0;
@@ -90,13 +91,13 @@
 {
     /* One that the list calls running has come up; after a change of leader it has yet to report
      * here. */
-    double age = now - (m->runs_since ? m->runs_since : m->rented);
+    double age = now - (m->listed_running_since ? m->listed_running_since : m->rented_at);
     double ready_s;
     double longest;
 
-    if (!boots(m) || m->places->len)
+    if (!boots(m) || m->placements->len)
         return false;
-    ready_s = f->tables->type[m->type].ready_s;
+    ready_s = f->tables->types[m->type].ready_s;
     longest = f->kind[m->type][m->zone][m->spot].longest_boot;
     if (pm_autoscaler_boot_state(f, m, now) == BOOT_STUCK)
         return age > MAX(STUCK_BOOTS * ready_s + STUCK_S, STUCK_LONGEST * longest);
@@ -106,7 +107,7 @@
 int pm_autoscaler_probe_count(const struct pm_autoscaler *f, int type, const struct kind *kind,
                               double now)
 {
-    if (now - kind->probed_at < f->tables->type[type].ready_s)
+    if (now - kind->probed_at < f->tables->types[type].ready_s)
         return 0;
     return 1 + (int)(PROBE_SHARE * kind->overdue);
 }
--- a/src/fleet/calls.c
+++ b/src/fleet/calls.c
@@ -71,8 +71,9 @@
         if (valid_until <= 0) /* not held any more; 0 would mean no limit */
             valid_until = call->sent;
     }
-    pm_http_call_until(f->http, f->tables->settings->cloud, "POST", target, body->data, body->size,
-                       PM_AUTOSCALER_CALL_TIMEOUT_S, RENT_ANSWER_MAX, valid_until, done, call);
+    pm_http_call_until(f->http, f->tables->settings->cloud_addr, "POST", target, body->data,
+                       body->size, PM_AUTOSCALER_CALL_TIMEOUT_S, RENT_ANSWER_MAX, valid_until, done,
+                       call);
 }
 
 static bool is_settled(const struct pm_intent *intent)
@@ -121,7 +122,7 @@
 /* One intent for each duty at a time, so far apart that they leave the write budget to the jobs. */
 static double intent_pace(const struct pm_autoscaler *f)
 {
-    return INTENT_WRITES / (INTENT_SHARE * f->tables->settings->state_write_rps);
+    return INTENT_WRITES / (INTENT_SHARE * f->tables->settings->store_write_rps);
 }
 
 /* ---- renting ---- */
@@ -135,8 +136,8 @@
 
     pm_put_map(&body);
     pm_put_pair_text(&body, "booking", call->booking);
-    pm_put_pair_text(&body, "model", pm_names_text(tables->types, call->rent.type));
-    pm_put_pair_text(&body, "room", tables->settings->zone_name[call->rent.zone]);
+    pm_put_pair_text(&body, "model", pm_names_text(tables->type_names, call->rent.type));
+    pm_put_pair_text(&body, "room", tables->settings->zone_names[call->rent.zone]);
     pm_put_pair_flag(&body, "borrowed", call->rent.spot);
     pm_put_pair_count(&body, "how_many", (uint64_t)call->rent.count);
     pm_put_end(&body);
@@ -170,14 +171,14 @@
 
     if (m->state == PM_MACHINE_RELEASING)
         return; /* the answer to a request that was sent again */
-    m->rented = call->sent;
+    m->rented_at = call->sent;
     if (m->type >= 0)
         return; /* reported already */
     pm_workers_set_type(f->workers, m, call->rent.type);
     m->zone = call->rent.zone;
     m->spot = call->rent.spot;
     pm_debug("fleet.machine", "%s is a %s%s", m->name,
-             pm_names_text(f->tables->types, call->rent.type), call->rent.spot ? " spot" : "");
+             pm_names_text(f->tables->type_names, call->rent.type), call->rent.spot ? " spot" : "");
 }
 
 static size_t read_rented(struct call *call, const unsigned char *body, size_t size)
@@ -211,7 +212,7 @@
     f->in_flight--;
     got = status == 200 ? read_rented(call, body, size) : 0;
     pm_info("fleet.rented", "%s: %zu of %d %s%s, status %d", call->booking, got, call->rent.count,
-            pm_names_text(f->tables->types, call->rent.type), call->rent.spot ? " spot" : "",
+            pm_names_text(f->tables->type_names, call->rent.type), call->rent.spot ? " spot" : "",
             status);
     note_answer(f, &call->rent, status, got);
     /* No answer: it may have been carried out. The same name asks for the same machines, and rents
@@ -231,12 +232,12 @@
 {
     const struct pm_intent_rental *rental =
         &g_array_index(intent->rentals, struct pm_intent_rental, index);
-    struct pm_scale_out_request rent = {pm_names_find(f->tables->types, rental->type),
+    struct pm_scale_out_request rent = {pm_names_find(f->tables->type_names, rental->type),
                                         pm_settings_find_zone(f->tables->settings, rental->zone),
                                         rental->spot, (int)rental->count};
     struct call *call;
 
-    if (rent.type < 0 || rent.type >= f->tables->ntypes || rent.zone < 0)
+    if (rent.type < 0 || rent.type >= f->tables->type_count || rent.zone < 0)
         return NULL;
     call = call_new(f, now);
     call->rent = rent;
@@ -289,8 +290,9 @@
 
     for (int i = 0; i < count; i++) {
         struct pm_intent_rental rental = {.spot = rents[i].spot, .count = (uint64_t)rents[i].count};
-        g_strlcpy(rental.type, pm_names_text(f->tables->types, rents[i].type), sizeof rental.type);
-        g_strlcpy(rental.zone, f->tables->settings->zone_name[rents[i].zone], sizeof rental.zone);
+        g_strlcpy(rental.type, pm_names_text(f->tables->type_names, rents[i].type),
+                  sizeof rental.type);
+        g_strlcpy(rental.zone, f->tables->settings->zone_names[rents[i].zone], sizeof rental.zone);
         g_array_append_val(intent->rentals, rental);
     }
     f->rent_intent_at = now;
@@ -346,7 +348,7 @@
     for (guint i = 0; i < call->machines->len; i++) {
         struct pm_machine *m = pm_workers_find(f->workers, g_ptr_array_index(call->machines, i));
         if (m)
-            m->release_retry = at;
+            m->terminate_retry_at = at;
     }
 }
 
@@ -360,7 +362,7 @@
             continue;
         g_hash_table_add(f->gone, g_strdup(m->name));
         note_returned(f, m);
-        f->hooks.gone(f->hooks.arg, m);
+        f->hooks.machine_terminated(f->hooks.arg, m);
     }
 }
 
@@ -410,7 +412,7 @@
             continue;
         m = pm_workers_add(f->workers, name);
         m->state = PM_MACHINE_RELEASING;
-        m->release_retry = INFINITY; /* with the intent */
+        m->terminate_retry_at = INFINITY; /* with the intent */
     }
 }
 
@@ -473,7 +475,7 @@
         return;
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        if (!m || m->state != PM_MACHINE_RELEASING || m->release_retry > now)
+        if (!m || m->state != PM_MACHINE_RELEASING || m->terminate_retry_at > now)
             continue;
         if (!call) {
             if (!pm_autoscaler_may_call(f, now))
@@ -484,7 +486,7 @@
         if (call->machines->len >= PM_INTENT_MACHINES)
             break;
         g_ptr_array_add(call->machines, g_strdup(m->name));
-        m->release_retry = INFINITY;
+        m->terminate_retry_at = INFINITY;
     }
     if (!call)
         return;
--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -68,9 +68,9 @@
     if (pm_cbor_number(pm_cbor_get(ledger, "day"), &written))
         return;
     /* One that was heard then may have been heard long after: nothing is known of it. */
-    for (int z = 0; z < s->zones; z++)
-        if (!pm_cbor_number(pm_cbor_get(heard, s->zone_name[z]), &at) &&
-            written - at > 1.6 * s->report_s + 1)
+    for (int z = 0; z < s->zone_count; z++)
+        if (!pm_cbor_number(pm_cbor_get(heard, s->zone_names[z]), &at) &&
+            written - at > 1.6 * s->heartbeat_s + 1)
             f->zone_heard[z] = MIN(now - (day - at), now);
 }
 
@@ -130,7 +130,7 @@
     int in_flight_max =
         (int)CLAMP(f->tables->settings->cloud_rps * 0.6, IN_FLIGHT_LEAST, PM_INTENT_RENTALS);
 
-    if (!f->tables->ntypes)
+    if (!f->tables->type_count)
         return;
     pm_autoscaler_mark_scale_in(f, now);
     pm_autoscaler_finish_intents(f, in_flight_max, now);
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -10,9 +10,10 @@
 struct pm_autoscaler;
 
 struct pm_autoscaler_hooks {
-    void (*types)(void *arg, const cbor_item_t *models); /* the cloud told its machine types */
-    void (*gone)(void *arg, struct pm_machine *machine); /* a release was confirmed */
-    void (*changed)(void *arg);                          /* the replica of machines changed */
+    void (*machine_types)(void *arg,
+                          const cbor_item_t *models); /* the cloud told its machine types */
+    void (*machine_terminated)(void *arg, struct pm_machine *machine); /* a release was confirmed */
+    void (*changed)(void *arg); /* the replica of machines changed */
     void *arg;
 };
 
--- a/src/fleet/list.c
+++ b/src/fleet/list.c
@@ -38,10 +38,10 @@
         return;
     if (!m) {
         m = pm_workers_add(f->workers, name);
-        m->rented = now - age;
+        m->rented_at = now - age;
     }
     if (m->type < 0 && !pm_cbor_text(pm_cbor_get(item, "model"), text, sizeof text) &&
-        (type = pm_names_find(f->tables->types, text)) >= 0 && type < f->tables->ntypes) {
+        (type = pm_names_find(f->tables->type_names, text)) >= 0 && type < f->tables->type_count) {
         pm_workers_set_type(f->workers, m, type);
         if (!pm_cbor_text(pm_cbor_get(item, "room"), text, sizeof text))
             m->zone = pm_settings_find_zone(f->tables->settings, text);
@@ -53,8 +53,8 @@
     m->absent_since = 0;
     if (!strcmp(status, "failed"))
         m->failed = true;
-    if (!strcmp(status, "running") && !m->runs_since)
-        m->runs_since = now;
+    if (!strcmp(status, "running") && !m->listed_running_since)
+        m->listed_running_since = now;
 }
 
 /* Whether `a` was rented before `b`: names go by creation. */
@@ -71,7 +71,7 @@
 static void read_absent(struct pm_autoscaler *f, double now)
 {
     GPtrArray *all = pm_workers_all(f->workers);
-    double lag = 2 * f->tables->settings->list_lag_s + 1;
+    double lag = 2 * f->tables->settings->inventory_lag_s + 1;
 
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
@@ -80,7 +80,8 @@
             continue;
         past = f->since[0] && rented_before(m->name, f->since);
         /* One that is lent reports elsewhere: the list alone tells. */
-        if (!past && (f->list_sent - m->rented <= lag || (!m->lent && now - m->heard <= lag)))
+        if (!past && (f->list_sent - m->rented_at <= lag ||
+                      (!m->shard_owner && now - m->last_message_at <= lag)))
             continue;
         if (!m->absent_since)
             m->absent_since = now;
@@ -151,7 +152,7 @@
     *page = (struct page){f, f->round, f->filled};
     snprintf(target, sizeof target, "/machines?%s%s%spage=%d", f->since[0] ? "since=" : "",
              f->since, f->since[0] ? "&" : "", PAGE);
-    pm_http_call(f->http, f->tables->settings->cloud, "GET", target, NULL, 0,
+    pm_http_call(f->http, f->tables->settings->cloud_addr, "GET", target, NULL, 0,
                  PM_AUTOSCALER_CALL_TIMEOUT_S, LIST_MAX, on_list, page);
 }
 
@@ -161,8 +162,8 @@
 
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
-        if (m && m->state == PM_MACHINE_UP && !m->lent && m->places->len &&
-            now - m->heard > 1.6 * f->tables->settings->report_s + 0.5)
+        if (m && m->state == PM_MACHINE_UP && !m->shard_owner && m->placements->len &&
+            now - m->last_message_at > 1.6 * f->tables->settings->heartbeat_s + 0.5)
             return true;
     }
     return false;
@@ -171,7 +172,8 @@
 void pm_autoscaler_start_inventory(struct pm_autoscaler *f, double now)
 {
     /* Somebody silent: the list may tell why. */
-    double every = some_silent(f, now) ? 1.5 : CLAMP(f->tables->settings->list_lag_s / 2, 2, 6);
+    double every =
+        some_silent(f, now) ? 1.5 : CLAMP(f->tables->settings->inventory_lag_s / 2, 2, 6);
 
     if (f->list_busy || (f->listed && now - f->listed < every) || !pm_autoscaler_may_call(f, now))
         return;
--- a/src/fleet/review.c
+++ b/src/fleet/review.c
@@ -18,7 +18,7 @@
 {
     pm_info("fleet.return", "%s: %s", m->name, why);
     m->state = PM_MACHINE_RELEASING;
-    m->release_retry = 0;
+    m->terminate_retry_at = 0;
 }
 
 /* A zone that was cut off before this leader came: nothing there ever reported to it, so it knows
@@ -32,14 +32,15 @@
     bool any = false;
 
     /* Nobody heard at all, or not yet: that is this controller's trouble, not a zone's. */
-    for (int z = 0; z < f->tables->settings->zones; z++)
+    for (int z = 0; z < f->tables->settings->zone_count; z++)
         any |= reported[z];
     if (!any || now - f->took_at < SETTLE_S)
         return;
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        if (m && m->state == PM_MACHINE_UP && m->zone >= 0 && !m->lent && m->places->len &&
-            !reported[m->zone] && f->zone_heard[m->zone] > 0 && now - f->zone_heard[m->zone] > over)
+        if (m && m->state == PM_MACHINE_UP && m->zone >= 0 && !m->shard_owner &&
+            m->placements->len && !reported[m->zone] && f->zone_heard[m->zone] > 0 &&
+            now - f->zone_heard[m->zone] > over)
             give_back(m, "its zone has been silent for a lease");
     }
 }
@@ -48,7 +49,7 @@
  * that is lent says nothing: it reports to its holder. */
 static const char *why_lost(const struct pm_autoscaler *f, const struct pm_machine *m, double now)
 {
-    if (m->lent)
+    if (m->shard_owner)
         return NULL;
     if (pm_machine_is_unreachable(m, now))
         return "does not hear us, while its zone does";
@@ -65,7 +66,7 @@
 static void give_up_silent(struct pm_autoscaler *f, double now)
 {
     GPtrArray *all = pm_workers_all(f->workers);
-    double limit = MAX(SILENT_S, 1.25 * f->tables->settings->report_s + 2.4);
+    double limit = MAX(SILENT_S, 1.25 * f->tables->settings->heartbeat_s + 2.4);
     GPtrArray *silent;
     int heard[PM_ZONES_MAX] = {0};
     int missed[PM_ZONES_MAX] = {0};
@@ -79,9 +80,11 @@
         double since;
         if (!m || m->state != PM_MACHINE_UP || m->zone < 0)
             continue;
-        reported[m->zone] |= m->reported;
+        reported[m->zone] |= m->has_heartbeat;
         /* Of one that is lent, its holder tells. */
-        since = m->lent ? (now - m->silent_told < 2 ? m->silent_since : now) : m->heard;
+        since = m->shard_owner
+                    ? (now - m->owner_reported_silent_at < 2 ? m->owner_silent_since : now)
+                    : m->last_message_at;
         if (why_lost(f, m, now)) { /* its tasks end with its lease, whatever still comes of it or
                                       arrives there */
             missed[m->zone]++;
@@ -93,8 +96,9 @@
             continue;
         }
         missed[m->zone]++;
-        if ((m->lent || (m->places->len && MAX(m->unreached, m->stale) > m->heard)) &&
-            now - since > (m->lent ? limit * 0.6 : limit))
+        if ((m->shard_owner || (m->placements->len && MAX(m->push_failed_at, m->stale_message_at) >
+                                                          m->last_message_at)) &&
+            now - since > (m->shard_owner ? limit * 0.6 : limit))
             g_ptr_array_add(silent, m);
     }
     /* However many they are: by its zone alone is the network told from deaths. */
@@ -122,12 +126,12 @@
         return "failed";
     /* Taken or dead: the confirmed release proves it at once, sooner than its lease. */
     if (m->absent_since && m->state == PM_MACHINE_UP &&
-        (m->lent || now - m->heard > 1.3 * f->tables->settings->report_s + 1))
+        (m->shard_owner || now - m->last_message_at > 1.3 * f->tables->settings->heartbeat_s + 1))
         return "no longer listed, and silent";
     if (pm_autoscaler_has_boot_failed(f, m, now))
         return "does not come up";
-    if (!m->lent && m->state == PM_MACHINE_UP && m->places->len == 0 &&
-        now - m->heard > 2 * f->tables->settings->lease_s + 20)
+    if (!m->shard_owner && m->state == PM_MACHINE_UP && m->placements->len == 0 &&
+        now - m->last_message_at > 2 * f->tables->settings->lease_s + 20)
         return "silent and empty";
     return NULL;
 }
@@ -138,14 +142,14 @@
 {
     if (m->spot) {
         if (now - m->idle_since < FLOW_KEEP_S &&
-            f->spot_cpus - m->cpus < pm_autoscaler_steady_demand_cpus(f, now))
+            f->spot_cpus - m->free_cpus < pm_autoscaler_steady_demand_cpus(f, now))
             return true;
-        f->spot_cpus -= m->cpus;
+        f->spot_cpus -= m->free_cpus;
         return false;
     }
-    if (*spare - m->cpus < f->spare_want)
+    if (*spare - m->free_cpus < f->spare_want)
         return true;
-    *spare -= m->cpus;
+    *spare -= m->free_cpus;
     return false;
 }
 
@@ -155,9 +159,9 @@
 {
     bool waits = pm_scheduler_unmet_demand(f->plan)->len > 0;
 
-    if (m->draining && waits && (m->places->len || now - m->rented < LEAST_AGE_S))
+    if (m->draining && waits && (m->placements->len || now - m->rented_at < LEAST_AGE_S))
         m->draining = false; /* it is needed after all */
-    if (m->state != PM_MACHINE_UP || m->places->len) {
+    if (m->state != PM_MACHINE_UP || m->placements->len) {
         m->idle_since = 0;
         return NULL;
     }
@@ -169,7 +173,7 @@
         return "emptied";
     if (pm_failures_is_machine_faulty(m))
         return "its tasks keep failing";
-    if (now - m->idle_since < idle_s || now - m->rented < LEAST_AGE_S)
+    if (now - m->idle_since < idle_s || now - m->rented_at < LEAST_AGE_S)
         return NULL;
     return is_kept(f, m, spare, now) ? NULL : "idle";
 }
@@ -197,7 +201,7 @@
         if (!m || m->state == PM_MACHINE_RELEASING)
             continue;
         why = why_gone(f, m, now);
-        if (!why && !m->lent)
+        if (!why && !m->shard_owner)
             why = why_unused(f, m, idle_s, &spare, now);
         if (why)
             give_back(m, why);
--- a/src/fleet/size.c
+++ b/src/fleet/size.c
@@ -68,12 +68,12 @@
 {
     double best = INFINITY;
 
-    for (int type = 0; type < s->f->tables->ntypes; type++) {
-        const struct pm_type *t = &s->f->tables->type[type];
-        bool service = job->spec->form == PM_WORKLOAD_SERVICE;
+    for (int type = 0; type < s->f->tables->type_count; type++) {
+        const struct pm_type *t = &s->f->tables->types[type];
+        bool service = job->spec->kind == PM_WORKLOAD_SERVICE;
         int most = (int)pm_spec_tasks_that_fit(job->spec, t->cpus, t->gpus, t->ram_gb);
         int fit = service ? most : MIN(most, left);
-        for (int zone = 0; fit > 0 && zone < s->f->tables->settings->zones; zone++) {
+        for (int zone = 0; fit > 0 && zone < s->f->tables->settings->zone_count; zone++) {
             for (int spot = spot_only; spot < 2; spot++) {
                 /* Longer boots cost as well, as a share of a machine's usual stay; users of a
                  * service wait for them. What a service leaves free, others use. */
@@ -95,7 +95,7 @@
 
 static void add_rent(struct sizing *s, const struct pm_scale_out_request *rent)
 {
-    const struct pm_type *t = &s->f->tables->type[rent->type];
+    const struct pm_type *t = &s->f->tables->types[rent->type];
     struct bin bin = {.cpus = t->cpus,
                       .gpus = t->gpus,
                       .ram_gb = t->ram_gb,
@@ -126,7 +126,7 @@
 
 static bool in_flow(const struct pm_job *job)
 {
-    return job->spec && job->spec->form == PM_WORKLOAD_ARRAY && job->spec->spot &&
+    return job->spec && job->spec->kind == PM_WORKLOAD_ARRAY && job->spec->spot &&
            job->spec->cpus > 0;
 }
 
@@ -134,12 +134,13 @@
 static double wanted_within(const struct pm_autoscaler *f, const struct pm_job *job)
 {
     const struct pm_settings *s = f->tables->settings;
-    const char *name = pm_names_text(f->tables->classes, job->spec->class_index);
+    const char *name = pm_names_text(f->tables->class_names, job->spec->class_index);
     double within = 0;
 
-    for (int i = 0; i < s->aims; i++)
-        if (s->aim[i].within_s > 0 && !strcmp(s->aim[i].class_name, name))
-            within = within > 0 ? MIN(within, s->aim[i].within_s) : s->aim[i].within_s;
+    for (int i = 0; i < s->objective_count; i++)
+        if (s->objectives[i].within_s > 0 && !strcmp(s->objectives[i].class_name, name))
+            within =
+                within > 0 ? MIN(within, s->objectives[i].within_s) : s->objectives[i].within_s;
     return within;
 }
 
@@ -147,7 +148,7 @@
  * its class is to begin, or to end. */
 static bool is_idle_time_work(const struct pm_autoscaler *f, const struct pm_job *job)
 {
-    return job->priority == PM_PRIORITY_BEST_EFFORT && job->spec->due_s < 0 &&
+    return job->priority == PM_PRIORITY_BEST_EFFORT && job->spec->deadline_s < 0 &&
            wanted_within(f, job) <= 0;
 }
 
@@ -168,14 +169,14 @@
 
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
-        for (guint j = 0; m && j < m->places->len; j++) {
-            const struct pm_placement *place = g_ptr_array_index(m->places, j);
+        for (guint j = 0; m && j < m->placements->len; j++) {
+            const struct pm_placement *place = g_ptr_array_index(m->placements, j);
             double each;
             double ran;
             if (place->state == PM_PLACEMENT_ENDED || !in_flow(place->job))
                 continue;
             each = task_seconds(f, place->job);
-            ran = place->ran_from ? now - place->ran_from : 0;
+            ran = place->running_since ? now - place->running_since : 0;
             work += MAX(each - ran, each * 0.2) * place->job->spec->cpus;
         }
     }
@@ -201,8 +202,8 @@
 {
     const struct pm_name_tables *tables = s->f->tables;
 
-    for (int type = 0; type < tables->ntypes; type++)
-        for (int zone = 0; zone < tables->settings->zones; zone++)
+    for (int type = 0; type < tables->type_count; type++)
+        for (int zone = 0; zone < tables->settings->zone_count; zone++)
             for (int spot = 0; spot < 2; spot++)
                 if (s->f->kind[type][zone][spot].cpus >= job->spec->cpus &&
                     pm_scheduler_is_machine_allowed(tables, job, type, zone, spot))
@@ -228,10 +229,10 @@
     if (is_idle_time_work(s->f, want->job))
         return flow->pool < spec->cpus ? 1 : 0;
     flow->work += want->tasks * each * caution * spec->cpus;
-    for (int type = 0; type < s->f->tables->ntypes; type++)
-        if (spec->types >> type & 1)
-            boot = MIN(boot, s->f->tables->type[type].ready_s * 1.1 + 2);
-    left = isinf(want->job->due) ? 0 : want->job->due - s->day - each * 0.6;
+    for (int type = 0; type < s->f->tables->type_count; type++)
+        if (spec->allowed_types >> type & 1)
+            boot = MIN(boot, s->f->tables->types[type].ready_s * 1.1 + 2);
+    left = isinf(want->job->deadline_wall) ? 0 : want->job->deadline_wall - s->day - each * 0.6;
     reachable = pool_may_run(s, want->job);
     if (reachable && left > 0 && flow->work <= flow->pool * left)
         return 0;
@@ -252,8 +253,8 @@
 {
     const struct pm_spec *spec = job->spec;
 
-    return spec->form == PM_WORKLOAD_ARRAY && spec->spot &&
-           job->due - s->day < pm_scheduler_estimate_remaining_s(s->f->plan, job);
+    return spec->kind == PM_WORKLOAD_ARRAY && spec->spot &&
+           job->deadline_wall - s->day < pm_scheduler_estimate_remaining_s(s->f->plan, job);
 }
 
 /* Tasks of a job that are yet to find a machine. */
@@ -316,7 +317,7 @@
         .job = job,
         .tasks = tasks,
         .dear = dear,
-        .zone = job->spec->same_place && job->spec->form == PM_WORKLOAD_GANG ? ONE_ZONE : ANY_ZONE,
+        .zone = job->spec->same_zone && job->spec->kind == PM_WORKLOAD_GANG ? ONE_ZONE : ANY_ZONE,
         .used_up = used_up};
 
     s->slow = SLOW_NOT;
@@ -343,14 +344,14 @@
     for (guint i = 0; i < active->len; i++) {
         struct pm_job *job = g_ptr_array_index(active, i);
         double weight;
-        if (job->sized || !in_flow(job))
+        if (job->counted_in_demand || !in_flow(job))
             continue;
-        job->sized = true;
+        job->counted_in_demand = true;
         if (is_idle_time_work(f, job))
             continue;
-        weight = exp(-MAX(0, day - job->spec->submitted) / FLOW_S);
+        weight = exp(-MAX(0, day - job->spec->submitted_wall) / FLOW_S);
         f->flow_jobs += weight;
-        f->flow += weight * job->entries * pm_scheduler_estimate_remaining_s(f->plan, job) *
+        f->flow += weight * job->task_count * pm_scheduler_estimate_remaining_s(f->plan, job) *
                    job->spec->cpus;
     }
 }
@@ -374,19 +375,19 @@
     for (guint i = 0; i < active->len; i++) {
         struct pm_job *job = g_ptr_array_index(active, i);
         if (in_flow(job) && job->state == PM_JOB_LIVE &&
-            (!typical || job->spec->submitted > typical->spec->submitted))
+            (!typical || job->spec->submitted_wall > typical->spec->submitted_wall))
             typical = job;
     }
     for (guint i = 0; i < s->bins->len; i++) { /* what was just sized for the jobs that wait */
         const struct bin *bin = &g_array_index(s->bins, struct bin, i);
         if (bin->fresh && bin->spot)
-            missing -= s->f->tables->type[bin->type].cpus;
+            missing -= s->f->tables->types[bin->type].cpus;
     }
     s->slow = SLOW_PROBES;
     while (typical && missing >= typical->spec->cpus &&
            cheapest(s, typical, (int)(missing / typical->spec->cpus), -1, true, &rent)) {
         add_rent(s, &rent);
-        missing -= s->f->tables->type[rent.type].cpus;
+        missing -= s->f->tables->types[rent.type].cpus;
     }
 }
 
@@ -408,19 +409,20 @@
             m->state == PM_MACHINE_BOOTING ? pm_autoscaler_boot_state(f, m, s->now) : BOOT_EXPECTED;
         if (boot == BOOT_STUCK)
             continue;
-        if (m->state != PM_MACHINE_RELEASING && !m->recall_at) {
-            double cpus = f->tables->type[m->type].cpus;
+        if (m->state != PM_MACHINE_RELEASING && !m->spot_interruption_at) {
+            double cpus = f->tables->types[m->type].cpus;
             pm_autoscaler_kind_of(f, m)->cpus += cpus;
             f->spot_cpus += m->spot ? cpus : 0;
         }
-        if (m->state == PM_MACHINE_RELEASING || m->recall_at || pm_failures_is_machine_faulty(m) ||
-            m->lent || (m->state == PM_MACHINE_UP && s->now - m->heard > SILENT_S) ||
-            m->cpus <= EPS)
+        if (m->state == PM_MACHINE_RELEASING || m->spot_interruption_at ||
+            pm_failures_is_machine_faulty(m) || m->shard_owner ||
+            (m->state == PM_MACHINE_UP && s->now - m->last_message_at > SILENT_S) ||
+            m->free_cpus <= EPS)
             continue;
         g_array_append_vals(s->bins,
-                            &(struct bin){.cpus = m->cpus,
-                                          .gpus = m->gpus,
-                                          .ram_gb = m->ram_gb,
+                            &(struct bin){.cpus = m->free_cpus,
+                                          .gpus = m->free_gpus,
+                                          .ram_gb = m->free_ram_gb,
                                           .type = m->type,
                                           .zone = m->zone,
                                           .spot = m->spot,
@@ -456,11 +458,11 @@
     *services = 0;
     for (guint i = 0; i < active->len; i++) {
         struct pm_job *job = g_ptr_array_index(active, i);
-        if (!job->spec || job->spec->form != PM_WORKLOAD_SERVICE || job->state != PM_JOB_LIVE)
+        if (!job->spec || job->spec->kind != PM_WORKLOAD_SERVICE || job->state != PM_JOB_LIVE)
             continue;
-        *cpus += (job->nplaced + pm_job_waiting_tasks(job)) * job->spec->cpus;
+        *cpus += (job->placed_count + pm_job_waiting_tasks(job)) * job->spec->cpus;
         ++*services;
-        if (!typical || (job->spec->zone < 0 && job->spec->types == ~(uint64_t)0))
+        if (!typical || (job->spec->zone < 0 && job->spec->allowed_types == ~(uint64_t)0))
             typical = job;
     }
     return typical;
--- a/src/fleet/tests/test_fleet.c
+++ b/src/fleet/tests/test_fleet.c
@@ -33,12 +33,12 @@
     revision = 0;
     pm_operator_settings_defaults(&op);
     books_begin(&tables, &settings);
-    pm_names_intern(tables.types, "large");
-    tables.type[0] = (struct pm_type){
+    pm_names_intern(tables.type_names, "large");
+    tables.types[0] = (struct pm_type){
         .cpus = 8, .ram_gb = 32, .price = 0.4, .spot_price = 0.1, .ready_s = 20, .zones = 1};
-    tables.type[1] = (struct pm_type){
+    tables.types[1] = (struct pm_type){
         .cpus = 32, .ram_gb = 128, .price = 2, .spot_price = 0.6, .ready_s = 20, .zones = 1};
-    tables.ntypes = 2;
+    tables.type_count = 2;
     jobs = pm_jobs_new(&tables);
     workers = pm_workers_new(&tables, jobs, BOOKS_HOOKS);
     plan = pm_scheduler_new(&tables, jobs, workers, &op);
@@ -62,17 +62,17 @@
                      double expected_s, double due_s)
 {
     struct pm_spec spec = {.zone = -1,
-                           .types = ~(uint64_t)0,
-                           .form = form,
+                           .allowed_types = ~(uint64_t)0,
+                           .kind = form,
                            .priority = form == PM_WORKLOAD_SERVICE ? PM_PRIORITY_PRODUCTION
                                                                    : PM_PRIORITY_NORMAL,
-                           .entries = entries,
+                           .task_count = entries,
                            .cpus = cpus,
                            .ram_gb = 1,
                            .spot = form == PM_WORKLOAD_ARRAY,
-                           .expected_s = expected_s,
-                           .due_s = due_s,
-                           .submitted = NOW};
+                           .estimated_run_s = expected_s,
+                           .deadline_s = due_s,
+                           .submitted_wall = NOW};
 
     books_feed(&tables, jobs, id, &spec, ++revision);
 }
@@ -84,7 +84,7 @@
     pm_workers_set_type(workers, m, type);
     m->zone = 0;
     m->spot = spot;
-    m->rented = NOW - 5;
+    m->rented_at = NOW - 5;
 }
 
 /* How many machines of that kind are asked for, and in all. */
@@ -135,11 +135,11 @@
         pm_workers_set_type(workers, m, type);
         m->zone = 0;
         m->spot = spot;
-        m->rented = NOW - ago;
+        m->rented_at = NOW - ago;
         if (up) {
             m->state = PM_MACHINE_UP;
-            m->recall_at = NOW + 1; /* and will be taken again: no room there */
-            m->heard = NOW;
+            m->spot_interruption_at = NOW + 1; /* and will be taken again: no room there */
+            m->last_message_at = NOW;
         }
     }
 }
@@ -165,8 +165,8 @@
     int probes;
 
     (void)state;
-    tables.ntypes = 1;
-    tables.type[0].spot_price = tables.type[0].price;
+    tables.type_count = 1;
+    tables.types[0].spot_price = tables.types[0].price;
     rented("i-a", 80, 0, true, 60, false);
     rented("i-b", 1, 0, false, 60, false);
     wait_for("job-1", PM_WORKLOAD_ARRAY, 150, 4, 60, 120);
@@ -215,15 +215,15 @@
 static void wait_idly(const char *id, uint32_t entries)
 {
     struct pm_spec spec = {.zone = -1,
-                           .types = ~(uint64_t)0,
+                           .allowed_types = ~(uint64_t)0,
                            .priority = PM_PRIORITY_BEST_EFFORT,
-                           .entries = entries,
+                           .task_count = entries,
                            .cpus = 1,
                            .ram_gb = 1,
                            .spot = true,
-                           .expected_s = 300,
-                           .due_s = -1,
-                           .submitted = NOW};
+                           .estimated_run_s = 300,
+                           .deadline_s = -1,
+                           .submitted_wall = NOW};
 
     books_feed(&tables, jobs, id, &spec, ++revision);
 }
@@ -240,10 +240,10 @@
     wait_idly("job-1", 2000);
     asked(0, true, &all);
     assert_int_equal(all, 0);
-    settings.aims = 1;
-    strcpy(settings.aim[0].kind, "finished");
-    strcpy(settings.aim[0].class_name, "train");
-    settings.aim[0].within_s = 400;
+    settings.objective_count = 1;
+    strcpy(settings.objectives[0].kind, "finished");
+    strcpy(settings.objectives[0].class_name, "train");
+    settings.objectives[0].within_s = 400;
     asked(0, true, &all);
     assert_true(all > 0);
 }
@@ -295,10 +295,10 @@
     int all;
 
     (void)state;
-    settings.zones = 2;
-    strcpy(settings.zone_name[0], "zone-0");
-    strcpy(settings.zone_name[1], "zone-1");
-    tables.type[0].zones = tables.type[1].zones = 3;
+    settings.zone_count = 2;
+    strcpy(settings.zone_names[0], "zone-0");
+    strcpy(settings.zone_names[1], "zone-1");
+    tables.types[0].zones = tables.types[1].zones = 3;
     rented("i-a", 8, 0, true, 60, true);
     rented("i-b", 8, 0, true, 5, false);
     wait_for("job-1", PM_WORKLOAD_ARRAY, 2, 2, 1, -1);
@@ -347,21 +347,22 @@
     struct pm_buf buf = {0};
     struct pm_machine *m = pm_workers_add(workers, "i-000001");
     struct pm_machine *other = pm_workers_add(workers, "i-000002");
-    struct pm_spec spec = {.zone = -1, .types = 1, .entries = 1, .cpus = 1, .due_s = -1};
+    struct pm_spec spec = {
+        .zone = -1, .allowed_types = 1, .task_count = 1, .cpus = 1, .deadline_s = -1};
     cbor_item_t *ledger;
 
     settings.lease_s = 44;
-    settings.zones = 2;
-    strcpy(settings.zone_name[1], "b");
+    settings.zone_count = 2;
+    strcpy(settings.zone_names[1], "b");
     pm_workers_set_type(workers, m, 0);
     pm_workers_set_type(workers, other, 0);
     m->zone = 0;
     other->zone = 1;
     m->state = other->state = PM_MACHINE_UP;
-    m->reported = here;
-    other->reported = elsewhere;
-    m->heard = m->rented = NOW - 10;
-    other->heard = other->rented = NOW;
+    m->has_heartbeat = here;
+    other->has_heartbeat = elsewhere;
+    m->last_message_at = m->rented_at = NOW - 10;
+    other->last_message_at = other->rented_at = NOW;
     pm_workers_add_placement(workers, books_feed(&tables, jobs, "job-1", &spec, ++revision), 0, m,
                              1, 1, PM_PLACEMENT_DURABLE, NOW);
     pm_put_map(&buf);
@@ -447,10 +448,10 @@
     pm_put_end(&buf);
     models = pm_cbor_parse(buf.data, buf.size);
     assert_true(pm_machine_types_decode(&tables, models));
-    assert_int_equal(tables.ntypes, 3);
-    assert_true(tables.type[2].gpus == 8);
-    assert_int_equal(tables.type[2].zones, 1);
-    assert_true(tables.type[2].spot_price == 12); /* none told: as dear as the other */
+    assert_int_equal(tables.type_count, 3);
+    assert_true(tables.types[2].gpus == 8);
+    assert_int_equal(tables.types[2].zones, 1);
+    assert_true(tables.types[2].spot_price == 12); /* none told: as dear as the other */
     pm_cbor_free(models);
     pm_buf_free(&buf);
     pm_put_list(&buf);
@@ -525,14 +526,14 @@
     int requests = 0;
 
     (void)state;
-    snprintf(settings.cloud, sizeof settings.cloud, "127.0.0.1:%d", fake_free_port());
+    snprintf(settings.cloud_addr, sizeof settings.cloud_addr, "127.0.0.1:%d", fake_free_port());
     settings.cloud_rps = 50;
-    settings.list_lag_s = 4;
-    cloud = pm_http_server_new(loop, settings.cloud, 8, on_cloud, &requests);
+    settings.inventory_lag_s = 4;
+    cloud = pm_http_server_new(loop, settings.cloud_addr, 8, on_cloud, &requests);
     assert_non_null(cloud);
-    listing =
-        pm_autoscaler_new(http, &tables, jobs, workers, plan, &op,
-                          &(struct pm_autoscaler_hooks){.types = on_types, .changed = on_changed});
+    listing = pm_autoscaler_new(
+        http, &tables, jobs, workers, plan, &op,
+        &(struct pm_autoscaler_hooks){.machine_types = on_types, .changed = on_changed});
     assert_true(fake_run_until(loop, is_all_listed, listing));
     assert_true(pm_workers_find(workers, "i-000001")->listed);
     assert_in_range(requests, LISTED / PAGE, 2 * LISTED / PAGE);
@@ -593,15 +594,15 @@
     int rentals = 0;
 
     (void)state;
-    snprintf(settings.cloud, sizeof settings.cloud, "127.0.0.1:%d", fake_free_port());
-    strcpy(settings.zone_name[0], "a");
+    snprintf(settings.cloud_addr, sizeof settings.cloud_addr, "127.0.0.1:%d", fake_free_port());
+    strcpy(settings.zone_names[0], "a");
     settings.cloud_rps = 50;
-    settings.list_lag_s = 4;
-    cloud = pm_http_server_new(loop, settings.cloud, 8, on_small_cloud, &rentals);
+    settings.inventory_lag_s = 4;
+    cloud = pm_http_server_new(loop, settings.cloud_addr, 8, on_small_cloud, &rentals);
     assert_non_null(cloud);
-    turns.fleet =
-        pm_autoscaler_new(http, &tables, jobs, workers, plan, &op,
-                          &(struct pm_autoscaler_hooks){.types = on_types, .changed = on_changed});
+    turns.fleet = pm_autoscaler_new(
+        http, &tables, jobs, workers, plan, &op,
+        &(struct pm_autoscaler_hooks){.machine_types = on_types, .changed = on_changed});
     pm_autoscaler_decode_silent_zones(turns.fleet, NULL, pm_clock_monotonic(),
                                       0);                /* takes the lead */
     wait_for("job-1", PM_WORKLOAD_ARRAY, 8, 4, 60, 120); /* as much as that machine holds */
@@ -622,23 +623,23 @@
     struct pm_machine *other = pm_workers_add(workers, "i-000002");
 
     (void)state;
-    settings.report_s = 5;
+    settings.heartbeat_s = 5;
     for (int i = 0; i < 2; i++) {
         struct pm_machine *m = i ? other : lent;
         pm_workers_set_type(workers, m, 0);
         m->zone = 0;
         m->state = PM_MACHINE_UP;
-        m->reported = m->listed = true;
-        m->heard = m->report_at = m->rented = NOW;
+        m->has_heartbeat = m->listed = true;
+        m->last_message_at = m->last_heartbeat_at = m->rented_at = NOW;
     }
-    lent->lent = 1;
-    lent->report_at = NOW - 60;
-    lent->heard = NOW - 59;
+    lent->shard_owner = 1;
+    lent->last_heartbeat_at = NOW - 60;
+    lent->last_message_at = NOW - 59;
     assert_true(pm_machine_is_not_reporting(lent, &settings, NOW));
     pm_autoscaler_set_writable(fleet, true, NOW - 60);
     pm_autoscaler_mark_scale_in(fleet, NOW);
     assert_int_equal(lent->state, PM_MACHINE_UP);
-    lent->report_at = lent->heard;
+    lent->last_heartbeat_at = lent->last_message_at;
     pm_machine_note_delivery_failure(lent, "a /do has no answer", NOW - 62);
     pm_machine_note_delivery_failure(lent, "a /do has no answer", NOW - 60);
     assert_true(pm_machine_is_unreachable(lent, NOW));
--- a/src/fleet/types.c
+++ b/src/fleet/types.c
@@ -36,14 +36,14 @@
                 type.zones |= 1u << zone;
         }
         pm_cbor_text(pm_cbor_get(item, "sku"), name, sizeof name);
-        index = pm_names_intern(tables->types, name);
+        index = pm_names_intern(tables->type_names, name);
         if (index >= PM_TYPES_MAX) {
             pm_error("fleet.types", "%s is not used: only %d types are", name, PM_TYPES_MAX);
             continue;
         }
-        tables->type[index] = type;
+        tables->types[index] = type;
     }
-    tables->ntypes = MIN(pm_names_count(tables->types), PM_TYPES_MAX);
+    tables->type_count = MIN(pm_names_count(tables->type_names), PM_TYPES_MAX);
     return true;
 }
 
@@ -55,7 +55,7 @@
 
     f->types_busy = false;
     if (models && cbor_isa_array(models))
-        f->hooks.types(f->hooks.arg, models);
+        f->hooks.machine_types(f->hooks.arg, models);
     else
         pm_info("fleet.types", "no machine types: status %d", status);
     pm_cbor_free(answer);
@@ -68,6 +68,6 @@
         return;
     f->types_busy = true;
     f->types_asked = now;
-    pm_http_call(f->http, f->tables->settings->cloud, "GET", "/machine_types", NULL, 0,
+    pm_http_call(f->http, f->tables->settings->cloud_addr, "GET", "/machine_types", NULL, 0,
                  PM_AUTOSCALER_CALL_TIMEOUT_S, TYPES_MAX, on_types, f);
 }
--- a/src/jobs/cancellations.c
+++ b/src/jobs/cancellations.c
@@ -7,23 +7,23 @@
 void pm_jobs_note_cancellation(struct pm_jobs *jobs, const char *id, uint64_t revision)
 {
     struct pm_cancellation entry = {.revision = revision};
-    GArray *list = jobs->cancelled;
+    GArray *list = jobs->cancellations;
 
     g_strlcpy(entry.id, id, sizeof entry.id);
     /* A listing goes by key, and peers tell in their own order: sorted when next asked for. */
     if (list->len && g_array_index(list, struct pm_cancellation, list->len - 1).revision > revision)
-        jobs->unsorted = true;
+        jobs->cancellations_unsorted = true;
     g_array_append_val(list, entry);
 }
 
 /* A job that needs a cancelled one. Peers infer it as we do, so it is not told them. */
 void pm_jobs_cancel_dependent(void *arg, struct pm_job *job)
 {
-    if (job->cancelled)
+    if (job->cancellation_revision)
         return;
-    job->cancelled = *(const uint64_t *)arg;
+    job->cancellation_revision = *(const uint64_t *)arg;
     job->state = PM_JOB_CANCELLED;
-    job->inferred = true;
+    job->cancelled_by_dependency = true;
 }
 
 bool pm_jobs_apply_cancellation(struct pm_jobs *jobs, const char *id, uint64_t revision)
@@ -34,10 +34,11 @@
         (job && job->state == PM_JOB_DONE))
         return false;
     if (job) {
-        job->cancelled = revision;
+        job->cancellation_revision = revision;
         job->state = PM_JOB_CANCELLED;
     } else {
-        g_hash_table_insert(jobs->unknown, g_strdup(id), g_memdup2(&revision, sizeof revision));
+        g_hash_table_insert(jobs->unknown_cancelled, g_strdup(id),
+                            g_memdup2(&revision, sizeof revision));
     }
     pm_jobs_note_cancellation(jobs, id, revision);
     pm_dependencies_mark_cancelled(jobs->dependencies, id, pm_jobs_cancel_dependent, &revision);
@@ -47,7 +48,8 @@
 uint64_t pm_jobs_cancellation_revision(const struct pm_jobs *jobs, const char *id)
 {
     const struct pm_job *job = g_hash_table_lookup(jobs->by_id, id);
-    const uint64_t *revision = job ? &job->cancelled : g_hash_table_lookup(jobs->unknown, id);
+    const uint64_t *revision =
+        job ? &job->cancellation_revision : g_hash_table_lookup(jobs->unknown_cancelled, id);
 
     return revision ? *revision : 0;
 }
@@ -65,13 +67,13 @@
 {
     struct pm_cancellation *all;
     size_t from = 0;
-    size_t to = jobs->cancelled->len;
+    size_t to = jobs->cancellations->len;
     size_t end;
 
-    if (jobs->unsorted)
-        g_array_sort(jobs->cancelled, by_revision);
-    jobs->unsorted = false;
-    all = (struct pm_cancellation *)(void *)jobs->cancelled->data;
+    if (jobs->cancellations_unsorted)
+        g_array_sort(jobs->cancellations, by_revision);
+    jobs->cancellations_unsorted = false;
+    all = (struct pm_cancellation *)(void *)jobs->cancellations->data;
     while (from < to) { /* the first with a later revision */
         size_t middle = from + (to - from) / 2;
         if (all[middle].revision > revision)
@@ -79,10 +81,11 @@
         else
             from = middle + 1;
     }
-    end = MIN(from + most, jobs->cancelled->len);
-    while (end > from && end < jobs->cancelled->len && all[end].revision == all[end - 1].revision)
+    end = MIN(from + most, jobs->cancellations->len);
+    while (end > from && end < jobs->cancellations->len &&
+           all[end].revision == all[end - 1].revision)
         end++;
     *n = end - from;
-    *more = end < jobs->cancelled->len;
+    *more = end < jobs->cancellations->len;
     return all + from;
 }
--- a/src/jobs/chunks.c
+++ b/src/jobs/chunks.c
@@ -15,10 +15,10 @@
     if (!chunk)
         return;
     for (int half = -1; half < 2; half++)
-        if (pm_chunk_stored(chunk, half)->stored_places)
-            g_array_free(pm_chunk_stored(chunk, half)->stored_places, TRUE);
-    if (chunk->stored_places)
-        g_array_free(chunk->stored_places, TRUE);
+        if (pm_chunk_stored(chunk, half)->stored_placements)
+            g_array_free(pm_chunk_stored(chunk, half)->stored_placements, TRUE);
+    if (chunk->stored_placements)
+        g_array_free(chunk->stored_placements, TRUE);
     g_free(chunk->task);
     g_free(chunk);
 }
@@ -83,11 +83,11 @@
 
 struct pm_chunk *pm_job_chunk(struct pm_job *job, int k)
 {
-    if (k < 0 || k >= job->nchunks)
+    if (k < 0 || k >= job->chunk_count)
         return NULL;
-    if (!job->chunk[k])
-        job->chunk[k] = g_new0(struct pm_chunk, 1);
-    return job->chunk[k];
+    if (!job->chunks[k])
+        job->chunks[k] = g_new0(struct pm_chunk, 1);
+    return job->chunks[k];
 }
 
 struct pm_stored_chunk *pm_chunk_stored(struct pm_chunk *chunk, int half)
@@ -98,11 +98,11 @@
 /* What the chunk's values say together. */
 void pm_chunk_merge(struct pm_chunk *chunk)
 {
-    if (!chunk->stored_places)
-        chunk->stored_places = g_array_new(FALSE, FALSE, sizeof(struct pm_stored_placement));
-    g_array_set_size(chunk->stored_places, 0);
+    if (!chunk->stored_placements)
+        chunk->stored_placements = g_array_new(FALSE, FALSE, sizeof(struct pm_stored_placement));
+    g_array_set_size(chunk->stored_placements, 0);
     chunk->stored = false;
-    chunk->last_try = 0;
+    chunk->last_attempt = 0;
     for (int h = 0; h < 2; h++) {
         const struct pm_stored_chunk *value =
             chunk->half[h].revision ? &chunk->half[h] : &chunk->whole;
@@ -110,16 +110,16 @@
         if (!value->revision)
             continue;
         chunk->stored = true;
-        chunk->last_try = MAX(chunk->last_try, value->last_try);
-        for (guint i = 0; i < value->stored_places->len; i++) {
+        chunk->last_attempt = MAX(chunk->last_attempt, value->last_attempt);
+        for (guint i = 0; i < value->stored_placements->len; i++) {
             const struct pm_stored_placement *spot =
-                &g_array_index(value->stored_places, struct pm_stored_placement, i);
-            if (spot->task / PM_HALF_CHUNK_TASKS == h)
-                g_array_append_vals(chunk->stored_places, spot, 1);
+                &g_array_index(value->stored_placements, struct pm_stored_placement, i);
+            if (spot->task_in_chunk / PM_HALF_CHUNK_TASKS == h)
+                g_array_append_vals(chunk->stored_placements, spot, 1);
         }
     }
     if (chunk->whole.revision)
-        chunk->last_try = MAX(chunk->last_try, chunk->whole.last_try);
+        chunk->last_attempt = MAX(chunk->last_attempt, chunk->whole.last_attempt);
 }
 
 /* A place as stored: [task, attempt, machine, session]. False: unreadable. */
@@ -136,10 +136,10 @@
         pm_cbor_text(pm_cbor_at(item, 2), machine, sizeof machine) ||
         pm_cbor_count(pm_cbor_at(item, 3), &session) || task >= PM_CHUNK_TASKS)
         return false;
-    *out = (struct pm_stored_placement){.task = (uint16_t)task,
+    *out = (struct pm_stored_placement){.task_in_chunk = (uint16_t)task,
                                         .attempt = (uint32_t)attempt,
-                                        .session = (uint32_t)session,
-                                        .machine = pm_names_intern(tables->machines, machine)};
+                                        .incarnation = (uint32_t)session,
+                                        .machine = pm_names_intern(tables->machine_names, machine)};
     return true;
 }
 
@@ -154,16 +154,16 @@
         pm_cbor_count(pm_cbor_get(value, "try"), &last_try))
         return false;
     read_ranges(done, out->done);
-    out->last_try = (uint32_t)last_try;
-    if (out->stored_places)
-        g_array_set_size(out->stored_places, 0);
+    out->last_attempt = (uint32_t)last_try;
+    if (out->stored_placements)
+        g_array_set_size(out->stored_placements, 0);
     else
-        out->stored_places = g_array_new(FALSE, FALSE, sizeof(struct pm_stored_placement));
+        out->stored_placements = g_array_new(FALSE, FALSE, sizeof(struct pm_stored_placement));
     places = pm_cbor_get(value, "at");
     for (size_t i = 0; i < pm_cbor_length(places); i++) {
         struct pm_stored_placement spot;
         if (read_place(tables, pm_cbor_at(places, i), &spot))
-            g_array_append_val(out->stored_places, spot);
+            g_array_append_val(out->stored_placements, spot);
     }
     return true;
 }
@@ -171,7 +171,7 @@
 void pm_chunk_encode(const struct pm_name_tables *tables, const struct pm_job *job, int k, int half,
                      struct pm_buf *out)
 {
-    const struct pm_chunk *chunk = job->chunk[k];
+    const struct pm_chunk *chunk = job->chunks[k];
     int from = half < 0 ? 0 : half * PM_HALF_CHUNK_TASKS;
     int to = half < 0 ? PM_CHUNK_TASKS : from + PM_HALF_CHUNK_TASKS;
     char text[DONE_MAX];
@@ -179,18 +179,18 @@
     write_ranges(chunk->task, from, to, text, sizeof text);
     pm_put_map(out);
     pm_put_pair_text(out, "done", text);
-    pm_put_pair_count(out, "try", job->last_try);
+    pm_put_pair_count(out, "try", job->last_attempt);
     pm_put_text(out, "at");
     pm_put_list(out);
     for (int i = from; i < to; i++) {
-        const struct pm_placement *place = chunk->task[i].place;
+        const struct pm_placement *place = chunk->task[i].placement;
         if (!place || place->state == PM_PLACEMENT_ENDED)
             continue;
         pm_put_list(out);
         pm_put_count(out, (uint64_t)i);
         pm_put_count(out, place->attempt);
-        pm_put_text(out, pm_names_text(tables->machines, place->machine_index));
-        pm_put_count(out, place->session);
+        pm_put_text(out, pm_names_text(tables->machine_names, place->machine_index));
+        pm_put_count(out, place->incarnation);
         pm_put_end(out);
     }
     pm_put_end(out);
@@ -199,36 +199,36 @@
 
 uint64_t pm_stored_chunk_revision(const struct pm_stored_chunk *value)
 {
-    return MAX(value->revision, value->written);
+    return MAX(value->revision, value->written_revision);
 }
 
 bool pm_job_is_chunk_split(const struct pm_name_tables *tables, const struct pm_job *job, int k)
 {
-    const struct pm_chunk *chunk = job->chunk[k];
-    uint32_t tasks = MIN(PM_CHUNK_TASKS, job->entries - (uint32_t)k * PM_CHUNK_TASKS);
+    const struct pm_chunk *chunk = job->chunks[k];
+    uint32_t tasks = MIN(PM_CHUNK_TASKS, job->task_count - (uint32_t)k * PM_CHUNK_TASKS);
 
     if (chunk &&
         (pm_stored_chunk_revision(&chunk->half[0]) || pm_stored_chunk_revision(&chunk->half[1])))
         return true;
     if (tables->protocol_version < PM_PROTOCOL_DEPENDENCIES)
         return false; /* an earlier version would take a half for the whole */
-    return (chunk && chunk->split) ||
-           tasks * PLACE_SIZE + VALUE_SIZE > tables->settings->value_kb * 1024;
+    return (chunk && chunk->write_in_halves) ||
+           tasks * PLACE_SIZE + VALUE_SIZE > tables->settings->store_value_kb * 1024;
 }
 
 bool pm_job_value_has_room(const struct pm_name_tables *tables, const struct pm_job *job,
                            uint32_t index)
 {
-    const struct pm_chunk *chunk = job->chunk[index / PM_CHUNK_TASKS];
+    const struct pm_chunk *chunk = job->chunks[index / PM_CHUNK_TASKS];
     const struct pm_settings *s = tables->settings;
     bool early = tables->protocol_version < PM_PROTOCOL_DEPENDENCIES;
-    double kb = early ? MAX(s->value_kb, s->value_kb_now) : s->value_kb;
+    double kb = early ? MAX(s->store_value_kb, s->store_value_kb_initial) : s->store_value_kb;
     unsigned placed;
 
     if (!chunk)
         return true;
     placed = pm_job_is_chunk_split(tables, job, (int)(index / PM_CHUNK_TASKS))
-                 ? chunk->placed[index % PM_CHUNK_TASKS / PM_HALF_CHUNK_TASKS]
-                 : (unsigned)chunk->placed[0] + chunk->placed[1];
+                 ? chunk->placement_counts[index % PM_CHUNK_TASKS / PM_HALF_CHUNK_TASKS]
+                 : (unsigned)chunk->placement_counts[0] + chunk->placement_counts[1];
     return (placed + 1) * PLACE_SIZE + VALUE_SIZE <= kb * 1024;
 }
--- a/src/jobs/commit.c
+++ b/src/jobs/commit.c
@@ -92,19 +92,19 @@
 static void settle_value(struct pm_commit *c, const struct part *part, int status,
                          uint64_t store_revision, double now, double pause)
 {
-    struct pm_chunk *chunk = part->job->chunk[part->k];
+    struct pm_chunk *chunk = part->job->chunks[part->k];
     struct pm_stored_chunk *value = pm_chunk_stored(chunk, part->half);
 
     chunk->in_flight = false;
     chunk->failures = status == 200 ? 0 : chunk->failures + 1;
     if (status == 200 && part->drop) {
-        value->revision = value->written = 0;
+        value->revision = value->written_revision = 0;
         return;
     }
     if (status == 200) {
-        value->written = store_revision;
-        chunk->refused = 0;
-        chunk->alone = false;
+        value->written_revision = store_revision;
+        chunk->rejected = 0;
+        chunk->write_alone = false;
         if (part->half >= 0 && pm_stored_chunk_revision(&chunk->whole) &&
             pm_stored_chunk_revision(&chunk->half[!part->half]))
             chunk->dirty |= PM_DIRTY_WHOLE;
@@ -112,11 +112,11 @@
     }
     if (status == 400) { /* too large, most likely: not to be sent again unchanged */
         pm_error("commit.refused", "the state service refuses p/t/%s/%d", part->job->id, part->k);
-        chunk->split |= part->half < 0;
+        chunk->write_in_halves |= part->half < 0;
         /* Of several in one transaction it is not known which: each goes alone next time. */
-        if (chunk->alone)
-            chunk->refused = content_of(c, part->job, part->k);
-        chunk->alone = true;
+        if (chunk->write_alone)
+            chunk->rejected = content_of(c, part->job, part->k);
+        chunk->write_alone = true;
     }
     /* Unknown or failed: written again on the revision that the watch tells by then. If this copy
      * is applied late after all, its own revisions no longer match, or ours don't. */
@@ -147,20 +147,20 @@
                 job->retry_at = now + pause;
             continue;
         }
-        if (part->k >= job->nchunks || !job->chunk[part->k])
+        if (part->k >= job->chunk_count || !job->chunks[part->k])
             continue; /* over meanwhile */
         settle_value(c, part, status, store_revision, now, pause);
     }
     for (guint i = 0; status == 200 && i < f->marks->len; i++) {
         struct mark *mark = &g_array_index(f->marks, struct mark, i);
         const struct pm_task *task;
-        if (!mark->job->chunk)
+        if (!mark->job->chunks)
             continue;
         task = pm_job_find_task(mark->job, mark->index);
-        if (task && task->place && task->place->attempt == mark->attempt &&
-            task->place->state == PM_PLACEMENT_PROPOSED) {
-            task->place->state = PM_PLACEMENT_DURABLE;
-            c->hooks.durable(c->hooks.arg, task->place);
+        if (task && task->placement && task->placement->attempt == mark->attempt &&
+            task->placement->state == PM_PLACEMENT_PROPOSED) {
+            task->placement->state = PM_PLACEMENT_DURABLE;
+            c->hooks.placement_durable(c->hooks.arg, task->placement);
         }
     }
 }
@@ -175,12 +175,12 @@
         c->in_flight--;
         settle(f, status, store_revision);
         if (status == 200)
-            c->hooks.confirmed(c->hooks.arg, f->sent, store_revision);
+            c->hooks.epoch_confirmed(c->hooks.arg, f->sent, store_revision);
         else
             pm_debug("commit.failed", "status %d", status);
         for (size_t i = 0; i < pm_cbor_length(failed); i++)
             if (!pm_cbor_text(pm_cbor_at(failed, i), key, sizeof key) && !strcmp(key, "p/epoch"))
-                c->hooks.doubt(c->hooks.arg);
+                c->hooks.epoch_conflict(c->hooks.arg);
     }
     flight_free(f);
 }
@@ -214,12 +214,12 @@
     char key[64];
 
     value_key(job, k, half, key, sizeof key);
-    pm_txn_compare(&f->txn, key, pm_stored_chunk_revision(pm_chunk_stored(job->chunk[k], half)));
+    pm_txn_compare(&f->txn, key, pm_stored_chunk_revision(pm_chunk_stored(job->chunks[k], half)));
 }
 
 static void put_value(struct pm_commit *c, struct flight *f, struct pm_job *job, int k, int half)
 {
-    struct pm_chunk *chunk = job->chunk[k];
+    struct pm_chunk *chunk = job->chunks[k];
     char key[64];
 
     value_key(job, k, half, key, sizeof key);
@@ -227,14 +227,15 @@
     pm_chunk_encode(c->tables, job, k, half, &f->txn.writes);
     pm_txn_put_end(&f->txn, 0);
     for (int i = 0; i < PM_CHUNK_TASKS; i++) {
-        const struct pm_placement *place = chunk->task[i].place;
+        const struct pm_placement *place = chunk->task[i].placement;
         if (place && place->state == PM_PLACEMENT_PROPOSED &&
             (half < 0 || i / PM_HALF_CHUNK_TASKS == half))
-            g_array_append_vals(f->marks, &(struct mark){job, place->index, place->attempt}, 1);
+            g_array_append_vals(f->marks, &(struct mark){job, place->task_index, place->attempt},
+                                1);
     }
     chunk->dirty &= half < 0 ? ~3u : ~(1u << half);
     chunk->in_flight = true;
-    job->tried = true;
+    job->write_attempted = true;
     g_array_append_vals(f->parts, &(struct part){job, k, half, false}, 1);
 }
 
@@ -244,7 +245,7 @@
 
     value_key(job, k, half, key, sizeof key);
     pm_txn_delete(&f->txn, key);
-    job->chunk[k]->in_flight = true;
+    job->chunks[k]->in_flight = true;
     g_array_append_vals(f->parts, &(struct part){job, k, half, true}, 1);
 }
 
@@ -253,7 +254,7 @@
  * both are there the whole goes. Cut off between any two of them, nothing is lost. */
 static void add_chunk(struct pm_commit *c, struct flight *f, struct pm_job *job, int k, int room)
 {
-    struct pm_chunk *chunk = job->chunk[k];
+    struct pm_chunk *chunk = job->chunks[k];
     bool whole = pm_stored_chunk_revision(&chunk->whole) != 0;
 
     condition_job(f, job);
@@ -279,10 +280,10 @@
 /* Whether the job has come to its end and nothing of it is left on any machine. */
 static bool over(const struct pm_job *job)
 {
-    if (!job->spec || job->nplaced)
+    if (!job->spec || job->placed_count)
         return false;
     return job->state != PM_JOB_LIVE ||
-           (job->spec->form != PM_WORKLOAD_SERVICE && job->ndone == job->entries);
+           (job->spec->kind != PM_WORKLOAD_SERVICE && job->done_count == job->task_count);
 }
 
 /* How many values its chunks have. */
@@ -291,12 +292,12 @@
     int n = 0;
 
     *busy = false;
-    for (int k = 0; k < job->nchunks; k++) {
-        if (!job->chunk[k])
+    for (int k = 0; k < job->chunk_count; k++) {
+        if (!job->chunks[k])
             continue;
         for (int half = -1; half < 2; half++)
-            n += pm_stored_chunk_revision(pm_chunk_stored(job->chunk[k], half)) != 0;
-        *busy |= job->chunk[k]->in_flight;
+            n += pm_stored_chunk_revision(pm_chunk_stored(job->chunks[k], half)) != 0;
+        *busy |= job->chunks[k]->in_flight;
     }
     return n;
 }
@@ -316,34 +317,34 @@
     if (!fits && f->parts->len)
         return false; /* wait for a transaction of its own */
     condition_job(f, job);
-    if (fits || job->state == PM_JOB_LIVE || job->inferred) {
+    if (fits || job->state == PM_JOB_LIVE || job->cancelled_by_dependency) {
         job_key(job, key, sizeof key);
         pm_txn_put(&f->txn, key);
         if (end == PM_JOB_DONE) {
-            job->ended = job->ended > 0 ? job->ended : c->day;
+            job->ended_wall = job->ended_wall > 0 ? job->ended_wall : c->day;
             pm_job_encode_done(c->tables, job, !fits, &f->txn.writes);
         } else {
-            pm_job_encode(c->tables, job->spec, job->entries, end, !fits, &f->txn.writes);
+            pm_job_encode(c->tables, job->spec, job->task_count, end, !fits, &f->txn.writes);
         }
         pm_txn_put_end(&f->txn, 0);
         room--;
     }
     g_array_append_vals(f->parts, &(struct part){job, -1, -1, false}, 1);
     job->final_in_flight = true;
-    if (!fits && (job->state == PM_JOB_LIVE || job->inferred))
+    if (!fits && (job->state == PM_JOB_LIVE || job->cancelled_by_dependency))
         return true; /* what it needs, and what ran, goes once the end itself is there */
     for (uint32_t n = job->spec->overflow_lists; n > 0 && room > 0; n--, room--) {
         snprintf(key, sizeof key, "p/n/%s/%u", job->id, n - 1);
         pm_txn_delete(&f->txn, key);
         g_array_append_vals(f->parts, &(struct part){job, LISTS, (int)n - 1, true}, 1);
     }
-    for (int k = 0; k < job->nchunks; k++)
-        for (int half = -1; job->chunk[k] && half < 2 && room > 0; half++) {
-            if (!pm_stored_chunk_revision(pm_chunk_stored(job->chunk[k], half)))
+    for (int k = 0; k < job->chunk_count; k++)
+        for (int half = -1; job->chunks[k] && half < 2 && room > 0; half++) {
+            if (!pm_stored_chunk_revision(pm_chunk_stored(job->chunks[k], half)))
                 continue;
             condition_value(f, job, k, half);
             drop_value(f, job, k, half);
-            job->chunk[k]->dirty = 0;
+            job->chunks[k]->dirty = 0;
             room--;
         }
     return true;
@@ -360,8 +361,8 @@
     f->marks = g_array_new(FALSE, FALSE, sizeof(struct mark));
     f->parts = g_array_new(FALSE, FALSE, sizeof(struct part));
     pm_txn_compare(&f->txn, "p/epoch", grounds->epoch_revision);
-    if (grounds->block_key)
-        pm_txn_compare(&f->txn, grounds->block_key, grounds->block_revision);
+    if (grounds->shard_key)
+        pm_txn_compare(&f->txn, grounds->shard_key, grounds->shard_revision);
     return f;
 }
 
@@ -379,22 +380,22 @@
         return NOT_DUE;
     }
     for (int i = 0; i < PM_CHUNK_TASKS; i++)
-        if (chunk->task[i].place && chunk->task[i].place->state == PM_PLACEMENT_PROPOSED)
+        if (chunk->task[i].placement && chunk->task[i].placement->state == PM_PLACEMENT_PROPOSED)
             return job->spec->priority == PM_PRIORITY_PRODUCTION ? PASS_SERVICES : PASS_LAUNCHES;
     return PASS_LAZY;
 }
 
 static bool full(const struct flight *f, int room)
 {
-    return f->closed || f->txn.nwrites >= room || f->txn.writes.size > BODY_MAX ||
-           f->txn.nconditions + 4 > 4 * room;
+    return f->closed || f->txn.write_count >= room || f->txn.writes.size > BODY_MAX ||
+           f->txn.compare_count + 4 > 4 * room;
 }
 
 /* Of a job that is cancelled with one that it needs, nothing waits for the final state: it follows
  * from the other's. A long chain's go when there is room to spare. */
 static enum pass final_pass(const struct pm_job *job)
 {
-    return job->inferred ? PASS_LAZY : PASS_SERVICES;
+    return job->cancelled_by_dependency ? PASS_LAZY : PASS_SERVICES;
 }
 
 static void add_pass(struct pm_commit *c, struct flight *f, enum pass pass, int room, double now,
@@ -409,21 +410,21 @@
         if (over(job)) {
             if (pass == final_pass(job) && job->retry_at <= now) {
                 if (!full(f, room))
-                    add_final(c, f, job, room - f->txn.nwrites);
+                    add_final(c, f, job, room - f->txn.write_count);
             } else if (job->retry_at > now) {
                 *next = *next ? MIN(*next, job->retry_at) : job->retry_at;
             }
             continue;
         }
-        for (int k = 0; k < job->nchunks; k++) {
-            if (!job->chunk[k] || chunk_rank(job, job->chunk[k], now, next) != pass)
+        for (int k = 0; k < job->chunk_count; k++) {
+            if (!job->chunks[k] || chunk_rank(job, job->chunks[k], now, next) != pass)
                 continue;
-            if (job->chunk[k]->refused && job->chunk[k]->refused == content_of(c, job, k))
+            if (job->chunks[k]->rejected && job->chunks[k]->rejected == content_of(c, job, k))
                 continue; /* until it changes */
-            if (full(f, room) || (job->chunk[k]->alone && f->parts->len))
+            if (full(f, room) || (job->chunks[k]->write_alone && f->parts->len))
                 continue;
-            add_chunk(c, f, job, k, room - f->txn.nwrites);
-            f->closed = job->chunk[k]->alone;
+            add_chunk(c, f, job, k, room - f->txn.write_count);
+            f->closed = job->chunks[k]->write_alone;
         }
     }
 }
@@ -432,7 +433,7 @@
  * with the job's final state, unless the budget has room to spare. */
 static bool room_for_lazy(struct pm_commit *c, double now)
 {
-    return pm_store_write_budget(c->store, now) >= 0.3 * c->tables->settings->state_write_rps;
+    return pm_store_write_budget(c->store, now) >= 0.3 * c->tables->settings->store_write_rps;
 }
 
 /* Whether there is anything to write that no launch waits for. */
@@ -450,8 +451,8 @@
                 return true;
             continue;
         }
-        for (int k = 0; k < job->nchunks; k++)
-            if (job->chunk[k] && chunk_rank(job, job->chunk[k], now, &ignored) == PASS_LAZY)
+        for (int k = 0; k < job->chunk_count; k++)
+            if (job->chunks[k] && chunk_rank(job, job->chunks[k], now, &ignored) == PASS_LAZY)
                 return true;
     }
     return false;
@@ -474,7 +475,7 @@
 double pm_commit_run(struct pm_commit *c, const struct pm_commit_conditions *grounds, double now,
                      double day)
 {
-    int txn_ops = c->tables->settings->txn_ops;
+    int txn_ops = c->tables->settings->store_txn_ops;
 
     c->day = day;
     for (;;) {
--- a/src/jobs/commit.h
+++ b/src/jobs/commit.h
@@ -9,10 +9,11 @@
 struct pm_commit;
 
 struct pm_commit_hooks {
-    void (*durable)(void *arg, struct pm_placement *place); /* an intent may be launched now */
-    void (*confirmed)(void *arg, double sent,
-                      uint64_t store_revision); /* the epoch held at that time */
-    void (*doubt)(void *arg);                   /* the epoch's revision did not match */
+    void (*placement_durable)(void *arg,
+                              struct pm_placement *place); /* an intent may be launched now */
+    void (*epoch_confirmed)(void *arg, double sent,
+                            uint64_t store_revision); /* the epoch held at that time */
+    void (*epoch_conflict)(void *arg);                /* the epoch's revision did not match */
     void *arg;
 };
 
@@ -22,8 +23,8 @@
 /* What every transaction is conditioned on. */
 struct pm_commit_conditions {
     uint64_t epoch_revision;
-    const char *block_key; /* NULL for the leader, whose block is what it has not leased out */
-    uint64_t block_revision;
+    const char *shard_key; /* NULL for the leader, whose block is what it has not leased out */
+    uint64_t shard_revision;
 };
 /* Sends what is due and what the write budget has room for; `day` is the time of day. Returns the
  * steady time at which to call again, 0 when nothing waits. */
--- a/src/jobs/dependencies.c
+++ b/src/jobs/dependencies.c
@@ -103,11 +103,11 @@
  * Whether this changed the dependency. */
 static bool inherit(struct pm_job *dependency, const struct pm_job *dependent)
 {
-    double due = dependent->due - dependent->spec->expected_s;
-    bool changes = dependency->priority < dependent->priority || dependency->due > due;
+    double due = dependent->deadline_wall - dependent->spec->estimated_run_s;
+    bool changes = dependency->priority < dependent->priority || dependency->deadline_wall > due;
 
     dependency->priority = MAX(dependency->priority, dependent->priority);
-    dependency->due = MIN(dependency->due, due);
+    dependency->deadline_wall = MIN(dependency->deadline_wall, due);
     return changes;
 }
 
@@ -170,7 +170,7 @@
 /* The job needed the other one, which is done: whoever waits, waits from the last such end on. */
 static void note_end(struct pm_job *job, double ended)
 {
-    job->ready_at = ended > 0 ? MAX(job->ready_at, ended) : INFINITY;
+    job->ready_wall = ended > 0 ? MAX(job->ready_wall, ended) : INFINITY;
 }
 
 static void add_edge(struct pm_dependency_graph *graph, struct node *node, int index,
@@ -181,7 +181,7 @@
     dependency->job = job;
     g_ptr_array_add(node->dependencies, node_ref(dependency));
     g_ptr_array_add(dependency->dependents, node_ref(node));
-    node->job->unmet++;
+    node->job->unmet_dependencies++;
 }
 
 /* Links the node to what its job needs. Returns the earliest cancellation among that, 0: none. */
@@ -191,15 +191,16 @@
     const struct pm_spec *spec = node->job->spec;
     uint64_t cancelled = 0;
 
-    for (uint32_t i = 0; i < spec->ndependencies; i++) {
+    for (uint32_t i = 0; i < spec->dependency_count; i++) {
         int index = spec->dependencies[i];
         struct pm_dependency_outcome outcome =
             lookup(arg, pm_names_text(graph->tables->dependency_ids, index));
         graph->steps++;
-        if (outcome.cancelled)
-            cancelled = cancelled ? MIN(cancelled, outcome.cancelled) : outcome.cancelled;
+        if (outcome.cancellation_revision)
+            cancelled = cancelled ? MIN(cancelled, outcome.cancellation_revision)
+                                  : outcome.cancellation_revision;
         else if (outcome.job && outcome.job->state == PM_JOB_DONE)
-            note_end(node->job, outcome.job->ended);
+            note_end(node->job, outcome.job->ended_wall);
         else
             add_edge(graph, node, index, outcome.job);
     }
@@ -211,7 +212,7 @@
 {
     struct pm_names *ids = graph->tables->dependency_ids;
     int index =
-        job->spec->ndependencies ? pm_names_intern(ids, job->id) : pm_names_find(ids, job->id);
+        job->spec->dependency_count ? pm_names_intern(ids, job->id) : pm_names_find(ids, job->id);
     struct node *node = index >= 0 ? make_node(graph, index) : NULL;
     uint64_t cancelled;
 
@@ -243,7 +244,7 @@
         const struct node *dependent = g_ptr_array_index(node->dependents, i);
         if (dependent->over)
             continue;
-        dependent->job->unmet--;
+        dependent->job->unmet_dependencies--;
         note_end(dependent->job, ended);
     }
     remove_node(graph, index);
--- a/src/jobs/dependencies.h
+++ b/src/jobs/dependencies.h
@@ -22,7 +22,7 @@
 /* What is known of a job: NULL and 0 while nothing is. */
 struct pm_dependency_outcome {
     struct pm_job *job;
-    uint64_t cancelled; /* store revision of its cancellation */
+    uint64_t cancellation_revision; /* store revision of its cancellation */
 };
 typedef struct pm_dependency_outcome pm_dependency_lookup(void *arg, const char *id);
 
--- a/src/jobs/internal.h
+++ b/src/jobs/internal.h
@@ -14,11 +14,11 @@
     GPtrArray *active;
     struct pm_dependency_graph *dependencies;
     bool delegated;
-    GHashTable *lists; /* id to GPtrArray of GPtrArray of ids: the p/n values, by K */
+    GHashTable *overflow_lists; /* id to GPtrArray of GPtrArray of ids: the p/n values, by K */
     /* Cancellations (cancellations.c). */
-    GArray *cancelled;   /* of struct pm_cancellation */
-    bool unsorted;       /* it is not by revision, as it should be */
-    GHashTable *unknown; /* id to revision: cancelled, though the job is not known yet */
+    GArray *cancellations;         /* of struct pm_cancellation */
+    bool cancellations_unsorted;   /* it is not by revision, as it should be */
+    GHashTable *unknown_cancelled; /* id to revision: cancelled, though the job is not known yet */
 };
 
 /* spec.c: descriptions of jobs */
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -7,11 +7,11 @@
 
 static void chunks_free(struct pm_job *job)
 {
-    for (int k = 0; job->chunk && k < job->nchunks; k++)
-        pm_chunk_free(job->chunk[k]);
-    g_free(job->chunk);
-    job->chunk = NULL;
-    job->nchunks = 0;
+    for (int k = 0; job->chunks && k < job->chunk_count; k++)
+        pm_chunk_free(job->chunks[k]);
+    g_free(job->chunks);
+    job->chunks = NULL;
+    job->chunk_count = 0;
 }
 
 static void job_free(gpointer data)
@@ -31,10 +31,10 @@
     jobs->by_id = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_free);
     jobs->active = g_ptr_array_new();
     jobs->dependencies = pm_dependencies_new(tables);
-    jobs->cancelled = g_array_new(FALSE, FALSE, sizeof(struct pm_cancellation));
-    jobs->lists =
+    jobs->cancellations = g_array_new(FALSE, FALSE, sizeof(struct pm_cancellation));
+    jobs->overflow_lists =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
-    jobs->unknown = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    jobs->unknown_cancelled = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return jobs;
 }
 
@@ -43,9 +43,9 @@
     g_hash_table_destroy(jobs->by_id);
     g_ptr_array_free(jobs->active, TRUE);
     pm_dependencies_free(jobs->dependencies);
-    g_array_free(jobs->cancelled, TRUE);
-    g_hash_table_destroy(jobs->unknown);
-    g_hash_table_destroy(jobs->lists);
+    g_array_free(jobs->cancellations, TRUE);
+    g_hash_table_destroy(jobs->unknown_cancelled);
+    g_hash_table_destroy(jobs->overflow_lists);
     g_free(jobs);
 }
 
@@ -61,8 +61,8 @@
 
 static void activate(struct pm_jobs *jobs, struct pm_job *job)
 {
-    if (!job->listed) {
-        job->listed = true;
+    if (!job->is_active) {
+        job->is_active = true;
         job->delegated = jobs->delegated;
         job->parallelism = UINT32_MAX;
         g_ptr_array_add(jobs->active, job);
@@ -71,27 +71,27 @@
 
 static void deactivate(struct pm_jobs *jobs, struct pm_job *job)
 {
-    if (job->listed) {
-        job->listed = false;
+    if (job->is_active) {
+        job->is_active = false;
         g_ptr_array_remove_fast(jobs->active, job);
     }
 }
 
 static void job_size(struct pm_job *job)
 {
-    if (!job->chunk) {
-        job->nchunks = (int)((job->entries + PM_CHUNK_TASKS - 1) / PM_CHUNK_TASKS);
-        job->chunk = g_new0(struct pm_chunk *, job->nchunks);
+    if (!job->chunks) {
+        job->chunk_count = (int)((job->task_count + PM_CHUNK_TASKS - 1) / PM_CHUNK_TASKS);
+        job->chunks = g_new0(struct pm_chunk *, job->chunk_count);
     }
 }
 
 /* The revision of a cancellation that was told before the job itself. */
 static uint64_t take_unknown(struct pm_jobs *jobs, const char *id)
 {
-    const uint64_t *found = g_hash_table_lookup(jobs->unknown, id);
+    const uint64_t *found = g_hash_table_lookup(jobs->unknown_cancelled, id);
     uint64_t revision = found ? *found : 0;
 
-    g_hash_table_remove(jobs->unknown, id);
+    g_hash_table_remove(jobs->unknown_cancelled, id);
     return revision;
 }
 
@@ -109,20 +109,20 @@
     uint64_t revision;
 
     if (job->state == PM_JOB_DONE) {
-        pm_dependencies_mark_done(jobs->dependencies, job->id, job->ended);
+        pm_dependencies_mark_done(jobs->dependencies, job->id, job->ended_wall);
         return;
     }
-    if (job->state == PM_JOB_LIVE && job->spec && !job->incomplete) {
+    if (job->state == PM_JOB_LIVE && job->spec && !job->dependencies_incomplete) {
         const struct pm_spec *spec = job->spec;
         job->priority = MAX(job->priority, spec->priority);
-        if (spec->due_s >= 0)
-            job->due = MIN(job->due, spec->submitted + spec->due_s);
+        if (spec->deadline_s >= 0)
+            job->deadline_wall = MIN(job->deadline_wall, spec->submitted_wall + spec->deadline_s);
         revision = pm_dependencies_add(jobs->dependencies, job, find_outcome, jobs);
         if (revision)
             pm_jobs_cancel_dependent(&revision, job);
     }
     if (job->state == PM_JOB_CANCELLED) {
-        revision = job->cancelled;
+        revision = job->cancellation_revision;
         pm_dependencies_mark_cancelled(jobs->dependencies, job->id, pm_jobs_cancel_dependent,
                                        &revision);
     }
@@ -132,10 +132,10 @@
  * it may not start. */
 static void complete(struct pm_jobs *jobs, struct pm_job *job)
 {
-    GPtrArray *lists = g_hash_table_lookup(jobs->lists, job->id);
+    GPtrArray *lists = g_hash_table_lookup(jobs->overflow_lists, job->id);
     GPtrArray *ids;
 
-    if (!job->incomplete || !job->spec || !job->spec->overflow_lists || !lists ||
+    if (!job->dependencies_incomplete || !job->spec || !job->spec->overflow_lists || !lists ||
         lists->len < job->spec->overflow_lists)
         return;
     for (uint32_t k = 0; k < job->spec->overflow_lists; k++)
@@ -149,9 +149,9 @@
     }
     pm_spec_set_dependencies(jobs->tables, job->spec, ids);
     g_ptr_array_free(ids, TRUE);
-    g_hash_table_remove(jobs->lists, job->id);
-    job->incomplete = false;
-    job->unmet--;
+    g_hash_table_remove(jobs->overflow_lists, job->id);
+    job->dependencies_incomplete = false;
+    job->unmet_dependencies--;
     update_graph(jobs, job);
 }
 
@@ -173,16 +173,16 @@
     if (!pm_chunk_key_parse(rest, id, &k, &half) || half >= 0 || !pm_job_id_is_valid(id))
         return NULL;
     job = pm_jobs_find(jobs, id);
-    if (job && !job->incomplete)
+    if (job && !job->dependencies_incomplete)
         return NULL; /* known, or over */
     if (pm_submission_decode_dependencies(value, &ids) || !ids) {
         pm_error("jobs.value", "unreadable list %s", rest);
         return NULL;
     }
-    lists = g_hash_table_lookup(jobs->lists, id);
+    lists = g_hash_table_lookup(jobs->overflow_lists, id);
     if (!lists) {
         lists = g_ptr_array_new_with_free_func(list_free);
-        g_hash_table_insert(jobs->lists, g_strdup(id), lists);
+        g_hash_table_insert(jobs->overflow_lists, g_strdup(id), lists);
     }
     if ((int)lists->len <= k)
         g_ptr_array_set_size(lists, k + 1);
@@ -217,21 +217,21 @@
     struct pm_job *job = g_new0(struct pm_job, 1);
 
     g_strlcpy(job->id, id, sizeof job->id);
-    job->entries = entries;
+    job->task_count = entries;
     g_hash_table_insert(jobs->by_id, job->id, job);
-    job->cancelled = take_unknown(jobs, id);
-    job->due = INFINITY;
+    job->cancellation_revision = take_unknown(jobs, id);
+    job->deadline_wall = INFINITY;
     return job;
 }
 
 static void set_state(struct pm_jobs *jobs, struct pm_job *job, enum pm_job_state state)
 {
     if (state == PM_JOB_CANCELLED)
-        job->inferred = false; /* its own value says so */
+        job->cancelled_by_dependency = false; /* its own value says so */
     /* What is known cancelled stays so: this value is an older one then. */
-    job->state = job->cancelled ? PM_JOB_CANCELLED : state;
-    if (job->state == PM_JOB_CANCELLED && !job->cancelled) {
-        job->cancelled = job->revision;
+    job->state = job->cancellation_revision ? PM_JOB_CANCELLED : state;
+    if (job->state == PM_JOB_CANCELLED && !job->cancellation_revision) {
+        job->cancellation_revision = job->revision;
         pm_jobs_note_cancellation(jobs, job->id, job->revision);
     }
 }
@@ -250,8 +250,8 @@
         pm_error("jobs.value", "unreadable dependencies of job %s", job->id);
     if (!readable || lists) {
         spec->overflow_lists = (uint32_t)MIN(lists, PM_JOB_TASKS_MAX);
-        job->incomplete = true;
-        job->unmet++;
+        job->dependencies_incomplete = true;
+        job->unmet_dependencies++;
     }
     if (dependencies) {
         pm_spec_set_dependencies(jobs->tables, spec, dependencies);
@@ -276,9 +276,9 @@
         return false;
     }
     spec->zone = names.zone[0] ? pm_settings_find_zone(settings, names.zone) : -1;
-    spec->class_index = pm_names_intern(jobs->tables->classes, names.class_name);
-    spec->image = pm_names_intern(jobs->tables->images, names.image);
-    pm_cbor_number(pm_cbor_get(value, "at"), &spec->submitted);
+    spec->class_index = pm_names_intern(jobs->tables->class_names, names.class_name);
+    spec->image = pm_names_intern(jobs->tables->image_names, names.image);
+    pm_cbor_number(pm_cbor_get(value, "at"), &spec->submitted_wall);
     if (!known) {
         job->spec = spec;
         read_needs(jobs, job, spec, value);
@@ -317,17 +317,17 @@
     job->revision = revision;
     set_state(jobs, job, state);
     if (state == PM_JOB_DONE)
-        pm_cbor_number(pm_cbor_get(value, "ended"), &job->ended);
+        pm_cbor_number(pm_cbor_get(value, "ended"), &job->ended_wall);
     if (!readable)
         return job; /* not to be run: it may have been cancelled */
-    if (!job->chunk)
-        job->entries = entries;
+    if (!job->chunks)
+        job->task_count = entries;
     if (pm_cbor_has(value, "form")) {
         if (!read_spec(jobs, job, value))
             return job;
         job_size(job);
         activate(jobs, job);
-    } else if (!job->nplaced) {
+    } else if (!job->placed_count) {
         keep_final_state_only(jobs, job);
     }
     update_graph(jobs, job);
@@ -384,13 +384,13 @@
     int half;
 
     if (strncmp(key, "p/t/", 4) || !pm_chunk_key_parse(key + 4, id, &k, &half) ||
-        !(job = pm_jobs_find(jobs, id)) || k >= job->nchunks || !job->chunk[k])
+        !(job = pm_jobs_find(jobs, id)) || k >= job->chunk_count || !job->chunks[k])
         return NULL;
-    value = pm_chunk_stored(job->chunk[k], half);
+    value = pm_chunk_stored(job->chunks[k], half);
     if (value->revision > revision)
         return NULL;
     value->revision = 0;
-    pm_chunk_merge(job->chunk[k]);
+    pm_chunk_merge(job->chunks[k]);
     return job;
 }
 
@@ -404,12 +404,12 @@
     g_hash_table_iter_init(&iter, jobs->by_id);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct pm_job *job = value;
-        for (int k = 0; k < job->nchunks; k++) {
-            if (!job->chunk[k])
+        for (int k = 0; k < job->chunk_count; k++) {
+            if (!job->chunks[k])
                 continue;
             for (int half = -1; half < 2; half++)
-                pm_chunk_stored(job->chunk[k], half)->revision = 0;
-            pm_chunk_merge(job->chunk[k]);
+                pm_chunk_stored(job->chunks[k], half)->revision = 0;
+            pm_chunk_merge(job->chunks[k]);
         }
     }
 }
@@ -418,16 +418,16 @@
 {
     *done = *running = 0;
     if (job->state == PM_JOB_DONE) {
-        *done = job->entries;
+        *done = job->task_count;
         return;
     }
-    for (int k = 0; k < job->nchunks; k++) {
-        if (!job->chunk[k])
+    for (int k = 0; k < job->chunk_count; k++) {
+        if (!job->chunks[k])
             continue;
         for (int i = 0; i < PM_CHUNK_TASKS / 64; i++)
-            *done += (uint32_t)__builtin_popcountll(job->chunk[k]->done[i]);
-        if (job->chunk[k]->stored_places)
-            *running += job->chunk[k]->stored_places->len;
+            *done += (uint32_t)__builtin_popcountll(job->chunks[k]->done[i]);
+        if (job->chunks[k]->stored_placements)
+            *running += job->chunks[k]->stored_placements->len;
     }
 }
 
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -47,35 +47,36 @@
 /* The dense indices of all names that jobs and machines speak of. */
 struct pm_name_tables {
     const struct pm_settings *settings;
-    struct pm_names *classes, *images, *types, *machines;
+    struct pm_names *class_names, *image_names, *type_names, *machine_names;
     struct pm_names *dependency_ids; /* of jobs that others need */
     unsigned protocol_version;       /* what every controller reads (base/protocol.h) */
-    int ntypes; /* machine types that the cloud has told of; 0: not known yet */
+    int type_count; /* machine types that the cloud has told of; 0: not known yet */
     struct pm_type {
         double cpus, gpus, ram_gb, local_gb, pull_gb_per_s, price, spot_price, ready_s;
         uint32_t zones; /* bit i: offered in zone i of the settings */
-    } type[PM_TYPES_MAX];
+    } types[PM_TYPES_MAX];
 };
 
 struct pm_spec {
     int class_index, team, image, zone; /* zone -1: any */
-    enum pm_workload_kind form;
+    enum pm_workload_kind kind;
     enum pm_priority priority;
-    uint32_t entries;
+    uint32_t task_count;
     double cpus, gpus, ram_gb, image_gb;
-    uint64_t types; /* bit i: allowed on type i */
-    bool same_place, spread, spot;
-    double expected_s, bookmark_s, filing_s, due_s; /* due_s below 0: no deadline */
-    double submitted;                               /* time of day */
-    uint32_t ndependencies;                         /* jobs that have to be done before */
-    int *dependencies;                              /* indices of `dependency_ids`; owned */
-    uint32_t overflow_lists; /* p/n values that name them, 0: the job's own value does */
+    uint64_t allowed_types; /* bit i: allowed on type i */
+    bool same_zone, spread_zones, spot;
+    double estimated_run_s, checkpoint_interval_s, checkpoint_duration_s,
+        deadline_s;            /* due_s below 0: no deadline */
+    double submitted_wall;     /* time of day */
+    uint32_t dependency_count; /* jobs that have to be done before */
+    int *dependencies;         /* indices of `dependency_ids`; owned */
+    uint32_t overflow_lists;   /* p/n values that name them, 0: the job's own value does */
 };
 
 /* A task's place as the state service knows it. */
 struct pm_stored_placement {
-    uint16_t task; /* within the chunk */
-    uint32_t attempt, session;
+    uint16_t task_in_chunk; /* within the chunk */
+    uint32_t attempt, incarnation;
     int machine;
 };
 
@@ -96,35 +97,38 @@
     struct pm_job *job;
     struct pm_machine *machine;
     int machine_index;
-    uint32_t index, attempt, session;
+    uint32_t task_index, attempt, incarnation;
     enum pm_placement_state state;
-    bool stop;      /* to be killed */
-    bool stop_sent; /* a /do with the kill was answered */
-    bool seen;      /* in the message being read */
-    double leave_s;
-    double since;     /* steady: placed, or found again */
-    double ran_from;  /* steady: first seen running, 0: not yet */
-    uint64_t direct;  /* number of the last /do with the launch, until one is answered; 0: none */
-    bool in_doubt;    /* a /do with the launch has no answer: see `doubtful` of the machine */
-    uint64_t replied; /* sequence number of the report whose answer carried the launch, 0: none */
+    bool should_stop;     /* to be killed */
+    bool stop_acked;      /* a /do with the kill was answered */
+    bool seen_in_message; /* in the message being read */
+    double grace_s;
+    double placed_at;     /* steady: placed, or found again */
+    double running_since; /* steady: first seen running, 0: not yet */
+    uint64_t
+        launch_push; /* number of the last /do with the launch, until one is answered; 0: none */
+    bool launch_outcome_unknown;    /* a /do with the launch has no answer: see `doubtful` of the
+                                       machine */
+    uint64_t launch_reply_sequence; /* sequence number of the report whose answer carried the
+                                       launch, 0: none */
 };
 
 /* The leader's view of one task. */
 struct pm_task {
-    struct pm_placement *place; /* whatever is not proven gone */
-    uint16_t errors;
+    struct pm_placement *placement; /* whatever is not proven gone */
+    uint16_t failures;
     bool done;
-    bool resumed;      /* ran before: its next run may be shorter than a whole one */
-    double not_before; /* steady: the next try, after errors */
+    bool was_resumed;     /* ran before: its next run may be shorter than a whole one */
+    double backoff_until; /* steady: the next try, after errors */
 };
 
 /* One value of a chunk: of all its tasks, or of half of them. */
 struct pm_stored_chunk {
-    uint64_t revision; /* 0: not in the state service */
-    uint64_t written;  /* of our own last write: the watch may not have told it yet */
+    uint64_t revision;         /* 0: not in the state service */
+    uint64_t written_revision; /* of our own last write: the watch may not have told it yet */
     uint64_t done[PM_CHUNK_TASKS / PM_HALF_CHUNK_TASKS];
-    uint32_t last_try;
-    GArray *stored_places; /* of struct pm_spot */
+    uint32_t last_attempt;
+    GArray *stored_placements; /* of struct pm_spot */
 };
 
 enum { PM_DIRTY_WHOLE = 4 }; /* the value of the whole chunk is to go: both halves are there */
@@ -136,70 +140,74 @@
     /* What these say together. */
     bool stored; /* any of them is there */
     uint64_t done[PM_CHUNK_TASKS / PM_HALF_CHUNK_TASKS];
-    uint32_t last_try;
-    GArray *stored_places; /* of struct pm_spot, as written; NULL when none */
+    uint32_t last_attempt;
+    GArray *stored_placements; /* of struct pm_spot, as written; NULL when none */
     /* Leader only. */
-    struct pm_task *task; /* PM_CHUNK_TASKS of them, or NULL: none was ever touched */
-    unsigned dirty;       /* bit h: half h needs writing; and PM_DIRTY_WHOLE */
-    uint16_t placed[2];   /* places in each half */
+    struct pm_task *task;         /* PM_CHUNK_TASKS of them, or NULL: none was ever touched */
+    unsigned dirty;               /* bit h: half h needs writing; and PM_DIRTY_WHOLE */
+    uint16_t placement_counts[2]; /* places in each half */
     bool in_flight;
     double retry_at;
-    uint32_t failures; /* of its writes, in a row */
-    bool split;        /* refused as one value: to be written in halves */
-    bool alone;        /* refused together with others: to be written alone */
-    unsigned refused;  /* what was refused alone, see commit.c; 0: nothing */
+    uint32_t failures;    /* of its writes, in a row */
+    bool write_in_halves; /* refused as one value: to be written in halves */
+    bool write_alone;     /* refused together with others: to be written alone */
+    unsigned rejected;    /* what was refused alone, see commit.c; 0: nothing */
 };
 
 /* What the outcomes of a job's tasks say of it (workers/faults.h). */
 struct pm_job_failures {
-    int machine[4]; /* distinct ones on which its tasks failed since the last that succeeded */
-    unsigned nmachines;
-    unsigned in_a_row; /* failures since the last success */
-    unsigned rounds;   /* tries since it was found failing, as far as they make the pause longer */
-    bool told;         /* found failing by its holder, or by the leader before */
-    bool succeeded;    /* a task of it completed */
-    double retry_at;   /* steady: no task of it starts before, while it is failing */
+    int machines[4]; /* distinct ones on which its tasks failed since the last that succeeded */
+    unsigned machine_count;
+    unsigned consecutive; /* failures since the last success */
+    unsigned
+        retry_rounds; /* tries since it was found failing, as far as they make the pause longer */
+    bool reported_failing; /* found failing by its holder, or by the leader before */
+    bool has_succeeded;    /* a task of it completed */
+    double retry_at;       /* steady: no task of it starts before, while it is failing */
 };
 
 struct pm_job {
     char id[PM_ID_MAX];
     uint64_t revision;
     enum pm_job_state state;
-    uint64_t
-        cancelled; /* revision of its durable cancellation, as far as known; 0: none is known */
-    uint32_t entries;
+    uint64_t cancellation_revision; /* revision of its durable cancellation, as far as known; 0:
+                                       none is known */
+    uint32_t task_count;
     /* Dependencies (dependencies.h). */
-    bool incomplete; /* what it needs is not all known yet */
-    uint32_t unmet;  /* jobs that it needs and that are not durably done: it may not start */
-    double ended;    /* time of day at which it was found done, 0: not known */
-    double ready_at; /* time of day at which the last job that it needs ended, 0: none has,
-                      * INFINITY: one ended that the version before recorded without its time */
-    bool inferred;   /* cancelled because a job that it needs is */
-    enum pm_priority priority; /* its own, or that of a job that needs it, whichever is higher */
-    double
-        due; /* time of day: its own deadline, or what one that needs it leaves; INFINITY: none */
-    double since;         /* time of day at which its wait began, as far as seen here (placement) */
-    struct pm_spec *spec; /* NULL once only the final state is kept, or if it can't be read */
-    int nchunks;
-    struct pm_chunk **chunk;
+    bool dependencies_incomplete; /* what it needs is not all known yet */
+    uint32_t
+        unmet_dependencies; /* jobs that it needs and that are not durably done: it may not start */
+    double ended_wall;      /* time of day at which it was found done, 0: not known */
+    double ready_wall;      /* time of day at which the last job that it needs ended, 0: none has,
+                             * INFINITY: one ended that the version before recorded without its time */
+    bool cancelled_by_dependency; /* cancelled because a job that it needs is */
+    enum pm_priority priority;    /* its own, or that of a job that needs it, whichever is higher */
+    double deadline_wall;      /* time of day: its own deadline, or what one that needs it leaves;
+                                  INFINITY: none */
+    double waiting_since_wall; /* time of day at which its wait began, as far as seen here
+                                  (placement) */
+    struct pm_spec *spec;      /* NULL once only the final state is kept, or if it can't be read */
+    int chunk_count;
+    struct pm_chunk **chunks;
     /* Leader only. */
-    uint32_t ndone, nplaced, last_try;
-    uint32_t hint; /* no task below it waits */
-    bool final_in_flight, listed;
-    double claims_until; /* gang: room is being cleared for it (placement) */
-    bool delegated;      /* another controller places it */
-    bool starving;       /* has waited too long to begin (placement) */
-    bool aged;           /* was starving: what runs of it went first (placement) */
-    bool begun;          /* all of its tasks were placed at one time, or done (placement) */
-    double begun_at;     /* steady: when that was, 0: before this controller led */
-    double left;         /* processor-seconds of an array that are left (placement) */
-    bool sized;          /* counted as part of the stream of array work (fleet) */
-    bool tried;          /* a chunk was written, or is being written, from here */
-    double ran_sum; /* run times seen of this job's tasks: its owner's estimate may be far off */
-    uint32_t ran_n;
+    uint32_t done_count, placed_count, last_attempt;
+    uint32_t first_waiting_hint; /* no task below it waits */
+    bool final_in_flight, is_active;
+    double reservation_until; /* gang: room is being cleared for it (placement) */
+    bool delegated;           /* another controller places it */
+    bool is_starving;         /* has waited too long to begin (placement) */
+    bool is_overdue_start;    /* was starving: what runs of it went first (placement) */
+    bool has_fully_started;   /* all of its tasks were placed at one time, or done (placement) */
+    double fully_started_at;  /* steady: when that was, 0: before this controller led */
+    double remaining_cpu_s;   /* processor-seconds of an array that are left (placement) */
+    bool counted_in_demand;   /* counted as part of the stream of array work (fleet) */
+    bool write_attempted;     /* a chunk was written, or is being written, from here */
+    double run_time_sum_s;    /* run times seen of this job's tasks: its owner's estimate may be far
+                                 off */
+    uint32_t run_time_samples;
     uint32_t parallelism; /* tasks at once that its block's lease allows */
-    struct pm_job_failures faults;
-    double rest_until; /* steady: some of its tasks rest until then, see struct pm_task */
+    struct pm_job_failures failures;
+    double backoff_until; /* steady: some of its tasks rest until then, see struct pm_task */
     double retry_at;
 };
 
--- a/src/jobs/spec.c
+++ b/src/jobs/spec.c
@@ -83,7 +83,7 @@
         int type;
         if (pm_cbor_text(pm_cbor_at(list, i), name, sizeof name))
             return -1;
-        type = pm_names_find(tables->types, name);
+        type = pm_names_find(tables->type_names, name);
         if (type >= 0 && type < PM_TYPES_MAX)
             *out |= (uint64_t)1 << type;
     }
@@ -92,8 +92,8 @@
 
 int pm_spec_find_team(const struct pm_settings *settings, const char *name)
 {
-    for (int i = 0; i < settings->teams; i++)
-        if (!strcmp(settings->team[i].name, name))
+    for (int i = 0; i < settings->team_count; i++)
+        if (!strcmp(settings->teams[i].name, name))
             return i;
     return -1;
 }
@@ -116,7 +116,7 @@
     *why = "form";
     if ((found = pm_name_index(form_names, 3, text)) < 0)
         return -1;
-    spec->form = (enum pm_workload_kind)found;
+    spec->kind = (enum pm_workload_kind)found;
     if (read_name(body, "urgency", text, why))
         return -1;
     *why = "urgency";
@@ -127,24 +127,24 @@
     if (pm_cbor_count(pm_cbor_get(body, "entries"), &entries) || entries < 1 ||
         entries > PM_JOB_TASKS_MAX)
         return -1;
-    spec->entries = (uint32_t)entries;
+    spec->task_count = (uint32_t)entries;
     if (read_amount(body, "cpus", &spec->cpus, why) ||
         read_amount(body, "accelerators", &spec->gpus, why) ||
         read_amount(body, "ram_gb", &spec->ram_gb, why) ||
         read_amount(body, "size_gb", &spec->image_gb, why) ||
-        read_amount(body, "expected_s", &spec->expected_s, why) ||
-        read_amount(body, "bookmark_s", &spec->bookmark_s, why) ||
-        read_amount(body, "filing_s", &spec->filing_s, why))
+        read_amount(body, "expected_s", &spec->estimated_run_s, why) ||
+        read_amount(body, "bookmark_s", &spec->checkpoint_interval_s, why) ||
+        read_amount(body, "filing_s", &spec->checkpoint_duration_s, why))
         return -1;
-    spec->due_s = -1;
-    if (pm_cbor_has(body, "due_s") && read_amount(body, "due_s", &spec->due_s, why))
+    spec->deadline_s = -1;
+    if (pm_cbor_has(body, "due_s") && read_amount(body, "due_s", &spec->deadline_s, why))
         return -1;
-    if (read_flag(body, "same_place", &spec->same_place, why) ||
-        read_flag(body, "spread", &spec->spread, why) ||
+    if (read_flag(body, "same_place", &spec->same_zone, why) ||
+        read_flag(body, "spread", &spec->spread_zones, why) ||
         read_flag(body, "borrowed", &spec->spot, why))
         return -1;
     *why = "models";
-    if (read_types(tables, pm_cbor_get(body, "models"), &spec->types))
+    if (read_types(tables, pm_cbor_get(body, "models"), &spec->allowed_types))
         return -1;
     names->zone[0] = 0;
     if (pm_cbor_has(body, "room") && read_name(body, "room", names->zone, why))
@@ -154,10 +154,10 @@
 
 static bool fits_some_type(const struct pm_name_tables *tables, const struct pm_spec *spec)
 {
-    for (int i = 0; i < tables->ntypes; i++) {
-        const struct pm_type *type = &tables->type[i];
+    for (int i = 0; i < tables->type_count; i++) {
+        const struct pm_type *type = &tables->types[i];
         bool offered = spec->zone < 0 || (type->zones >> spec->zone & 1);
-        if (offered && spec->types >> i & 1 && type->cpus >= spec->cpus &&
+        if (offered && spec->allowed_types >> i & 1 && type->cpus >= spec->cpus &&
             type->gpus >= spec->gpus && type->ram_gb >= spec->ram_gb)
             return true;
     }
@@ -197,7 +197,7 @@
                               const GPtrArray *ids)
 {
     spec->dependencies = g_new(int, ids->len);
-    spec->ndependencies = ids->len;
+    spec->dependency_count = ids->len;
     for (guint i = 0; i < ids->len; i++)
         spec->dependencies[i] = pm_names_intern(tables->dependency_ids, g_ptr_array_index(ids, i));
 }
@@ -223,7 +223,7 @@
     }
     if (pm_spec_decode(tables, body, spec, &names, why))
         return 400;
-    if (!tables->ntypes) {
+    if (!tables->type_count) {
         *why = "machine types not known yet";
         return 503;
     }
@@ -235,13 +235,13 @@
     *why = "fits no allowed machine type";
     if (!fits_some_type(tables, spec))
         return 422;
-    team = &settings->team[spec->team];
-    tasks = spec->form == PM_WORKLOAD_ARRAY ? 1 : spec->entries;
+    team = &settings->teams[spec->team];
+    tasks = spec->kind == PM_WORKLOAD_ARRAY ? 1 : spec->task_count;
     *why = "above the team's limit";
     if (tasks * spec->cpus > team->cpus_max + EPS || tasks * spec->gpus > team->gpus_max + EPS)
         return 422;
-    spec->class_index = pm_names_intern(tables->classes, names.class_name);
-    spec->image = pm_names_intern(tables->images, names.image);
+    spec->class_index = pm_names_intern(tables->class_names, names.class_name);
+    spec->image = pm_names_intern(tables->image_names, names.image);
     return 200;
 }
 
@@ -258,43 +258,43 @@
     if (ended > 0)
         pm_put_pair_number(out, "ended", ended);
     if (full) {
-        pm_put_pair_text(out, "ledger", pm_names_text(tables->classes, spec->class_index));
-        pm_put_pair_text(out, "desk", tables->settings->team[spec->team].name);
-        pm_put_pair_text(out, "bundle", pm_names_text(tables->images, spec->image));
-        pm_put_pair_text(out, "form", form_names[spec->form]);
+        pm_put_pair_text(out, "ledger", pm_names_text(tables->class_names, spec->class_index));
+        pm_put_pair_text(out, "desk", tables->settings->teams[spec->team].name);
+        pm_put_pair_text(out, "bundle", pm_names_text(tables->image_names, spec->image));
+        pm_put_pair_text(out, "form", form_names[spec->kind]);
         pm_put_pair_text(out, "urgency", priority_names[spec->priority]);
         pm_put_pair_number(out, "cpus", spec->cpus);
         pm_put_pair_number(out, "accelerators", spec->gpus);
         pm_put_pair_number(out, "ram_gb", spec->ram_gb);
         pm_put_pair_number(out, "size_gb", spec->image_gb);
-        pm_put_pair_number(out, "expected_s", spec->expected_s);
-        pm_put_pair_number(out, "bookmark_s", spec->bookmark_s);
-        pm_put_pair_number(out, "filing_s", spec->filing_s);
-        if (spec->due_s >= 0)
-            pm_put_pair_number(out, "due_s", spec->due_s);
-        pm_put_pair_flag(out, "same_place", spec->same_place);
-        pm_put_pair_flag(out, "spread", spec->spread);
+        pm_put_pair_number(out, "expected_s", spec->estimated_run_s);
+        pm_put_pair_number(out, "bookmark_s", spec->checkpoint_interval_s);
+        pm_put_pair_number(out, "filing_s", spec->checkpoint_duration_s);
+        if (spec->deadline_s >= 0)
+            pm_put_pair_number(out, "due_s", spec->deadline_s);
+        pm_put_pair_flag(out, "same_place", spec->same_zone);
+        pm_put_pair_flag(out, "spread", spec->spread_zones);
         pm_put_pair_flag(out, "borrowed", spec->spot);
-        if (spec->types != ~(uint64_t)0) {
+        if (spec->allowed_types != ~(uint64_t)0) {
             pm_put_text(out, "models");
             pm_put_list(out);
-            for (int i = 0; i < tables->ntypes; i++)
-                if (spec->types >> i & 1)
-                    pm_put_text(out, pm_names_text(tables->types, i));
+            for (int i = 0; i < tables->type_count; i++)
+                if (spec->allowed_types >> i & 1)
+                    pm_put_text(out, pm_names_text(tables->type_names, i));
             pm_put_end(out);
         }
         if (spec->zone >= 0)
-            pm_put_pair_text(out, "room", tables->settings->zone_name[spec->zone]);
+            pm_put_pair_text(out, "room", tables->settings->zone_names[spec->zone]);
         if (spec->overflow_lists)
             pm_put_pair_count(out, "lists", spec->overflow_lists);
-        else if (spec->ndependencies) {
+        else if (spec->dependency_count) {
             pm_put_text(out, "awaits");
             pm_put_list(out);
-            for (uint32_t i = 0; i < spec->ndependencies; i++)
+            for (uint32_t i = 0; i < spec->dependency_count; i++)
                 pm_put_text(out, pm_names_text(tables->dependency_ids, spec->dependencies[i]));
             pm_put_end(out);
         }
-        pm_put_pair_number(out, "at", spec->submitted);
+        pm_put_pair_number(out, "at", spec->submitted_wall);
     }
     pm_put_end(out);
 }
@@ -310,15 +310,15 @@
 {
     bool says_when = tables->protocol_version >= PM_PROTOCOL_END_TIMES;
 
-    write_value(tables, job->spec, job->entries, PM_JOB_DONE, full, says_when ? job->ended : 0,
-                out);
+    write_value(tables, job->spec, job->task_count, PM_JOB_DONE, full,
+                says_when ? job->ended_wall : 0, out);
 }
 
 /* ---- what a job needs, where its own value does not name it ---- */
 
 static uint32_t ids_in_list(const struct pm_name_tables *tables)
 {
-    return (uint32_t)MAX(1, (tables->settings->value_kb * 1024 - 64) / (PM_ID_MAX + 3));
+    return (uint32_t)MAX(1, (tables->settings->store_value_kb * 1024 - 64) / (PM_ID_MAX + 3));
 }
 
 uint32_t pm_spec_overflow_lists(const struct pm_name_tables *tables, const struct pm_spec *spec,
@@ -326,11 +326,11 @@
 {
     uint32_t per = ids_in_list(tables);
 
-    for (uint32_t i = 0; i < spec->ndependencies; i++)
+    for (uint32_t i = 0; i < spec->dependency_count; i++)
         size += strlen(pm_names_text(tables->dependency_ids, spec->dependencies[i])) + 3;
-    return (double)size + 32 <= tables->settings->value_kb * 1024
+    return (double)size + 32 <= tables->settings->store_value_kb * 1024
                ? 0
-               : (spec->ndependencies + per - 1) / per;
+               : (spec->dependency_count + per - 1) / per;
 }
 
 void pm_dependency_list_encode(const struct pm_name_tables *tables, const struct pm_spec *spec,
@@ -341,7 +341,7 @@
     pm_put_map(out);
     pm_put_text(out, "awaits");
     pm_put_list(out);
-    for (uint32_t i = k * per; i < MIN((k + 1) * per, spec->ndependencies); i++)
+    for (uint32_t i = k * per; i < MIN((k + 1) * per, spec->dependency_count); i++)
         pm_put_text(out, pm_names_text(tables->dependency_ids, spec->dependencies[i]));
     pm_put_end(out);
     pm_put_end(out);
