--- a/src/workers/workers.c
+++ b/src/workers/workers.c
@@ -19,33 +19,34 @@
     w->tables = tables;
     w->jobs = jobs;
     w->hooks = *hooks;
-    w->all = g_ptr_array_new();
+    w->machines = g_ptr_array_new();
     return w;
 }
 
 GPtrArray *pm_workers_all(struct pm_workers *w)
 {
-    return w->all;
+    return w->machines;
 }
 
 struct pm_machine *pm_workers_at(struct pm_workers *w, int index)
 {
-    return index >= 0 && index < (int)w->all->len ? g_ptr_array_index(w->all, index) : NULL;
+    return index >= 0 && index < (int)w->machines->len ? g_ptr_array_index(w->machines, index)
+                                                       : NULL;
 }
 
 struct pm_machine *pm_workers_find(struct pm_workers *w, const char *name)
 {
-    return pm_workers_at(w, pm_names_find(w->tables->machines, name));
+    return pm_workers_at(w, pm_names_find(w->tables->machine_names, name));
 }
 
 struct pm_machine *pm_workers_add(struct pm_workers *w, const char *name)
 {
-    int index = pm_names_intern(w->tables->machines, name);
+    int index = pm_names_intern(w->tables->machine_names, name);
     struct pm_machine *m;
 
-    if (index >= (int)w->all->len)
-        g_ptr_array_set_size(w->all, index + 1);
-    m = g_ptr_array_index(w->all, index);
+    if (index >= (int)w->machines->len)
+        g_ptr_array_set_size(w->machines, index + 1);
+    m = g_ptr_array_index(w->machines, index);
     if (m)
         return m;
     m = g_new0(struct pm_machine, 1);
@@ -53,45 +54,45 @@
     m->index = index;
     m->type = m->zone = -1;
     m->state = PM_MACHINE_BOOTING;
-    m->places = g_ptr_array_new_with_free_func(g_free);
-    m->ended = g_array_new(FALSE, FALSE, sizeof(struct pm_task_ref));
-    m->strays = g_array_new(FALSE, FALSE, sizeof(struct pm_task_ref));
-    g_ptr_array_index(w->all, index) = m;
+    m->placements = g_ptr_array_new_with_free_func(g_free);
+    m->exited_tasks = g_array_new(FALSE, FALSE, sizeof(struct pm_task_ref));
+    m->orphan_tasks = g_array_new(FALSE, FALSE, sizeof(struct pm_task_ref));
+    g_ptr_array_index(w->machines, index) = m;
     return m;
 }
 
 static void machine_free(struct pm_machine *m)
 {
-    g_ptr_array_free(m->places, TRUE);
-    g_array_free(m->ended, TRUE);
-    g_array_free(m->strays, TRUE);
-    if (m->fault_records)
-        g_array_free(m->fault_records, TRUE);
+    g_ptr_array_free(m->placements, TRUE);
+    g_array_free(m->exited_tasks, TRUE);
+    g_array_free(m->orphan_tasks, TRUE);
+    if (m->failure_records)
+        g_array_free(m->failure_records, TRUE);
     g_free(m);
 }
 
 void pm_workers_remove(struct pm_workers *w, struct pm_machine *m)
 {
-    g_ptr_array_index(w->all, m->index) = NULL;
+    g_ptr_array_index(w->machines, m->index) = NULL;
     machine_free(m);
 }
 
 void pm_workers_free(struct pm_workers *w)
 {
-    for (guint i = 0; i < w->all->len; i++)
-        if (g_ptr_array_index(w->all, i))
-            machine_free(g_ptr_array_index(w->all, i));
-    g_ptr_array_free(w->all, TRUE);
+    for (guint i = 0; i < w->machines->len; i++)
+        if (g_ptr_array_index(w->machines, i))
+            machine_free(g_ptr_array_index(w->machines, i));
+    g_ptr_array_free(w->machines, TRUE);
     g_free(w);
 }
 
 void pm_workers_reset(struct pm_workers *w)
 {
-    for (guint i = 0; i < w->all->len; i++) {
-        struct pm_machine *m = g_ptr_array_index(w->all, i);
+    for (guint i = 0; i < w->machines->len; i++) {
+        struct pm_machine *m = g_ptr_array_index(w->machines, i);
         if (m)
             machine_free(m);
-        g_ptr_array_index(w->all, i) = NULL;
+        g_ptr_array_index(w->machines, i) = NULL;
     }
 }
 
@@ -99,9 +100,9 @@
 
 static void take_room(struct pm_machine *m, const struct pm_spec *spec, double sign)
 {
-    m->cpus -= sign * spec->cpus;
-    m->gpus -= sign * spec->gpus;
-    m->ram_gb -= sign * spec->ram_gb;
+    m->free_cpus -= sign * spec->cpus;
+    m->free_gpus -= sign * spec->gpus;
+    m->free_ram_gb -= sign * spec->ram_gb;
 }
 
 struct pm_placement *pm_workers_add_placement(struct pm_workers *w, struct pm_job *job,
@@ -115,15 +116,15 @@
     place->job = job;
     place->machine = m;
     place->machine_index = m->index;
-    place->index = index;
+    place->task_index = index;
     place->attempt = attempt;
-    place->session = (uint32_t)session;
+    place->incarnation = (uint32_t)session;
     place->state = state;
-    place->since = now;
-    g_ptr_array_add(m->places, place);
+    place->placed_at = now;
+    g_ptr_array_add(m->placements, place);
     take_room(m, job->spec, 1);
     m->idle_since = 0;
-    pm_job_task(job, index)->place = place;
+    pm_job_task(job, index)->placement = place;
     pm_job_count_placement(job, index, 1);
     return place;
 }
@@ -131,15 +132,15 @@
 /* The place holds nothing any more: its room and its task are free again. */
 static void release(struct pm_placement *place)
 {
-    struct pm_task *task = pm_job_task(place->job, place->index);
+    struct pm_task *task = pm_job_task(place->job, place->task_index);
 
     take_room(place->machine, place->job->spec, -1);
     place->state = PM_PLACEMENT_ENDED;
-    if (task->place == place)
-        task->place = NULL;
-    pm_job_count_placement(place->job, place->index, -1);
-    if (place->index < place->job->hint)
-        place->job->hint = place->index;
+    if (task->placement == place)
+        task->placement = NULL;
+    pm_job_count_placement(place->job, place->task_index, -1);
+    if (place->task_index < place->job->first_waiting_hint)
+        place->job->first_waiting_hint = place->task_index;
 }
 
 void pm_workers_remove_placement(struct pm_workers *w, struct pm_placement *place)
@@ -147,104 +148,106 @@
     (void)w;
     if (place->state != PM_PLACEMENT_ENDED)
         release(place);
-    g_ptr_array_remove_fast(place->machine->places, place);
+    g_ptr_array_remove_fast(place->machine->placements, place);
 }
 
 void pm_workers_end_placement(struct pm_workers *w, struct pm_placement *place,
                               enum pm_task_exit end, bool saved, double now)
 {
     struct pm_job *job = place->job;
-    uint32_t index = place->index;
+    uint32_t index = place->task_index;
 
     if (end == PM_TASK_EXIT_DONE) {
         struct pm_task *task = pm_job_task(job, index);
         if (!task->done) {
             task->done = true;
-            job->ndone++;
+            job->done_count++;
         }
     }
     release(place);
     pm_job_mark_dirty(job, index);
     pm_failures_note_exit(place, end, now);
-    w->hooks.ended(w->hooks.arg, place, end, saved, now);
+    w->hooks.placement_ended(w->hooks.arg, place, end, saved, now);
     pm_workers_remove_placement(w, place);
 }
 
 void pm_placement_stop(struct pm_placement *place, double leave_s)
 {
-    if (place->stop && place->leave_s <= leave_s)
+    if (place->should_stop && place->grace_s <= leave_s)
         return;
-    place->stop = true;
-    place->stop_sent = false;
-    place->leave_s = leave_s;
+    place->should_stop = true;
+    place->stop_acked = false;
+    place->grace_s = leave_s;
 }
 
 void pm_workers_mark_lost(struct pm_workers *w, struct pm_machine *m, double now)
 {
-    while (m->places->len)
-        pm_workers_end_placement(w, g_ptr_array_index(m->places, m->places->len - 1),
+    while (m->placements->len)
+        pm_workers_end_placement(w, g_ptr_array_index(m->placements, m->placements->len - 1),
                                  PM_TASK_EXIT_LOST, false, now);
-    g_array_set_size(m->ended, 0);
-    g_array_set_size(m->strays, 0);
-    m->least_session = m->session + 1;
-    m->doubtful = 0;
+    g_array_set_size(m->exited_tasks, 0);
+    g_array_set_size(m->orphan_tasks, 0);
+    m->min_incarnation = m->incarnation + 1;
+    m->unknown_outcome_epoch = 0;
 }
 
 void pm_workers_set_type(struct pm_workers *w, struct pm_machine *m, int type)
 {
-    const struct pm_type *t = &w->tables->type[type < 0 ? 0 : type];
+    const struct pm_type *t = &w->tables->types[type < 0 ? 0 : type];
 
-    if (m->type >= 0 || type < 0 || type >= w->tables->ntypes)
+    if (m->type >= 0 || type < 0 || type >= w->tables->type_count)
         return;
     m->type = type;
-    m->cpus += t->cpus; /* places found before are taken off already */
-    m->gpus += t->gpus;
-    m->ram_gb += t->ram_gb;
+    m->free_cpus += t->cpus; /* places found before are taken off already */
+    m->free_gpus += t->gpus;
+    m->free_ram_gb += t->ram_gb;
 }
 
 bool pm_machine_missed_heartbeat(const struct pm_machine *m, const struct pm_settings *settings,
                                  double now)
 {
-    return now - m->heard >= 1.6 * settings->report_s + 1;
+    return now - m->last_message_at >= 1.6 * settings->heartbeat_s + 1;
 }
 
 bool pm_machine_is_not_reporting(const struct pm_machine *m, const struct pm_settings *settings,
                                  double now)
 {
-    return m->reported && m->heard > m->report_at &&
-           now - m->report_at >= MUTE_REPORTS * settings->report_s + MUTE_S;
+    return m->has_heartbeat && m->last_message_at > m->last_heartbeat_at &&
+           now - m->last_heartbeat_at >= MUTE_REPORTS * settings->heartbeat_s + MUTE_S;
 }
 
 bool pm_machine_is_verified(const struct pm_machine *m)
 {
-    return m->listed || m->rented != 0 || m->reached;
+    return m->listed || m->rented_at != 0 || m->has_answered_push;
 }
 
 bool pm_machine_is_unreachable(const struct pm_machine *m, double now)
 {
     /* Of one that does not report either, silence is what tells. */
-    return m->unheard >= 2 && m->heard >= m->unheard_at && now - m->unheard_since > DEAF_S;
+    return m->delivery_failures >= 2 && m->last_message_at >= m->delivery_failed_at &&
+           now - m->delivery_failing_since > DEAF_S;
 }
 
 void pm_machine_note_delivery_failure(struct pm_machine *m, const char *why, double now)
 {
     pm_debug("workers.unheard", "%s: %s", m->name, why);
-    if (!m->unheard++)
-        m->unheard_since = now;
-    m->unheard_at = now;
+    if (!m->delivery_failures++)
+        m->delivery_failing_since = now;
+    m->delivery_failed_at = now;
 }
 
 void pm_machine_note_ack(struct pm_machine *m, uint64_t epoch, double now)
 {
-    m->answered = now;
-    m->told = epoch;
-    m->told_sequence = m->sequence;
+    m->last_acked_at = now;
+    m->acked_epoch = epoch;
+    m->acked_sequence = m->sequence;
 }
 
 bool pm_machine_is_drained(const struct pm_machine *m, uint64_t epoch)
 {
-    return !m->places->len && !m->direct_open && !m->doubtful && !m->ended->len &&
-           !m->strays->len && m->reported && m->token >= epoch;
+    return !m->placements->len && !m->push_in_flight && !m->unknown_outcome_epoch &&
+           !m->exited_tasks->len && !m->orphan_tasks->len && m->has_heartbeat &&
+           m->fencing_token >= epoch;
 }
 
 /* A worker's lease runs from its last answered report, or, in a session that none was answered in,
@@ -252,7 +255,7 @@
 bool pm_workers_is_lease_expired(const struct pm_machine *m, double floor, double lease_s,
                                  double now)
 {
-    double base = MAX(MAX(m->answered, m->session_heard), floor);
+    double base = MAX(MAX(m->last_acked_at, m->incarnation_seen_at), floor);
 
     return now > base + lease_s * (1 + 2 * PM_CLOCK_DRIFT_MAX) + 0.2;
 }
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -36,65 +36,69 @@
     int index, type, zone;
     bool spot;
     enum pm_machine_state state;
-    GPtrArray *places;         /* of struct pm_placement, owned */
-    double cpus, gpus, ram_gb; /* free */
+    GPtrArray *placements;                    /* of struct pm_placement, owned */
+    double free_cpus, free_gpus, free_ram_gb; /* free */
     /* From the worker. */
-    uint64_t session, sequence, token;
-    uint64_t least_session; /* earlier ones are proven over */
-    bool reported;          /* at least once to this leader */
-    double heard;           /* steady: its latest message */
-    double report_at;       /* steady: its latest report, or since when one is awaited */
-    double stale;           /* steady: last came a message that was older than one before it */
-    bool reached;           /* it answered a /do of ours */
+    uint64_t incarnation, sequence, fencing_token;
+    uint64_t min_incarnation; /* earlier ones are proven over */
+    bool has_heartbeat;       /* at least once to this leader */
+    double last_message_at;   /* steady: its latest message */
+    double last_heartbeat_at; /* steady: its latest report, or since when one is awaited */
+    double stale_message_at;  /* steady: last came a message that was older than one before it */
+    bool has_answered_push;   /* it answered a /do of ours */
     /* That a report comes is no sign that the answer arrives. Signs that it did not: an order or a
      * token that a later report shows no trace of, a /do without an answer. */
-    uint32_t unheard;
-    double unheard_since, unheard_at; /* steady: the first and the last of them */
-    uint64_t told, told_sequence; /* the epoch, and the sequence number of the report, last answered
-                                     with 200 */
-    double recall_at;             /* steady: when the cloud takes it, 0: no notice */
-    GArray *ended;                /* of struct pm_task_ref: ended there, to be forgotten */
-    GArray *strays; /* of struct pm_task_ref: there, but not by our replica: to be killed */
-    const struct pm_job *claim; /* a gang whose room is being cleared here (placement) */
+    uint32_t delivery_failures;
+    double delivery_failing_since, delivery_failed_at; /* steady: the first and the last of them */
+    uint64_t acked_epoch, acked_sequence; /* the epoch, and the sequence number of the report, last
+                                     answered with 200 */
+    double spot_interruption_at;          /* steady: when the cloud takes it, 0: no notice */
+    GArray *exited_tasks;                 /* of struct pm_task_ref: ended there, to be forgotten */
+    GArray *orphan_tasks; /* of struct pm_task_ref: there, but not by our replica: to be killed */
+    const struct pm_job
+        *reserved_for_gang; /* a gang whose room is being cleared here (placement) */
     /* Tasks are being stopped here for this job; until then the room is kept for it (placement). */
-    const struct pm_job *clearing_for;
-    double clearing_until; /* steady */
+    const struct pm_job *reserved_for;
+    double reserved_until; /* steady */
     /* Blocks. */
-    int lent;                         /* leader: 1 + the peer that holds it, 0: nobody */
-    double silent_told, silent_since; /* leader: its holder says that it does not hear it */
-    bool leaving, left; /* holder: called back; given back, though the block still lists it */
-    bool draining;      /* being emptied, to go back */
+    int shard_owner; /* leader: 1 + the peer that holds it, 0: nobody */
+    double owner_reported_silent_at,
+        owner_silent_since;  /* leader: its holder says that it does not hear it */
+    bool revoking, returned; /* holder: called back; given back, though the block still lists it */
+    bool draining;           /* being emptied, to go back */
     /* Leases. */
-    double floor; /* steady: since when no other controller can have answered it, 0: unknown */
-    uint64_t since_epoch; /* the epoch that took it back from a holder, 0: none did */
-    double session_heard; /* steady: first message of its session, which cannot have begun later */
-    double answered;      /* steady: when this leader last answered a report of it with 200 */
+    double lease_lower_bound;   /* steady: since when no other controller can have answered it, 0:
+                                   unknown */
+    uint64_t reclaimed_epoch;   /* the epoch that took it back from a holder, 0: none did */
+    double incarnation_seen_at; /* steady: first message of its session, which cannot have begun
+                                   later */
+    double last_acked_at;       /* steady: when this leader last answered a report of it with 200 */
     /* Direct commands. */
-    uint64_t direct_open; /* number of the /do that is open, 0: none */
-    bool direct_launches; /* it carries launches */
-    double direct_retry;
-    double unreached;  /* steady: a /do to it last failed */
-    uint64_t doubtful; /* epoch of a /do with launches that got no answer, 0: none */
-    uint64_t doubtful_session;
+    uint64_t push_in_flight; /* number of the /do that is open, 0: none */
+    bool push_has_launches;  /* it carries launches */
+    double push_retry_at;
+    double push_failed_at;          /* steady: a /do to it last failed */
+    uint64_t unknown_outcome_epoch; /* epoch of a /do with launches that got no answer, 0: none */
+    uint64_t unknown_outcome_incarnation;
     /* Cloud (fleet slice). */
-    double rented, idle_since, absent_since;
-    double runs_since; /* steady: first listed as running, 0: never */
+    double rented_at, idle_since, absent_since;
+    double listed_running_since; /* steady: first listed as running, 0: never */
     bool listed, failed;
-    double release_retry;
-    GArray *fault_records; /* of struct pm_failure_record (workers/faults.h), NULL: none */
-    bool condemned;        /* found faulty by its holder */
-    int ncached;           /* images that it holds, latest use first, as far as we know */
+    double terminate_retry_at;
+    GArray *failure_records;   /* of struct pm_failure_record (workers/faults.h), NULL: none */
+    bool quarantined_by_owner; /* found faulty by its holder */
+    int cached_image_count;    /* images that it holds, latest use first, as far as we know */
     struct pm_cached_image {
         int image;
         double gb;
-    } cached[PM_CACHED_IMAGES_MAX];
+    } cached_images[PM_CACHED_IMAGES_MAX];
     char name[PM_NAME_MAX];
     char endpoint[64];
 };
 
 struct pm_task_ref {
     struct pm_job *job;
-    uint32_t index, attempt;
+    uint32_t task_index, attempt;
 };
 
 struct pm_workers;
@@ -102,9 +106,10 @@
 struct pm_workers_hooks {
     /* A place's task ended or is proven gone. It holds nothing any more, and is itself gone after
      * this call. */
-    void (*ended)(void *arg, struct pm_placement *place, enum pm_task_exit end, bool saved,
-                  double now);
-    void (*ran)(void *arg, struct pm_placement *place, double now); /* first seen running */
+    void (*placement_ended)(void *arg, struct pm_placement *place, enum pm_task_exit end,
+                            bool saved, double now);
+    void (*placement_running)(void *arg, struct pm_placement *place,
+                              double now); /* first seen running */
     void *arg;
 };
 
