--- a/src/api/api.h
+++ b/src/api/api.h
@@ -9,7 +9,7 @@
 
 #include "base/http.h"
 #include "jobs/jobs.h"
-#include "leadership/cancels.h"
+#include "leadership/cancellation_quorum.h"
 #include "store/store.h"
 
 struct pm_api;
--- a/src/fleet/fleet.c
+++ b/src/autoscaler/autoscaler.c
@@ -1,4 +1,4 @@
-#include "fleet/internal.h"
+#include "autoscaler/internal.h"
 
 #include <string.h>
 
--- a/src/fleet/fleet.h
+++ b/src/autoscaler/autoscaler.h
@@ -3,7 +3,7 @@
 #ifndef PM_AUTOSCALER_AUTOSCALER_H
 #define PM_AUTOSCALER_AUTOSCALER_H
 
-#include "placement/plan.h"
+#include "scheduler/scheduler.h"
 
 struct ev_loop;
 struct pm_roles;
--- a/src/fleet/boots.c
+++ b/src/autoscaler/boot_tracking.c
@@ -4,7 +4,7 @@
  * still booting. So where a whole kind is late, more of it is no replacement: another kind is, or
  * patience. Only a few more are rented, to notice when boots are well again. A single machine that
  * others have overtaken is replaced at once, and soon returned. */
-#include "fleet/internal.h"
+#include "autoscaler/internal.h"
 
 #include <math.h>
 
--- a/src/fleet/internal.h
+++ b/src/autoscaler/internal.h
@@ -2,8 +2,8 @@
 #ifndef PM_AUTOSCALER_INTERNAL_H
 #define PM_AUTOSCALER_INTERNAL_H
 
-#include "duties/duties.h"
-#include "fleet/fleet.h"
+#include "roles/roles.h"
+#include "autoscaler/autoscaler.h"
 
 #define EPS 1e-6
 #define PM_AUTOSCALER_CALL_TIMEOUT_S 5.0 /* the cloud's answer counts only within this */
--- a/src/fleet/list.c
+++ b/src/autoscaler/inventory.c
@@ -1,6 +1,6 @@
 /* The cloud's list of machines: which are there, and which are gone. */
 #include "base/clock.h"
-#include "fleet/internal.h"
+#include "autoscaler/internal.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/src/fleet/types.c
+++ b/src/autoscaler/machine_types.c
@@ -1,6 +1,6 @@
 /* The cloud's machine types. */
 #include "base/log.h"
-#include "fleet/internal.h"
+#include "autoscaler/internal.h"
 
 #include <string.h>
 
@@ -38,7 +38,8 @@
         pm_cbor_text(pm_cbor_get(item, "sku"), name, sizeof name);
         index = pm_names_intern(tables->type_names, name);
         if (index >= PM_TYPES_MAX) {
-            pm_error("fleet.types", "%s is not used: only %d types are", name, PM_TYPES_MAX);
+            pm_error("autoscaler.machine_types", "%s is not used: only %d types are", name,
+                     PM_TYPES_MAX);
             continue;
         }
         tables->types[index] = type;
@@ -57,7 +58,7 @@
     if (models && cbor_isa_array(models))
         f->hooks.machine_types(f->hooks.arg, models);
     else
-        pm_info("fleet.types", "no machine types: status %d", status);
+        pm_info("autoscaler.machine_types", "no machine types: status %d", status);
     pm_cbor_free(answer);
 }
 
--- a/src/fleet/calls.c
+++ b/src/autoscaler/provider_client.c
@@ -4,7 +4,7 @@
  * is finished, by whoever holds the duty, until the cloud has said what became of it. */
 #include "base/clock.h"
 #include "base/log.h"
-#include "fleet/internal.h"
+#include "autoscaler/internal.h"
 
 #include <math.h>
 #include <stdio.h>
@@ -177,7 +177,7 @@
     pm_workers_set_type(f->workers, m, call->rent.type);
     m->zone = call->rent.zone;
     m->spot = call->rent.spot;
-    pm_debug("fleet.machine", "%s is a %s%s", m->name,
+    pm_debug("autoscaler.machine", "%s is a %s%s", m->name,
              pm_names_text(f->tables->type_names, call->rent.type), call->rent.spot ? " spot" : "");
 }
 
@@ -211,9 +211,9 @@
     }
     f->in_flight--;
     got = status == 200 ? read_rented(call, body, size) : 0;
-    pm_info("fleet.rented", "%s: %zu of %d %s%s, status %d", call->booking, got, call->rent.count,
-            pm_names_text(f->tables->type_names, call->rent.type), call->rent.spot ? " spot" : "",
-            status);
+    pm_info("autoscaler.scale_out", "%s: %zu of %d %s%s, status %d", call->booking, got,
+            call->rent.count, pm_names_text(f->tables->type_names, call->rent.type),
+            call->rent.spot ? " spot" : "", status);
     note_answer(f, &call->rent, status, got);
     /* No answer: it may have been carried out. The same name asks for the same machines, and rents
      * nothing twice. */
@@ -260,7 +260,7 @@
         call = call_of_rental(f, intent, i, now);
         if (!call) {
             intent->retry_at = INFINITY; /* said once */
-            pm_error("fleet.intent", "%s: rents %s in %s, which are not known here; kept",
+            pm_error("autoscaler.bad_intent", "%s: rents %s in %s, which are not known here; kept",
                      intent->name, rental->type, rental->zone);
             return;
         }
@@ -383,7 +383,7 @@
     else if (!call->intent[0])
         retry_machines(call, f->filled + REPEAT_S); /* until it is confirmed */
     settle_intent(call, PM_ROLE_SCALE_IN, status, status == 200, pm_clock_monotonic());
-    pm_info("fleet.released", "%u machines, status %d", call->machines->len, status);
+    pm_info("autoscaler.terminated", "%u machines, status %d", call->machines->len, status);
     call_free(call);
     f->hooks.changed(f->hooks.arg);
 }
--- a/src/fleet/review.c
+++ b/src/autoscaler/scale_in.c
@@ -1,8 +1,8 @@
 /* Which machines are to go back, and why. */
-#include "fleet/internal.h"
+#include "autoscaler/internal.h"
 #include "base/clock.h"
 #include "base/log.h"
-#include "workers/faults.h"
+#include "workers/failures.h"
 
 #include <math.h>
 
@@ -16,7 +16,7 @@
 
 static void give_back(struct pm_machine *m, const char *why)
 {
-    pm_info("fleet.return", "%s: %s", m->name, why);
+    pm_info("autoscaler.scale_in", "%s: %s", m->name, why);
     m->state = PM_MACHINE_RELEASING;
     m->terminate_retry_at = 0;
 }
--- a/src/fleet/size.c
+++ b/src/autoscaler/sizing.c
@@ -1,6 +1,6 @@
 /* What to rent: array work as a flow, services with a reserve. */
-#include "fleet/internal.h"
-#include "workers/faults.h"
+#include "autoscaler/internal.h"
+#include "workers/failures.h"
 
 #include <limits.h>
 #include <math.h>
--- a/src/fleet/tests/test_fleet.c
+++ b/src/autoscaler/tests/test_autoscaler.c
@@ -1,9 +1,9 @@
 /* What is rented for what waits: the cheapest that fits, enough to be in time, and no more than the
  * machines that there are leave undone. */
-#include "../../jobs/tests/books.h"
+#include "../../jobs/tests/job_fixtures.h"
 #include "testing/fake_state.h"
 #include "base/clock.h"
-#include "fleet/fleet.h"
+#include "autoscaler/autoscaler.h"
 
 #include <ev.h>
 #include <math.h>
@@ -32,7 +32,7 @@
     memset(&settings, 0, sizeof settings);
     revision = 0;
     pm_operator_settings_defaults(&op);
-    books_begin(&tables, &settings);
+    fixture_begin(&tables, &settings);
     pm_names_intern(tables.type_names, "large");
     tables.types[0] = (struct pm_type){
         .cpus = 8, .ram_gb = 32, .price = 0.4, .spot_price = 0.1, .ready_s = 20, .zones = 1};
@@ -40,7 +40,7 @@
         .cpus = 32, .ram_gb = 128, .price = 2, .spot_price = 0.6, .ready_s = 20, .zones = 1};
     tables.type_count = 2;
     jobs = pm_jobs_new(&tables);
-    workers = pm_workers_new(&tables, jobs, BOOKS_HOOKS);
+    workers = pm_workers_new(&tables, jobs, FIXTURE_HOOKS);
     plan = pm_scheduler_new(&tables, jobs, workers, &op);
     fleet = pm_autoscaler_new(NULL, &tables, jobs, workers, plan, &op,
                               &(struct pm_autoscaler_hooks){0});
@@ -54,7 +54,7 @@
     pm_scheduler_free(plan);
     pm_workers_free(workers);
     pm_jobs_free(jobs);
-    books_end(&tables);
+    fixture_end(&tables);
     return 0;
 }
 
@@ -74,7 +74,7 @@
                            .deadline_s = due_s,
                            .submitted_wall = NOW};
 
-    books_feed(&tables, jobs, id, &spec, ++revision);
+    fixture_feed(&tables, jobs, id, &spec, ++revision);
 }
 
 static void boot(const char *name, int type, bool spot)
@@ -225,7 +225,7 @@
                            .deadline_s = -1,
                            .submitted_wall = NOW};
 
-    books_feed(&tables, jobs, id, &spec, ++revision);
+    fixture_feed(&tables, jobs, id, &spec, ++revision);
 }
 
 /* A guest's batch fills idle room: machines are rented for best-effort work only where the users
@@ -363,7 +363,7 @@
     other->has_heartbeat = elsewhere;
     m->last_message_at = m->rented_at = NOW - 10;
     other->last_message_at = other->rented_at = NOW;
-    pm_workers_add_placement(workers, books_feed(&tables, jobs, "job-1", &spec, ++revision), 0, m,
+    pm_workers_add_placement(workers, fixture_feed(&tables, jobs, "job-1", &spec, ++revision), 0, m,
                              1, 1, PM_PLACEMENT_DURABLE, NOW);
     pm_put_map(&buf);
     pm_put_pair_number(&buf, "day", 9000 - written);
--- a/src/base/tests/test_wire_formats.c
+++ b/src/base/tests/test_wire_formats.c
@@ -1,13 +1,13 @@
 /* Messages between controllers, and stored values, byte for byte as protocol version 5 writes them.
  * A field number, a stored name or a type that changes by accident shows here; what earlier
- * versions wrote is in jobs/tests/earlier.h. Recorded in hexadecimal digits; not to be made anew
- * from later code. */
-#include "../../jobs/tests/books.h"
-#include "../../jobs/tests/earlier.h"
+ * versions wrote is in jobs/tests/recorded_values.h. Recorded in hexadecimal digits; not to be made
+ * anew from later code. */
+#include "../../jobs/tests/job_fixtures.h"
+#include "../../jobs/tests/recorded_values.h"
 #include "base/cbor.h"
-#include "block.pb-c.h"
-#include "fleet/fleet.h"
-#include "leadership/cancels.h"
+#include "shard.pb-c.h"
+#include "autoscaler/autoscaler.h"
+#include "leadership/cancellation_quorum.h"
 #include "links.pb-c.h"
 #include "links/matrix.h"
 #include "peer.pb-c.h"
@@ -69,7 +69,7 @@
     unsigned char *recorded;
 
     assert_bytes(data, size, digits);
-    recorded = earlier_bytes(digits, &size);
+    recorded = recorded_bytes(digits, &size);
     read = protobuf_c_message_unpack(message->descriptor, NULL, size, recorded);
     assert_non_null(read);
     assert_int_equal(protobuf_c_message_pack(read, data), size);
@@ -213,13 +213,13 @@
     assert_bytes(out.data, out.size, STORED_VIEW);
     pm_buf_free(&out);
     pm_matrix_init(&matrix, &receiver, 5);
-    recorded = earlier_bytes(VIEWS, &size);
+    recorded = recorded_bytes(VIEWS, &size);
     assert_true(pm_views_decode(&matrix, recorded, size, 200, 200));
     g_free(recorded);
     assert_int_equal(matrix.view[1].epoch, 41);
     assert_int_equal(matrix.view[1].zone[1], PM_LINK_ONE_WAY);
     assert_string_equal(matrix.view[1].endpoint[0][0], "10.1.0.1:9000");
-    recorded = earlier_bytes(STORED_VIEW, &size);
+    recorded = recorded_bytes(STORED_VIEW, &size);
     value = pm_cbor_parse(recorded, size);
     assert_true(pm_view_decode(&matrix, value, &view));
     pm_cbor_free(value);
@@ -234,14 +234,14 @@
     static struct pm_settings settings;
     struct pm_name_tables tables;
     size_t size;
-    unsigned char *recorded = earlier_bytes(STORED_TYPES, &size);
+    unsigned char *recorded = recorded_bytes(STORED_TYPES, &size);
     cbor_item_t *value = pm_cbor_parse(recorded, size);
     struct pm_buf copy = {0};
     const struct pm_type *type;
 
     (void)arg;
     memset(&settings, 0, sizeof settings);
-    books_begin(&tables, &settings);
+    fixture_begin(&tables, &settings);
     assert_non_null(value);
     assert_true(pm_machine_types_decode(&tables, value));
     type = &tables.types[pm_names_find(tables.type_names, "bokhylla")];
@@ -260,7 +260,7 @@
     pm_buf_free(&copy);
     pm_cbor_free(value);
     g_free(recorded);
-    books_end(&tables);
+    fixture_end(&tables);
 }
 
 static void ignore_cancelled(void *arg, const char *id, uint64_t revision)
@@ -328,7 +328,7 @@
     written = fake_state_hex(state, "p/seen/n0");
     assert_string_equal(written, STORED_SEEN);
     g_free(written);
-    recorded = earlier_bytes("bf6765646974696f6e19019cff", &size); /* {edition: 412} */
+    recorded = recorded_bytes("bf6765646974696f6e19019cff", &size); /* {edition: 412} */
     value = pm_cbor_parse(recorded, size);
     assert_false(pm_cancel_quorum_is_acked(cancels, 412));
     pm_cancel_quorum_apply_put(cancels, "p/seen/n1", value);
--- a/src/cmd/plan-bench/main.c
+++ b/src/cmd/plan-bench/main.c
@@ -4,7 +4,7 @@
  * Every round a share of the running tasks ends, told by their workers' reports, and one plan
  * places what waits. Times are of this machine; compare them with those of an earlier version. */
 #include "base/log.h"
-#include "placement/plan.h"
+#include "scheduler/scheduler.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/cmd/pumicectl/drain.c
+++ b/src/cmd/pumicectl/drain.c
@@ -2,7 +2,7 @@
 #include "base/clock.h"
 #include "base/http.h"
 #include "document.h"
-#include "duties/duties.h"
+#include "roles/roles.h"
 
 #include <ev.h>
 #include <stdio.h>
--- a/src/cmd/pumicectl/main.c
+++ b/src/cmd/pumicectl/main.c
@@ -2,7 +2,7 @@
 #include "base/log.h"
 #include "base/settings.h"
 #include "drain.h"
-#include "duties/intent.h"
+#include "roles/intent.h"
 #include "jobs/jobs.h"
 #include "record_files.h"
 #include "render.h"
--- a/src/cmd/pumicectl/record_files.c
+++ b/src/cmd/pumicectl/record_files.c
@@ -1,5 +1,5 @@
 #include "record_files.h"
-#include "duties/record.h"
+#include "roles/audit_log.h"
 
 #include <glib.h>
 
--- a/src/cmd/pumicemount/toolbox.c
+++ b/src/cmd/pumicemount/admin.c
@@ -7,7 +7,7 @@
  * Reads only. Answers are CBOR maps; src/cmd/pumicectl reads them. */
 #include "base/clock.h"
 #include "internal.h"
-#include "workers/faults.h"
+#include "workers/failures.h"
 
 #include <string.h>
 
--- a/src/cmd/pumicemount/node.c
+++ b/src/cmd/pumicemount/controller.c
@@ -6,7 +6,7 @@
 #include "base/log.h"
 #include "base/protocol.h"
 #include "internal.h"
-#include "workers/faults.h"
+#include "workers/failures.h"
 
 #include <errno.h>
 #include <ev.h>
@@ -57,7 +57,7 @@
     struct pm_task *task = pm_job_task(job, place->task_index);
     struct pm_machine *m = place->machine;
 
-    pm_debug("task.ended", "%s/%u try %u on %s: %s%s", job->id, place->task_index, place->attempt,
+    pm_debug("task.exited", "%s/%u try %u on %s: %s%s", job->id, place->task_index, place->attempt,
              m->name, ends[end], saved ? " saved" : "");
     if (end != PM_TASK_EXIT_DONE && place->running_since && job->spec->checkpoint_interval_s > 0)
         task->was_resumed = true;
@@ -78,7 +78,7 @@
 static void on_ran(void *arg, struct pm_placement *place, double now)
 {
     (void)arg;
-    pm_debug("task.runs", "%s/%u try %u on %s after %.2f", place->job->id, place->task_index,
+    pm_debug("task.running", "%s/%u try %u on %s after %.2f", place->job->id, place->task_index,
              place->attempt, place->machine->name, now - place->placed_at);
 }
 
@@ -112,7 +112,7 @@
     struct pm_txn txn = {0};
 
     if (!pm_machine_types_decode(&n->tables, models)) {
-        pm_error("fleet.types", "unreadable machine types");
+        pm_error("autoscaler.machine_types", "unreadable machine types");
         return;
     }
     pm_controller_plan_soon(n);
@@ -195,8 +195,8 @@
     n->took_at = now;
     pm_controller_tick_roles(n, now);
     pm_store_set_write_share(n->store, 0.5, 0.9);
-    pm_info("node.rules", "epoch %llu, %u jobs, %d places", (unsigned long long)epoch, active->len,
-            places);
+    pm_info("controller.active", "epoch %llu, %u jobs, %d places", (unsigned long long)epoch,
+            active->len, places);
     pm_controller_plan_soon(n);
 }
 
@@ -309,7 +309,7 @@
     } else if (!strcmp(key, "p/types")) {
         n->types_revision = revision;
         if (!n->tables.type_count && !pm_machine_types_decode(&n->tables, value))
-            pm_error("fleet.types", "unreadable machine types in the state service");
+            pm_error("autoscaler.machine_types", "unreadable machine types in the state service");
     } else if ((job = pm_jobs_apply_put(n->jobs, key, value, revision))) {
         if (job->cancellation_revision == revision && pm_store_is_ready(n->store))
             pm_cancel_quorum_note_read(n->cancels, revision);
@@ -345,7 +345,7 @@
 
     pm_roles_snapshot_end(n->duties);
     pm_gc_snapshot_end(n->clean);
-    pm_info("node.listed", "edition %llu", (unsigned long long)pm_store_revision(n->store));
+    pm_info("controller.synced", "edition %llu", (unsigned long long)pm_store_revision(n->store));
 }
 
 static void on_caught_up(void *arg, uint64_t store_revision)
@@ -368,7 +368,7 @@
     struct pm_controller *n = arg;
 
     if (pm_jobs_apply_cancellation(n->jobs, id, revision)) {
-        pm_info("node.cancelled", "%s, by a peer's word", id);
+        pm_info("controller.cancelled", "%s, by a peer's word", id);
         pm_controller_plan_soon(n); /* its tasks are killed at once */
     }
 }
@@ -504,7 +504,7 @@
     struct pm_http_server *server = pm_http_server_new(n->loop, addr, connections, handler, n);
 
     if (!server)
-        pm_error("node.listen", "%s: %s", addr, strerror(errno));
+        pm_error("controller.listen", "%s: %s", addr, strerror(errno));
     return server;
 }
 
--- a/src/cmd/pumicemount/node.h
+++ b/src/cmd/pumicemount/controller.h
@@ -1,6 +1,6 @@
 /* Ties the slices together into one controller. */
-#ifndef PM_CMD_NODE_H
-#define PM_CMD_NODE_H
+#ifndef PM_CMD_PUMICEMOUNT_CONTROLLER_H
+#define PM_CMD_PUMICEMOUNT_CONTROLLER_H
 
 #include "base/settings.h"
 
--- a/src/cmd/pumicemount/internal.h
+++ b/src/cmd/pumicemount/internal.h
@@ -1,21 +1,21 @@
 /* What the parts of the daemon share; nobody else includes it. */
-#ifndef PM_CONTROLLER_INTERNAL_H
-#define PM_CONTROLLER_INTERNAL_H
+#ifndef PM_CMD_PUMICEMOUNT_INTERNAL_H
+#define PM_CMD_PUMICEMOUNT_INTERNAL_H
 
 #include "base/http.h"
-#include "blocks/blocks.h"
-#include "duties/clean.h"
-#include "duties/duties.h"
-#include "duties/record.h"
-#include "fleet/fleet.h"
+#include "shards/shards.h"
+#include "roles/garbage_collector.h"
+#include "roles/roles.h"
+#include "roles/audit_log.h"
+#include "autoscaler/autoscaler.h"
 #include "api/api.h"
 #include "jobs/commit.h"
-#include "leadership/cancels.h"
-#include "leadership/leadership.h"
+#include "leadership/cancellation_quorum.h"
+#include "leadership/election.h"
 #include "links/links.h"
 #include "links/trace.h"
-#include "node.h"
-#include "placement/plan.h"
+#include "controller.h"
+#include "scheduler/scheduler.h"
 #include "store/store.h"
 #include "workers/workers.h"
 
--- a/src/cmd/pumicemount/main.c
+++ b/src/cmd/pumicemount/main.c
@@ -1,4 +1,4 @@
-#include "node.h"
+#include "controller.h"
 #include "base/log.h"
 
 #include <ev.h>
@@ -64,10 +64,10 @@
     if (!loop || !pm_controller_new(loop, &settings, &op))
         return 1;
     for (int i = 0; i < settings.team_count; i++)
-        pm_info("node.team", "%s: %g cpus, %g at most; %g accelerators, %g at most",
+        pm_info("controller.team", "%s: %g cpus, %g at most; %g accelerators, %g at most",
                 settings.teams[i].name, settings.teams[i].cpus, settings.teams[i].cpus_max,
                 settings.teams[i].gpus, settings.teams[i].gpus_max);
-    pm_info("node.start", "%s, serving %s", PM_VERSION, settings.listen_addr);
+    pm_info("controller.start", "%s, serving %s", PM_VERSION, settings.listen_addr);
     ev_run(loop, 0);
     return 0;
 }
--- a/src/cmd/pumicemount/round.c
+++ b/src/cmd/pumicemount/reconciliation.c
@@ -16,7 +16,7 @@
     struct pm_controller *n = arg;
 
     if (status == 400)
-        pm_error("node.ledger", "the state service refuses p/ledger");
+        pm_error("controller.ledger_rejected", "the state service refuses p/ledger");
     if (status == 200)
         n->ledger_revision = MAX(n->ledger_revision, store_revision);
     (void)failed;
@@ -67,7 +67,7 @@
         base = MAX(base, pm_election_exclusive_since(n->lead));
         if (!pm_workers_is_lease_expired(m, base, n->settings->lease_s, now))
             continue;
-        pm_info("workers.lapsed", "%s with %u places", m->name, m->placements->len);
+        pm_info("worker.lease_expired", "%s with %u places", m->name, m->placements->len);
         pm_workers_mark_lost(n->workers, m, now);
         pm_controller_plan_soon(n);
     }
@@ -169,7 +169,7 @@
         return;
     n->told_at = now;
     counts = pm_controller_count(n, now);
-    pm_info("node.state",
+    pm_info("controller.state",
             "machines up %d (%d silent), leased out %d, booting %d; cpus %.0f, idle %.0f; jobs %u, "
             "tasks placed %u, waiting %u, at holders %u",
             counts.up, counts.silent, counts.lent, counts.booting, counts.cpus, counts.idle,
--- a/src/cmd/pumicemount/duties.c
+++ b/src/cmd/pumicemount/singleton_roles.c
@@ -81,7 +81,7 @@
             pm_audit_log_new(setting->audit_log_dir, n->settings->name, setting->audit_log_period_s,
                              setting->audit_log_mb, err, sizeof err);
         if (!record) /* the service goes on without */
-            pm_error("duty.record", "%s", err);
+            pm_error("audit_log.error", "%s", err);
     }
     n->duties = pm_roles_new(n->store, n->settings, setting, pm_election_incarnation_id(n->lead),
                              n->trace, record, &(struct pm_roles_hooks){on_taken, on_drained, n});
--- a/src/cmd/pumicemount/workers.c
+++ b/src/cmd/pumicemount/worker_endpoint.c
@@ -176,8 +176,8 @@
     if (!pm_election_is_confirmed(n->lead, now) || token > epoch) {
         if (token > epoch)
             pm_election_recheck_epoch(n->lead);
-        pm_debug("report.unsure", "%s: epoch %llu, its token %llu", name, (unsigned long long)epoch,
-                 (unsigned long long)token);
+        pm_debug("heartbeat.epoch_unconfirmed", "%s: epoch %llu, its token %llu", name,
+                 (unsigned long long)epoch, (unsigned long long)token);
         pm_cbor_free(report);
         pm_http_reply(req, 503, NULL, 0, 1);
         return;
--- a/src/jobs/commit.c
+++ b/src/jobs/commit.c
@@ -111,7 +111,7 @@
         return;
     }
     if (status == 400) { /* too large, most likely: not to be sent again unchanged */
-        pm_error("commit.refused", "the state service refuses p/t/%s/%d", part->job->id, part->k);
+        pm_error("commit.rejected", "the state service refuses p/t/%s/%d", part->job->id, part->k);
         chunk->write_in_halves |= part->half < 0;
         /* Of several in one transaction it is not known which: each goes alone next time. */
         if (chunk->write_alone)
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -176,7 +176,7 @@
     if (job && !job->dependencies_incomplete)
         return NULL; /* known, or over */
     if (pm_submission_decode_dependencies(value, &ids) || !ids) {
-        pm_error("jobs.value", "unreadable list %s", rest);
+        pm_error("jobs.unreadable_value", "unreadable list %s", rest);
         return NULL;
     }
     lists = g_hash_table_lookup(jobs->overflow_lists, id);
@@ -247,7 +247,7 @@
     if (pm_cbor_has(value, "lists"))
         readable &= !pm_cbor_count(pm_cbor_get(value, "lists"), &lists);
     if (!readable)
-        pm_error("jobs.value", "unreadable dependencies of job %s", job->id);
+        pm_error("jobs.unreadable_value", "unreadable dependencies of job %s", job->id);
     if (!readable || lists) {
         spec->overflow_lists = (uint32_t)MIN(lists, PM_JOB_TASKS_MAX);
         job->dependencies_incomplete = true;
@@ -270,7 +270,7 @@
 
     if (pm_spec_decode(jobs->tables, value, spec, &names, &why) ||
         (spec->team = pm_spec_find_team(settings, names.team)) < 0) {
-        pm_error("jobs.value", "unreadable description of job %s", job->id);
+        pm_error("jobs.unreadable_value", "unreadable description of job %s", job->id);
         if (!known)
             pm_spec_free(spec);
         return false;
@@ -307,7 +307,7 @@
         return NULL;
     readable = read_summary(value, &state, &entries);
     if (!readable) {
-        pm_error("jobs.value", "unreadable value of job %s", id);
+        pm_error("jobs.unreadable_value", "unreadable value of job %s", id);
         if (job)
             return NULL;
         /* It was accepted once, so it stays known, whatever became of its value. */
@@ -353,7 +353,7 @@
     if (!stored || stored->revision >= revision)
         return NULL;
     if (!pm_chunk_decode(jobs->tables, value, stored)) {
-        pm_error("jobs.value", "unreadable chunk %s", rest);
+        pm_error("jobs.unreadable_value", "unreadable chunk %s", rest);
         return NULL;
     }
     stored->revision = revision;
--- a/src/jobs/tests/books.h
+++ b/src/jobs/tests/job_fixtures.h
@@ -1,6 +1,6 @@
 /* A small deployment for tests: one team without limits, one zone, one machine type. */
-#ifndef PM_JOBS_TESTS_BOOKS_H
-#define PM_JOBS_TESTS_BOOKS_H
+#ifndef PM_JOBS_TESTS_JOB_FIXTURES_H
+#define PM_JOBS_TESTS_JOB_FIXTURES_H
 
 #include "workers/workers.h"
 
@@ -8,7 +8,7 @@
 #include <string.h>
 
 /* Empty tables of names. */
-static inline void books_make_names(struct pm_name_tables *tables)
+static inline void fixture_make_names(struct pm_name_tables *tables)
 {
     tables->class_names = pm_names_new();
     tables->image_names = pm_names_new();
@@ -17,7 +17,7 @@
     tables->dependency_ids = pm_names_new();
 }
 
-static inline void books_begin(struct pm_name_tables *tables, struct pm_settings *settings)
+static inline void fixture_begin(struct pm_name_tables *tables, struct pm_settings *settings)
 {
     memset(tables, 0, sizeof *tables);
     settings->store_txn_ops = 12;
@@ -29,13 +29,13 @@
     settings->zone_count = 1;
     strcpy(settings->zone_names[0], "a");
     tables->settings = settings;
-    books_make_names(tables);
+    fixture_make_names(tables);
     pm_names_intern(tables->type_names, "g8");
     tables->types[0] = (struct pm_type){.cpus = 16, .ram_gb = 64, .zones = 1};
     tables->type_count = 1;
 }
 
-static inline void books_end(struct pm_name_tables *tables)
+static inline void fixture_end(struct pm_name_tables *tables)
 {
     pm_names_free(tables->class_names);
     pm_names_free(tables->image_names);
@@ -45,8 +45,8 @@
 }
 
 /* Feeds a live job of that description, as the watch would tell it. */
-static inline struct pm_job *books_feed(struct pm_name_tables *tables, struct pm_jobs *jobs,
-                                        const char *id, struct pm_spec *spec, uint64_t revision)
+static inline struct pm_job *fixture_feed(struct pm_name_tables *tables, struct pm_jobs *jobs,
+                                          const char *id, struct pm_spec *spec, uint64_t revision)
 {
     struct pm_buf buf = {0};
     cbor_item_t *value;
@@ -63,8 +63,8 @@
     return pm_jobs_find(jobs, id);
 }
 
-static inline void books_on_ended(void *arg, struct pm_placement *place, enum pm_task_exit end,
-                                  bool saved, double now)
+static inline void fixture_on_ended(void *arg, struct pm_placement *place, enum pm_task_exit end,
+                                    bool saved, double now)
 {
     (void)arg;
     (void)place;
@@ -73,7 +73,7 @@
     (void)now;
 }
 
-static inline void books_on_ran(void *arg, struct pm_placement *place, double now)
+static inline void fixture_on_ran(void *arg, struct pm_placement *place, double now)
 {
     (void)arg;
     (void)place;
@@ -81,6 +81,6 @@
 }
 
 /* Workers' hooks for tests that look at the replica instead. */
-#define BOOKS_HOOKS (&(struct pm_workers_hooks){books_on_ended, books_on_ran, NULL})
+#define FIXTURE_HOOKS (&(struct pm_workers_hooks){fixture_on_ended, fixture_on_ran, NULL})
 
 #endif
--- a/src/jobs/tests/earlier.h
+++ b/src/jobs/tests/recorded_values.h
@@ -1,12 +1,12 @@
 /* Values and messages as earlier versions write them: those named EARLIER as the one before job
  * dependencies does. Recorded
  * from their own encoders, in hexadecimal digits; not to be made anew from later code. */
-#ifndef PM_JOBS_TESTS_EARLIER_H
-#define PM_JOBS_TESTS_EARLIER_H
+#ifndef PM_JOBS_TESTS_RECORDED_VALUES_H
+#define PM_JOBS_TESTS_RECORDED_VALUES_H
 
 #include <glib.h>
 
-#define EARLIER_LIVE                                                                               \
+#define RECORDED_V1_LIVE                                                                           \
     "bf636e6f77646c69766567656e747269657318c8666c656467657265747261696e646465736b6676"             \
     "6973696f6e6662756e646c6566696d672d303064666f726d65617272617967757267656e63796675"             \
     "7267656e746463707573fb40100000000000006c616363656c657261746f7273fb00000000000000"             \
@@ -16,7 +16,7 @@
     "737072656164f468626f72726f776564f5666d6f64656c739f626738ff64726f6f6d6161626174fb"             \
     "41d954fc40200000ff"
 
-#define EARLIER_CANCELLED                                                                          \
+#define RECORDED_V1_CANCELLED                                                                      \
     "bf636e6f776963616e63656c6c656467656e747269657318c8666c656467657265747261696e6464"             \
     "65736b66766973696f6e6662756e646c6566696d672d303064666f726d6561727261796775726765"             \
     "6e637966757267656e746463707573fb40100000000000006c616363656c657261746f7273fb0000"             \
@@ -26,34 +26,34 @@
     "616365f466737072656164f468626f72726f776564f5666d6f64656c739f626738ff64726f6f6d61"             \
     "61626174fb41d954fc40200000ff"
 
-#define EARLIER_DONE "bf636e6f7764646f6e6567656e747269657318c8ff"
+#define RECORDED_V1_DONE "bf636e6f7764646f6e6567656e747269657318c8ff"
 
-#define EARLIER_CHUNK "bf64646f6e6564302c373163747279096261749f9f020768692d30303032333103ffffff"
+#define RECORDED_V1_CHUNK "bf64646f6e6564302c373163747279096261749f9f020768692d30303032333103ffffff"
 
-#define EARLIER_ASK "0a026e321029189c03"
+#define RECORDED_V1_ASK "0a026e321029189c03"
 
-#define EARLIER_TELL "0a026e32102918012801309d033801420a0a056a6f622d31109d03"
+#define RECORDED_V1_TELL "0a026e32102918012801309d033801420a0a056a6f622d31109d03"
 
-#define EARLIER_BLOCK_TELL "0a103031323334353637383961626364656610012a08692d303030323331"
+#define RECORDED_V1_BLOCK_TELL "0a103031323334353637383961626364656610012a08692d303030323331"
 
-#define EARLIER_CANCEL_CALL "0a026e32109d031a0a0a056a6f622d31109d03"
+#define RECORDED_V1_CANCEL_CALL "0a026e32109d031a0a0a056a6f622d31109d03"
 
 /* Keys that any version writes; the name of the process ("boot"), which is never the same twice, is
  * all zeros here. */
 
-#define EARLIER_EPOCH                                                                              \
+#define RECORDED_V1_EPOCH                                                                          \
     "bf6565706f636801666c6561646572626e3064626f6f747000000000000000000000000000000000"             \
     "ff"
 
-#define EARLIER_LEAD "bf666c6561646572626e3064626f6f747000000000000000000000000000000000ff"
+#define RECORDED_V1_LEAD "bf666c6561646572626e3064626f6f747000000000000000000000000000000000ff"
 
-#define EARLIER_BLOCK                                                                              \
+#define RECORDED_V1_BLOCK                                                                          \
     "bf64626f6f7470000000000000000000000000000000006673657269616c0165686f7374739fbf64"             \
     "686f737468692d30303030303168656e64706f696e746b3132372e302e302e313a39656d6f64656c"             \
     "62673864726f6f6d616168626f72726f776564f565736869667401ffff646a6f62739fbf62696465"             \
     "6a6f622d3165776964746802ffffff"
 
-#define EARLIER_LEDGER                                                                             \
+#define RECORDED_V1_LEDGER                                                                         \
     "bf63646179fb41d954fc42a00000657465616d73bf66766973696f6efb4058000000000000667370"             \
     "65656368fb4029000000000000ff656865617264bf6162fb41d954fc40200000ff657461626c659f"             \
     "66696d672d3037fb4018cccccccccccd66696d672d3038fb3ff0000000000000ff66696d61676573"             \
@@ -61,7 +61,7 @@
 
 /* Of protocol version 2, the first with dependencies: what version 1 does not write. */
 
-#define VERSION_2_JOB                                                                              \
+#define RECORDED_V2_JOB                                                                            \
     "bf636e6f77646c69766567656e747269657318c8666c6564676572677075626c697368646465736b"             \
     "66766973696f6e6662756e646c6565696d672d3164666f726d65617272617967757267656e637966"             \
     "757267656e746463707573fb40000000000000006c616363656c657261746f7273fb000000000000"             \
@@ -71,7 +71,7 @@
     "66737072656164f468626f72726f776564f5666177616974739f6a6a6f622d3030303339386a6a6f"             \
     "622d303030343035ff626174fb41d954fc40200000ff"
 
-#define VERSION_2_JOB_LISTS                                                                        \
+#define RECORDED_V2_JOB_LISTS                                                                      \
     "bf636e6f77646c69766567656e747269657318c8666c6564676572677075626c697368646465736b"             \
     "66766973696f6e6662756e646c6565696d672d3164666f726d65617272617967757267656e637966"             \
     "757267656e746463707573fb40000000000000006c616363656c657261746f7273fb000000000000"             \
@@ -80,16 +80,16 @@
     "6e675f73fb0000000000000000656475655f73fb408c2000000000006a73616d655f706c616365f4"             \
     "66737072656164f468626f72726f776564f5656c6973747302626174fb41d954fc40200000ff"
 
-#define VERSION_2_LIST "bf666177616974739f6a6a6f622d3030303339386a6a6f622d303030343035ffff"
+#define RECORDED_V2_LIST "bf666177616974739f6a6a6f622d3030303339386a6a6f622d303030343035ffff"
 
-#define VERSION_2_HALF "bf64646f6e6564302c363263747279096261749f9f020768692d30303032333103ffffff"
+#define RECORDED_V2_HALF "bf64646f6e6564302c363263747279096261749f9f020768692d30303032333103ffffff"
 
-#define VERSION_2_ASK "0a026e321029189c032802"
+#define RECORDED_V2_ASK "0a026e321029189c032802"
 
-#define VERSION_2_TELL "0a026e32102918012801309d0338015002"
+#define RECORDED_V2_TELL "0a026e32102918012801309d0338015002"
 
 /* The bytes; owned by the caller. */
-static inline unsigned char *earlier_bytes(const char *digits, size_t *size)
+static inline unsigned char *recorded_bytes(const char *digits, size_t *size)
 {
     unsigned char *out = g_malloc(strlen(digits) / 2 + 1);
 
--- a/src/jobs/tests/test_commit.c
+++ b/src/jobs/tests/test_commit.c
@@ -4,7 +4,7 @@
 #include "testing/fake_state.h"
 #include "base/clock.h"
 #include "base/protocol.h"
-#include "books.h"
+#include "job_fixtures.h"
 #include "api/api.h"
 #include "jobs/commit.h"
 #include "workers/workers.h"
@@ -103,10 +103,10 @@
     memset(&settings, 0, sizeof settings);
     durable = doubts = 0;
     pm_operator_settings_defaults(&op);
-    books_begin(&tables, &settings);
+    fixture_begin(&tables, &settings);
     http = pm_http_client_new(loop, 64);
     jobs = pm_jobs_new(&tables);
-    workers = pm_workers_new(&tables, jobs, BOOKS_HOOKS);
+    workers = pm_workers_new(&tables, jobs, FIXTURE_HOOKS);
     store = pm_store_new(
         loop, http, fake_state_addr(state), 1000,
         &(struct pm_store_observer){on_put, on_drop, on_nothing, on_nothing, on_caught_up, NULL});
--- a/src/jobs/tests/test_dependencies.c
+++ b/src/jobs/tests/test_dependencies.c
@@ -1,6 +1,6 @@
 /* The dependency graph as the replica tells it: safety invariant 8. */
-#include "books.h"
-#include "earlier.h"
+#include "job_fixtures.h"
+#include "recorded_values.h"
 #include "base/protocol.h"
 #include "jobs/jobs.h"
 
@@ -23,7 +23,7 @@
 {
     (void)state;
     memset(&settings, 0, sizeof settings);
-    books_begin(&tables, &settings);
+    fixture_begin(&tables, &settings);
     jobs = pm_jobs_new(&tables);
     revision = 0;
     return 0;
@@ -33,7 +33,7 @@
 {
     (void)state;
     pm_jobs_free(jobs);
-    books_end(&tables);
+    fixture_end(&tables);
     return 0;
 }
 
@@ -121,7 +121,7 @@
 static struct pm_job *put_earlier(const char *key, const char *digits)
 {
     size_t size;
-    unsigned char *bytes = earlier_bytes(digits, &size);
+    unsigned char *bytes = recorded_bytes(digits, &size);
     struct pm_job *job = put_value(key, ++revision, bytes, size);
 
     g_free(bytes);
@@ -131,7 +131,7 @@
 static void assert_earlier(struct pm_buf *buf, const char *digits)
 {
     size_t size;
-    unsigned char *bytes = earlier_bytes(digits, &size);
+    unsigned char *bytes = recorded_bytes(digits, &size);
 
     assert_int_equal(buf->size, size);
     assert_memory_equal(buf->data, bytes, size);
@@ -198,7 +198,7 @@
                            .deadline_s = -1,
                            .overflow_lists = 2,
                            .cpus = 1};
-    struct pm_job *job = books_feed(&tables, jobs, "job-9", &spec, ++revision);
+    struct pm_job *job = fixture_feed(&tables, jobs, "job-9", &spec, ++revision);
     GPtrArray *ids = g_ptr_array_new();
     char names[100][16];
 
@@ -454,7 +454,7 @@
 {
     struct pm_job *job;
     size_t size;
-    unsigned char *bytes = earlier_bytes(VERSION_2_JOB, &size);
+    unsigned char *bytes = recorded_bytes(RECORDED_V2_JOB, &size);
     unsigned char *name = memmem(bytes, size, "job-000398", strlen("job-000398"));
 
     (void)state;
@@ -464,7 +464,7 @@
     g_free(bytes);
     assert_non_null(job);
     assert_int_equal(pm_job_waiting_tasks(job), 0);
-    put_earlier("p/n/job-1/0", VERSION_2_LIST);
+    put_earlier("p/n/job-1/0", RECORDED_V2_LIST);
     assert_int_equal(pm_job_waiting_tasks(job), 0);
     assert_true(pm_jobs_apply_cancellation(jobs, "job-1", 77));
 }
@@ -510,7 +510,7 @@
     for (unsigned version = PM_PROTOCOL_FIRST; version < PM_PROTOCOL_END_TIMES; version++) {
         tables.protocol_version = version;
         pm_job_encode_done(&tables, job, false, &buf);
-        assert_earlier(&buf, EARLIER_DONE);
+        assert_earlier(&buf, RECORDED_V1_DONE);
     }
 }
 
@@ -547,7 +547,7 @@
  */
 static void reads_and_writes_as_the_version_before(void **state)
 {
-    struct pm_job *job = put_earlier("p/j/job-1", EARLIER_LIVE);
+    struct pm_job *job = put_earlier("p/j/job-1", RECORDED_V1_LIVE);
     struct pm_placement place = {.job = job, .task_index = 130, .attempt = 7, .incarnation = 3};
     struct pm_buf buf = {0};
     const struct pm_stored_placement *spot;
@@ -559,8 +559,8 @@
     assert_true(job->spec->spot && job->spec->deadline_s == 90 && job->spec->zone == 0);
     assert_true(job->deadline_wall == 1700000090.5);
     pm_job_encode(&tables, job->spec, 200, PM_JOB_LIVE, true, &buf);
-    assert_earlier(&buf, EARLIER_LIVE);
-    assert_ptr_equal(put_earlier("p/t/job-1/1", EARLIER_CHUNK), job);
+    assert_earlier(&buf, RECORDED_V1_LIVE);
+    assert_ptr_equal(put_earlier("p/t/job-1/1", RECORDED_V1_CHUNK), job);
     pm_jobs_reset_work(jobs);
     assert_int_equal(job->done_count, 2);
     assert_int_equal(job->last_attempt, 9);
@@ -573,10 +573,10 @@
     place.state = PM_PLACEMENT_RUNNING;
     pm_job_task(job, 130)->placement = &place;
     pm_chunk_encode(&tables, job, 1, -1, &buf);
-    assert_earlier(&buf, EARLIER_CHUNK);
+    assert_earlier(&buf, RECORDED_V1_CHUNK);
     pm_job_encode(&tables, job->spec, 200, PM_JOB_CANCELLED, true, &buf);
-    assert_earlier(&buf, EARLIER_CANCELLED);
-    put_earlier("p/j/job-1", EARLIER_DONE);
+    assert_earlier(&buf, RECORDED_V1_CANCELLED);
+    put_earlier("p/j/job-1", RECORDED_V1_DONE);
     assert_int_equal(job->state, PM_JOB_DONE);
 }
 
@@ -591,24 +591,24 @@
 
     (void)state;
     settings.store_value_kb = 1;
-    job = put_earlier("p/j/job-1", VERSION_2_JOB);
+    job = put_earlier("p/j/job-1", RECORDED_V2_JOB);
     assert_int_equal(job->unmet_dependencies, 2);
     assert_string_equal(pm_names_text(tables.dependency_ids, job->spec->dependencies[1]),
                         "job-000405");
     pm_job_encode(&tables, job->spec, 200, PM_JOB_LIVE, true, &buf);
-    assert_earlier(&buf, VERSION_2_JOB);
-    listed = put_earlier("p/j/job-2", VERSION_2_JOB_LISTS);
+    assert_earlier(&buf, RECORDED_V2_JOB);
+    listed = put_earlier("p/j/job-2", RECORDED_V2_JOB_LISTS);
     assert_true(listed->dependencies_incomplete && pm_job_waiting_tasks(listed) == 0);
     pm_job_encode(&tables, listed->spec, 200, PM_JOB_LIVE, true, &buf);
-    assert_earlier(&buf, VERSION_2_JOB_LISTS);
+    assert_earlier(&buf, RECORDED_V2_JOB_LISTS);
     pm_dependency_list_encode(&tables, job->spec, 0, &buf);
-    assert_earlier(&buf, VERSION_2_LIST);
-    put_earlier("p/n/job-2/1", VERSION_2_LIST);
+    assert_earlier(&buf, RECORDED_V2_LIST);
+    put_earlier("p/n/job-2/1", RECORDED_V2_LIST);
     assert_true(listed->dependencies_incomplete);
-    put_earlier("p/n/job-2/0", VERSION_2_LIST);
+    put_earlier("p/n/job-2/0", RECORDED_V2_LIST);
     assert_false(listed->dependencies_incomplete);
     assert_true(listed->unmet_dependencies >= 2);
-    assert_ptr_equal(put_earlier("p/t/job-1/1/0", VERSION_2_HALF), job);
+    assert_ptr_equal(put_earlier("p/t/job-1/1/0", RECORDED_V2_HALF), job);
     pm_jobs_reset_work(jobs);
     assert_int_equal(job->done_count, 2); /* the half tells of its own tasks only */
     place.job = job;
@@ -616,7 +616,7 @@
     pm_job_task(job, 130)->placement = &place;
     pm_job_task(job, 199)->done = true;
     pm_chunk_encode(&tables, job, 1, 0, &buf);
-    assert_earlier(&buf, VERSION_2_HALF);
+    assert_earlier(&buf, RECORDED_V2_HALF);
 }
 
 int main(void)
--- a/src/jobs/tests/test_jobs.c
+++ b/src/jobs/tests/test_jobs.c
@@ -1,5 +1,5 @@
 /* Submissions are judged as the protocol says, and what is written is read back the same. */
-#include "books.h"
+#include "job_fixtures.h"
 #include "jobs/jobs.h"
 
 #include <setjmp.h>
@@ -17,7 +17,7 @@
 {
     (void)state;
     memset(&settings, 0, sizeof settings);
-    books_begin(&tables, &settings);
+    fixture_begin(&tables, &settings);
     settings.teams[0].cpus_max = 32;
     strcpy(settings.zone_names[settings.zone_count++], "b");
     jobs = pm_jobs_new(&tables);
@@ -28,7 +28,7 @@
 {
     (void)state;
     pm_jobs_free(jobs);
-    books_end(&tables);
+    fixture_end(&tables);
     return 0;
 }
 
--- a/src/leadership/take.c
+++ b/src/leadership/campaign.c
@@ -53,10 +53,10 @@
         l->asked = 0;
         memset(l->acked, 0, sizeof l->acked);
         l->reach = store_revision;
-        pm_info("lead.taken", "epoch %llu", (unsigned long long)l->mine);
+        pm_info("election.elected", "epoch %llu", (unsigned long long)l->mine);
         pm_store_wait_for_revision(l->store, store_revision, on_reached, l);
     } else {
-        pm_debug("lead.try", "status %d", status);
+        pm_debug("election.campaign_failed", "status %d", status);
     }
     g_free(attempt);
 }
@@ -123,7 +123,7 @@
     l->ack_at = pm_election_quorum(l) <= 1 ? pm_clock_monotonic() : 0;
     l->ack_epoch = epoch;
     l->asked = 0;
-    pm_info("lead.raised", "epoch %llu", (unsigned long long)epoch);
+    pm_info("election.epoch_advanced", "epoch %llu", (unsigned long long)epoch);
     l->hooks.epoch_advanced(l->hooks.arg, epoch);
 }
 
--- a/src/leadership/cancels.c
+++ b/src/leadership/cancellation_quorum.c
@@ -1,4 +1,4 @@
-#include "leadership/cancels.h"
+#include "leadership/cancellation_quorum.h"
 #include "base/clock.h"
 #include "base/log.h"
 #include "peer.pb-c.h"
@@ -85,7 +85,7 @@
         }
         g_ptr_array_remove_index_fast(c->waiting, i);
         if (!ok)
-            pm_debug("cancels.unsure", "%s: known to %d of %d", w->id, known,
+            pm_debug("cancellation.not_acked", "%s: known to %d of %d", w->id, known,
                      c->settings->cluster_size);
         w->done(w->arg, ok);
         g_free(w);
@@ -223,7 +223,7 @@
     int peer = call ? pm_settings_find_peer(c->settings, call->from) : -1;
 
     if (peer < 0) {
-        pm_error("cancels.message", "malformed, or from a controller that is not known");
+        pm_error("cancellation.bad_message", "malformed, or from a controller that is not known");
         if (call)
             pm__cancellation_request__free_unpacked(call, NULL);
         pm_http_reply(req, 400, NULL, 0, 0);
--- a/src/leadership/cancels.h
+++ b/src/leadership/cancellation_quorum.h
@@ -11,8 +11,8 @@
  *
  * Key:  p/seen/CONTROLLER  {edition}: its replica has reached this. Written only when a
  *       cancellation was read that no controller told of. */
-#ifndef PM_LEADERSHIP_CANCEL_QUORUM_H
-#define PM_LEADERSHIP_CANCEL_QUORUM_H
+#ifndef PM_LEADERSHIP_CANCELLATION_QUORUM_H
+#define PM_LEADERSHIP_CANCELLATION_QUORUM_H
 
 #include "base/http.h"
 #include "base/settings.h"
--- a/src/leadership/leadership.c
+++ b/src/leadership/election.c
@@ -69,7 +69,7 @@
 {
     if (!l->leads)
         return;
-    pm_info("lead.lost", "epoch %llu: %s", (unsigned long long)l->mine, why);
+    pm_info("election.stepped_down", "epoch %llu: %s", (unsigned long long)l->mine, why);
     l->leads = false;
     l->confirmed = 0;
     l->vacant_since = 0;
@@ -229,7 +229,8 @@
     if (!strcmp(key, "p/speaks")) {
         if (!pm_cbor_count(pm_cbor_get(value, "version"), &epoch) && epoch > l->common_version) {
             l->common_version = (unsigned)MIN(epoch, PM_PROTOCOL_VERSION);
-            pm_info("lead.version", "every controller runs protocol version %u", l->common_version);
+            pm_info("election.protocol_version", "every controller runs protocol version %u",
+                    l->common_version);
         }
         return;
     }
--- a/src/leadership/leadership.h
+++ b/src/leadership/election.h
@@ -8,8 +8,8 @@
  *                later one; what an earlier one would misread is used only from then on
  *
  * p/lead only saves contests; all safety rests on p/epoch. */
-#ifndef PM_LEADERSHIP_LEADERSHIP_H
-#define PM_LEADERSHIP_LEADERSHIP_H
+#ifndef PM_LEADERSHIP_ELECTION_H
+#define PM_LEADERSHIP_ELECTION_H
 
 #include "base/http.h"
 #include "base/settings.h"
--- a/src/leadership/internal.h
+++ b/src/leadership/internal.h
@@ -2,7 +2,7 @@
 #ifndef PM_LEADERSHIP_INTERNAL_H
 #define PM_LEADERSHIP_INTERNAL_H
 
-#include "leadership/leadership.h"
+#include "leadership/election.h"
 
 #include <ev.h>
 #include <glib.h>
--- a/src/leadership/peers.c
+++ b/src/leadership/peers.c
@@ -190,7 +190,7 @@
     int peer = ask ? pm_settings_find_peer(l->settings, ask->from) : -1;
 
     if (peer < 0) {
-        pm_error("lead.message", "malformed, or from a controller that is not known");
+        pm_error("election.bad_message", "malformed, or from a controller that is not known");
         if (ask)
             pm__peer_request__free_unpacked(ask, NULL);
         pm_http_reply(req, 400, NULL, 0, 0);
--- a/src/leadership/tests/controllers.h
+++ b/src/leadership/tests/controllers.h
@@ -2,12 +2,12 @@
 #ifndef PM_LEADERSHIP_TESTS_CONTROLLERS_H
 #define PM_LEADERSHIP_TESTS_CONTROLLERS_H
 
-#include "../../jobs/tests/books.h"
+#include "../../jobs/tests/job_fixtures.h"
 #include "testing/fake_state.h"
 #include "base/clock.h"
 #include "base/protocol.h"
-#include "leadership/cancels.h"
-#include "leadership/leadership.h"
+#include "leadership/cancellation_quorum.h"
+#include "leadership/election.h"
 
 #include <ev.h>
 #include <glib.h>
@@ -119,7 +119,7 @@
     for (int i = 0; i < n; i++) {
         memset(&all[i], 0, sizeof all[i]);
         pm_operator_settings_defaults(&all[i].op);
-        books_begin(&all[i].tables, &all[i].settings);
+        fixture_begin(&all[i].tables, &all[i].settings);
         all[i].settings.cluster_size = n;
         snprintf(all[i].settings.name, PM_NAME_MAX, "n%d", i);
         snprintf(all[i].settings.peer_listen_addr, 64, "127.0.0.1:%d", fake_free_port());
--- a/src/leadership/tests/test_cancels.c
+++ b/src/leadership/tests/test_cancellation_quorum.c
@@ -2,8 +2,8 @@
  * cancellation that was confirmed to a user. The meeting that it is for: the state service refuses
  * the leader alone, another controller confirms cancellations, then the service is down for all. */
 #include "controllers.h"
-#include "../../jobs/tests/earlier.h"
-#include "block.pb-c.h"
+#include "../../jobs/tests/recorded_values.h"
+#include "shard.pb-c.h"
 #include "peer.pb-c.h"
 
 static int set_up(void **arg)
@@ -378,7 +378,7 @@
 static void reads_messages_of_the_version_before(void **arg)
 {
     size_t size;
-    unsigned char *bytes = earlier_bytes(EARLIER_TELL, &size);
+    unsigned char *bytes = recorded_bytes(RECORDED_V1_TELL, &size);
     Pm__PeerResponse *tell = pm__peer_response__unpack(NULL, size, bytes);
     Pm__PeerRequest *ask;
     Pm__CancellationRequest *call;
@@ -394,17 +394,17 @@
     assert_int_equal(tell->protocol_version, 0);
     pm__peer_response__free_unpacked(tell, NULL);
     g_free(bytes);
-    bytes = earlier_bytes(EARLIER_ASK, &size);
+    bytes = recorded_bytes(RECORDED_V1_ASK, &size);
     ask = pm__peer_request__unpack(NULL, size, bytes);
     assert_true(ask && ask->epoch == 41 && ask->store_revision == 412 && !ask->protocol_version);
     pm__peer_request__free_unpacked(ask, NULL);
     g_free(bytes);
-    bytes = earlier_bytes(EARLIER_CANCEL_CALL, &size);
+    bytes = recorded_bytes(RECORDED_V1_CANCEL_CALL, &size);
     call = pm__cancellation_request__unpack(NULL, size, bytes);
     assert_true(call && call->n_cancelled == 1 && call->cancelled[0]->revision == 413);
     pm__cancellation_request__free_unpacked(call, NULL);
     g_free(bytes);
-    bytes = earlier_bytes(EARLIER_BLOCK_TELL, &size);
+    bytes = recorded_bytes(RECORDED_V1_BLOCK_TELL, &size);
     block = pm__shard_response__unpack(NULL, size, bytes);
     assert_true(block && block->ready && block->n_drained == 1);
     pm__shard_response__free_unpacked(block, NULL);
--- a/src/leadership/tests/test_leadership.c
+++ b/src/leadership/tests/test_election.c
@@ -2,7 +2,7 @@
  * here depends on how fast it runs: every step waits for what it expects. */
 #include "controllers.h"
 #include "base/clock.h"
-#include "leadership/leadership.h"
+#include "leadership/election.h"
 #include "peer.pb-c.h"
 
 #include <ev.h>
@@ -422,7 +422,7 @@
     /* A new process reads what is known. */
     all[3].settings = all[1].settings;
     all[3].op = all[1].op;
-    books_begin(&all[3].tables, &all[3].settings);
+    fixture_begin(&all[3].tables, &all[3].settings);
     start(&all[3]);
     assert_true(fake_run_until(loop, all_are_new, &all[3]));
 }
--- a/src/links/links.c
+++ b/src/links/links.c
@@ -221,7 +221,7 @@
                                   links->ready ? pm_fitness_name(before.fitness) : "",
                                   pm_fitness_name(verdict.fitness), verdict.reason);
         if (duty == PM_CAPABILITY_LEAD && links->ready)
-            pm_info("links.duty", "%s: %s%s%s", pm_capability_name(duty),
+            pm_info("links.capability", "%s: %s%s%s", pm_capability_name(duty),
                     pm_fitness_name(verdict.fitness), *verdict.reason ? ": " : "", verdict.reason);
     }
     links->ready = true;
--- a/src/duties/record.c
+++ b/src/roles/audit_log.c
@@ -1,4 +1,4 @@
-#include "duties/record.h"
+#include "roles/audit_log.h"
 #include "base/cbor.h"
 #include "base/clock.h"
 #include "base/log.h"
@@ -88,7 +88,7 @@
 static void say_failing(struct pm_audit_log *r, const char *what)
 {
     if (!r->failing)
-        pm_error("duty.record", "%s: %s; entries are lost", r->path,
+        pm_error("audit_log.error", "%s: %s; entries are lost", r->path,
                  r->archive && archive_error_string(r->archive) ? archive_error_string(r->archive)
                                                                 : what);
     r->failing = true;
--- a/src/duties/record.h
+++ b/src/roles/audit_log.h
@@ -2,8 +2,8 @@
  * what became of that. One tar archive for each period, of one member for each entry; written by a
  * thread of its own, so that nobody waits for the disk. A file is called NAME.tar once it is whole,
  * and NAME.tar.part until then; after a crash the latter is read up to its last whole entry. */
-#ifndef PM_ROLES_RECORD_H
-#define PM_ROLES_RECORD_H
+#ifndef PM_ROLES_AUDIT_LOG_H
+#define PM_ROLES_AUDIT_LOG_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/src/duties/clean.c
+++ b/src/roles/garbage_collector.c
@@ -1,5 +1,5 @@
-#include "duties/clean.h"
-#include "duties/duties.h"
+#include "roles/garbage_collector.h"
+#include "roles/roles.h"
 
 #include <string.h>
 
--- a/src/duties/clean.h
+++ b/src/roles/garbage_collector.h
@@ -4,8 +4,8 @@
  * the view, or the reading position, of a controller that is not in the settings; a request to
  * drain a duty whose holder has changed since, or that does not exist. Jobs are never candidates:
  * their users may ask about them at any time. What can't be read is kept. */
-#ifndef PM_ROLES_CLEAN_H
-#define PM_ROLES_CLEAN_H
+#ifndef PM_ROLES_GARBAGE_COLLECTOR_H
+#define PM_ROLES_GARBAGE_COLLECTOR_H
 
 #include "base/settings.h"
 #include "store/store.h"
--- a/src/duties/intent.c
+++ b/src/roles/intent.c
@@ -1,4 +1,4 @@
-#include "duties/intent.h"
+#include "roles/intent.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/duties/intents.c
+++ b/src/roles/intent_log.c
@@ -1,5 +1,5 @@
 /* Intents: writing them, which are open, and closing them. */
-#include "duties/internal.h"
+#include "roles/internal.h"
 #include "base/log.h"
 
 #include <stdio.h>
@@ -214,7 +214,7 @@
         return; /* intents are written once */
     intent = pm_intent_read(key, value, revision);
     if (!intent) {
-        pm_error("duty.unreadable", "%s: kept, not carried out", key);
+        pm_error("role.unreadable", "%s: kept, not carried out", key);
         return;
     }
     g_hash_table_replace(d->intents, intent->name, intent);
--- a/src/duties/internal.h
+++ b/src/roles/internal.h
@@ -2,7 +2,7 @@
 #ifndef PM_ROLES_INTERNAL_H
 #define PM_ROLES_INTERNAL_H
 
-#include "duties/duties.h"
+#include "roles/roles.h"
 
 enum {
     PROCESS_SIZE = 24,
--- a/src/duties/holding.c
+++ b/src/roles/lease.c
@@ -1,5 +1,5 @@
 /* Who holds the duties: the lease, taking, giving up. */
-#include "duties/internal.h"
+#include "roles/internal.h"
 #include "base/clock.h"
 
 #include <stdio.h>
--- a/src/duties/duties.c
+++ b/src/roles/roles.c
@@ -1,7 +1,7 @@
-#include "duties/internal.h"
+#include "roles/internal.h"
 #include "base/clock.h"
 #include "base/log.h"
-#include "duties/record.h"
+#include "roles/audit_log.h"
 #include "links/trace.h"
 
 #include <stdio.h>
@@ -26,7 +26,7 @@
     char text[32];
 
     snprintf(text, sizeof text, "%llu", (unsigned long long)token);
-    pm_info("duty.change", "%s %s, token %s%s%s", pm_role_name(duty), event, text, *why ? ": " : "",
+    pm_info("role.change", "%s %s, token %s%s%s", pm_role_name(duty), event, text, *why ? ": " : "",
             why);
     if (d->trace)
         pm_links_trace_change(d->trace, "duty", pm_role_name(duty), text, event, why);
@@ -74,7 +74,7 @@
         pm_cbor_text(pm_cbor_get(value, "boot"), duty->boot, sizeof duty->boot) ||
         pm_cbor_count(pm_cbor_get(value, "lease"), &lease_id);
     if (duty->unreadable) {
-        pm_error("duty.unreadable", PM_ROLE_KEY_PREFIX "%s: kept, nobody takes the duty",
+        pm_error("role.unreadable", PM_ROLE_KEY_PREFIX "%s: kept, nobody takes the duty",
                  pm_role_name(name));
         duty->holder[0] = duty->boot[0] = 0;
     }
@@ -94,7 +94,7 @@
     duty->drain_revision = revision;
     if (pm_cbor_count(pm_cbor_get(value, "token"), &duty->drain_token)) {
         duty->drain_token = 0;
-        pm_error("duty.unreadable", PM_ROLE_DRAIN_KEY_PREFIX "%s: not obeyed", pm_role_name(name));
+        pm_error("role.unreadable", PM_ROLE_DRAIN_KEY_PREFIX "%s: not obeyed", pm_role_name(name));
     }
 }
 
@@ -112,7 +112,7 @@
         if (duty >= 0)
             put_holder(d, (enum pm_role)duty, value, revision);
         else
-            pm_error("duty.unreadable", "%s: no such duty, kept", key);
+            pm_error("role.unreadable", "%s: no such duty, kept", key);
         return true;
     }
     if (g_str_has_prefix(key, PM_ROLE_DRAIN_KEY_PREFIX)) {
--- a/src/duties/duties.h
+++ b/src/roles/roles.h
@@ -7,11 +7,11 @@
  * - p/duty/NAME  {holder, boot, lease}: under the holder's lease
  * - p/drain/NAME {token}: an operator asks the holder of that token to give the duty up
  * - p/intent/... see intent.h */
-#ifndef PM_ROLES_DUTIES_H
-#define PM_ROLES_DUTIES_H
+#ifndef PM_ROLES_ROLES_H
+#define PM_ROLES_ROLES_H
 
 #include "base/settings.h"
-#include "duties/intent.h"
+#include "roles/intent.h"
 #include "store/store.h"
 
 #include <stdbool.h>
--- a/src/duties/tests/calls.c
+++ b/src/roles/tests/calls.c
@@ -1,5 +1,5 @@
 #include "calls.h"
-#include "duties/duties.h"
+#include "roles/roles.h"
 
 #include <glib.h>
 #include <stdlib.h>
--- a/src/duties/tests/test_record.c
+++ b/src/roles/tests/test_audit_log.c
@@ -1,6 +1,6 @@
 /* The record of duties: read back whole, truncated, damaged; closed by period and bounded. */
 #include "base/cbor.h"
-#include "duties/record.h"
+#include "roles/audit_log.h"
 
 #include <glib.h>
 #include <glib/gstdio.h>
--- a/src/duties/tests/test_callers.c
+++ b/src/roles/tests/test_callers.c
@@ -85,18 +85,20 @@
 {
     (void)state;
     assert_users("settings->cloud_addr,",
-                 "cmd/pumicemount/links.c 1, fleet/calls.c 1, fleet/list.c 1, "
-                 "fleet/types.c 1");
-    assert_users("\"/machines/release\"", "fleet/calls.c 1");
-    assert_users("\"/machines\"", "fleet/calls.c 1");
-    assert_users("send_to_cloud(", "fleet/calls.c 3"); /* itself, to rent, to return */
+                 "autoscaler/inventory.c 1, autoscaler/machine_types.c 1, "
+                 "autoscaler/provider_client.c 1, cmd/pumicemount/link_monitor.c 1");
+    assert_users("\"/machines/release\"", "autoscaler/provider_client.c 1");
+    assert_users("\"/machines\"", "autoscaler/provider_client.c 1");
+    assert_users("send_to_cloud(",
+                 "autoscaler/provider_client.c 3"); /* itself, to rent, to return */
 }
 
 static void keys_are_deleted_from(void **state)
 {
     (void)state;
-    assert_users("pm_txn_delete(", "duties/clean.c 1, duties/holding.c 3, duties/intents.c 1, "
-                                   "jobs/commit.c 2, leadership/take.c 2, store/txn.c 1");
+    assert_users("pm_txn_delete(",
+                 "jobs/commit.c 2, leadership/campaign.c 2, roles/garbage_collector.c 1, "
+                 "roles/intent_log.c 1, roles/lease.c 3, store/txn.c 1");
 }
 
 int main(void)
--- a/src/duties/tests/test_calls.c
+++ b/src/roles/tests/test_calls.c
@@ -1,7 +1,7 @@
 /* The checker of the cloud's calls finds each kind of violation that is planted, and nothing in
  * what is as it should be. */
 #include "calls.h"
-#include "duties/duties.h"
+#include "roles/roles.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/src/duties/tests/test_clean.c
+++ b/src/roles/tests/test_garbage_collector.c
@@ -1,6 +1,6 @@
 /* Which stored keys are taken away, and that nothing else ever is. */
-#include "duties/clean.h"
-#include "duties/duties.h"
+#include "roles/garbage_collector.h"
+#include "roles/roles.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/src/duties/tests/test_intent.c
+++ b/src/roles/tests/test_intent.c
@@ -1,6 +1,6 @@
 /* Intents as they are stored: bytes that later versions go on reading, and what is malformed. */
-#include "../../jobs/tests/earlier.h"
-#include "duties/intent.h"
+#include "../../jobs/tests/recorded_values.h"
+#include "roles/intent.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -56,7 +56,7 @@
 static struct pm_intent *read_hex(const char *key, const char *digits)
 {
     size_t size;
-    unsigned char *bytes = earlier_bytes(digits, &size);
+    unsigned char *bytes = recorded_bytes(digits, &size);
     cbor_item_t *value = pm_cbor_parse(bytes, size);
     struct pm_intent *intent = pm_intent_read(key, value, 7);
 
--- a/src/duties/tests/test_replacements.c
+++ b/src/roles/tests/test_replacements.c
@@ -7,7 +7,7 @@
 #include "testing/cluster.h"
 #include "base/clock.h"
 #include "calls.h"
-#include "duties/duties.h"
+#include "roles/roles.h"
 
 #include <glib.h>
 #include <setjmp.h>
--- a/src/duties/tests/test_duties.c
+++ b/src/roles/tests/test_roles.c
@@ -2,7 +2,7 @@
  * when, and what of a holder that was replaced is refused. */
 #include "testing/fake_state.h"
 #include "base/clock.h"
-#include "duties/duties.h"
+#include "roles/roles.h"
 
 #include <ev.h>
 #include <setjmp.h>
--- a/src/placement/fit.c
+++ b/src/scheduler/bin_packing.c
@@ -1,5 +1,5 @@
 /* Where a task may run, and where it runs best. */
-#include "placement/internal.h"
+#include "scheduler/internal.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/placement/empty.c
+++ b/src/scheduler/consolidation.c
@@ -1,5 +1,5 @@
 /* Emptying machines, so that they can go back, and evening out how many replicas each has. */
-#include "placement/internal.h"
+#include "scheduler/internal.h"
 #include "base/log.h"
 
 #include <math.h>
@@ -100,7 +100,7 @@
     g_free(room);
     if (!best)
         return;
-    pm_debug("plan.balance", "%s/%u leaves %s", best->job->id, best->task_index,
+    pm_debug("scheduler.balance", "%s/%u leaves %s", best->job->id, best->task_index,
              best->machine->name);
     pm_placement_stop(best, 0);
 }
@@ -184,7 +184,8 @@
             break;
         emptied++;
         spare -= p->tables->types[worst->type].cpus;
-        pm_info("plan.empty", "%s: %u tasks move or end", worst->name, worst->placements->len);
+        pm_info("scheduler.consolidate", "%s: %u tasks move or end", worst->name,
+                worst->placements->len);
         worst->draining = true;
         for (guint j = 0; j < worst->placements->len; j++) {
             struct pm_placement *place = g_ptr_array_index(worst->placements, j);
--- a/src/placement/gangs.c
+++ b/src/scheduler/gang_scheduling.c
@@ -1,5 +1,5 @@
 /* Gangs: they start whole, and what stands in their way is cleared, or waited for, whole. */
-#include "placement/internal.h"
+#include "scheduler/internal.h"
 
 #include <string.h>
 
--- a/src/placement/internal.h
+++ b/src/scheduler/internal.h
@@ -2,8 +2,8 @@
 #ifndef PM_SCHEDULER_INTERNAL_H
 #define PM_SCHEDULER_INTERNAL_H
 
-#include "placement/plan.h"
-#include "workers/faults.h"
+#include "scheduler/scheduler.h"
+#include "workers/failures.h"
 
 enum { BUCKETS = 96, CLASSES_MAX = 256, STEPS_MAX = 400 };
 #define EPS 1e-6
--- a/src/placement/ledger.c
+++ b/src/scheduler/occupancy.c
@@ -1,6 +1,6 @@
 /* The ratio ledger: what each team occupied within the window, what it uses now, and the value
  * that a new leader reads. */
-#include "placement/internal.h"
+#include "scheduler/internal.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/placement/preempt.c
+++ b/src/scheduler/preemption.c
@@ -1,5 +1,5 @@
 /* What is stopped to make room, because of a notice, or because its job is over. */
-#include "placement/internal.h"
+#include "scheduler/internal.h"
 #include "base/log.h"
 
 #include <math.h>
@@ -247,7 +247,7 @@
         can_clear(p, job, best, spoken_for, &n, &cost, now);
         for (guint v = 0; v < n; v++) {
             struct pm_placement *place = victim_at(p, v)->place;
-            pm_info("plan.preempt", "%s/%u on %s for %s", place->job->id, place->task_index,
+            pm_info("scheduler.preempted", "%s/%u on %s for %s", place->job->id, place->task_index,
                     best->name, job->id);
             pm_placement_stop(
                 place, pm_scheduler_leave_for(place, job->priority == PM_PRIORITY_PRODUCTION));
--- a/src/placement/use.c
+++ b/src/scheduler/quota.c
@@ -5,7 +5,7 @@
  * that are out, and tasks that a worker reports though no place is known (strays). What is not
  * known yet counts as the most that it can be. */
 #include "base/log.h"
-#include "placement/internal.h"
+#include "scheduler/internal.h"
 
 #include <math.h>
 #include <string.h>
@@ -88,7 +88,7 @@
             continue;
         p->over_told[t] = now;
         p->violations++;
-        pm_error("quota.over",
+        pm_error("quota.exceeded",
                  "%s runs %g cpus, %g accelerators of %g, %g; own %g, leased %g, stray %g",
                  team->name, use->reported.cpus, use->reported.gpus, team->cpus_max, team->gpus_max,
                  use->own.cpus, use->leased.cpus, use->stray.cpus);
@@ -186,7 +186,7 @@
         if (!withdrawn)
             continue;
         p->violations++;
-        pm_error("quota.refused", "%s: %u starts, with %g of %g cpus, %g of %g accelerators",
+        pm_error("quota.start_rejected", "%s: %u starts, with %g of %g cpus, %g of %g accelerators",
                  team->name, withdrawn, before.cpus, team->cpus_max, before.gpus, team->gpus_max);
     }
 }
@@ -203,7 +203,7 @@
         const struct team_use *use = &p->use[t];
         struct pm_quota_usage total = pm_quota_total(p, t);
         if (total.cpus >= NEAR_LIMIT * team->cpus_max || total.gpus >= NEAR_LIMIT * team->gpus_max)
-            pm_info("quota.use",
+            pm_info("quota.usage",
                     "%s: own %g, leased %g, stray %g of %g cpus; %g of %g accelerators", team->name,
                     use->own.cpus, use->leased.cpus, use->stray.cpus, team->cpus_max, total.gpus,
                     team->gpus_max);
--- a/src/placement/rank.c
+++ b/src/scheduler/ranking.c
@@ -1,5 +1,5 @@
 /* The order of what waits. */
-#include "placement/internal.h"
+#include "scheduler/internal.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/placement/plan.c
+++ b/src/scheduler/scheduler.c
@@ -1,4 +1,4 @@
-#include "placement/internal.h"
+#include "scheduler/internal.h"
 #include "base/log.h"
 
 #include <math.h>
@@ -95,8 +95,9 @@
     p->steps++;
     if (m->free_cpus < EPS)
         g_ptr_array_remove(p->room, m);
-    pm_debug("plan.place", "%s/%u try %u on %s, %s uses %g of %g: own %g, leased %g, stray %g",
-             job->id, index, attempt, m->name, p->tables->settings->teams[job->spec->team].name,
+    pm_debug("scheduler.placed",
+             "%s/%u try %u on %s, %s uses %g of %g: own %g, leased %g, stray %g", job->id, index,
+             attempt, m->name, p->tables->settings->teams[job->spec->team].name,
              pm_quota_total(p, job->spec->team).cpus,
              p->tables->settings->teams[job->spec->team].cpus_max, p->use[job->spec->team].own.cpus,
              p->use[job->spec->team].leased.cpus, p->use[job->spec->team].stray.cpus);
--- a/src/placement/lease.c
+++ b/src/scheduler/shard_leasing.c
@@ -1,5 +1,5 @@
 /* For the leasing of blocks. */
-#include "placement/internal.h"
+#include "scheduler/internal.h"
 
 #include <math.h>
 
--- a/src/placement/tests/test_ledger.c
+++ b/src/scheduler/tests/test_occupancy.c
@@ -1,8 +1,8 @@
 /* The ledger's value in the state service, as earlier versions write it. */
-#include "../../jobs/tests/books.h"
-#include "../../jobs/tests/earlier.h"
-#include "placement/plan.h"
-#include "workers/faults.h"
+#include "../../jobs/tests/job_fixtures.h"
+#include "../../jobs/tests/recorded_values.h"
+#include "scheduler/scheduler.h"
+#include "workers/failures.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -25,13 +25,13 @@
     struct pm_machine *machine;
     struct pm_buf out = {0};
     size_t size;
-    unsigned char *bytes = earlier_bytes(EARLIER_LEDGER, &size);
+    unsigned char *bytes = recorded_bytes(RECORDED_V1_LEDGER, &size);
     cbor_item_t *value = pm_cbor_parse(bytes, size);
 
     (void)state;
     assert_non_null(value);
     pm_operator_settings_defaults(&op);
-    books_begin(&tables, &settings);
+    fixture_begin(&tables, &settings);
     settings.store_value_kb = 4;
     settings.team_count = 2;
     g_strlcpy(settings.teams[0].name, "vision", sizeof settings.teams[0].name);
@@ -40,7 +40,7 @@
     g_strlcpy(settings.zone_names[0], "a", sizeof settings.zone_names[0]);
     g_strlcpy(settings.zone_names[1], "b", sizeof settings.zone_names[1]);
     jobs = pm_jobs_new(&tables);
-    workers = pm_workers_new(&tables, jobs, BOOKS_HOOKS);
+    workers = pm_workers_new(&tables, jobs, FIXTURE_HOOKS);
     plan = pm_scheduler_new(&tables, jobs, workers, &op);
     machine = pm_workers_add(workers, "i-000231");
     pm_workers_set_type(workers, machine, 0);
@@ -64,7 +64,7 @@
     pm_scheduler_free(plan);
     pm_workers_free(workers);
     pm_jobs_free(jobs);
-    books_end(&tables);
+    fixture_end(&tables);
 }
 
 /* A new leader reads which jobs keep failing; the versions before ignore that. */
@@ -85,12 +85,12 @@
 
     (void)state;
     pm_operator_settings_defaults(&op);
-    books_begin(&tables, &settings);
+    fixture_begin(&tables, &settings);
     jobs = pm_jobs_new(&tables);
-    workers = pm_workers_new(&tables, jobs, BOOKS_HOOKS);
+    workers = pm_workers_new(&tables, jobs, FIXTURE_HOOKS);
     plan = pm_scheduler_new(&tables, jobs, workers, &op);
-    broken = books_feed(&tables, jobs, "job-1", &spec, 1);
-    sound = books_feed(&tables, jobs, "job-2", &spec, 2);
+    broken = fixture_feed(&tables, jobs, "job-1", &spec, 1);
+    sound = fixture_feed(&tables, jobs, "job-2", &spec, 2);
     pm_failures_report_job(broken, 100);
     pm_scheduler_encode_ledger(plan, 100, 1700000010, &out);
     value = pm_cbor_parse(out.data, out.size);
@@ -106,7 +106,7 @@
     pm_scheduler_free(plan);
     pm_workers_free(workers);
     pm_jobs_free(jobs);
-    books_end(&tables);
+    fixture_end(&tables);
 }
 
 int main(void)
--- a/src/placement/tests/test_scale.c
+++ b/src/scheduler/tests/test_scale.c
@@ -1,7 +1,7 @@
 /* Half as many machines again as the largest deployment has: what grows with the fleet stays below
  * its limit, and a plan's work is bounded. Sizes are as JSON, as the protocol counts them. */
-#include "../../jobs/tests/books.h"
-#include "placement/plan.h"
+#include "../../jobs/tests/job_fixtures.h"
+#include "scheduler/scheduler.h"
 
 #include <math.h>
 #include <setjmp.h>
@@ -37,11 +37,11 @@
     (void)state;
     memset(&settings, 0, sizeof settings);
     pm_operator_settings_defaults(&op);
-    books_begin(&tables, &settings);
+    fixture_begin(&tables, &settings);
     settings.store_value_kb = 4;
     tables.types[0].local_gb = 40;
     jobs = pm_jobs_new(&tables);
-    workers = pm_workers_new(&tables, jobs, BOOKS_HOOKS);
+    workers = pm_workers_new(&tables, jobs, FIXTURE_HOOKS);
     plan = pm_scheduler_new(&tables, jobs, workers, &op);
     for (int i = 0; i < MACHINES; i++) {
         char name[32];
@@ -72,7 +72,7 @@
     pm_scheduler_free(plan);
     pm_workers_free(workers);
     pm_jobs_free(jobs);
-    books_end(&tables);
+    fixture_end(&tables);
     return 0;
 }
 
@@ -89,7 +89,7 @@
                            .deadline_s = 60,
                            .submitted_wall = NOW};
 
-    return books_feed(&tables, jobs, id, &spec, 1);
+    return fixture_feed(&tables, jobs, id, &spec, 1);
 }
 
 static void the_ledger_fits_its_value(void **state)
@@ -169,7 +169,7 @@
                            .ram_gb = 4,
                            .deadline_s = -1,
                            .submitted_wall = NOW - 200};
-    struct pm_job *job = books_feed(&tables, jobs, "job-1", &spec, 1);
+    struct pm_job *job = fixture_feed(&tables, jobs, "job-1", &spec, 1);
     int draining = 0;
 
     (void)state;
@@ -212,7 +212,7 @@
                            .estimated_run_s = 100,
                            .deadline_s = -1,
                            .submitted_wall = NOW};
-    struct pm_job *small = books_feed(&tables, jobs, "job-1", &spec, 1);
+    struct pm_job *small = fixture_feed(&tables, jobs, "job-1", &spec, 1);
     struct pm_machine *m = pm_workers_at(workers, 0);
     uint32_t stopped = 0;
 
@@ -226,7 +226,7 @@
     spec.task_count = 1;
     spec.cpus = 16;
     spec.ram_gb = 64;
-    books_feed(&tables, jobs, "job-2", &spec, 2);
+    fixture_feed(&tables, jobs, "job-2", &spec, 2);
     pm_scheduler_run(plan, NOW, NOW);
     for (guint i = 0; i < m->placements->len; i++)
         stopped += ((const struct pm_placement *)g_ptr_array_index(m->placements, i))->should_stop;
--- a/src/placement/tests/test_traces.c
+++ b/src/scheduler/tests/test_traces.c
@@ -2,10 +2,10 @@
  * arrives, line by line; lines that begin with "> " are what the replica must say in return. The
  * first word of a line is a function below; blank lines and those that begin with # are for the
  * reader. Time comes from the trace, so the verdict is always the same. */
-#include "../../jobs/tests/books.h"
+#include "../../jobs/tests/job_fixtures.h"
 #include "base/protocol.h"
-#include "placement/plan.h"
-#include "workers/faults.h"
+#include "scheduler/scheduler.h"
+#include "workers/failures.h"
 
 #include <math.h>
 #include <setjmp.h>
@@ -59,7 +59,7 @@
     strcpy(w->settings.zone_names[0], "east");
     strcpy(w->settings.zone_names[1], "west");
     w->tables.settings = &w->settings;
-    books_make_names(&w->tables);
+    fixture_make_names(&w->tables);
     w->jobs = pm_jobs_new(&w->tables);
     w->workers =
         pm_workers_new(&w->tables, w->jobs, &(struct pm_workers_hooks){on_ended, on_ran, w});
@@ -75,7 +75,7 @@
     pm_scheduler_free(w->plan);
     pm_workers_free(w->workers);
     pm_jobs_free(w->jobs);
-    books_end(&w->tables);
+    fixture_end(&w->tables);
     g_string_free(w->said, TRUE);
 }
 
@@ -683,7 +683,7 @@
 static void placement_traces(void **state)
 {
     (void)state;
-    replay_slice("placement");
+    replay_slice("scheduler");
 }
 
 int main(void)
--- a/src/blocks/lend.c
+++ b/src/shards/assignment.c
@@ -1,7 +1,7 @@
 /* The leader gives jobs, and machines to place them on, to holders. */
 #include "base/log.h"
-#include "blocks/internal.h"
-#include "workers/faults.h"
+#include "shards/internal.h"
+#include "workers/failures.h"
 
 #include <math.h>
 #include <string.h>
@@ -70,7 +70,7 @@
             job->parallelism += more;
             pm_scheduler_charge_lease(b->plan, job->spec, more);
             b->block[i].dirty = true;
-            pm_debug("blocks.widen", "%s to %u", job->id, job->parallelism);
+            pm_debug("shard.parallelism_raised", "%s to %u", job->id, job->parallelism);
         }
 }
 
@@ -145,7 +145,7 @@
         pm_scheduler_charge_lease(b->plan, job->spec, job->parallelism);
         g_ptr_array_add(best->given, job);
         best->dirty = true;
-        pm_debug("blocks.give", "%s of %s to %s, %u at once", job->id,
+        pm_debug("shard.job_assigned", "%s of %s to %s, %u at once", job->id,
                  b->tables->settings->teams[job->spec->team].name, best->name, job->parallelism);
     }
     g_free(taken);
@@ -234,7 +234,7 @@
         used[m->index] = true;
         g_array_append_val(s->block->entries, e);
         s->block->dirty = true;
-        pm_debug("blocks.lease", "%s to %s", m->name, s->block->name);
+        pm_debug("shard.machine_assigned", "%s to %s", m->name, s->block->name);
     }
 }
 
@@ -265,7 +265,8 @@
             e->stop = true;
             k->asked = 0;
             missing -= MIN(n, missing);
-            pm_info("blocks.call", "%s back from %s for %s", m->name, k->name, s->job->id);
+            pm_info("shard.machine_recalled", "%s back from %s for %s", m->name, k->name,
+                    s->job->id);
         }
     }
 }
--- a/src/blocks/ask.c
+++ b/src/shards/exchange.c
@@ -1,9 +1,9 @@
 /* The leader writes what it gives, asks the holders, and takes back what a holder lost. */
 #include "base/clock.h"
 #include "base/log.h"
-#include "block.pb-c.h"
-#include "blocks/internal.h"
-#include "workers/faults.h"
+#include "shard.pb-c.h"
+#include "shards/internal.h"
+#include "workers/failures.h"
 
 #include <string.h>
 
@@ -21,7 +21,7 @@
     if (k->in_flight || (k->losing && now - k->losing_at < 1) || !pm_shards_revision(k))
         return;
     if (!k->losing)
-        pm_info("blocks.recall", "%s: %s", k->name, why);
+        pm_info("shard.revoked", "%s: %s", k->name, why);
     k->losing = true;
     k->losing_at = now;
     pm_election_advance_epoch(b->lead, k->key, pm_shards_revision(k));
@@ -74,7 +74,7 @@
         } else {
             k->dirty = true;     /* the watch tells the revision; a copy applied late fails on it */
             if (status == 400) { /* too large, most likely */
-                pm_error("blocks.refused", "the state service refuses %s", k->key);
+                pm_error("shard.write_rejected", "the state service refuses %s", k->key);
                 k->written = pm_clock_monotonic() + REFUSED_S;
             }
             if (status == 409)
--- a/src/blocks/internal.h
+++ b/src/shards/internal.h
@@ -2,7 +2,7 @@
 #ifndef PM_SHARDS_INTERNAL_H
 #define PM_SHARDS_INTERNAL_H
 
-#include "blocks/blocks.h"
+#include "shards/shards.h"
 
 #define EPS 1e-6
 
--- a/src/blocks/hold.c
+++ b/src/shards/ownership.c
@@ -1,8 +1,8 @@
 /* A holder: its own block, and what it tells the leader. */
 #include "base/clock.h"
-#include "block.pb-c.h"
-#include "blocks/internal.h"
-#include "workers/faults.h"
+#include "shard.pb-c.h"
+#include "shards/internal.h"
+#include "workers/failures.h"
 
 #include <string.h>
 
--- a/src/blocks/blocks.c
+++ b/src/shards/shards.c
@@ -1,4 +1,4 @@
-#include "blocks/internal.h"
+#include "shards/internal.h"
 #include "base/clock.h"
 #include "base/log.h"
 
@@ -133,7 +133,7 @@
     if (!b->mine_granted)
         return;
     snprintf(b->boot, sizeof b->boot, "%08x%08x", g_random_int(), g_random_int());
-    pm_info("blocks.forget", "the state is read anew: the block is given up");
+    pm_info("shard.forgotten", "the state is read anew: the block is given up");
     pm_shards_leave_all(b);
 }
 
@@ -183,14 +183,14 @@
             g_array_append_val(k->entries, entry);
         }
         if (k->revision)
-            pm_info("blocks.adopt", "%s as of revision %llu: %u machines, %u jobs", k->name,
+            pm_info("shard.adopted", "%s as of revision %llu: %u machines, %u jobs", k->name,
                     (unsigned long long)k->revision, k->machines->len, k->jobs->len);
         for (guint j = 0; j < k->jobs->len; j++) {
             struct seen_job *seen = &g_array_index(k->jobs, struct seen_job, j);
             struct pm_job *job = pm_jobs_find(b->jobs, seen->id);
             if (!job || !job->spec)
                 continue;
-            pm_debug("blocks.adopt", "%s at %s, %u at once", job->id, k->name, seen->parallelism);
+            pm_debug("shard.adopted", "%s at %s, %u at once", job->id, k->name, seen->parallelism);
             job->delegated = true;
             job->parallelism = seen->parallelism;
             g_ptr_array_add(k->given, job);
--- a/src/blocks/blocks.h
+++ b/src/shards/shards.h
@@ -8,11 +8,11 @@
  * to the holders of array jobs. A machine comes back when its holder says that it is clean; a
  * holder that is not heard of loses its block, and the epoch is raised in the same transaction, so
  * that whatever it still had under way dies (safety invariants 1, 3 and 5). */
-#ifndef PM_SHARDS_BLOCKS_H
-#define PM_SHARDS_BLOCKS_H
+#ifndef PM_SHARDS_SHARDS_H
+#define PM_SHARDS_SHARDS_H
 
-#include "leadership/leadership.h"
-#include "placement/plan.h"
+#include "leadership/election.h"
+#include "scheduler/scheduler.h"
 #include "store/store.h"
 #include "workers/workers.h"
 
--- a/src/blocks/tests/test_blocks.c
+++ b/src/shards/tests/test_shards.c
@@ -1,11 +1,11 @@
 /* A block is leased with a job, its holder may place, and a holder that is not heard of loses it in
  * the transaction that raises the epoch. Two controllers and a state service in this process. */
-#include "../../jobs/tests/books.h"
-#include "../../jobs/tests/earlier.h"
+#include "../../jobs/tests/job_fixtures.h"
+#include "../../jobs/tests/recorded_values.h"
 #include "testing/fake_state.h"
 #include "base/clock.h"
-#include "blocks/blocks.h"
-#include "workers/faults.h"
+#include "shards/shards.h"
+#include "workers/failures.h"
 
 #include <ev.h>
 #include <glib.h>
@@ -141,7 +141,7 @@
     pm_operator_settings_defaults(&s->op);
     s->settings.cluster_size = 2;
     s->settings.peer_count = 1;
-    books_begin(&s->tables, &s->settings);
+    fixture_begin(&s->tables, &s->settings);
     s->settings.heartbeat_s = 1000; /* the machine of this test reports once */
     g_strlcpy(s->settings.name, name, PM_NAME_MAX);
     snprintf(s->settings.peer_listen_addr, 64, "127.0.0.1:%d", port);
@@ -153,7 +153,7 @@
 {
     s->http = pm_http_client_new(loop, 64);
     s->jobs = pm_jobs_new(&s->tables);
-    s->workers = pm_workers_new(&s->tables, s->jobs, BOOKS_HOOKS);
+    s->workers = pm_workers_new(&s->tables, s->jobs, FIXTURE_HOOKS);
     s->plan = pm_scheduler_new(&s->tables, s->jobs, s->workers, &s->op);
     s->store = pm_store_new(
         loop, s->http, fake_state_addr(state), 1000,
@@ -330,9 +330,9 @@
     (void)arg;
     write_job(&leader, "job-1", false);
     assert_true(fake_run_until(loop, is_granted, NULL));
-    assert_written_as_before("p/epoch", EARLIER_EPOCH);
-    assert_written_as_before("p/lead", EARLIER_LEAD);
-    assert_written_as_before("p/b/n1", EARLIER_BLOCK);
+    assert_written_as_before("p/epoch", RECORDED_V1_EPOCH);
+    assert_written_as_before("p/lead", RECORDED_V1_LEAD);
+    assert_written_as_before("p/b/n1", RECORDED_V1_BLOCK);
     assert_version_is_written("p/speaks/n0");
     /* The job and its parallelism came with the machine; the leader counts it as delegated. */
     assert_int_equal(pm_jobs_find(holder.jobs, "job-1")->parallelism, 2);
--- a/src/soak/soak.c
+++ b/src/soak/soak.c
@@ -1,5 +1,5 @@
 #include "soak/soak.h"
-#include "../duties/tests/calls.h"
+#include "../roles/tests/calls.h"
 #include "base/clock.h"
 #include "soak/workload.h"
 
@@ -359,6 +359,9 @@
  * what they say of that is a violation too. */
 static void note_logged_violations(struct soak *s)
 {
+    /* The last two are the names that a daemon before an upgrade gives these events. */
+    static const char *const events[] = {" quota.exceeded ", " quota.start_rejected ",
+                                         " quota.over ", " quota.refused "};
     char *text = NULL;
     char **lines;
 
@@ -366,8 +369,9 @@
         return;
     lines = g_strsplit(text, "\n", -1);
     for (char **line = lines; *line; line++)
-        if (strstr(*line, " quota.over ") || strstr(*line, " quota.refused "))
-            g_string_append_printf(s->violations, "logged: %s\n", *line);
+        for (size_t i = 0; i < G_N_ELEMENTS(events); i++)
+            if (strstr(*line, events[i]))
+                g_string_append_printf(s->violations, "logged: %s\n", *line);
     g_strfreev(lines);
     g_free(text);
 }
--- a/src/soak/tests/test_soak.c
+++ b/src/soak/tests/test_soak.c
@@ -47,13 +47,15 @@
     (void)arg;
     /* Whether a controller sees it hangs on when its workers report: what it would log stands here.
      */
-    assert_true(g_file_set_contents(log, "error node-9 quota.over planted\n", -1, NULL));
+    assert_true(g_file_set_contents(
+        log, "error node-9 quota.exceeded planted\nerror node-8 quota.over planted\n", -1, NULL));
     settings.log_file = log;
     settings.daemon = PM_PLANTED_DAEMON;
     settings.seconds = 10;
     violations = violations_of(settings, "machine-fails");
     assert_non_null(strstr(violations, "quota: "));
-    assert_non_null(strstr(violations, "logged: error node-9 quota.over planted"));
+    assert_non_null(strstr(violations, "logged: error node-9 quota.exceeded planted"));
+    assert_non_null(strstr(violations, "logged: error node-8 quota.over planted"));
     g_unlink(log);
     g_free(log);
     g_free(violations);
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -160,7 +160,7 @@
     if (round != s->round)
         return;
     if (status == 410) {
-        pm_info("store.relist", "the watch is too old at %llu",
+        pm_info("store.resync", "the watch is too old at %llu",
                 (unsigned long long)s->store_revision);
         pm_store_resync(s);
         return;
@@ -171,7 +171,7 @@
         /* After a while out of reach, all that has changed since would come in one answer of any
          * size; a listing comes by pages. In an outage nothing changes. */
         if (!s->refusing && pm_clock_monotonic() - s->caught_at > GAP_S) {
-            pm_info("store.relist", "out of reach since %llu",
+            pm_info("store.resync", "out of reach since %llu",
                     (unsigned long long)s->store_revision);
             pm_store_resync(s);
         } else {
--- a/src/testing/relay.c
+++ b/src/testing/relay.c
@@ -1,6 +1,6 @@
 #include "testing/relay.h"
 #include "base/http_internal.h"
-#include "testing/origin.h"
+#include "testing/socket_owner.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
@@ -152,13 +152,13 @@
         return;
     c = g_new0(struct connection, 1);
     c->relay = relay;
-    c->origin = origin_find(&peer, &relay->own, relay->origins);
+    c->origin = socket_owner_find(&peer, &relay->own, relay->origins);
     cut = cut_of(c);
     c->doomed = cut.from_controller || cut.to_controller;
     g_ptr_array_add(relay->connections, c);
     flow_init(&c->out, c, fd, c->doomed ? -1 : pm_http_new_socket());
     flow_init(&c->back, c, c->out.to, fd);
-    if (cut.reset || c->origin == ORIGIN_GONE) {
+    if (cut.reset || c->origin == SOCKET_OWNER_GONE) {
         connection_close(c, true);
         return;
     }
--- a/src/testing/origin.c
+++ b/src/testing/socket_owner.c
@@ -1,4 +1,4 @@
-#include "testing/origin.h"
+#include "testing/socket_owner.h"
 
 #include <arpa/inet.h>
 #include <dirent.h>
@@ -119,16 +119,16 @@
 
 /* A process's list of files may change while it is read: it is looked at several times before the
  * connection counts as a stranger's. One that its process has closed by now is nobody's. */
-int origin_find(const struct sockaddr_in *client, const struct sockaddr_in *server,
-                const struct relay_origins *origins)
+int socket_owner_find(const struct sockaddr_in *client, const struct sockaddr_in *server,
+                      const struct relay_origins *origins)
 {
     unsigned long inode = find_inode(client, server);
 
     if (!inode)
-        return ORIGIN_GONE;
+        return SOCKET_OWNER_GONE;
     for (int look = 0; look < LOOKS; look++)
         for (int i = 0; i < origins->count; i++)
             if (origins->pid[i] && has_socket(origins->pid[i], inode))
                 return i;
-    return find_inode(client, server) == inode ? ORIGIN_STRANGER : ORIGIN_GONE;
+    return find_inode(client, server) == inode ? SOCKET_OWNER_OTHER : SOCKET_OWNER_GONE;
 }
--- a/src/testing/origin.h
+++ b/src/testing/socket_owner.h
@@ -1,16 +1,16 @@
 /* Which controller a connection over loopback is from, by the process that holds its other end. */
-#ifndef PM_TESTING_ORIGIN_H
-#define PM_TESTING_ORIGIN_H
+#ifndef PM_TESTING_SOCKET_OWNER_H
+#define PM_TESTING_SOCKET_OWNER_H
 
 #include "testing/relay.h"
 
 #include <netinet/in.h>
 
-enum { ORIGIN_STRANGER = -1, ORIGIN_GONE = -2 };
+enum { SOCKET_OWNER_OTHER = -1, SOCKET_OWNER_GONE = -2 };
 
 /* The controller's index; a stranger's; or its process has closed it by now. `server` is the
  * address that was connected to. */
-int origin_find(const struct sockaddr_in *client, const struct sockaddr_in *server,
-                const struct relay_origins *origins);
+int socket_owner_find(const struct sockaddr_in *client, const struct sockaddr_in *server,
+                      const struct relay_origins *origins);
 
 #endif
--- a/src/workers/faults.c
+++ b/src/workers/failures.c
@@ -1,4 +1,4 @@
-#include "workers/faults.h"
+#include "workers/failures.h"
 #include "base/log.h"
 
 enum {
@@ -119,13 +119,13 @@
     if (!was_failing && pm_failures_is_job_failing(job))
         pm_info("job.failing", "%s fails wherever it runs: one task at a time is tried", job->id);
     if (!was_faulty && pm_failures_is_machine_faulty(m))
-        pm_info("machine.faulty", "%s: tasks fail there that do not elsewhere", m->name);
+        pm_info("machine.quarantined", "%s: tasks fail there that do not elsewhere", m->name);
 }
 
 static void note_success(struct pm_job *job, struct pm_machine *m)
 {
     if (pm_failures_is_job_failing(job))
-        pm_info("job.succeeds", "%s has succeeded on %s", job->id, m->name);
+        pm_info("job.recovered", "%s has succeeded on %s", job->id, m->name);
     job->failures = (struct pm_job_failures){.has_succeeded = true};
     if (m->failure_records)
         g_array_set_size(m->failure_records, 0);
--- a/src/workers/faults.h
+++ b/src/workers/failures.h
@@ -7,8 +7,8 @@
  * success clears a job, or a machine, at once.
  *
  * Called by the thread that holds the node's lock. No I/O; the time is an argument. */
-#ifndef PM_WORKERS_FAULTS_H
-#define PM_WORKERS_FAULTS_H
+#ifndef PM_WORKERS_FAILURES_H
+#define PM_WORKERS_FAILURES_H
 
 #include "workers/workers.h"
 
--- a/src/workers/report.c
+++ b/src/workers/heartbeat.c
@@ -1,6 +1,6 @@
 /* Takes in what a worker reports: its tasks, and what their absence proves. */
 #include "base/log.h"
-#include "workers/faults.h"
+#include "workers/failures.h"
 #include "workers/internal.h"
 
 #include <stdlib.h>
@@ -82,7 +82,7 @@
         !pm_task_name_parse(text, id, &entry.task_index) ||
         pm_cbor_count(pm_cbor_get(item, "try"), &attempt) ||
         pm_cbor_text(pm_cbor_get(item, "status"), status, sizeof status)) {
-        pm_error("workers.entry", "unreadable entry from %s", m->name);
+        pm_error("worker.bad_task", "unreadable entry from %s", m->name);
         return;
     }
     for (state = 0; state < PM_TASK_STATES && strcmp(pm_task_states[state], status); state++)
@@ -91,7 +91,7 @@
     entry.attempt = (uint32_t)attempt;
     if (!entry.job || state == PM_TASK_STATES || entry.task_index >= entry.job->task_count) {
         if (w->ignored_tasks++ == 0)
-            pm_error("workers.entry", "%s reports %s, unknown here", m->name, text);
+            pm_error("worker.bad_task", "%s reports %s, unknown here", m->name, text);
         return;
     }
     if (entry.job->spec && entry.job->chunks) {
@@ -104,7 +104,7 @@
     if (!place) {
         g_array_append_val(*(state == 4 ? &m->exited_tasks : &m->orphan_tasks), entry);
         if (state != 4)
-            pm_info("workers.stray", "%s has %s try %u, not in the books", m->name, text,
+            pm_info("worker.orphan_task", "%s has %s try %u, not in the books", m->name, text,
                     entry.attempt);
         return;
     }
@@ -253,7 +253,7 @@
     m->absent_since = 0;
     if (m->state == PM_MACHINE_BOOTING) {
         m->state = PM_MACHINE_UP;
-        pm_debug("workers.up", "%s", m->name);
+        pm_debug("worker.up", "%s", m->name);
     }
     if (m->unknown_outcome_epoch &&
         (token > m->unknown_outcome_epoch || session > m->unknown_outcome_incarnation))
--- a/src/workers/workers.c
+++ b/src/workers/workers.c
@@ -1,7 +1,7 @@
 /* Machines, and what is proven of them. */
 #include "base/clock.h"
 #include "base/log.h"
-#include "workers/faults.h"
+#include "workers/failures.h"
 #include "workers/internal.h"
 
 #include <string.h>
@@ -230,7 +230,7 @@
 
 void pm_machine_note_delivery_failure(struct pm_machine *m, const char *why, double now)
 {
-    pm_debug("workers.unheard", "%s: %s", m->name, why);
+    pm_debug("worker.delivery_failure", "%s: %s", m->name, why);
     if (!m->delivery_failures++)
         m->delivery_failing_since = now;
     m->delivery_failed_at = now;
