--- a/src/api/api.c
+++ b/src/api/api.c
@@ -329,7 +329,7 @@
     char key[256];
 
     for (size_t i = 0; i < pm_cbor_length(failed); i++)
-        if (!pm_cbor_text(pm_cbor_at(failed, i), key, sizeof key) && !strncmp(key, "p/j/", 4) &&
+        if (pm_cbor_read_text(pm_cbor_at(failed, i), key, sizeof key) && !strncmp(key, "p/j/", 4) &&
             !strcmp(key + 4, item->id))
             return true;
     return false;
@@ -479,7 +479,7 @@
 
     if (body) {
         /* A repeat of what was accepted is never judged again (rule `forgotten`). */
-        bool known = !pm_cbor_text(pm_cbor_get(body, "name_id"), id, sizeof id) &&
+        bool known = pm_cbor_read_text(pm_cbor_get(body, "name_id"), id, sizeof id) &&
                      pm_jobs_find(in->jobs, id);
         status = known ? 200 : pm_submission_decode(in->tables, body, id, &spec, &why);
         if (!known && status == 200 && pm_submission_decode_dependencies(body, &dependencies)) {
--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -65,11 +65,11 @@
     double written;
 
     f->took_at = now;
-    if (pm_cbor_number(pm_cbor_get(ledger, "day"), &written))
+    if (!pm_cbor_read_number(pm_cbor_get(ledger, "day"), &written))
         return;
     /* One that was heard then may have been heard long after: nothing is known of it. */
     for (int z = 0; z < s->zone_count; z++)
-        if (!pm_cbor_number(pm_cbor_get(heard, s->zone_names[z]), &at) &&
+        if (pm_cbor_read_number(pm_cbor_get(heard, s->zone_names[z]), &at) &&
             written - at > 1.6 * s->heartbeat_s + 1)
             f->zone_heard[z] = MIN(now - (day - at), now);
 }
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -27,12 +27,12 @@
     double age = 0;
     int type;
 
-    if (pm_cbor_text(pm_cbor_get(item, "name_id"), name, sizeof name) || !name[0])
+    if (!pm_cbor_read_text(pm_cbor_get(item, "name_id"), name, sizeof name) || !name[0])
         return;
     g_strlcpy(f->since, name, sizeof f->since);
     g_hash_table_add(f->seen, g_strdup(name));
-    pm_cbor_text(pm_cbor_get(item, "status"), status, sizeof status);
-    pm_cbor_number(pm_cbor_get(item, "age_s"), &age);
+    pm_cbor_read_text(pm_cbor_get(item, "status"), status, sizeof status);
+    pm_cbor_read_number(pm_cbor_get(item, "age_s"), &age);
     m = pm_workers_find(f->workers, name);
     if ((m && m->state == PM_MACHINE_RELEASING) || g_hash_table_contains(f->gone, name))
         return;
@@ -40,15 +40,15 @@
         m = pm_workers_add(f->workers, name);
         m->rented_at = now - age;
     }
-    if (m->type < 0 && !pm_cbor_text(pm_cbor_get(item, "model"), text, sizeof text) &&
+    if (m->type < 0 && pm_cbor_read_text(pm_cbor_get(item, "model"), text, sizeof text) &&
         (type = pm_names_find(f->tables->type_names, text)) >= 0 && type < f->tables->type_count) {
         pm_workers_set_type(f->workers, m, type);
-        if (!pm_cbor_text(pm_cbor_get(item, "room"), text, sizeof text))
+        if (pm_cbor_read_text(pm_cbor_get(item, "room"), text, sizeof text))
             m->zone = pm_settings_find_zone(f->tables->settings, text);
-        pm_cbor_flag(pm_cbor_get(item, "borrowed"), &m->spot);
+        pm_cbor_read_flag(pm_cbor_get(item, "borrowed"), &m->spot);
     }
     if (!m->endpoint[0])
-        pm_cbor_text(pm_cbor_get(item, "endpoint"), m->endpoint, sizeof m->endpoint);
+        pm_cbor_read_text(pm_cbor_get(item, "endpoint"), m->endpoint, sizeof m->endpoint);
     m->listed = true;
     m->absent_since = 0;
     if (!strcmp(status, "failed"))
@@ -131,7 +131,7 @@
     f->page_failures = 0;
     for (size_t i = 0; i < pm_cbor_length(hosts); i++)
         read_listed(f, pm_cbor_at(hosts, i), now);
-    pm_cbor_flag(pm_cbor_get(answer, "has_next"), &more);
+    pm_cbor_read_flag(pm_cbor_get(answer, "has_next"), &more);
     pm_cbor_free(answer);
     if (more) {
         f->page_due = true;
--- a/src/autoscaler/machine_types.c
+++ b/src/autoscaler/machine_types.c
@@ -17,25 +17,25 @@
         const cbor_item_t *zones = pm_cbor_get(item, "rooms");
         struct pm_type type = {0};
         int index;
-        if (pm_cbor_text(pm_cbor_get(item, "sku"), name, sizeof name) ||
-            pm_cbor_number(pm_cbor_get(item, "cpus"), &type.cpus) ||
-            pm_cbor_number(pm_cbor_get(item, "ram_gb"), &type.ram_gb) ||
-            pm_cbor_number(pm_cbor_get(item, "price"), &type.price))
+        if (!pm_cbor_read_text(pm_cbor_get(item, "sku"), name, sizeof name) ||
+            !pm_cbor_read_number(pm_cbor_get(item, "cpus"), &type.cpus) ||
+            !pm_cbor_read_number(pm_cbor_get(item, "ram_gb"), &type.ram_gb) ||
+            !pm_cbor_read_number(pm_cbor_get(item, "price"), &type.price))
             return false;
-        pm_cbor_number(pm_cbor_get(item, "accelerators"), &type.gpus);
-        pm_cbor_number(pm_cbor_get(item, "local_gb"), &type.local_gb);
-        pm_cbor_number(pm_cbor_get(item, "pull_gb_per_s"), &type.pull_gb_per_s);
-        pm_cbor_number(pm_cbor_get(item, "ready_s"), &type.ready_s);
-        if (pm_cbor_number(pm_cbor_get(item, "market_price"), &type.spot_price))
+        pm_cbor_read_number(pm_cbor_get(item, "accelerators"), &type.gpus);
+        pm_cbor_read_number(pm_cbor_get(item, "local_gb"), &type.local_gb);
+        pm_cbor_read_number(pm_cbor_get(item, "pull_gb_per_s"), &type.pull_gb_per_s);
+        pm_cbor_read_number(pm_cbor_get(item, "ready_s"), &type.ready_s);
+        if (!pm_cbor_read_number(pm_cbor_get(item, "market_price"), &type.spot_price))
             type.spot_price = type.price;
         for (size_t z = 0; z < pm_cbor_length(zones); z++) {
-            int zone = pm_cbor_text(pm_cbor_at(zones, z), name, sizeof name)
+            int zone = !pm_cbor_read_text(pm_cbor_at(zones, z), name, sizeof name)
                            ? -1
                            : pm_settings_find_zone(tables->settings, name);
             if (zone >= 0)
                 type.zones |= 1u << zone;
         }
-        pm_cbor_text(pm_cbor_get(item, "sku"), name, sizeof name);
+        pm_cbor_read_text(pm_cbor_get(item, "sku"), name, sizeof name);
         index = pm_names_intern(tables->type_names, name);
         if (index >= PM_TYPES_MAX) {
             pm_error("autoscaler.machine_types", "%s is not used: only %d types are", name,
--- a/src/autoscaler/provider_client.c
+++ b/src/autoscaler/provider_client.c
@@ -189,7 +189,7 @@
     size_t got = 0;
 
     for (size_t i = 0; i < pm_cbor_length(hosts); i++) {
-        if (pm_cbor_text(pm_cbor_at(hosts, i), name, sizeof name) || !name[0])
+        if (!pm_cbor_read_text(pm_cbor_at(hosts, i), name, sizeof name) || !name[0])
             continue;
         got++;
         if (!pm_autoscaler_is_terminated(call->fleet, name))
--- a/src/base/cbor.c
+++ b/src/base/cbor.c
@@ -130,16 +130,16 @@
     return cbor_array_handle(list)[i];
 }
 
-int pm_cbor_text(const cbor_item_t *item, char *out, size_t size)
+bool pm_cbor_read_text(const cbor_item_t *item, char *out, size_t size)
 {
     size_t used = 0;
 
     if (!item || !cbor_isa_string(item))
-        return -1;
+        return false;
     if (cbor_string_is_definite(item)) {
         used = cbor_string_length(item);
         if (used >= size)
-            return -1;
+            return false;
         if (used)
             memcpy(out, cbor_string_handle(item), used);
     } else {
@@ -147,22 +147,22 @@
             cbor_item_t *part = cbor_string_chunks_handle(item)[i];
             size_t n = cbor_string_length(part);
             if (used + n >= size)
-                return -1;
+                return false;
             if (n)
                 memcpy(out + used, cbor_string_handle(part), n);
             used += n;
         }
     }
     if (memchr(out, 0, used))
-        return -1;
+        return false;
     out[used] = 0;
-    return 0;
+    return true;
 }
 
-int pm_cbor_number(const cbor_item_t *item, double *out)
+bool pm_cbor_read_number(const cbor_item_t *item, double *out)
 {
     if (!item)
-        return -1;
+        return false;
     if (cbor_isa_uint(item))
         *out = (double)cbor_get_int(item);
     else if (cbor_isa_negint(item))
@@ -170,26 +170,26 @@
     else if (cbor_isa_float_ctrl(item) && !cbor_float_ctrl_is_ctrl(item))
         *out = cbor_float_get_float(item);
     else
-        return -1;
-    return isfinite(*out) ? 0 : -1;
+        return false;
+    return isfinite(*out);
 }
 
-int pm_cbor_count(const cbor_item_t *item, uint64_t *out)
+bool pm_cbor_read_count(const cbor_item_t *item, uint64_t *out)
 {
     if (!item || !cbor_isa_uint(item))
-        return -1;
+        return false;
     *out = cbor_get_int(item);
-    return 0;
+    return true;
 }
 
-int pm_cbor_flag(const cbor_item_t *item, bool *out)
+bool pm_cbor_read_flag(const cbor_item_t *item, bool *out)
 {
     /* Of a number, the library's own question ends the process. */
     if (!item || !cbor_isa_float_ctrl(item) || !cbor_float_ctrl_is_ctrl(item) ||
         !cbor_is_bool(item))
-        return -1;
+        return false;
     *out = cbor_get_bool(item);
-    return 0;
+    return true;
 }
 
 void pm_buf_free(struct pm_buf *buf)
@@ -329,7 +329,7 @@
                  pm_cbor_json_size(cbor_map_handle(item)[i].value) + 2;
         return n;
     }
-    if (pm_cbor_number(item, &value))
+    if (!pm_cbor_read_number(item, &value))
         return 5;
     return (size_t)snprintf(number, sizeof number, "%.17g", value);
 }
--- a/src/base/cbor.h
+++ b/src/base/cbor.h
@@ -15,6 +15,7 @@
 
 /* The decoded item, owned by the caller (pm_cbor_free), or NULL when malformed. */
 cbor_item_t *pm_cbor_parse(const void *data, size_t size);
+/* Frees a decoded item and all inside it; NULL is allowed. */
 void pm_cbor_free(cbor_item_t *item);
 
 /* The value of a key, NULL when absent, null, or `map` is no map. Borrowed from `map`. */
@@ -23,12 +24,17 @@
 size_t pm_cbor_length(const cbor_item_t *list); /* 0 unless a list */
 cbor_item_t *pm_cbor_at(const cbor_item_t *list, size_t i);
 
-/* 0 and the value, or -1 when it is not of that type. Text is copied and ends with a NUL; text
- * with a NUL inside, or too long for `size`, counts as wrong. */
-int pm_cbor_text(const cbor_item_t *item, char *out, size_t size);
-int pm_cbor_number(const cbor_item_t *item, double *out); /* finite */
-int pm_cbor_count(const cbor_item_t *item, uint64_t *out);
-int pm_cbor_flag(const cbor_item_t *item, bool *out);
+/* Each reads one value of its type into `out`. False when the item is absent (NULL) or of another
+ * type; `out` is then unspecified for text and numbers, and unchanged for counts and flags. */
+
+/* Copies the text and ends it with a NUL. False also for text with a NUL inside, or that does not
+ * fit in `size` bytes with the NUL at its end. */
+bool pm_cbor_read_text(const cbor_item_t *item, char *out, size_t size);
+/* An integer or a floating-point number. False also for one that is not finite. */
+bool pm_cbor_read_number(const cbor_item_t *item, double *out);
+/* An integer that is not negative. */
+bool pm_cbor_read_count(const cbor_item_t *item, uint64_t *out);
+bool pm_cbor_read_flag(const cbor_item_t *item, bool *out);
 
 /* How large it is in the form that size limits are counted in, at most. */
 size_t pm_cbor_json_size(const cbor_item_t *item);
--- a/src/base/tests/test_base.c
+++ b/src/base/tests/test_base.c
@@ -50,7 +50,7 @@
         cbor_item_t *item = pm_cbor_parse(numbers[i], strlen(numbers[i]));
         bool flag = false;
         assert_non_null(item);
-        assert_int_equal(pm_cbor_flag(pm_cbor_get(item, "f"), &flag), -1);
+        assert_false(pm_cbor_read_flag(pm_cbor_get(item, "f"), &flag));
         pm_cbor_free(item);
     }
 }
@@ -76,16 +76,16 @@
     pm_put_end(&buf);
     item = pm_cbor_parse(buf.data, buf.size);
     assert_non_null(item);
-    assert_int_equal(pm_cbor_text(pm_cbor_get(item, "t"), text, sizeof text), 0);
+    assert_true(pm_cbor_read_text(pm_cbor_get(item, "t"), text, sizeof text));
     assert_string_equal(text, "abc");
-    assert_int_equal(pm_cbor_text(pm_cbor_get(item, "t"), text, 3), -1); /* no room for it */
-    assert_int_equal(pm_cbor_count(pm_cbor_get(item, "c"), &count), 0);
+    assert_false(pm_cbor_read_text(pm_cbor_get(item, "t"), text, 3)); /* no room for it */
+    assert_true(pm_cbor_read_count(pm_cbor_get(item, "c"), &count));
     assert_true(count == UINT64_MAX);
-    assert_int_equal(pm_cbor_count(pm_cbor_get(item, "n"), &count), -1);
-    assert_int_equal(pm_cbor_number(pm_cbor_get(item, "n"), &number), 0);
+    assert_false(pm_cbor_read_count(pm_cbor_get(item, "n"), &count));
+    assert_true(pm_cbor_read_number(pm_cbor_get(item, "n"), &number));
     assert_true(number == -2.5);
-    assert_int_equal(pm_cbor_number(pm_cbor_get(item, "nan"), &number), -1);
-    assert_int_equal(pm_cbor_flag(pm_cbor_get(item, "f"), &flag), 0);
+    assert_false(pm_cbor_read_number(pm_cbor_get(item, "nan"), &number));
+    assert_true(pm_cbor_read_flag(pm_cbor_get(item, "f"), &flag));
     assert_true(flag);
     assert_false(pm_cbor_has(item, "z")); /* null is as good as absent */
     pm_cbor_free(item);
--- a/src/cmd/pumicectl/json.c
+++ b/src/cmd/pumicectl/json.c
@@ -11,7 +11,7 @@
 {
     char text[TEXT_MAX];
 
-    if (pm_cbor_text(item, text, sizeof text) || !g_utf8_validate(text, -1, NULL))
+    if (!pm_cbor_read_text(item, text, sizeof text) || !g_utf8_validate(text, -1, NULL))
         return json_string("(unreadable text)");
     for (char *c = text; *c; c++)
         if ((unsigned char)*c < ' ' || *c == 0x7f)
@@ -56,11 +56,11 @@
         return convert_list(item);
     if (cbor_isa_string(item))
         return clean_text(item);
-    if (!pm_cbor_flag(item, &flag))
+    if (pm_cbor_read_flag(item, &flag))
         return json_boolean(flag);
-    if (!pm_cbor_count(item, &count))
+    if (pm_cbor_read_count(item, &count))
         return json_integer((json_int_t)MIN(count, G_MAXINT64));
-    if (!pm_cbor_number(item, &number))
+    if (pm_cbor_read_number(item, &number))
         return json_real(number);
     return json_null();
 }
--- a/src/cmd/pumicemount/worker_endpoint.c
+++ b/src/cmd/pumicemount/worker_endpoint.c
@@ -148,12 +148,12 @@
 
     n->report_at = now;
     report = pm_cbor_parse(req->body, req->body_size);
-    if (pm_cbor_text(pm_cbor_get(report, "host"), name, sizeof name)) {
+    if (!pm_cbor_read_text(pm_cbor_get(report, "host"), name, sizeof name)) {
         pm_cbor_free(report);
         pm_http_reply(req, 400, NULL, 0, 0);
         return;
     }
-    pm_cbor_count(pm_cbor_get(report, "mandate"), &token);
+    pm_cbor_read_count(pm_cbor_get(report, "mandate"), &token);
     if (n->leading && pm_autoscaler_is_terminated(n->fleet, name)) {
         /* A copy of a report of a machine that is proven gone. */
         pm_cbor_free(report);
--- a/src/jobs/chunks.c
+++ b/src/jobs/chunks.c
@@ -131,10 +131,10 @@
     uint64_t attempt;
     uint64_t session;
 
-    if (pm_cbor_length(item) != 4 || pm_cbor_count(pm_cbor_at(item, 0), &task) ||
-        pm_cbor_count(pm_cbor_at(item, 1), &attempt) ||
-        pm_cbor_text(pm_cbor_at(item, 2), machine, sizeof machine) ||
-        pm_cbor_count(pm_cbor_at(item, 3), &session) || task >= PM_CHUNK_TASKS)
+    if (pm_cbor_length(item) != 4 || !pm_cbor_read_count(pm_cbor_at(item, 0), &task) ||
+        !pm_cbor_read_count(pm_cbor_at(item, 1), &attempt) ||
+        !pm_cbor_read_text(pm_cbor_at(item, 2), machine, sizeof machine) ||
+        !pm_cbor_read_count(pm_cbor_at(item, 3), &session) || task >= PM_CHUNK_TASKS)
         return false;
     *out = (struct pm_stored_placement){.task_in_chunk = (uint16_t)task,
                                         .attempt = (uint32_t)attempt,
@@ -150,8 +150,8 @@
     uint64_t last_try = 0;
     cbor_item_t *places;
 
-    if (pm_cbor_text(pm_cbor_get(value, "done"), done, sizeof done) ||
-        pm_cbor_count(pm_cbor_get(value, "try"), &last_try))
+    if (!pm_cbor_read_text(pm_cbor_get(value, "done"), done, sizeof done) ||
+        !pm_cbor_read_count(pm_cbor_get(value, "try"), &last_try))
         return false;
     read_ranges(done, out->done);
     out->last_attempt = (uint32_t)last_try;
--- a/src/jobs/commit.c
+++ b/src/jobs/commit.c
@@ -179,7 +179,8 @@
         else
             pm_debug("commit.failed", "status %d", status);
         for (size_t i = 0; i < pm_cbor_length(failed); i++)
-            if (!pm_cbor_text(pm_cbor_at(failed, i), key, sizeof key) && !strcmp(key, "p/epoch"))
+            if (pm_cbor_read_text(pm_cbor_at(failed, i), key, sizeof key) &&
+                !strcmp(key, "p/epoch"))
                 c->hooks.epoch_conflict(c->hooks.arg);
     }
     flight_free(f);
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -200,10 +200,10 @@
     uint64_t count;
     int index;
 
-    if (pm_cbor_text(pm_cbor_get(value, "now"), now, sizeof now))
+    if (!pm_cbor_read_text(pm_cbor_get(value, "now"), now, sizeof now))
         return false;
     index = pm_name_index(pm_job_state_names, 3, now);
-    if (index < 0 || pm_cbor_count(pm_cbor_get(value, "entries"), &count))
+    if (index < 0 || !pm_cbor_read_count(pm_cbor_get(value, "entries"), &count))
         return false;
     if (count < 1 || count > PM_JOB_TASKS_MAX)
         return false;
@@ -245,7 +245,7 @@
     bool readable = !pm_submission_decode_dependencies(value, &dependencies);
 
     if (pm_cbor_has(value, "lists"))
-        readable &= !pm_cbor_count(pm_cbor_get(value, "lists"), &lists);
+        readable &= pm_cbor_read_count(pm_cbor_get(value, "lists"), &lists);
     if (!readable)
         pm_error("jobs.unreadable_value", "unreadable dependencies of job %s", job->id);
     if (!readable || lists) {
@@ -278,7 +278,7 @@
     spec->zone = names.zone[0] ? pm_settings_find_zone(settings, names.zone) : -1;
     spec->class_index = pm_names_intern(jobs->tables->class_names, names.class_name);
     spec->image = pm_names_intern(jobs->tables->image_names, names.image);
-    pm_cbor_number(pm_cbor_get(value, "at"), &spec->submitted_wall);
+    pm_cbor_read_number(pm_cbor_get(value, "at"), &spec->submitted_wall);
     if (!known) {
         job->spec = spec;
         read_needs(jobs, job, spec, value);
@@ -317,7 +317,7 @@
     job->revision = revision;
     set_state(jobs, job, state);
     if (state == PM_JOB_DONE)
-        pm_cbor_number(pm_cbor_get(value, "ended"), &job->ended_wall);
+        pm_cbor_read_number(pm_cbor_get(value, "ended"), &job->ended_wall);
     if (!readable)
         return job; /* not to be run: it may have been cancelled */
     if (!job->chunks)
--- a/src/jobs/spec.c
+++ b/src/jobs/spec.c
@@ -42,7 +42,7 @@
 
 static int read_name(const cbor_item_t *body, const char *key, char *out, const char **why)
 {
-    if (pm_cbor_text(pm_cbor_get(body, key), out, TEXT_MAX) || !out[0]) {
+    if (!pm_cbor_read_text(pm_cbor_get(body, key), out, TEXT_MAX) || !out[0]) {
         *why = key;
         return -1;
     }
@@ -51,7 +51,7 @@
 
 static int read_amount(const cbor_item_t *body, const char *key, double *out, const char **why)
 {
-    if (pm_cbor_number(pm_cbor_get(body, key), out) || *out < 0 || *out > 1e12) {
+    if (!pm_cbor_read_number(pm_cbor_get(body, key), out) || *out < 0 || *out > 1e12) {
         *why = key;
         return -1;
     }
@@ -61,7 +61,7 @@
 static int read_flag(const cbor_item_t *body, const char *key, bool *out, const char **why)
 {
     *out = false;
-    if (pm_cbor_has(body, key) && pm_cbor_flag(pm_cbor_get(body, key), out)) {
+    if (pm_cbor_has(body, key) && !pm_cbor_read_flag(pm_cbor_get(body, key), out)) {
         *why = key;
         return -1;
     }
@@ -81,7 +81,7 @@
     *out = 0;
     for (size_t i = 0; i < pm_cbor_length(list); i++) {
         int type;
-        if (pm_cbor_text(pm_cbor_at(list, i), name, sizeof name))
+        if (!pm_cbor_read_text(pm_cbor_at(list, i), name, sizeof name))
             return -1;
         type = pm_names_find(tables->type_names, name);
         if (type >= 0 && type < PM_TYPES_MAX)
@@ -124,7 +124,7 @@
         return -1;
     spec->priority = (enum pm_priority)found;
     *why = "entries";
-    if (pm_cbor_count(pm_cbor_get(body, "entries"), &entries) || entries < 1 ||
+    if (!pm_cbor_read_count(pm_cbor_get(body, "entries"), &entries) || entries < 1 ||
         entries > PM_JOB_TASKS_MAX)
         return -1;
     spec->task_count = (uint32_t)entries;
@@ -176,14 +176,14 @@
     if (!cbor_isa_array(list))
         return -1;
     for (size_t i = 0; i < pm_cbor_length(list); i++)
-        if (pm_cbor_text(pm_cbor_at(list, i), id, sizeof id) || !pm_job_id_is_valid(id))
+        if (!pm_cbor_read_text(pm_cbor_at(list, i), id, sizeof id) || !pm_job_id_is_valid(id))
             return -1;
     if (!pm_cbor_length(list))
         return 0;
     *out = g_ptr_array_new_with_free_func(g_free);
     seen = g_hash_table_new(g_str_hash, g_str_equal);
     for (size_t i = 0; i < pm_cbor_length(list); i++) {
-        pm_cbor_text(pm_cbor_at(list, i), id, sizeof id);
+        pm_cbor_read_text(pm_cbor_at(list, i), id, sizeof id);
         if (g_hash_table_contains(seen, id))
             continue;
         g_ptr_array_add(*out, g_strdup(id));
@@ -213,7 +213,7 @@
 
     memset(spec, 0, sizeof *spec);
     *why = "name_id";
-    if (pm_cbor_text(pm_cbor_get(body, "name_id"), id, PM_ID_MAX) || !pm_job_id_is_valid(id))
+    if (!pm_cbor_read_text(pm_cbor_get(body, "name_id"), id, PM_ID_MAX) || !pm_job_id_is_valid(id))
         return 400;
     /* Users say whether or not; what was accepted before they had to is still read. */
     for (size_t i = 0; i < G_N_ELEMENTS(flags); i++) {
--- a/src/jobs/tests/test_commit.c
+++ b/src/jobs/tests/test_commit.c
@@ -140,7 +140,7 @@
     a->status = status;
     a->calls++;
     a->now[0] = 0;
-    pm_cbor_text(pm_cbor_get(item, "status"), a->now, sizeof a->now);
+    pm_cbor_read_text(pm_cbor_get(item, "status"), a->now, sizeof a->now);
     pm_cbor_free(item);
 }
 
--- a/src/leadership/cancellation_quorum.c
+++ b/src/leadership/cancellation_quorum.c
@@ -208,7 +208,7 @@
     int peer;
 
     if (strncmp(key, "p/seen/", 7) || (peer = pm_settings_find_peer(c->settings, key + 7)) < 0 ||
-        pm_cbor_count(pm_cbor_get(value, "edition"), &store_revision))
+        !pm_cbor_read_count(pm_cbor_get(value, "edition"), &store_revision))
         return;
     pm_cancel_quorum_note_peer_revision(c, peer, store_revision);
     settle(c, pm_clock_monotonic());
--- a/src/leadership/election.c
+++ b/src/leadership/election.c
@@ -217,7 +217,7 @@
     int peer;
 
     if (!strncmp(key, "p/speaks/", 9)) {
-        if (pm_cbor_count(pm_cbor_get(value, "version"), &epoch))
+        if (!pm_cbor_read_count(pm_cbor_get(value, "version"), &epoch))
             return;
         l->version_announced |= !strcmp(key + 9, l->settings->name) && epoch >= PM_PROTOCOL_VERSION;
         peer = pm_settings_find_peer(l->settings, key + 9);
@@ -227,17 +227,19 @@
         return;
     }
     if (!strcmp(key, "p/speaks")) {
-        if (!pm_cbor_count(pm_cbor_get(value, "version"), &epoch) && epoch > l->common_version) {
+        if (pm_cbor_read_count(pm_cbor_get(value, "version"), &epoch) &&
+            epoch > l->common_version) {
             l->common_version = (unsigned)MIN(epoch, PM_PROTOCOL_VERSION);
             pm_info("election.protocol_version", "every controller runs protocol version %u",
                     l->common_version);
         }
         return;
     }
-    pm_cbor_text(pm_cbor_get(value, "leader"), leader, sizeof leader);
-    pm_cbor_text(pm_cbor_get(value, "boot"), boot, sizeof boot);
+    pm_cbor_read_text(pm_cbor_get(value, "leader"), leader, sizeof leader);
+    pm_cbor_read_text(pm_cbor_get(value, "boot"), boot, sizeof boot);
     if (!strcmp(key, "p/epoch")) {
-        if (revision < l->epoch_revision || pm_cbor_count(pm_cbor_get(value, "epoch"), &epoch))
+        if (revision < l->epoch_revision ||
+            !pm_cbor_read_count(pm_cbor_get(value, "epoch"), &epoch))
             return;
         l->epoch = epoch;
         l->epoch_revision = revision;
--- a/src/links/matrix.c
+++ b/src/links/matrix.c
@@ -212,7 +212,7 @@
 {
     uint64_t state;
 
-    if (pm_cbor_count(pm_cbor_get(map, key), &state))
+    if (!pm_cbor_read_count(pm_cbor_get(map, key), &state))
         return false;
     *out = known_state((uint32_t)MIN(state, PM_LINK_STATES));
     return true;
@@ -223,8 +223,8 @@
     memset(out, 0, sizeof *out);
     if (!get_state(value, "state", &out->state) || !get_state(value, "cloud", &out->cloud))
         return false;
-    pm_cbor_flag(pm_cbor_get(value, "leads"), &out->leads);
-    pm_cbor_count(pm_cbor_get(value, "epoch"), &out->epoch);
+    pm_cbor_read_flag(pm_cbor_get(value, "leads"), &out->leads);
+    pm_cbor_read_count(pm_cbor_get(value, "epoch"), &out->epoch);
     for (int i = 0; i < matrix->controllers; i++)
         get_state(pm_cbor_get(value, "peers"), pm_matrix_name(matrix, i), &out->peer[i]);
     for (int i = 0; i < matrix->settings->zone_count; i++)
--- a/src/roles/audit_log.c
+++ b/src/roles/audit_log.c
@@ -245,12 +245,13 @@
 static bool read_entry(const void *data, size_t size, struct pm_audit_entry *out)
 {
     cbor_item_t *value = pm_cbor_parse(data, size);
-    bool well = value && !pm_cbor_count(pm_cbor_get(value, "number"), &out->number) &&
-                !pm_cbor_number(pm_cbor_get(value, "day"), &out->day) &&
-                !pm_cbor_text(pm_cbor_get(value, "event"), out->event, sizeof out->event) &&
-                !pm_cbor_text(pm_cbor_get(value, "duty"), out->duty, sizeof out->duty) &&
-                !pm_cbor_text(pm_cbor_get(value, "subject"), out->subject, sizeof out->subject) &&
-                !pm_cbor_text(pm_cbor_get(value, "detail"), out->detail, sizeof out->detail);
+    bool well =
+        value && pm_cbor_read_count(pm_cbor_get(value, "number"), &out->number) &&
+        pm_cbor_read_number(pm_cbor_get(value, "day"), &out->day) &&
+        pm_cbor_read_text(pm_cbor_get(value, "event"), out->event, sizeof out->event) &&
+        pm_cbor_read_text(pm_cbor_get(value, "duty"), out->duty, sizeof out->duty) &&
+        pm_cbor_read_text(pm_cbor_get(value, "subject"), out->subject, sizeof out->subject) &&
+        pm_cbor_read_text(pm_cbor_get(value, "detail"), out->detail, sizeof out->detail);
 
     pm_cbor_free(value);
     return well;
--- a/src/roles/garbage_collector.c
+++ b/src/roles/garbage_collector.c
@@ -124,7 +124,7 @@
     if (g_str_has_prefix(key, PM_ROLE_KEY_PREFIX)) {
         note_duty(c, key, revision, now);
     } else if (g_str_has_prefix(key, PM_ROLE_DRAIN_KEY_PREFIX)) {
-        if (!pm_cbor_count(pm_cbor_get(value, "token"), &token))
+        if (pm_cbor_read_count(pm_cbor_get(value, "token"), &token))
             add_candidate(c, key, why_drain(c, key, token), token, revision, now);
     } else if ((why = find_why(c, key))) {
         add_candidate(c, key, why, 0, revision, now);
--- a/src/roles/intent.c
+++ b/src/roles/intent.c
@@ -90,10 +90,10 @@
 
 static bool read_rental(struct pm_intent_rental *rental, const cbor_item_t *value)
 {
-    return !pm_cbor_text(pm_cbor_get(value, "type"), rental->type, sizeof rental->type) &&
-           !pm_cbor_text(pm_cbor_get(value, "zone"), rental->zone, sizeof rental->zone) &&
-           !pm_cbor_flag(pm_cbor_get(value, "spot"), &rental->spot) &&
-           !pm_cbor_count(pm_cbor_get(value, "count"), &rental->count) && rental->type[0] &&
+    return pm_cbor_read_text(pm_cbor_get(value, "type"), rental->type, sizeof rental->type) &&
+           pm_cbor_read_text(pm_cbor_get(value, "zone"), rental->zone, sizeof rental->zone) &&
+           pm_cbor_read_flag(pm_cbor_get(value, "spot"), &rental->spot) &&
+           pm_cbor_read_count(pm_cbor_get(value, "count"), &rental->count) && rental->type[0] &&
            rental->count > 0 && rental->count <= PM_INTENT_RENTED;
 }
 
@@ -116,7 +116,7 @@
     char name[PM_NAME_MAX];
 
     for (size_t i = 0; i < pm_cbor_length(machines); i++) {
-        if (pm_cbor_text(pm_cbor_at(machines, i), name, sizeof name) || !name[0])
+        if (!pm_cbor_read_text(pm_cbor_at(machines, i), name, sizeof name) || !name[0])
             return false;
         g_ptr_array_add(intent->machines, g_strdup(name));
     }
@@ -144,14 +144,15 @@
     int duty;
     bool well;
 
-    if (pm_cbor_text(pm_cbor_get(value, "duty"), duty_name, sizeof duty_name))
+    if (!pm_cbor_read_text(pm_cbor_get(value, "duty"), duty_name, sizeof duty_name))
         return NULL;
     duty = pm_role_find(duty_name);
     if (duty != PM_ROLE_SCALE_OUT && duty != PM_ROLE_SCALE_IN)
         return NULL;
     intent = pm_intent_new((enum pm_role)duty);
     intent->revision = revision;
-    well = !pm_cbor_count(pm_cbor_get(value, "token"), &intent->token) && read_key(intent, key) &&
+    well = pm_cbor_read_count(pm_cbor_get(value, "token"), &intent->token) &&
+           read_key(intent, key) &&
            (duty == PM_ROLE_SCALE_OUT ? read_rentals(intent, value) : read_machines(intent, value));
     if (well)
         return intent;
--- a/src/roles/roles.c
+++ b/src/roles/roles.c
@@ -70,9 +70,9 @@
         duty->held_since = pm_clock_monotonic();
     duty->revision = revision;
     duty->unreadable =
-        pm_cbor_text(pm_cbor_get(value, "holder"), duty->holder, sizeof duty->holder) ||
-        pm_cbor_text(pm_cbor_get(value, "boot"), duty->boot, sizeof duty->boot) ||
-        pm_cbor_count(pm_cbor_get(value, "lease"), &lease_id);
+        !pm_cbor_read_text(pm_cbor_get(value, "holder"), duty->holder, sizeof duty->holder) ||
+        !pm_cbor_read_text(pm_cbor_get(value, "boot"), duty->boot, sizeof duty->boot) ||
+        !pm_cbor_read_count(pm_cbor_get(value, "lease"), &lease_id);
     if (duty->unreadable) {
         pm_error("role.unreadable", PM_ROLE_KEY_PREFIX "%s: kept, nobody takes the duty",
                  pm_role_name(name));
@@ -92,7 +92,7 @@
     struct duty *duty = &d->duty[name];
 
     duty->drain_revision = revision;
-    if (pm_cbor_count(pm_cbor_get(value, "token"), &duty->drain_token)) {
+    if (!pm_cbor_read_count(pm_cbor_get(value, "token"), &duty->drain_token)) {
         duty->drain_token = 0;
         pm_error("role.unreadable", PM_ROLE_DRAIN_KEY_PREFIX "%s: not obeyed", pm_role_name(name));
     }
--- a/src/scheduler/occupancy.c
+++ b/src/scheduler/occupancy.c
@@ -189,9 +189,10 @@
         for (size_t k = 0; k < pm_cbor_length(list) && m->cached_image_count < PM_CACHED_IMAGES_MAX;
              k++) {
             struct pm_cached_image *c = &m->cached_images[m->cached_image_count];
-            if (pm_cbor_count(pm_cbor_at(list, k), &place) || place >= pm_cbor_length(table) / 2 ||
-                pm_cbor_text(pm_cbor_at(table, 2 * place), name, sizeof name) ||
-                pm_cbor_number(pm_cbor_at(table, 2 * place + 1), &c->gb))
+            if (!pm_cbor_read_count(pm_cbor_at(list, k), &place) ||
+                place >= pm_cbor_length(table) / 2 ||
+                !pm_cbor_read_text(pm_cbor_at(table, 2 * place), name, sizeof name) ||
+                !pm_cbor_read_number(pm_cbor_at(table, 2 * place + 1), &c->gb))
                 continue;
             c->image = pm_names_intern(p->tables->image_names, name);
             m->cached_image_count++;
@@ -251,7 +252,7 @@
 
     for (size_t i = 0; i < pm_cbor_length(failing); i++) {
         struct pm_job *job;
-        if (pm_cbor_text(pm_cbor_at(failing, i), id, sizeof id))
+        if (!pm_cbor_read_text(pm_cbor_at(failing, i), id, sizeof id))
             continue;
         job = pm_jobs_find(p->jobs, id);
         if (job && job->state == PM_JOB_LIVE && job->spec)
@@ -279,13 +280,13 @@
     cbor_item_t *teams = pm_cbor_get(value, "teams");
     double day;
 
-    if (pm_cbor_number(pm_cbor_get(value, "day"), &day))
+    if (!pm_cbor_read_number(pm_cbor_get(value, "day"), &day))
         return;
     memset(p->ledger, 0, sizeof p->ledger[0] * (size_t)p->tables->settings->team_count);
     p->bucket = (long)(day / (p->op->window_h * 3600 / BUCKETS)) + BUCKETS;
     for (int t = 0; t < p->tables->settings->team_count; t++) {
         struct ledger *l = &p->ledger[t];
-        if (pm_cbor_number(pm_cbor_get(teams, p->tables->settings->teams[t].name), &l->sum))
+        if (!pm_cbor_read_number(pm_cbor_get(teams, p->tables->settings->teams[t].name), &l->sum))
             l->sum = 0;
         /* The total alone is kept: its age is taken to be even over half the window. */
         for (int b = 0; b < HALF_WINDOW; b++)
--- a/src/scheduler/tests/test_traces.c
+++ b/src/scheduler/tests/test_traces.c
@@ -350,12 +350,12 @@
         char entry[64];
         uint64_t attempt;
         double leave;
-        pm_cbor_text(pm_cbor_get(order, "verb"), verb, sizeof verb);
-        pm_cbor_text(pm_cbor_get(order, "entry"), entry, sizeof entry);
-        pm_cbor_count(pm_cbor_get(order, "try"), &attempt);
+        pm_cbor_read_text(pm_cbor_get(order, "verb"), verb, sizeof verb);
+        pm_cbor_read_text(pm_cbor_get(order, "entry"), entry, sizeof entry);
+        pm_cbor_read_count(pm_cbor_get(order, "try"), &attempt);
         g_string_append_printf(w->said, "> %s %s try %llu", verb, entry,
                                (unsigned long long)attempt);
-        if (!pm_cbor_number(pm_cbor_get(order, "leave_s"), &leave))
+        if (pm_cbor_read_number(pm_cbor_get(order, "leave_s"), &leave))
             g_string_append_printf(w->said, " leave %g", leave);
         g_string_append(w->said, "\n");
     }
--- a/src/shards/ownership.c
+++ b/src/shards/ownership.c
@@ -36,7 +36,7 @@
     struct pm_machine *m;
     uint64_t session = 0;
 
-    if (pm_cbor_text(pm_cbor_get(host, "host"), name, sizeof name) ||
+    if (!pm_cbor_read_text(pm_cbor_get(host, "host"), name, sizeof name) ||
         pm_workers_find(b->workers, name))
         return;
     m = pm_workers_add(b->workers, name);
@@ -44,13 +44,13 @@
     m->listed = true;
     m->last_message_at = m->lease_lower_bound = now; /* the leader answered it no later than this */
     m->rented_at = now;                              /* the leader has proof of it */
-    pm_cbor_text(pm_cbor_get(host, "endpoint"), m->endpoint, sizeof m->endpoint);
-    pm_cbor_flag(pm_cbor_get(host, "borrowed"), &m->spot);
-    pm_cbor_count(pm_cbor_get(host, "shift"), &session);
+    pm_cbor_read_text(pm_cbor_get(host, "endpoint"), m->endpoint, sizeof m->endpoint);
+    pm_cbor_read_flag(pm_cbor_get(host, "borrowed"), &m->spot);
+    pm_cbor_read_count(pm_cbor_get(host, "shift"), &session);
     m->incarnation = session;
-    if (!pm_cbor_text(pm_cbor_get(host, "room"), text, sizeof text))
+    if (pm_cbor_read_text(pm_cbor_get(host, "room"), text, sizeof text))
         m->zone = pm_settings_find_zone(b->tables->settings, text);
-    if (!pm_cbor_text(pm_cbor_get(host, "model"), text, sizeof text))
+    if (pm_cbor_read_text(pm_cbor_get(host, "model"), text, sizeof text))
         pm_workers_set_type(b->workers, m, pm_names_find(b->tables->type_names, text));
 }
 
--- a/src/shards/shards.c
+++ b/src/shards/shards.c
@@ -79,11 +79,11 @@
         return;
     k->revision = revision;
     k->boot_seen[0] = 0;
-    pm_cbor_text(pm_cbor_get(value, "boot"), k->boot_seen, sizeof k->boot_seen);
-    pm_cbor_count(pm_cbor_get(value, "serial"), &k->serial_seen);
+    pm_cbor_read_text(pm_cbor_get(value, "boot"), k->boot_seen, sizeof k->boot_seen);
+    pm_cbor_read_count(pm_cbor_get(value, "serial"), &k->serial_seen);
     g_array_set_size(k->machines, 0);
     for (size_t i = 0; i < pm_cbor_length(hosts); i++) {
-        if (pm_cbor_text(pm_cbor_get(pm_cbor_at(hosts, i), "host"), name, sizeof name))
+        if (!pm_cbor_read_text(pm_cbor_get(pm_cbor_at(hosts, i), "host"), name, sizeof name))
             continue;
         g_array_append_vals(k->machines, (int[]){pm_names_intern(b->tables->machine_names, name)},
                             1);
@@ -92,8 +92,8 @@
     for (size_t i = 0; i < pm_cbor_length(jobs); i++) {
         const cbor_item_t *job = pm_cbor_at(jobs, i);
         struct seen_job seen = {0};
-        if (pm_cbor_text(pm_cbor_get(job, "id"), seen.id, sizeof seen.id) ||
-            pm_cbor_count(pm_cbor_get(job, "width"), &width))
+        if (!pm_cbor_read_text(pm_cbor_get(job, "id"), seen.id, sizeof seen.id) ||
+            !pm_cbor_read_count(pm_cbor_get(job, "width"), &width))
             continue;
         seen.parallelism = (uint32_t)width;
         g_array_append_val(k->jobs, seen);
--- a/src/store/leases.c
+++ b/src/store/leases.c
@@ -18,7 +18,7 @@
 
     pm_store_note_status(hold->store, status);
     if (status == 200 && !hold->lease_id &&
-        pm_cbor_count(pm_cbor_get(answer, "tenure"), &hold->lease_id))
+        !pm_cbor_read_count(pm_cbor_get(answer, "tenure"), &hold->lease_id))
         status = PM_HTTP_NO_ANSWER;
     pm_cbor_free(answer);
     hold->done(hold->arg, status, hold->lease_id);
--- a/src/store/linearizable_read.c
+++ b/src/store/linearizable_read.c
@@ -39,7 +39,7 @@
     pm_store_note_status(s, status);
     pm_store_note_latency(s, s->fresh_sent);
     answer = status == 404 ? pm_cbor_parse(body, size) : NULL;
-    ok = answer && !pm_cbor_count(pm_cbor_get(answer, "edition"), &store_revision);
+    ok = answer && pm_cbor_read_count(pm_cbor_get(answer, "edition"), &store_revision);
     pm_cbor_free(answer);
     if (ok) {
         for (guint i = 0; i < s->reading->len; i++)
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -78,8 +78,8 @@
     char key[256];
     uint64_t revision;
 
-    if (pm_cbor_text(pm_cbor_get(item, name_of_key), key, sizeof key) ||
-        pm_cbor_count(pm_cbor_get(item, "stamp"), &revision))
+    if (!pm_cbor_read_text(pm_cbor_get(item, name_of_key), key, sizeof key) ||
+        !pm_cbor_read_count(pm_cbor_get(item, "stamp"), &revision))
         return -1;
     s->observer.put(s->observer.arg, key, pm_cbor_get(item, "data"), revision);
     snprintf(s->since, sizeof s->since, "%s", key);
@@ -100,7 +100,7 @@
         return;
     answer = pm_store_note_status(s, status) ? pm_cbor_parse(body, size) : NULL;
     items = pm_cbor_get(answer, "items");
-    if (!answer || pm_cbor_count(pm_cbor_get(answer, "edition"), &store_revision)) {
+    if (!answer || !pm_cbor_read_count(pm_cbor_get(answer, "edition"), &store_revision)) {
         pm_cbor_free(answer);
         again_in(s, 0.2);
         return;
@@ -112,7 +112,7 @@
     }
     for (size_t i = 0; i < pm_cbor_length(items); i++)
         tell_put(s, pm_cbor_at(items, i), "key");
-    pm_cbor_flag(pm_cbor_get(answer, "has_next"), &more);
+    pm_cbor_read_flag(pm_cbor_get(answer, "has_next"), &more);
     pm_cbor_free(answer);
     if (more) {
         list_next(s);
@@ -166,7 +166,7 @@
         return;
     }
     answer = pm_store_note_status(s, status) ? pm_cbor_parse(body, size) : NULL;
-    if (!answer || pm_cbor_count(pm_cbor_get(answer, "edition"), &store_revision)) {
+    if (!answer || !pm_cbor_read_count(pm_cbor_get(answer, "edition"), &store_revision)) {
         pm_cbor_free(answer);
         /* After a while out of reach, all that has changed since would come in one answer of any
          * size; a listing comes by pages. In an outage nothing changes. */
@@ -186,8 +186,8 @@
         const cbor_item_t *event = pm_cbor_at(events, i);
         if (pm_cbor_has(event, "put"))
             tell_put(s, event, "put");
-        else if (!pm_cbor_text(pm_cbor_get(event, "drop"), key, sizeof key) &&
-                 !pm_cbor_count(pm_cbor_get(event, "stamp"), &revision))
+        else if (pm_cbor_read_text(pm_cbor_get(event, "drop"), key, sizeof key) &&
+                 pm_cbor_read_count(pm_cbor_get(event, "stamp"), &revision))
             s->observer.delete(s->observer.arg, key, revision);
     }
     pm_cbor_free(answer);
--- a/src/store/txn.c
+++ b/src/store/txn.c
@@ -85,7 +85,7 @@
     pm_store_note_latency(commit->store, commit->sent);
     if (status == 200 || status == 409) {
         answer = pm_cbor_parse(body, size);
-        if (!answer || pm_cbor_count(pm_cbor_get(answer, "edition"), &store_revision))
+        if (!answer || !pm_cbor_read_count(pm_cbor_get(answer, "edition"), &store_revision))
             status = PM_HTTP_NO_ANSWER; /* a malformed answer counts as none */
     }
     if (status == 200)
--- a/src/testing/cluster.c
+++ b/src/testing/cluster.c
@@ -134,7 +134,7 @@
     job->busy = false;
     job->next_at = now + POLL_S;
     if ((status == 200 || status == 201) &&
-        !pm_cbor_text(pm_cbor_get(answer, "status"), text, sizeof text)) {
+        pm_cbor_read_text(pm_cbor_get(answer, "status"), text, sizeof text)) {
         history_told(c->history, job->id, job->tasks, text, now);
         job->accepted = true;
         job->ended |= !strcmp(text, "done") || !strcmp(text, "cancelled");
@@ -390,8 +390,8 @@
         c->observer(c->observer_arg, key, data, revision);
     if (!data)
         return;
-    pm_cbor_text(pm_cbor_get(data, "leader"), name, sizeof name);
-    if (!strcmp(key, "p/epoch") && !pm_cbor_count(pm_cbor_get(data, "epoch"), &epoch)) {
+    pm_cbor_read_text(pm_cbor_get(data, "leader"), name, sizeof name);
+    if (!strcmp(key, "p/epoch") && pm_cbor_read_count(pm_cbor_get(data, "epoch"), &epoch)) {
         history_epoch(c->history, epoch, name);
         g_strlcpy(c->leader, name, sizeof c->leader);
     }
--- a/src/testing/fake_state.c
+++ b/src/testing/fake_state.c
@@ -185,8 +185,8 @@
     uint64_t lease_id = 0;
 
     for (size_t i = 0; s->holds && i < pm_cbor_length(writes); i++)
-        if (!pm_cbor_count(pm_cbor_get(pm_cbor_at(writes, i), "tenure"), &lease_id) && lease_id &&
-            !find_hold(s, lease_id))
+        if (pm_cbor_read_count(pm_cbor_get(pm_cbor_at(writes, i), "tenure"), &lease_id) &&
+            lease_id && !find_hold(s, lease_id))
             return true;
     return false;
 }
@@ -212,8 +212,9 @@
     }
     for (size_t i = 0; i < pm_cbor_length(conditions); i++) {
         const cbor_item_t *c = pm_cbor_at(conditions, i);
-        if (pm_cbor_text(pm_cbor_get(c, "key"), key, sizeof key) ||
-            pm_cbor_count(pm_cbor_get(c, "stamp"), &revision) || revision_of(s, key) != revision) {
+        if (!pm_cbor_read_text(pm_cbor_get(c, "key"), key, sizeof key) ||
+            !pm_cbor_read_count(pm_cbor_get(c, "stamp"), &revision) ||
+            revision_of(s, key) != revision) {
             pm_put_text(&failed, key);
             nfailed++;
         }
@@ -229,16 +230,16 @@
     }
     for (size_t i = 0; !nfailed && i < pm_cbor_length(writes); i++) {
         const cbor_item_t *w = pm_cbor_at(writes, i);
-        if (!pm_cbor_text(pm_cbor_get(w, "put"), key, sizeof key)) {
+        if (pm_cbor_read_text(pm_cbor_get(w, "put"), key, sizeof key)) {
             struct value *value = g_new0(struct value, 1);
             pm_put_item(&value->data, pm_cbor_get(w, "data"));
             value->revision = s->store_revision;
-            pm_cbor_count(pm_cbor_get(w, "tenure"), &value->lease_id);
+            pm_cbor_read_count(pm_cbor_get(w, "tenure"), &value->lease_id);
             g_tree_replace(s->keys, g_strdup(key), value);
             note(s, key, true);
             if (s->observer)
                 s->observer(s->observer_arg, key, pm_cbor_get(w, "data"), s->store_revision);
-        } else if (!pm_cbor_text(pm_cbor_get(w, "drop"), key, sizeof key) &&
+        } else if (pm_cbor_read_text(pm_cbor_get(w, "drop"), key, sizeof key) &&
                    g_tree_remove(s->keys, key)) {
             note(s, key, false);
             if (s->observer)
@@ -360,7 +361,7 @@
         return;
     }
     hold.lease_id = ++s->tenures;
-    if (s->holds && !pm_cbor_count(pm_cbor_get(body, "ttl_ms"), &ttl_ms)) {
+    if (s->holds && pm_cbor_read_count(pm_cbor_get(body, "ttl_ms"), &ttl_ms)) {
         hold.ttl_s = (double)ttl_ms / 1000;
         hold.ends_at = pm_clock_monotonic() + hold.ttl_s;
         g_array_append_val(s->holds, hold);
--- a/src/testing/fleet.c
+++ b/src/testing/fleet.c
@@ -120,9 +120,9 @@
     uint64_t wanted = 0;
     guint first = f->machines->len;
 
-    pm_cbor_text(pm_cbor_get(body, "booking"), booking, sizeof booking);
-    pm_cbor_text(pm_cbor_get(body, "room"), zone, sizeof zone);
-    pm_cbor_count(pm_cbor_get(body, "how_many"), &wanted);
+    pm_cbor_read_text(pm_cbor_get(body, "booking"), booking, sizeof booking);
+    pm_cbor_read_text(pm_cbor_get(body, "room"), zone, sizeof zone);
+    pm_cbor_read_count(pm_cbor_get(body, "how_many"), &wanted);
     kept = g_hash_table_lookup(f->bookings, booking);
     if (kept) {
         pm_http_reply(req, 200, kept->data, kept->size, 0);
@@ -158,7 +158,7 @@
 
     for (size_t i = 0; i < pm_cbor_length(hosts); i++) {
         char name[32] = "";
-        pm_cbor_text(pm_cbor_at(hosts, i), name, sizeof name);
+        pm_cbor_read_text(pm_cbor_at(hosts, i), name, sizeof name);
         for (guint k = 0; k < f->machines->len; k++) {
             struct machine *m = g_ptr_array_index(f->machines, k);
             if (m->gone || strcmp(m->name, name) != 0)
--- a/src/testing/worker.c
+++ b/src/testing/worker.c
@@ -120,10 +120,10 @@
         char name[64];
         uint64_t attempt = 0;
         struct task *task;
-        if (pm_cbor_text(pm_cbor_get(order, "verb"), verb, sizeof verb) ||
-            pm_cbor_text(pm_cbor_get(order, "entry"), name, sizeof name))
+        if (!pm_cbor_read_text(pm_cbor_get(order, "verb"), verb, sizeof verb) ||
+            !pm_cbor_read_text(pm_cbor_get(order, "entry"), name, sizeof name))
             continue;
-        pm_cbor_count(pm_cbor_get(order, "try"), &attempt);
+        pm_cbor_read_count(pm_cbor_get(order, "try"), &attempt);
         task = find_task(m, name, (unsigned)attempt);
         if (!strcmp(verb, "launch"))
             launch(m, name, (unsigned)attempt, controller);
@@ -273,7 +273,7 @@
 
     if (status == 200) {
         m->fleet->answered[report->controller]++;
-        if (pm_cbor_count(pm_cbor_get(answer, "mandate"), &token) || token < m->token ||
+        if (!pm_cbor_read_count(pm_cbor_get(answer, "mandate"), &token) || token < m->token ||
             report->session != m->session)
             return;
         m->changed |= token > m->token;
@@ -282,7 +282,7 @@
         execute(m, pm_cbor_get(answer, "orders"), report->controller);
         return;
     }
-    if (status == 421 && !pm_cbor_text(pm_cbor_get(answer, "steward"), steward, sizeof steward))
+    if (status == 421 && pm_cbor_read_text(pm_cbor_get(answer, "steward"), steward, sizeof steward))
         for (int i = 0; i < m->fleet->settings.controllers; i++)
             if (i != report->controller && !strcmp(steward, m->fleet->settings.name[i])) {
                 report_next(m, i, 0);
@@ -341,8 +341,8 @@
     uint64_t token = 0;
     uint64_t session = 0;
 
-    pm_cbor_count(pm_cbor_get(body, "mandate"), &token);
-    pm_cbor_count(pm_cbor_get(body, "shift"), &session);
+    pm_cbor_read_count(pm_cbor_get(body, "mandate"), &token);
+    pm_cbor_read_count(pm_cbor_get(body, "shift"), &session);
     if (token < m->token || session != m->session)
         return 409;
     m->changed |= token > m->token;
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -112,10 +112,10 @@
         char status[16] = "";
         uint64_t attempt;
         uint32_t index;
-        pm_cbor_text(pm_cbor_get(item, "status"), status, sizeof status);
-        if (pm_cbor_text(pm_cbor_get(item, "entry"), text, sizeof text) ||
+        pm_cbor_read_text(pm_cbor_get(item, "status"), status, sizeof status);
+        if (!pm_cbor_read_text(pm_cbor_get(item, "entry"), text, sizeof text) ||
             !pm_task_name_parse(text, id, &index) ||
-            pm_cbor_count(pm_cbor_get(item, "try"), &attempt) ||
+            !pm_cbor_read_count(pm_cbor_get(item, "try"), &attempt) ||
             !strcmp(status, pm_task_states[4]) || !pm_jobs_cancellation_revision(w->jobs, id))
             continue;
         put_order(out, "kill", id, index, (uint32_t)attempt, 0);
--- a/src/workers/heartbeat.c
+++ b/src/workers/heartbeat.c
@@ -30,7 +30,7 @@
 {
     char cause[32];
 
-    if (pm_cbor_text(pm_cbor_get(entry, "cause"), cause, sizeof cause))
+    if (!pm_cbor_read_text(pm_cbor_get(entry, "cause"), cause, sizeof cause))
         return PM_TASK_EXIT_ERROR;
     if (!strcmp(cause, "done"))
         return PM_TASK_EXIT_DONE;
@@ -78,10 +78,10 @@
     bool saved = false;
     int state;
 
-    if (pm_cbor_text(pm_cbor_get(item, "entry"), text, sizeof text) ||
+    if (!pm_cbor_read_text(pm_cbor_get(item, "entry"), text, sizeof text) ||
         !pm_task_name_parse(text, id, &entry.task_index) ||
-        pm_cbor_count(pm_cbor_get(item, "try"), &attempt) ||
-        pm_cbor_text(pm_cbor_get(item, "status"), status, sizeof status)) {
+        !pm_cbor_read_count(pm_cbor_get(item, "try"), &attempt) ||
+        !pm_cbor_read_text(pm_cbor_get(item, "status"), status, sizeof status)) {
         pm_error("worker.bad_task", "unreadable entry from %s", m->name);
         return;
     }
@@ -112,7 +112,7 @@
     if (state >= 1 && state <= 3)
         note_image(w, m, entry.job->spec);
     if (state == 4) {
-        pm_cbor_flag(pm_cbor_get(item, "stored"), &saved);
+        pm_cbor_read_flag(pm_cbor_get(item, "stored"), &saved);
         g_array_append_val(m->exited_tasks, entry);
         pm_workers_end_placement(w, place, read_end(item), saved, now);
         return;
@@ -185,13 +185,13 @@
     char type[PM_NAME_MAX];
     char zone[PM_NAME_MAX];
 
-    if (pm_cbor_text(pm_cbor_get(report, "endpoint"), m->endpoint, sizeof m->endpoint) ||
-        pm_cbor_text(pm_cbor_get(report, "model"), type, sizeof type) ||
-        pm_cbor_text(pm_cbor_get(report, "room"), zone, sizeof zone))
+    if (!pm_cbor_read_text(pm_cbor_get(report, "endpoint"), m->endpoint, sizeof m->endpoint) ||
+        !pm_cbor_read_text(pm_cbor_get(report, "model"), type, sizeof type) ||
+        !pm_cbor_read_text(pm_cbor_get(report, "room"), zone, sizeof zone))
         return -1;
     m->zone = pm_settings_find_zone(w->tables->settings, zone);
     m->spot = false;
-    pm_cbor_flag(pm_cbor_get(report, "borrowed"), &m->spot);
+    pm_cbor_read_flag(pm_cbor_get(report, "borrowed"), &m->spot);
     pm_workers_set_type(w, m, pm_names_find(w->tables->type_names, type));
     return 0;
 }
@@ -210,10 +210,10 @@
     bool risen;
 
     *fresh = false;
-    if (pm_cbor_text(pm_cbor_get(report, "host"), name, sizeof name) || !name[0] ||
-        pm_cbor_count(pm_cbor_get(report, "shift"), &session) ||
-        pm_cbor_count(pm_cbor_get(report, "tally"), &sequence) ||
-        pm_cbor_count(pm_cbor_get(report, "mandate"), &token) ||
+    if (!pm_cbor_read_text(pm_cbor_get(report, "host"), name, sizeof name) || !name[0] ||
+        !pm_cbor_read_count(pm_cbor_get(report, "shift"), &session) ||
+        !pm_cbor_read_count(pm_cbor_get(report, "tally"), &sequence) ||
+        !pm_cbor_read_count(pm_cbor_get(report, "mandate"), &token) ||
         (entries && !cbor_isa_array(entries)))
         return NULL;
     m = pm_workers_add(w, name);
@@ -259,7 +259,7 @@
         (token > m->unknown_outcome_epoch || session > m->unknown_outcome_incarnation))
         m->unknown_outcome_epoch = 0;
     m->spot_interruption_at =
-        pm_cbor_number(pm_cbor_get(report, "recall_s"), &recall) ? 0 : now + recall;
+        !pm_cbor_read_number(pm_cbor_get(report, "recall_s"), &recall) ? 0 : now + recall;
     for (guint i = 0; i < m->placements->len; i++)
         ((struct pm_placement *)g_ptr_array_index(m->placements, i))->seen_in_message = false;
     g_array_set_size(m->exited_tasks, 0);
