--- a/src/api/api.c
+++ b/src/api/api.c
@@ -216,16 +216,16 @@
 
 static void decide(struct item *item);
 
-static void on_overflow_lists_written(void *arg, int status, uint64_t store_revision,
-                                      const cbor_item_t *failed)
+static void on_overflow_lists_written(void *arg, enum pm_store_result result,
+                                      uint64_t store_revision, const cbor_item_t *failed)
 {
     struct item *item = arg;
 
     (void)store_revision;
     (void)failed;
-    if (status == 200)
+    if (result == PM_STORE_OK)
         item->listed = item->writing;
-    else if (status != 429 || ++item->tries > TRIES_MAX) {
+    else if (result != PM_STORE_THROTTLED || ++item->tries > TRIES_MAX) {
         reply_unsure(item, 1);
         return;
     }
@@ -335,7 +335,8 @@
     return false;
 }
 
-static void on_written(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
+static void on_written(void *arg, enum pm_store_result result, uint64_t store_revision,
+                       const cbor_item_t *failed)
 {
     struct flight *f = arg;
     struct pm_api *in = f->intake;
@@ -343,16 +344,17 @@
     in->in_flight--;
     for (guint i = 0; i < f->items->len; i++) {
         struct item *item = g_ptr_array_index(f->items, i);
-        if (status == 200) {
+        if (result == PM_STORE_OK) {
             if (item->kind == SUBMIT) {
                 reply_accepted(item);
             } else {
                 pm_jobs_apply_cancellation(in->jobs, item->id, store_revision);
                 reply_final(item, pm_jobs_find(in->jobs, item->id));
             }
-        } else if (status == 409 && is_failed(failed, item)) {
+        } else if (result == PM_STORE_CONFLICT && is_failed(failed, item)) {
             pm_store_wait_for_revision(in->store, store_revision, on_conflict, item);
-        } else if ((status == 409 || status == 429 || status == PM_HTTP_NOT_SENT) &&
+        } else if ((result == PM_STORE_CONFLICT || result == PM_STORE_THROTTLED ||
+                    result == PM_STORE_NOT_SENT) &&
                    ++item->tries <= TRIES_MAX) {
             g_queue_push_tail(&in->queue, item); /* not written: it goes with the next ones */
         } else {
@@ -362,7 +364,8 @@
     g_ptr_array_free(f->items, TRUE);
     g_free(f);
     if (in->queue.length && !ev_is_active(&in->timer)) {
-        ev_timer_set(&in->timer, status == 200 || status == 409 ? 0.001 : 0.1, 0.);
+        ev_timer_set(&in->timer, result == PM_STORE_OK || result == PM_STORE_CONFLICT ? 0.001 : 0.1,
+                     0.);
         ev_timer_start(in->loop, &in->timer);
     }
 }
--- a/src/cmd/pumicemount/controller.c
+++ b/src/cmd/pumicemount/controller.c
@@ -97,10 +97,10 @@
     pm_controller_plan_soon(arg);
 }
 
-static void on_types_written(void *arg, int status, uint64_t store_revision,
+static void on_types_written(void *arg, enum pm_store_result result, uint64_t store_revision,
                              const cbor_item_t *failed)
 {
-    (void)status;
+    (void)result;
     (void)store_revision;
     (void)failed;
     ((struct pm_controller *)arg)->types_busy = false;
--- a/src/cmd/pumicemount/link_monitor.c
+++ b/src/cmd/pumicemount/link_monitor.c
@@ -115,7 +115,7 @@
 
 /* ---- what is written and decided ---- */
 
-static void on_view_written(void *arg, int status, uint64_t store_revision,
+static void on_view_written(void *arg, enum pm_store_result result, uint64_t store_revision,
                             const cbor_item_t *failed)
 {
     struct pm_controller *n = arg;
@@ -123,7 +123,7 @@
     (void)store_revision;
     (void)failed;
     n->links_busy = false;
-    pm_links_view_written(n->links, status == 200);
+    pm_links_view_written(n->links, result == PM_STORE_OK);
 }
 
 static void write_view(struct pm_controller *n, double now)
--- a/src/cmd/pumicemount/reconciliation.c
+++ b/src/cmd/pumicemount/reconciliation.c
@@ -10,14 +10,14 @@
 #define LEDGER_S 5.0
 #define TELL_S 10.0
 
-static void on_ledger_written(void *arg, int status, uint64_t store_revision,
+static void on_ledger_written(void *arg, enum pm_store_result result, uint64_t store_revision,
                               const cbor_item_t *failed)
 {
     struct pm_controller *n = arg;
 
-    if (status == 400)
+    if (result == PM_STORE_REJECTED)
         pm_error("controller.ledger_rejected", "the state service refuses p/ledger");
-    if (status == 200)
+    if (result == PM_STORE_OK)
         n->ledger_revision = MAX(n->ledger_revision, store_revision);
     (void)failed;
     n->ledger_busy = false;
--- a/src/cmd/pumicemount/singleton_roles.c
+++ b/src/cmd/pumicemount/singleton_roles.c
@@ -26,7 +26,8 @@
 
 /* ---- cleaning ---- */
 
-static void on_cleaned(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
+static void on_cleaned(void *arg, enum pm_store_result result, uint64_t store_revision,
+                       const cbor_item_t *failed)
 {
     struct pm_controller *n = arg;
     char text[32];
@@ -34,7 +35,7 @@
     (void)store_revision;
     (void)failed;
     n->clean_busy = false;
-    snprintf(text, sizeof text, "status %d", status);
+    snprintf(text, sizeof text, "status %d", result);
     pm_roles_log_action(n->duties, PM_ROLE_GARBAGE_COLLECTION, "cleaned", "stored keys", text);
 }
 
--- a/src/jobs/commit.c
+++ b/src/jobs/commit.c
@@ -89,19 +89,19 @@
     return hash ? hash : 1;
 }
 
-static void settle_value(struct pm_commit *c, const struct part *part, int status,
+static void settle_value(struct pm_commit *c, const struct part *part, enum pm_store_result result,
                          uint64_t store_revision, double now, double pause)
 {
     struct pm_chunk *chunk = part->job->chunks[part->k];
     struct pm_stored_chunk *value = pm_chunk_stored(chunk, part->half);
 
     chunk->in_flight = false;
-    chunk->failures = status == 200 ? 0 : chunk->failures + 1;
-    if (status == 200 && part->drop) {
+    chunk->failures = result == PM_STORE_OK ? 0 : chunk->failures + 1;
+    if (result == PM_STORE_OK && part->drop) {
         value->revision = value->written_revision = 0;
         return;
     }
-    if (status == 200) {
+    if (result == PM_STORE_OK) {
         value->written_revision = store_revision;
         chunk->rejected = 0;
         chunk->write_alone = false;
@@ -110,7 +110,7 @@
             chunk->dirty |= PM_DIRTY_WHOLE;
         return;
     }
-    if (status == 400) { /* too large, most likely: not to be sent again unchanged */
+    if (result == PM_STORE_REJECTED) { /* too large, most likely: not to be sent again unchanged */
         pm_error("commit.rejected", "the state service refuses p/t/%s/%d", part->job->id, part->k);
         chunk->write_in_halves |= part->half < 0;
         /* Of several in one transaction it is not known which: each goes alone next time. */
@@ -127,31 +127,34 @@
     chunk->retry_at = now + pause * (1 << MIN(chunk->failures / 4, 6));
 }
 
-static void settle(struct flight *f, int status, uint64_t store_revision)
+static void settle(struct flight *f, enum pm_store_result result, uint64_t store_revision)
 {
     struct pm_commit *c = f->commit;
     double now = pm_clock_monotonic();
-    double pause = status == 409 ? 0.06 : status == 429 ? 0.15 : status == 400 ? REFUSED_S : 0.3;
+    double pause = result == PM_STORE_CONFLICT    ? 0.06
+                   : result == PM_STORE_THROTTLED ? 0.15
+                   : result == PM_STORE_REJECTED  ? REFUSED_S
+                                                  : 0.3;
 
     for (guint i = 0; i < f->parts->len; i++) {
         struct part *part = &g_array_index(f->parts, struct part, i);
         struct pm_job *job = part->job;
         if (part->k == LISTS) {
-            if (status == 200 && job->spec)
+            if (result == PM_STORE_OK && job->spec)
                 job->spec->overflow_lists = MIN(job->spec->overflow_lists, (uint32_t)part->half);
             continue;
         }
         if (part->k < 0) {
             job->final_in_flight = false;
-            if (status != 200)
+            if (result != PM_STORE_OK)
                 job->retry_at = now + pause;
             continue;
         }
         if (part->k >= job->chunk_count || !job->chunks[part->k])
             continue; /* over meanwhile */
-        settle_value(c, part, status, store_revision, now, pause);
+        settle_value(c, part, result, store_revision, now, pause);
     }
-    for (guint i = 0; status == 200 && i < f->marks->len; i++) {
+    for (guint i = 0; result == PM_STORE_OK && i < f->marks->len; i++) {
         struct mark *mark = &g_array_index(f->marks, struct mark, i);
         const struct pm_task *task;
         if (!mark->job->chunks)
@@ -165,7 +168,8 @@
     }
 }
 
-static void on_done(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
+static void on_done(void *arg, enum pm_store_result result, uint64_t store_revision,
+                    const cbor_item_t *failed)
 {
     struct flight *f = arg;
     struct pm_commit *c = f->commit;
@@ -173,11 +177,11 @@
 
     if (f->round == c->round) {
         c->in_flight--;
-        settle(f, status, store_revision);
-        if (status == 200)
+        settle(f, result, store_revision);
+        if (result == PM_STORE_OK)
             c->hooks.epoch_confirmed(c->hooks.arg, f->sent, store_revision);
         else
-            pm_debug("commit.failed", "status %d", status);
+            pm_debug("commit.failed", "status %d", result);
         for (size_t i = 0; i < pm_cbor_length(failed); i++)
             if (pm_cbor_read_text(pm_cbor_at(failed, i), key, sizeof key) &&
                 !strcmp(key, "p/epoch"))
--- a/src/jobs/tests/test_commit.c
+++ b/src/jobs/tests/test_commit.c
@@ -469,11 +469,12 @@
 
 /* ---- nobody is forgotten ---- */
 
-static void on_txn(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
+static void on_txn(void *arg, enum pm_store_result result, uint64_t store_revision,
+                   const cbor_item_t *failed)
 {
     (void)store_revision;
     (void)failed;
-    *(int *)arg = status;
+    *(int *)arg = result;
 }
 
 static bool is_told(void *arg)
--- a/src/leadership/campaign.c
+++ b/src/leadership/campaign.c
@@ -31,7 +31,8 @@
     l->hooks.elected(l->hooks.arg, l->mine);
 }
 
-static void on_taken(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
+static void on_taken(void *arg, enum pm_store_result result, uint64_t store_revision,
+                     const cbor_item_t *failed)
 {
     struct attempt *attempt = arg;
     struct pm_election *l = attempt->lead;
@@ -40,7 +41,7 @@
     (void)failed;
     l->candidate = false;
     l->vacant_since = now; /* the next try waits its turn again */
-    if (status == 200) {
+    if (result == PM_STORE_OK) {
         l->leads = true;
         l->mine = l->epoch = attempt->epoch;
         l->mine_revision = l->epoch_revision = store_revision;
@@ -56,7 +57,7 @@
         pm_info("election.elected", "epoch %llu", (unsigned long long)l->mine);
         pm_store_wait_for_revision(l->store, store_revision, on_reached, l);
     } else {
-        pm_debug("election.campaign_failed", "status %d", status);
+        pm_debug("election.campaign_failed", "status %d", result);
     }
     g_free(attempt);
 }
@@ -68,7 +69,7 @@
            (!strcmp(l->holder, l->settings->name) && strcmp(l->holder_boot, l->boot));
 }
 
-static void on_lease_id(void *arg, int status, uint64_t lease_id)
+static void on_lease_id(void *arg, enum pm_store_result result, uint64_t lease_id)
 {
     struct pm_election *l = arg;
     struct pm_txn txn = {0};
@@ -77,10 +78,10 @@
 
     /* Somebody else may have taken it while this was under way, and the replica know it by now: the
      * transaction below, on what the replica knows, would take it away again. */
-    if (status != 200 || !pm_election_is_lock_free(l)) {
+    if (result != PM_STORE_OK || !pm_election_is_lock_free(l)) {
         l->candidate = false;
         l->vacant_since = pm_clock_monotonic();
-        if (status == 200)
+        if (result == PM_STORE_OK)
             pm_store_lease_revoke(l->store, lease_id);
         return;
     }
@@ -127,17 +128,18 @@
     l->hooks.epoch_advanced(l->hooks.arg, epoch);
 }
 
-static void on_raised(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
+static void on_raised(void *arg, enum pm_store_result result, uint64_t store_revision,
+                      const cbor_item_t *failed)
 {
     struct attempt *attempt = arg;
     struct pm_election *l = attempt->lead;
 
     (void)failed;
     l->raising = false;
-    if (l->leads && status == 200 && l->mine < attempt->epoch) {
+    if (l->leads && result == PM_STORE_OK && l->mine < attempt->epoch) {
         pm_election_adopt_epoch(l, attempt->epoch, store_revision);
         pm_election_confirm_epoch(l, attempt->sent, store_revision);
-    } else if (l->leads && status == 409) {
+    } else if (l->leads && result == PM_STORE_CONFLICT) {
         pm_election_recheck_epoch(l);
     }
     g_free(attempt);
--- a/src/leadership/cancellation_quorum.c
+++ b/src/leadership/cancellation_quorum.c
@@ -258,14 +258,15 @@
     ev_timer_again(c->loop, &c->tick);
 }
 
-static void on_seen(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
+static void on_seen(void *arg, enum pm_store_result result, uint64_t store_revision,
+                    const cbor_item_t *failed)
 {
     struct pm_cancel_quorum *c = arg;
 
     (void)store_revision;
     (void)failed;
     c->seen_busy = false;
-    if (status != 200)
+    if (result != PM_STORE_OK)
         c->untold = MAX(c->untold, 1); /* once more */
 }
 
--- a/src/leadership/election.c
+++ b/src/leadership/election.c
@@ -89,7 +89,8 @@
         pm_election_lose_leadership(l, "the epoch has moved on");
 }
 
-static void on_checked(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
+static void on_checked(void *arg, enum pm_store_result result, uint64_t store_revision,
+                       const cbor_item_t *failed)
 {
     struct attempt *attempt = arg;
     struct pm_election *l = attempt->lead;
@@ -98,14 +99,14 @@
     l->check_busy = false;
     if (pm_election_may_act(l) && pm_election_acting_epoch(l) == attempt->epoch &&
         l->leads == attempt->leads) {
-        if (status == 200) {
+        if (result == PM_STORE_OK) {
             bool first = !l->confirmed;
             pm_election_confirm_epoch(l, attempt->sent, store_revision);
             if (first)
                 l->hooks.epoch_confirmed(l->hooks.arg);
-        } else if (status == 409 && l->leads)
+        } else if (result == PM_STORE_CONFLICT && l->leads)
             pm_store_wait_for_revision(l->store, store_revision, on_judged, l);
-        else if (status == 409)
+        else if (result == PM_STORE_CONFLICT)
             l->checked = 0; /* a holder: the watch tells what became of its block */
     }
     g_free(attempt);
@@ -134,12 +135,12 @@
         pm_election_check_epoch(l, pm_clock_monotonic());
 }
 
-static void on_renewed(void *arg, int status, uint64_t lease_id)
+static void on_renewed(void *arg, enum pm_store_result result, uint64_t lease_id)
 {
     struct pm_election *l = arg;
 
     l->renew_busy = false;
-    if (status == 404 && l->leads && lease_id == l->lease_id)
+    if (result == PM_STORE_NOT_FOUND && l->leads && lease_id == l->lease_id)
         pm_election_lose_leadership(l, "the hold has lapsed");
 }
 
--- a/src/leadership/tests/test_cancellation_quorum.c
+++ b/src/leadership/tests/test_cancellation_quorum.c
@@ -46,10 +46,11 @@
     uint64_t store_revision;
 };
 
-static void on_written(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
+static void on_written(void *arg, enum pm_store_result result, uint64_t store_revision,
+                       const cbor_item_t *failed)
 {
     (void)failed;
-    *(struct written *)arg = (struct written){status, store_revision};
+    *(struct written *)arg = (struct written){result, store_revision};
 }
 
 static bool is_written(void *arg)
--- a/src/leadership/tests/test_election.c
+++ b/src/leadership/tests/test_election.c
@@ -321,11 +321,12 @@
     assert_false(is_caring(&all[1]));
 }
 
-static void on_written(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
+static void on_written(void *arg, enum pm_store_result result, uint64_t store_revision,
+                       const cbor_item_t *failed)
 {
     (void)store_revision;
     (void)failed;
-    *(int *)arg = status;
+    *(int *)arg = result;
 }
 
 static void ignore_put(void *arg, const char *key, const cbor_item_t *value, uint64_t revision)
--- a/src/leadership/versions.c
+++ b/src/leadership/versions.c
@@ -8,10 +8,10 @@
 
 #define ANNOUNCE_PACE_S 0.7 /* between two writes of a version */
 
-static void on_version_written(void *arg, int status, uint64_t store_revision,
+static void on_version_written(void *arg, enum pm_store_result result, uint64_t store_revision,
                                const cbor_item_t *failed)
 {
-    (void)status;
+    (void)result;
     (void)store_revision;
     (void)failed;
     ((struct pm_election *)arg)->version_busy = false;
--- a/src/roles/intent_log.c
+++ b/src/roles/intent_log.c
@@ -13,7 +13,7 @@
     void *arg;
 };
 
-static void on_intent_written(void *arg, int status, uint64_t store_revision,
+static void on_intent_written(void *arg, enum pm_store_result result, uint64_t store_revision,
                               const cbor_item_t *failed)
 {
     struct writing *writing = arg;
@@ -22,16 +22,16 @@
 
     (void)failed;
     g_hash_table_remove(d->writing, intent->name);
-    if (status == 200 || writing->seen) {
-        if (status == 200)
+    if (result == PM_STORE_OK || writing->seen) {
+        if (result == PM_STORE_OK)
             intent->revision = store_revision;
         intent->busy = true;
         g_hash_table_replace(d->intents, intent->name, intent);
         pm_roles_log_action(d, intent->duty, "intended", intent->name, "");
         writing->done(writing->arg, intent->name);
     } else {
-        pm_roles_log_action(d, intent->duty, status == 409 ? "refused" : "unwritten", intent->name,
-                            "");
+        pm_roles_log_action(d, intent->duty, result == PM_STORE_CONFLICT ? "refused" : "unwritten",
+                            intent->name, "");
         writing->done(writing->arg, NULL);
         pm_intent_free(intent); /* written after all, the watch will tell of it */
     }
@@ -116,7 +116,8 @@
     GPtrArray *names;
 };
 
-static void on_closed(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
+static void on_closed(void *arg, enum pm_store_result result, uint64_t store_revision,
+                      const cbor_item_t *failed)
 {
     struct closing *closing = arg;
     struct pm_roles *d = closing->duties;
@@ -124,7 +125,7 @@
     (void)store_revision;
     (void)failed;
     d->closing_busy[closing->duty] = false;
-    for (guint i = 0; status == 200 && i < closing->names->len; i++) {
+    for (guint i = 0; result == PM_STORE_OK && i < closing->names->len; i++) {
         const char *name = g_ptr_array_index(closing->names, i);
         pm_roles_log_action(d, closing->duty, "closed", name, "");
         g_hash_table_remove(d->intents, name);
--- a/src/roles/lease.c
+++ b/src/roles/lease.c
@@ -82,28 +82,28 @@
     d->valid_until = d->lease_sent + d->setting->ttl_s * (1 - 2 * PM_CLOCK_DRIFT_MAX);
 }
 
-static void on_held(void *arg, int status, uint64_t lease_id)
+static void on_held(void *arg, enum pm_store_result result, uint64_t lease_id)
 {
     struct pm_roles *d = arg;
 
     d->hold_busy = false;
-    if (status != 200)
+    if (result != PM_STORE_OK)
         return;
     d->lease_id = lease_id;
     extend_lease(d);
     pm_roles_tick(d, &d->grounds, pm_clock_monotonic());
 }
 
-static void on_renewed(void *arg, int status, uint64_t lease_id)
+static void on_renewed(void *arg, enum pm_store_result result, uint64_t lease_id)
 {
     struct pm_roles *d = arg;
 
     d->renew_busy = false;
     if (lease_id != d->lease_id)
         return;
-    if (status == 200) {
+    if (result == PM_STORE_OK) {
         extend_lease(d);
-    } else if (status == 404) {
+    } else if (result == PM_STORE_NOT_FOUND) {
         d->lease_id = 0;
         d->valid_until = 0;
         for (int duty = 0; duty < PM_ROLE_COUNT; duty++)
@@ -135,7 +135,8 @@
     bool led;
 };
 
-static void on_taken(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
+static void on_taken(void *arg, enum pm_store_result result, uint64_t store_revision,
+                     const cbor_item_t *failed)
 {
     struct taking *taking = arg;
     struct pm_roles *d = taking->duties;
@@ -146,10 +147,10 @@
         if (!taking->duty[duty])
             continue;
         d->duty[duty].taking = false;
-        if (status == 200 && current)
+        if (result == PM_STORE_OK && current)
             pm_roles_acquire(d, (enum pm_role)duty, store_revision);
     }
-    if (status == 200 && current)
+    if (result == PM_STORE_OK && current)
         d->hooks.acquired(d->hooks.arg);
     g_free(taking);
 }
@@ -250,7 +251,8 @@
     d->hooks.drained(d->hooks.arg, duty);
 }
 
-static void on_given_up(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
+static void on_given_up(void *arg, enum pm_store_result result, uint64_t store_revision,
+                        const cbor_item_t *failed)
 {
     struct giving *giving = arg;
     struct pm_roles *d = giving->duties;
@@ -258,7 +260,7 @@
     (void)store_revision;
     (void)failed;
     d->duty[giving->duty].draining = false;
-    if (status == 200 && d->duty[giving->duty].token == giving->token)
+    if (result == PM_STORE_OK && d->duty[giving->duty].token == giving->token)
         pm_roles_drained(d, giving->duty);
     g_free(giving);
 }
--- a/src/roles/tests/test_roles.c
+++ b/src/roles/tests/test_roles.c
@@ -131,11 +131,12 @@
     return holds(&first, PM_ROLE_GARBAGE_COLLECTION);
 }
 
-static void on_put_done(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
+static void on_put_done(void *arg, enum pm_store_result result, uint64_t store_revision,
+                        const cbor_item_t *failed)
 {
     (void)arg;
     (void)failed;
-    put_revision = status == 200 ? store_revision : 0;
+    put_revision = result == PM_STORE_OK ? store_revision : 0;
 }
 
 static bool is_put(void *arg)
--- a/src/shards/exchange.c
+++ b/src/shards/exchange.c
@@ -55,7 +55,8 @@
     }
 }
 
-static void on_written(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
+static void on_written(void *arg, enum pm_store_result result, uint64_t store_revision,
+                       const cbor_item_t *failed)
 {
     struct flight *f = arg;
     struct pm_shards *b = f->blocks;
@@ -64,20 +65,20 @@
     (void)failed;
     if (b->leading && b->round == f->round) {
         k->in_flight = false;
-        if (status == PM_HTTP_NO_ANSWER)
+        if (result == PM_STORE_UNKNOWN_OUTCOME)
             k->unsure = pm_election_epoch(b->lead);
-        if (status == 200) {
+        if (result == PM_STORE_OK) {
             k->unsure = 0; /* it fails on this one's revision */
             k->wrote = store_revision;
             pm_election_confirm_epoch(b->lead, k->written, store_revision);
             settle_written(b, k, f->serial);
         } else {
-            k->dirty = true;     /* the watch tells the revision; a copy applied late fails on it */
-            if (status == 400) { /* too large, most likely */
+            k->dirty = true; /* the watch tells the revision; a copy applied late fails on it */
+            if (result == PM_STORE_REJECTED) { /* too large, most likely */
                 pm_error("shard.write_rejected", "the state service refuses %s", k->key);
                 k->written = pm_clock_monotonic() + REFUSED_S;
             }
-            if (status == 409)
+            if (result == PM_STORE_CONFLICT)
                 pm_election_recheck_epoch(b->lead);
         }
     }
--- a/src/shards/tests/test_shards.c
+++ b/src/shards/tests/test_shards.c
@@ -200,11 +200,12 @@
     pm_buf_free(&buf);
 }
 
-static void on_written(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
+static void on_written(void *arg, enum pm_store_result result, uint64_t store_revision,
+                       const cbor_item_t *failed)
 {
     (void)store_revision;
     (void)failed;
-    *(int *)arg = status;
+    *(int *)arg = result;
 }
 
 struct wanted {
--- a/src/store/internal.h
+++ b/src/store/internal.h
@@ -46,6 +46,10 @@
     double answer_s; /* see pm_store_latency_s */
 };
 
+/* result.c */
+/* The result that a status of HTTP, or PM_HTTP_NO_ANSWER and PM_HTTP_NOT_SENT, stands for. */
+enum pm_store_result pm_store_result_of(int status);
+
 /* store.c: the feed */
 /* Takes note of an answer's status; whether it is 200. */
 bool pm_store_note_status(struct pm_store *s, int status);
--- a/src/store/leases.c
+++ b/src/store/leases.c
@@ -21,7 +21,7 @@
         !pm_cbor_read_count(pm_cbor_get(answer, "tenure"), &hold->lease_id))
         status = PM_HTTP_NO_ANSWER;
     pm_cbor_free(answer);
-    hold->done(hold->arg, status, hold->lease_id);
+    hold->done(hold->arg, pm_store_result_of(status), hold->lease_id);
     g_free(hold);
 }
 
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -57,9 +57,27 @@
 void pm_txn_encode(const struct pm_txn *txn, struct pm_buf *out);
 void pm_txn_free(struct pm_txn *txn);
 
-/* `status` as of HTTP or PM_HTTP_NO_ANSWER / PM_HTTP_NOT_SENT; `store_revision` of a 200 or 409;
- * `failed` the keys of a 409 (borrowed). */
-typedef void pm_txn_done(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed);
+/* What became of a request to the state service. The values are the protocol's own status codes, so
+ * that a number in a log can be looked up there. */
+enum pm_store_result {
+    PM_STORE_OK = 200,
+    PM_STORE_REJECTED = 400,       /* malformed, too large, or under a lease that has expired */
+    PM_STORE_NOT_FOUND = 404,      /* the lease has expired */
+    PM_STORE_CONFLICT = 409,       /* a compared key has another revision: nothing was written */
+    PM_STORE_THROTTLED = 429,      /* beyond the request or write budget: nothing was written */
+    PM_STORE_UNAVAILABLE = 503,    /* not executed; also stands for any status not named here */
+    PM_STORE_UNKNOWN_OUTCOME = -1, /* no readable answer: executed, or not, or yet to be */
+    PM_STORE_NOT_SENT = -2         /* it never left this process, and never will */
+};
+
+/* "conflict" and so on, for logs; a constant. */
+const char *pm_store_result_name(enum pm_store_result result);
+
+/* Called once when the transaction has ended. `store_revision` is the service's revision after it,
+ * for PM_STORE_OK and PM_STORE_CONFLICT; else 0. `conflicting_keys` lists the compared keys that
+ * had another revision, for PM_STORE_CONFLICT; it is borrowed for the call, and may be NULL. */
+typedef void pm_txn_done(void *arg, enum pm_store_result result, uint64_t store_revision,
+                         const cbor_item_t *conflicting_keys);
 
 /* Sends at once; consumes `txn`. */
 void pm_store_commit(struct pm_store *store, struct pm_txn *txn, pm_txn_done *done, void *arg);
@@ -78,7 +96,9 @@
 void pm_store_wait_for_revision(struct pm_store *store, uint64_t store_revision,
                                 pm_store_wait_done *done, void *arg);
 
-typedef void pm_store_lease_done(void *arg, int status, uint64_t lease_id);
+/* Called once when the request has ended. `lease_id` is the lease that was granted (0: none was), or
+ * that was to be kept alive, whatever the result. */
+typedef void pm_store_lease_done(void *arg, enum pm_store_result result, uint64_t lease_id);
 void pm_store_lease_grant(struct pm_store *store, double ttl_s, pm_store_lease_done *done,
                           void *arg);
 /* Ends it at once, with the keys attached to it; nobody waits for the answer. */
--- a/src/store/txn.c
+++ b/src/store/txn.c
@@ -93,7 +93,8 @@
                                      -commit->nwrites); /* the watch tells these too */
     if (status == 429)
         commit->store->tokens = MIN(commit->store->tokens, 0);
-    commit->done(commit->arg, status, store_revision, pm_cbor_get(answer, "failed"));
+    commit->done(commit->arg, pm_store_result_of(status), store_revision,
+                 pm_cbor_get(answer, "failed"));
     pm_cbor_free(answer);
     g_free(commit);
 }
