--- a/src/base/http_client.c
+++ b/src/base/http_client.c
@@ -15,208 +15,208 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-struct target {
+struct endpoint {
     char addr[64];
-    struct sockaddr_in sa;
-    GQueue idle; /* of struct call with no request */
+    struct sockaddr_in socket_addr;
+    GQueue idle_connections; /* of struct call with no request */
 };
 
 struct call { /* a connection, and the request that it carries */
     struct pm_http_client *client;
-    struct target *target;
+    struct endpoint *endpoint;
     int fd;
-    ev_io in, out;
-    ev_timer timer;
+    ev_io read_watcher, write_watcher;
+    ev_timer timeout_timer;
     http_parser parser;
-    struct pm_buf send, body;
-    size_t sent, body_max;
+    struct pm_buf out_buffer, body;
+    size_t sent_size, body_max;
     pm_http_done *done;
     void *arg;
-    bool busy, connected, complete, keep;
-    bool failed_here;         /* for want of a socket, or dropped as too late */
-    double began;             /* steady */
+    bool is_busy, is_connected, is_complete, keep_alive;
+    bool failed_locally;      /* for want of a socket, or dropped as too late */
+    double began_at;          /* steady */
     char method[8], path[64]; /* the latter as far as it fits */
-    double valid_until;       /* steady: the request is not to go out later, 0: no matter when */
-    bool due;                 /* among the client's `due` */
+    double deadline;          /* steady: the request is not to go out later, 0: no matter when */
+    bool is_send_due;         /* among the client's `due` */
     GList idle_link;          /* in the client's `idle`, while not busy */
 };
 
 struct pm_http_client {
     struct ev_loop *loop;
-    ev_prepare before_wait;
-    GHashTable *targets;
-    int conns, conns_max;
+    ev_prepare prepare_watcher;
+    GHashTable *endpoints;
+    int connection_count, connections_max;
     pm_http_observer *observer;
     void *observer_arg;
-    GQueue idle; /* of struct call with no request, the latest used first */
-    GQueue due;  /* of struct call, with something to send */
+    GQueue idle_connections; /* of struct call with no request, the latest used first */
+    GQueue send_due;         /* of struct call, with something to send */
 };
 
-static void call_free(struct call *c)
+static void free_call(struct call *call)
 {
-    ev_io_stop(c->client->loop, &c->in);
-    ev_io_stop(c->client->loop, &c->out);
-    ev_timer_stop(c->client->loop, &c->timer);
-    if (c->fd >= 0)
-        close(c->fd);
-    if (!c->busy) {
-        g_queue_remove(&c->target->idle, c);
-        g_queue_unlink(&c->client->idle, &c->idle_link);
+    ev_io_stop(call->client->loop, &call->read_watcher);
+    ev_io_stop(call->client->loop, &call->write_watcher);
+    ev_timer_stop(call->client->loop, &call->timeout_timer);
+    if (call->fd >= 0)
+        close(call->fd);
+    if (!call->is_busy) {
+        g_queue_remove(&call->endpoint->idle_connections, call);
+        g_queue_unlink(&call->client->idle_connections, &call->idle_link);
     }
-    if (c->due)
-        g_queue_remove(&c->client->due, c);
-    pm_buf_free(&c->send);
-    pm_buf_free(&c->body);
-    c->client->conns--;
-    g_free(c);
+    if (call->is_send_due)
+        g_queue_remove(&call->client->send_due, call);
+    pm_buf_free(&call->out_buffer);
+    pm_buf_free(&call->body);
+    call->client->connection_count--;
+    g_free(call);
 }
 
-static void tell_observer(const struct call *c, int status)
+static void notify_observer(const struct call *call, int status)
 {
-    struct pm_http_outcome outcome = {c->target->addr, c->method, c->path,
-                                      status,          c->began,  pm_clock_monotonic()};
+    struct pm_http_outcome outcome = {call->endpoint->addr, call->method,        call->path, status,
+                                      call->began_at,       pm_clock_monotonic()};
 
-    if (c->client->observer && !c->failed_here)
-        c->client->observer(c->client->observer_arg, &outcome);
+    if (call->client->observer && !call->failed_locally)
+        call->client->observer(call->client->observer_arg, &outcome);
 }
 
-static void call_end(struct call *c, int status)
+static void end_call(struct call *call, int status)
 {
-    pm_http_done *done = c->done;
-    void *arg = c->arg;
-    struct pm_buf body = c->body;
-
-    c->body = (struct pm_buf){0};
-    c->done = NULL;
-    ev_timer_stop(c->client->loop, &c->timer);
-    tell_observer(c, status);
-    if (status > 0 && c->keep && c->target->idle.length < 16) {
-        c->busy = false;
-        c->send.size = c->sent = 0;
-        g_queue_push_head(&c->target->idle, c);
-        c->idle_link = (GList){.data = c};
-        g_queue_push_head_link(&c->client->idle, &c->idle_link);
+    pm_http_done *done = call->done;
+    void *arg = call->arg;
+    struct pm_buf body = call->body;
+
+    call->body = (struct pm_buf){0};
+    call->done = NULL;
+    ev_timer_stop(call->client->loop, &call->timeout_timer);
+    notify_observer(call, status);
+    if (status > 0 && call->keep_alive && call->endpoint->idle_connections.length < 16) {
+        call->is_busy = false;
+        call->out_buffer.size = call->sent_size = 0;
+        g_queue_push_head(&call->endpoint->idle_connections, call);
+        call->idle_link = (GList){.data = call};
+        g_queue_push_head_link(&call->client->idle_connections, &call->idle_link);
     } else {
-        call_free(c);
+        free_call(call);
     }
     if (done)
         done(arg, status, body.data, body.size);
     pm_buf_free(&body);
 }
 
-static void call_fail(struct call *c)
+static void fail_call(struct call *call)
 {
-    if (c->busy)
-        call_end(c, c->sent ? PM_HTTP_NO_ANSWER : PM_HTTP_NOT_SENT);
+    if (call->is_busy)
+        end_call(call, call->sent_size ? PM_HTTP_NO_ANSWER : PM_HTTP_NOT_SENT);
     else
-        call_free(c);
+        free_call(call);
 }
 
-static int on_answer_body(http_parser *p, const char *at, size_t n)
+static int on_body(http_parser *parser, const char *at, size_t size)
 {
-    struct call *c = p->data;
+    struct call *call = parser->data;
 
-    if (c->body.size + n > c->body_max)
+    if (call->body.size + size > call->body_max)
         return 1;
-    pm_buf_add(&c->body, at, n);
+    pm_buf_add(&call->body, at, size);
     return 0;
 }
 
-static int on_answer_complete(http_parser *p)
+static int on_message_complete(http_parser *parser)
 {
-    struct call *c = p->data;
+    struct call *call = parser->data;
 
-    return pm_http_end_message(p, &c->complete, &c->keep);
+    return pm_http_end_message(parser, &call->is_complete, &call->keep_alive);
 }
 
-static const http_parser_settings client_rules = {
-    .on_body = on_answer_body,
-    .on_message_complete = on_answer_complete,
+static const http_parser_settings parser_callbacks = {
+    .on_body = on_body,
+    .on_message_complete = on_message_complete,
 };
 
-static void on_call_readable(struct ev_loop *loop, ev_io *w, int events)
+static void on_readable(struct ev_loop *loop, ev_io *watcher, int events)
 {
-    struct call *c = w->data;
+    struct call *call = watcher->data;
     char data[16 * 1024];
-    ssize_t n = recv(c->fd, data, sizeof data, 0);
+    ssize_t size = recv(call->fd, data, sizeof data, 0);
 
     (void)loop;
     (void)events;
-    if (n < 0 && (errno == EAGAIN || errno == EINTR))
+    if (size < 0 && (errno == EAGAIN || errno == EINTR))
         return;
-    if (n <= 0 || !c->busy) { /* closed, or speaking out of turn */
-        if (n == 0 && c->busy && c->connected)
-            http_parser_execute(&c->parser, &client_rules, data, 0);
-        if (c->busy && c->complete) {
-            c->keep = false;
-            call_end(c, c->parser.status_code);
+    if (size <= 0 || !call->is_busy) { /* closed, or speaking out of turn */
+        if (size == 0 && call->is_busy && call->is_connected)
+            http_parser_execute(&call->parser, &parser_callbacks, data, 0);
+        if (call->is_busy && call->is_complete) {
+            call->keep_alive = false;
+            end_call(call, call->parser.status_code);
         } else {
-            call_fail(c);
+            fail_call(call);
         }
         return;
     }
-    http_parser_execute(&c->parser, &client_rules, data, (size_t)n);
-    if (c->complete) {
-        c->complete = false;
-        call_end(c, c->parser.status_code);
-    } else if (HTTP_PARSER_ERRNO(&c->parser) != HPE_OK) {
-        call_fail(c);
+    http_parser_execute(&call->parser, &parser_callbacks, data, (size_t)size);
+    if (call->is_complete) {
+        call->is_complete = false;
+        end_call(call, call->parser.status_code);
+    } else if (HTTP_PARSER_ERRNO(&call->parser) != HPE_OK) {
+        fail_call(call);
     }
 }
 
-static void call_send(struct ev_loop *loop, struct call *c)
+static void send_request(struct ev_loop *loop, struct call *call)
 {
-    if (!c->sent && pm_http_is_past_deadline(c->valid_until)) {
-        c->keep = false;
-        c->failed_here = true;
-        call_end(c, PM_HTTP_NOT_SENT);
+    if (!call->sent_size && pm_http_is_past_deadline(call->deadline)) {
+        call->keep_alive = false;
+        call->failed_locally = true;
+        end_call(call, PM_HTTP_NOT_SENT);
         return;
     }
-    if (!pm_http_send_rest(c->fd, &c->send, &c->sent)) {
-        call_fail(c);
+    if (!pm_http_send_rest(call->fd, &call->out_buffer, &call->sent_size)) {
+        fail_call(call);
         return;
     }
-    if (c->sent == c->send.size)
-        ev_io_stop(loop, &c->out);
+    if (call->sent_size == call->out_buffer.size)
+        ev_io_stop(loop, &call->write_watcher);
     else
-        ev_io_start(loop, &c->out);
+        ev_io_start(loop, &call->write_watcher);
 }
 
-static void on_call_writable(struct ev_loop *loop, ev_io *w, int events)
+static void on_writable(struct ev_loop *loop, ev_io *watcher, int events)
 {
-    struct call *c = w->data;
+    struct call *call = watcher->data;
 
     (void)events;
-    if (!c->connected) {
+    if (!call->is_connected) {
         int error = 0;
         socklen_t size = sizeof error;
-        if (getsockopt(c->fd, SOL_SOCKET, SO_ERROR, &error, &size) || error) {
-            call_fail(c);
+        if (getsockopt(call->fd, SOL_SOCKET, SO_ERROR, &error, &size) || error) {
+            fail_call(call);
             return;
         }
-        c->connected = true;
-        ev_io_start(loop, &c->in);
+        call->is_connected = true;
+        ev_io_start(loop, &call->read_watcher);
     }
-    call_send(loop, c);
+    send_request(loop, call);
 }
 
-static void send_calls(struct ev_loop *loop, ev_prepare *w, int events)
+static void send_queued_requests(struct ev_loop *loop, ev_prepare *watcher, int events)
 {
-    struct pm_http_client *client = w->data;
-    struct call *c;
+    struct pm_http_client *client = watcher->data;
+    struct call *call;
 
     (void)events;
-    while ((c = g_queue_pop_head(&client->due))) {
-        c->due = false;
-        call_send(loop, c);
+    while ((call = g_queue_pop_head(&client->send_due))) {
+        call->is_send_due = false;
+        send_request(loop, call);
     }
 }
 
-static void on_call_timeout(struct ev_loop *loop, ev_timer *w, int events)
+static void on_timeout(struct ev_loop *loop, ev_timer *watcher, int events)
 {
     (void)loop;
     (void)events;
-    call_fail(w->data);
+    fail_call(watcher->data);
 }
 
 struct pm_http_client *pm_http_client_new(struct ev_loop *loop, int conns_max)
@@ -224,13 +224,13 @@
     struct pm_http_client *client = g_new0(struct pm_http_client, 1);
 
     client->loop = loop;
-    client->conns_max = conns_max;
-    client->targets = g_hash_table_new(g_str_hash, g_str_equal);
-    g_queue_init(&client->idle);
-    g_queue_init(&client->due);
-    ev_prepare_init(&client->before_wait, send_calls);
-    client->before_wait.data = client;
-    ev_prepare_start(loop, &client->before_wait);
+    client->connections_max = conns_max;
+    client->endpoints = g_hash_table_new(g_str_hash, g_str_equal);
+    g_queue_init(&client->idle_connections);
+    g_queue_init(&client->send_due);
+    ev_prepare_init(&client->prepare_watcher, send_queued_requests);
+    client->prepare_watcher.data = client;
+    ev_prepare_start(loop, &client->prepare_watcher);
     ev_unref(loop);
     return client;
 }
@@ -241,50 +241,52 @@
     client->observer_arg = arg;
 }
 
-static gboolean target_free(gpointer key, gpointer value, gpointer arg)
+static gboolean free_endpoint(gpointer key, gpointer value, gpointer arg)
 {
-    struct target *t = value;
+    struct endpoint *endpoint = value;
     struct call *call;
 
     (void)key;
     (void)arg;
-    while ((call = g_queue_peek_head(&t->idle)))
-        call_free(call); /* takes itself out of the queue */
-    g_free(t);
+    while ((call = g_queue_peek_head(&endpoint->idle_connections)))
+        free_call(call); /* takes itself out of the queue */
+    g_free(endpoint);
     return TRUE;
 }
 
 void pm_http_client_free(struct pm_http_client *client)
 {
-    g_hash_table_foreach_remove(client->targets, target_free, NULL);
-    g_hash_table_destroy(client->targets);
+    g_hash_table_foreach_remove(client->endpoints, free_endpoint, NULL);
+    g_hash_table_destroy(client->endpoints);
     ev_ref(client->loop);
-    ev_prepare_stop(client->loop, &client->before_wait);
+    ev_prepare_stop(client->loop, &client->prepare_watcher);
     g_free(client);
 }
 
-static struct call *call_open(struct pm_http_client *client, struct target *t)
+static struct call *open_call(struct pm_http_client *client, struct endpoint *endpoint)
 {
-    struct call *c = g_new0(struct call, 1);
+    struct call *call = g_new0(struct call, 1);
 
     /* Of more targets than connections may be open, those not called for longest are let go of: one
      * kept open to each worker must not shut out the state service. */
-    if (client->conns >= client->conns_max && client->idle.tail)
-        call_free(client->idle.tail->data);
-    c->client = client;
-    c->target = t;
-    c->fd = client->conns < client->conns_max ? pm_http_new_socket() : -1;
-    client->conns++;
-    ev_init(&c->timer, on_call_timeout);
-    ev_io_init(&c->in, on_call_readable, c->fd, EV_READ);
-    ev_io_init(&c->out, on_call_writable, c->fd, EV_WRITE);
-    c->in.data = c->out.data = c->timer.data = c;
-    if (c->fd >= 0 && connect(c->fd, (struct sockaddr *)&t->sa, sizeof t->sa) &&
+    if (client->connection_count >= client->connections_max && client->idle_connections.tail)
+        free_call(client->idle_connections.tail->data);
+    call->client = client;
+    call->endpoint = endpoint;
+    call->fd = client->connection_count < client->connections_max ? pm_http_new_socket() : -1;
+    client->connection_count++;
+    ev_init(&call->timeout_timer, on_timeout);
+    ev_io_init(&call->read_watcher, on_readable, call->fd, EV_READ);
+    ev_io_init(&call->write_watcher, on_writable, call->fd, EV_WRITE);
+    call->read_watcher.data = call->write_watcher.data = call->timeout_timer.data = call;
+    if (call->fd >= 0 &&
+        connect(call->fd, (struct sockaddr *)&endpoint->socket_addr,
+                sizeof endpoint->socket_addr) &&
         errno != EINPROGRESS) {
-        close(c->fd);
-        c->fd = -1;
+        close(call->fd);
+        call->fd = -1;
     }
-    return c;
+    return call;
 }
 
 void pm_http_call(struct pm_http_client *client, const char *addr, const char *method,
@@ -294,58 +296,83 @@
     pm_http_call_until(client, addr, method, target, body, size, timeout_s, body_max, 0, done, arg);
 }
 
-void pm_http_call_until(struct pm_http_client *client, const char *addr, const char *method,
-                        const char *target, const void *body, size_t size, double timeout_s,
-                        size_t body_max, double valid_until, pm_http_done *done, void *arg)
+static struct endpoint *find_endpoint(struct pm_http_client *client, const char *addr)
+{
+    struct endpoint *endpoint = g_hash_table_lookup(client->endpoints, addr);
+
+    if (endpoint)
+        return endpoint;
+    endpoint = g_new0(struct endpoint, 1);
+    snprintf(endpoint->addr, sizeof endpoint->addr, "%s", addr);
+    if (!pm_http_parse_addr(addr, &endpoint->socket_addr))
+        pm_error("http.address", "bad address %s", addr);
+    g_queue_init(&endpoint->idle_connections);
+    g_hash_table_insert(client->endpoints, endpoint->addr, endpoint);
+    return endpoint;
+}
+
+/* An idle connection to the endpoint, or a new one. */
+static struct call *acquire_call(struct pm_http_client *client, struct endpoint *endpoint)
+{
+    struct call *call = g_queue_pop_head(&endpoint->idle_connections);
+
+    if (!call)
+        return open_call(client, endpoint);
+    g_queue_unlink(&client->idle_connections, &call->idle_link);
+    return call;
+}
+
+static void write_request(struct call *call, const char *method, const char *target,
+                          const void *body, size_t size)
 {
-    struct target *t = g_hash_table_lookup(client->targets, addr);
-    struct call *c;
     char head[PM_HTTP_TARGET_MAX + 256];
-    int n;
-
-    if (!t) {
-        t = g_new0(struct target, 1);
-        snprintf(t->addr, sizeof t->addr, "%s", addr);
-        if (pm_http_parse_addr(addr, &t->sa))
-            pm_error("http.address", "bad address %s", addr);
-        g_queue_init(&t->idle);
-        g_hash_table_insert(client->targets, t->addr, t);
-    }
-    c = g_queue_pop_head(&t->idle);
-    if (c)
-        g_queue_unlink(&client->idle, &c->idle_link);
-    else
-        c = call_open(client, t);
-    c->busy = true;
-    c->failed_here = c->fd < 0;
-    c->began = pm_clock_monotonic();
-    g_strlcpy(c->method, method, sizeof c->method);
-    g_strlcpy(c->path, target, sizeof c->path);
-    c->done = done;
-    c->arg = arg;
-    c->body_max = body_max;
-    c->valid_until = valid_until;
-    c->send.size = c->sent = 0;
-    http_parser_init(&c->parser, HTTP_RESPONSE);
-    c->parser.data = c;
-    c->complete = false;
-    n = snprintf(head, sizeof head,
-                 "%s %s HTTP/1.1\r\nHost: %s\r\nContent-Type: application/cbor\r\n"
-                 "Content-Length: %zu\r\n\r\n",
-                 method, target, addr, size);
-    pm_buf_add(&c->send, head, (size_t)n);
-    pm_buf_add(&c->send, body, size);
-    if (c->fd < 0) { /* reported from the loop, as every outcome is */
-        ev_timer_set(&c->timer, 0., 0.);
-        ev_timer_start(client->loop, &c->timer);
+    int length = snprintf(head, sizeof head,
+                          "%s %s HTTP/1.1\r\nHost: %s\r\nContent-Type: application/cbor\r\n"
+                          "Content-Length: %zu\r\n\r\n",
+                          method, target, call->endpoint->addr, size);
+
+    call->out_buffer.size = call->sent_size = 0;
+    pm_buf_add(&call->out_buffer, head, (size_t)length);
+    pm_buf_add(&call->out_buffer, body, size);
+}
+
+/* Sends the request when the loop next waits, or as soon as the connection is there. */
+static void start_call(struct call *call, double timeout_s)
+{
+    struct pm_http_client *client = call->client;
+    bool has_socket = call->fd >= 0;
+
+    /* Without a socket the call fails from the loop, as every outcome is reported from there. */
+    ev_timer_set(&call->timeout_timer, has_socket ? timeout_s : 0., 0.);
+    ev_timer_start(client->loop, &call->timeout_timer);
+    if (!has_socket)
         return;
-    }
-    ev_timer_set(&c->timer, timeout_s, 0.);
-    ev_timer_start(client->loop, &c->timer);
-    if (c->connected) {
-        c->due = true;
-        g_queue_push_tail(&client->due, c);
+    if (call->is_connected) {
+        call->is_send_due = true;
+        g_queue_push_tail(&client->send_due, call);
     } else {
-        ev_io_start(client->loop, &c->out);
+        ev_io_start(client->loop, &call->write_watcher);
     }
 }
+
+void pm_http_call_until(struct pm_http_client *client, const char *addr, const char *method,
+                        const char *target, const void *body, size_t size, double timeout_s,
+                        size_t body_max, double deadline, pm_http_done *done, void *arg)
+{
+    struct call *call = acquire_call(client, find_endpoint(client, addr));
+
+    call->is_busy = true;
+    call->failed_locally = call->fd < 0;
+    call->began_at = pm_clock_monotonic();
+    g_strlcpy(call->method, method, sizeof call->method);
+    g_strlcpy(call->path, target, sizeof call->path);
+    call->done = done;
+    call->arg = arg;
+    call->body_max = body_max;
+    call->deadline = deadline;
+    http_parser_init(&call->parser, HTTP_RESPONSE);
+    call->parser.data = call;
+    call->is_complete = false;
+    write_request(call, method, target, body, size);
+    start_call(call, timeout_s);
+}
--- a/src/base/http_internal.h
+++ b/src/base/http_internal.h
@@ -10,8 +10,8 @@
 
 enum { PM_HTTP_TARGET_MAX = 1024 };
 
-/* Reads "IP:PORT"; -1 when it is no such text. */
-int pm_http_parse_addr(const char *text, struct sockaddr_in *out);
+/* Reads "IP:PORT"; false when it is no such text. */
+bool pm_http_parse_addr(const char *text, struct sockaddr_in *out);
 /* A non-blocking socket without delays, or -1. */
 int pm_http_new_socket(void);
 /* Sends what `buf` holds from `*sent` on, as far as the socket takes it; false: it is broken. */
@@ -20,6 +20,6 @@
 int pm_http_end_message(http_parser *parser, bool *complete, bool *keep);
 /* Whether what rests on something confirmed a while ago may not be written any more: the process
  * may have stood still since that was looked at. */
-bool pm_http_is_past_deadline(double valid_until);
+bool pm_http_is_past_deadline(double deadline);
 
 #endif
--- a/src/base/http_socket.c
+++ b/src/base/http_socket.c
@@ -10,23 +10,23 @@
 #include <string.h>
 #include <sys/socket.h>
 
-int pm_http_parse_addr(const char *text, struct sockaddr_in *out)
+bool pm_http_parse_addr(const char *text, struct sockaddr_in *out)
 {
     char host[64];
     const char *colon = strrchr(text, ':');
     long port;
 
     if (!colon || (size_t)(colon - text) >= sizeof host)
-        return -1;
+        return false;
     memcpy(host, text, (size_t)(colon - text));
     host[colon - text] = 0;
     port = strtol(colon + 1, NULL, 10);
     if (port < 0 || port > UINT16_MAX)
-        return -1;
+        return false;
     memset(out, 0, sizeof *out);
     out->sin_family = AF_INET;
     out->sin_port = htons((uint16_t)port);
-    return inet_pton(AF_INET, host, &out->sin_addr) == 1 ? 0 : -1;
+    return inet_pton(AF_INET, host, &out->sin_addr) == 1;
 }
 
 int pm_http_new_socket(void)
@@ -41,11 +41,11 @@
 
 bool pm_http_send_rest(int fd, const struct pm_buf *buf, size_t *sent)
 {
-    ssize_t n = send(fd, buf->data + *sent, buf->size - *sent, MSG_NOSIGNAL);
+    ssize_t written = send(fd, buf->data + *sent, buf->size - *sent, MSG_NOSIGNAL);
 
-    if (n < 0)
+    if (written < 0)
         return errno == EAGAIN || errno == EINTR;
-    *sent += (size_t)n;
+    *sent += (size_t)written;
     return true;
 }
 
@@ -57,7 +57,7 @@
     return 0;
 }
 
-bool pm_http_is_past_deadline(double valid_until)
+bool pm_http_is_past_deadline(double deadline)
 {
-    return valid_until > 0 && pm_clock_monotonic() > valid_until;
+    return deadline > 0 && pm_clock_monotonic() > deadline;
 }
