--- a/src/autoscaler/provider_client.c
+++ b/src/autoscaler/provider_client.c
@@ -277,7 +277,8 @@
     if (call->round == f->round) { /* else whoever holds the duty finishes what was written */
         f->in_flight--;
         if (name)
-            send_rentals(f, pm_roles_find_intent(f->duties, name), PM_INTENT_RENTALS, call->sent_size);
+            send_rentals(f, pm_roles_find_intent(f->duties, name), PM_INTENT_RENTALS,
+                         call->sent_size);
     }
     call_free(call);
 }
--- a/src/base/cbor.h
+++ b/src/base/cbor.h
@@ -1,4 +1,5 @@
-/* CBOR bodies, through libcbor: a checked decode, typed reads and a small writer.
+/* CBOR bodies, through libcbor: a checked decode, typed reads and a small writer. No state; any
+ * thread.
  *
  * Everything that arrives from outside goes through pm_cbor_parse, which first walks the bytes and
  * refuses what is nested too deeply, truncated, or claims more entries than there are bytes, so
@@ -20,9 +21,12 @@
 
 /* The value of a key, NULL when absent, null, or `map` is no map. Borrowed from `map`. */
 cbor_item_t *pm_cbor_get(const cbor_item_t *map, const char *key);
+/* Whether the map has a value for the key that is not null. */
 bool pm_cbor_has(const cbor_item_t *map, const char *key);
-size_t pm_cbor_length(const cbor_item_t *list); /* 0 unless a list */
-cbor_item_t *pm_cbor_at(const cbor_item_t *list, size_t i);
+/* The number of entries of a list; 0 for NULL and for what is no list. */
+size_t pm_cbor_length(const cbor_item_t *list);
+/* An entry of a list; `index` is less than its length. Borrowed from `list`. */
+cbor_item_t *pm_cbor_at(const cbor_item_t *list, size_t index);
 
 /* Each reads one value of its type into `out`. False when the item is absent (NULL) or of another
  * type; `out` is then unspecified for text and numbers, and unchanged for counts and flags. */
@@ -34,6 +38,7 @@
 bool pm_cbor_read_number(const cbor_item_t *item, double *out);
 /* An integer that is not negative. */
 bool pm_cbor_read_count(const cbor_item_t *item, uint64_t *out);
+/* True or false. */
 bool pm_cbor_read_flag(const cbor_item_t *item, bool *out);
 
 /* How large it is in the form that size limits are counted in, at most. */
@@ -46,21 +51,35 @@
     size_t size, room;
 };
 
+/* Frees what the buffer holds, and leaves it empty. */
 void pm_buf_free(struct pm_buf *buf);
+/* Appends bytes as they are. */
 void pm_buf_add(struct pm_buf *buf, const void *data, size_t size);
+/* Begins a map: keys and values follow in turn, up to pm_put_end. */
 void pm_put_map(struct pm_buf *buf);
+/* Begins a list: its entries follow, up to pm_put_end. */
 void pm_put_list(struct pm_buf *buf);
+/* Ends the map or list that was begun last. */
 void pm_put_end(struct pm_buf *buf);
+/* Appends a text, which ends at its NUL. */
 void pm_put_text(struct pm_buf *buf, const char *text);
+/* Appends an integer. */
 void pm_put_count(struct pm_buf *buf, uint64_t value);
+/* Appends a floating-point number of eight bytes, also where it is whole. */
 void pm_put_number(struct pm_buf *buf, double value);
+/* Appends true or false. */
 void pm_put_flag(struct pm_buf *buf, bool value);
+/* Appends null. */
 void pm_put_null(struct pm_buf *buf);
-/* Copies an item as it is. */
+/* Appends a copy of a decoded item. */
 void pm_put_item(struct pm_buf *buf, const cbor_item_t *item);
+/* Appends a key and its text, within a map. */
 void pm_put_pair_text(struct pm_buf *buf, const char *key, const char *text);
+/* Appends a key and its integer. */
 void pm_put_pair_count(struct pm_buf *buf, const char *key, uint64_t value);
+/* Appends a key and its floating-point number. */
 void pm_put_pair_number(struct pm_buf *buf, const char *key, double value);
+/* Appends a key and its true or false. */
 void pm_put_pair_flag(struct pm_buf *buf, const char *key, bool value);
 
 #endif
--- a/src/base/clock.c
+++ b/src/base/clock.c
@@ -4,10 +4,10 @@
 
 static double read_clock(clockid_t id)
 {
-    struct timespec ts;
+    struct timespec now;
 
-    clock_gettime(id, &ts);
-    return (double)ts.tv_sec + (double)ts.tv_nsec / 1e9;
+    clock_gettime(id, &now);
+    return (double)now.tv_sec + (double)now.tv_nsec / 1e9;
 }
 
 double pm_clock_monotonic(void)
--- a/src/base/http.h
+++ b/src/base/http.h
@@ -30,13 +30,17 @@
     double arrived;
 };
 
+/* Handles a request; it may reply before it returns, or later. */
 typedef void pm_http_handler(void *arg, struct pm_http_request *req);
 
-/* NULL with errno when the address can't be bound. */
+/* Listens on `addr` ("IP:PORT") with at most `conns_max` open connections; `handler` is called from
+ * the loop. NULL with errno when the address can't be bound. */
 struct pm_http_server *pm_http_server_new(struct ev_loop *loop, const char *addr, int conns_max,
                                           pm_http_handler *handler, void *arg);
+/* Closes all connections and the listener. */
 void pm_http_server_free(struct pm_http_server *server);
-/* `retry_after` above 0 adds that header, in whole seconds. */
+/* Queues the response and frees the request. `body` is copied; `retry_after` above 0 adds that
+ * header, in whole seconds. */
 void pm_http_reply(struct pm_http_request *req, int status, const void *body, size_t size,
                    int retry_after);
 
@@ -46,9 +50,12 @@
     PM_HTTP_NOT_SENT = -2   /* not a byte of it left: it will never be carried out */
 };
 
+/* A call has ended: with a status of HTTP, or one of the above. `body` is borrowed for the call. */
 typedef void pm_http_done(void *arg, int status, const unsigned char *body, size_t size);
 
+/* A client with at most `conns_max` open connections over all targets. */
 struct pm_http_client *pm_http_client_new(struct ev_loop *loop, int conns_max);
+/* Closes idle connections. No call may be under way. */
 void pm_http_client_free(struct pm_http_client *client);
 /* A call that has ended, as it speaks for or against the way to its target. What failed for want of
  * sockets here, or was dropped here as too late, is not told. */
@@ -58,15 +65,18 @@
     double began, ended; /* steady */
 };
 typedef void pm_http_observer(void *arg, const struct pm_http_outcome *outcome);
-/* Tells `observer` of every call from now on, before the call's own `done`. */
+/* Tells `observer` of every call that ends from now on, before the call's own `done`. */
 void pm_http_client_observe(struct pm_http_client *client, pm_http_observer *observer, void *arg);
-/* Calls `done` exactly once, from the loop. `body_max` bounds the answer. */
+/* Sends a request to `addr` ("IP:PORT"); all arguments are copied. Calls `done` exactly once, from
+ * the loop, with PM_HTTP_NO_ANSWER or PM_HTTP_NOT_SENT after `timeout_s` at the latest. An answer
+ * with a body of over `body_max` bytes counts as none. */
 void pm_http_call(struct pm_http_client *client, const char *addr, const char *method,
                   const char *target, const void *body, size_t size, double timeout_s,
                   size_t body_max, pm_http_done *done, void *arg);
-/* The same, but never written after that steady time: then the call ends as not sent. */
+/* The same, but the request is never written after the monotonic time `deadline` (0: no deadline):
+ * the call then ends as PM_HTTP_NOT_SENT. */
 void pm_http_call_until(struct pm_http_client *client, const char *addr, const char *method,
                         const char *target, const void *body, size_t size, double timeout_s,
-                        size_t body_max, double valid_until, pm_http_done *done, void *arg);
+                        size_t body_max, double deadline, pm_http_done *done, void *arg);
 
 #endif
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -5,42 +5,42 @@
 #include <string.h>
 #include <unistd.h>
 
-static enum pm_log_level limit = PM_LOG_INFO;
-static char node_name[64] = "-";
+static enum pm_log_level threshold = PM_LOG_INFO;
+static char controller_name[64] = "-";
 
-void pm_log_setup(const char *level, const char *node)
+void pm_log_setup(const char *level, const char *controller)
 {
     if (level && !strcmp(level, "error"))
-        limit = PM_LOG_ERROR;
+        threshold = PM_LOG_ERROR;
     else if (level && !strcmp(level, "debug"))
-        limit = PM_LOG_DEBUG;
+        threshold = PM_LOG_DEBUG;
     else
-        limit = PM_LOG_INFO;
-    if (node)
-        snprintf(node_name, sizeof node_name, "%s", node);
+        threshold = PM_LOG_INFO;
+    if (controller)
+        snprintf(controller_name, sizeof controller_name, "%s", controller);
 }
 
-int pm_log_on(enum pm_log_level level)
+bool pm_log_is_on(enum pm_log_level level)
 {
-    return level <= limit;
+    return level <= threshold;
 }
 
-void pm_log_write(enum pm_log_level level, const char *event, const char *fmt, ...)
+void pm_log_write(enum pm_log_level level, const char *event, const char *format, ...)
 {
     static const char *const names[] = {"error", "info", "debug"};
     char line[1024];
     va_list args;
     int used;
-    int more;
+    int added;
 
-    if (level > limit)
+    if (level > threshold)
         return;
-    used = snprintf(line, sizeof line, "%s %s %s ", names[level], node_name, event);
-    va_start(args, fmt);
-    more = vsnprintf(line + used, sizeof line - (size_t)used, fmt, args);
+    used = snprintf(line, sizeof line, "%s %s %s ", names[level], controller_name, event);
+    va_start(args, format);
+    added = vsnprintf(line + used, sizeof line - (size_t)used, format, args);
     va_end(args);
-    if (more > 0)
-        used += more;
+    if (added > 0)
+        used += added;
     if (used > (int)sizeof line - 2)
         used = (int)sizeof line - 2;
     line[used++] = '\n';
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -1,4 +1,8 @@
-/* The platform's settings file (TOML) and the operators' own (YAML). */
+/* The platform's settings (TOML, the deploy file's form) and the operators' own (YAML).
+ *
+ * Both are read once, at start, before other threads exist, and never change afterwards: every
+ * slice may keep a pointer to them. Names of fields in the files are those of the pages; they stand
+ * in settings.c and operator_settings.c alone. */
 #ifndef PM_BASE_SETTINGS_H
 #define PM_BASE_SETTINGS_H
 
@@ -13,18 +17,24 @@
     PM_OBJECTIVES_MAX = 1024
 };
 
+/* A team without a limit of that kind has this. */
+#define PM_NO_MAXIMUM 1e12
+
+/* Another controller. */
 struct pm_peer_setting {
     char name[PM_NAME_MAX];
     char zone[PM_NAME_MAX];
     char addr[64];
 };
 
+/* A team's guarantee and limit, in processors and accelerators. */
 struct pm_team_setting {
     char name[PM_NAME_MAX];
     double cpus, gpus;         /* guaranteed; 0: nothing */
-    double cpus_max, gpus_max; /* where the file says 0, there is no limit: a huge number */
+    double cpus_max, gpus_max; /* PM_NO_MAXIMUM: there is no limit */
 };
 
+/* A service-level objective for a class of jobs. */
 struct pm_objective_setting {
     char kind[32];
     char class_name[PM_NAME_MAX];
@@ -56,10 +66,10 @@
     int sockets;
 };
 
-/* What is observed of the links between machines, and what follows (docs/operators/links.md). */
+/* How links are judged, and what follows (docs/operators/links.md). */
 struct pm_links_setting {
     bool observe;        /* judge links, and tell the other controllers */
-    bool decide;         /* let duties follow from it */
+    bool decide;         /* let leadership and admission follow from it */
     double probe_s;      /* a link without traffic is probed so often */
     double down_s;       /* failing for this long, a link is down */
     double recover_s;    /* one that was down has to work for this long */
@@ -69,7 +79,7 @@
     unsigned trace_mb;   /* how much of them is kept */
 };
 
-/* Duties that one controller holds (duties slice). */
+/* Singleton roles (docs/operators/duties.md). */
 struct pm_roles_setting {
     bool enabled;              /* rent and return under a lease, a token and durable intents */
     double ttl_s;              /* of the lease */
@@ -95,14 +105,18 @@
     struct pm_roles_setting roles;
 };
 
-/* 0, or -1 with a message that names the field and its path. */
-int pm_settings_load(struct pm_settings *out, const char *path, char *err, size_t err_size);
-/* The index of a peer, -1: none of that name. */
+/* Reads the platform's settings. False when the file can't be read, or a field is missing or wrong;
+ * `err` then names the first such field with its path. */
+bool pm_settings_load(struct pm_settings *out, const char *path, char *err, size_t err_size);
+/* The index in `peers` of the controller of that name, -1: there is none. */
 int pm_settings_find_peer(const struct pm_settings *settings, const char *name);
-/* The index of a zone, -1: none of that name. */
+/* The index in `zone_names` of the zone of that name, -1: there is none. */
 int pm_settings_find_zone(const struct pm_settings *settings, const char *name);
+/* The settings of a controller that is given no operators' file. */
 void pm_operator_settings_defaults(struct pm_operator_settings *out);
-int pm_operator_settings_load(struct pm_operator_settings *out, const char *path, char *err,
-                              size_t err_size);
+/* Reads the operators' settings over the defaults. False when the file can't be read, has an
+ * unknown key, or a value outside its range; `err` then names it. */
+bool pm_operator_settings_load(struct pm_operator_settings *out, const char *path, char *err,
+                               size_t err_size);
 
 #endif
--- a/src/base/tests/test_base.c
+++ b/src/base/tests/test_base.c
@@ -117,23 +117,23 @@
 
 static void reads_platform_settings(void **state)
 {
-    struct pm_settings s;
+    struct pm_settings settings;
     char err[256];
     const char *path = write_file(good);
 
     (void)state;
-    assert_int_equal(pm_settings_load(&s, path, err, sizeof err), 0);
+    assert_true(pm_settings_load(&settings, path, err, sizeof err));
     unlink(path);
-    assert_string_equal(s.name, "n0");
-    assert_int_equal(s.team_count, 1);
-    assert_true(s.teams[0].cpus_max > 1e6); /* 0: no limit */
-    assert_true(s.teams[0].gpus_max == 2.0);
-    assert_true(s.heartbeat_s == 2.0);
+    assert_string_equal(settings.name, "n0");
+    assert_int_equal(settings.team_count, 1);
+    assert_true(settings.teams[0].cpus_max > 1e6); /* 0: no limit */
+    assert_true(settings.teams[0].gpus_max == 2.0);
+    assert_true(settings.heartbeat_s == 2.0);
 }
 
 static void names_the_field_at_fault(void **state)
 {
-    struct pm_settings s;
+    struct pm_settings settings;
     char err[256];
     char *text = g_strdup(good);
     const char *path;
@@ -141,7 +141,7 @@
     (void)state;
     strstr(text, "lease_s")[4] = 'h'; /* leash_s */
     path = write_file(text);
-    assert_int_equal(pm_settings_load(&s, path, err, sizeof err), -1);
+    assert_false(pm_settings_load(&settings, path, err, sizeof err));
     unlink(path);
     assert_non_null(strstr(err, "settings.workers.lease_s"));
     g_free(text);
@@ -151,25 +151,25 @@
 static void reads_limits_to_come(void **state)
 {
     static const char *const wrong[] = {"value_kb = -2.0", "txn_ops = \"four\"", "write_rps = nan"};
-    struct pm_settings s;
+    struct pm_settings settings;
     char err[256];
     char *text = g_strdup_printf("%s[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 40\n", good);
     const char *path = write_file(text);
 
     (void)state;
-    assert_int_equal(pm_settings_load(&s, path, err, sizeof err), 0);
+    assert_true(pm_settings_load(&settings, path, err, sizeof err));
     unlink(path);
     g_free(text);
-    assert_true(s.store_value_kb == 2.0);
-    assert_true(s.store_value_kb_initial == 16.0);
-    assert_int_equal(s.store_txn_ops, 12);
-    assert_true(s.store_write_rps == 30.0); /* nothing is said of it */
+    assert_true(settings.store_value_kb == 2.0);
+    assert_true(settings.store_value_kb_initial == 16.0);
+    assert_int_equal(settings.store_txn_ops, 12);
+    assert_true(settings.store_write_rps == 30.0); /* nothing is said of it */
     for (int i = 0; i < 3; i++) {
         char *field =
             g_strdup_printf("settings.state.next.%.*s", (int)strcspn(wrong[i], " "), wrong[i]);
         text = g_strdup_printf("%s[settings.state.next]\n%s\n", good, wrong[i]);
         path = write_file(text);
-        assert_int_equal(pm_settings_load(&s, path, err, sizeof err), -1);
+        assert_false(pm_settings_load(&settings, path, err, sizeof err));
         unlink(path);
         assert_non_null(strstr(err, field));
         g_free(field);
@@ -179,21 +179,21 @@
 
 static void reads_operator_settings(void **state)
 {
-    struct pm_operator_settings op;
+    struct pm_operator_settings operator_settings;
     char err[256];
     const char *path = write_file("min_runtime_s: 60\nadmit_max: 99\n");
 
     (void)state;
-    assert_int_equal(pm_operator_settings_load(&op, path, err, sizeof err), 0);
+    assert_true(pm_operator_settings_load(&operator_settings, path, err, sizeof err));
     unlink(path);
-    assert_true(op.min_runtime_s == 60);
-    assert_int_equal(op.admit_max, 99);
-    assert_true(op.window_h == 24); /* the default stays */
+    assert_true(operator_settings.min_runtime_s == 60);
+    assert_int_equal(operator_settings.admit_max, 99);
+    assert_true(operator_settings.window_h == 24); /* the default stays */
     path = write_file("no_such_key: 1\n");
-    assert_int_equal(pm_operator_settings_load(&op, path, err, sizeof err), -1);
+    assert_false(pm_operator_settings_load(&operator_settings, path, err, sizeof err));
     unlink(path);
     path = write_file("min_runtime_s: 99999\n"); /* above the design's cap of 8 hours */
-    assert_int_equal(pm_operator_settings_load(&op, path, err, sizeof err), -1);
+    assert_false(pm_operator_settings_load(&operator_settings, path, err, sizeof err));
     unlink(path);
 }
 
@@ -211,22 +211,23 @@
         {"links:\n  probe_s: 5\n  expire_s: 6\n", "links.expire_s"},
         {"links:\n  trace_mb: 0\n", "links.trace_mb"},
     };
-    struct pm_operator_settings op;
+    struct pm_operator_settings operator_settings;
     char err[512];
     const char *path;
 
     (void)state;
     for (size_t i = 0; i < sizeof wrong / sizeof *wrong; i++) {
         path = write_file(wrong[i].text);
-        assert_int_equal(pm_operator_settings_load(&op, path, err, sizeof err), -1);
+        assert_false(pm_operator_settings_load(&operator_settings, path, err, sizeof err));
         unlink(path);
         if (!strstr(err, wrong[i].named))
             fail_msg("%s: %s", wrong[i].text, err);
     }
-    assert_int_equal(pm_operator_settings_load(&op, "deploy/operators.yaml", err, sizeof err), 0);
-    assert_true(op.links.observe && op.links.decide);
-    pm_operator_settings_defaults(&op);
-    assert_false(op.links.observe || op.links.decide);
+    assert_true(
+        pm_operator_settings_load(&operator_settings, "deploy/operators.yaml", err, sizeof err));
+    assert_true(operator_settings.links.observe && operator_settings.links.decide);
+    pm_operator_settings_defaults(&operator_settings);
+    assert_false(operator_settings.links.observe || operator_settings.links.decide);
 }
 
 int main(void)
--- a/src/base/toml.cpp
+++ b/src/base/toml.cpp
@@ -27,27 +27,27 @@
     delete doc;
 }
 
-extern "C" int pm_toml_text(const struct pm_toml *doc, const char *path, char *out, size_t size)
+extern "C" bool pm_toml_text(const struct pm_toml *doc, const char *path, char *out, size_t size)
 {
     auto value = doc->table.at_path(path).value_exact<std::string>();
     if (!value || value->size() >= size)
-        return -1;
+        return false;
     std::snprintf(out, size, "%s", value->c_str());
-    return 0;
+    return true;
 }
 
-extern "C" int pm_toml_number(const struct pm_toml *doc, const char *path, double *out)
+extern "C" bool pm_toml_number(const struct pm_toml *doc, const char *path, double *out)
 {
     auto node = doc->table.at_path(path);
     if (!node.is_number())
-        return -1;
+        return false;
     *out = *node.value<double>();
-    return 0;
+    return true;
 }
 
-extern "C" int pm_toml_has(const struct pm_toml *doc, const char *path)
+extern "C" bool pm_toml_has(const struct pm_toml *doc, const char *path)
 {
-    return doc->table.at_path(path) ? 1 : 0;
+    return static_cast<bool>(doc->table.at_path(path));
 }
 
 extern "C" int pm_toml_count(const struct pm_toml *doc, const char *path)
--- a/src/cmd/pumicectl/main.c
+++ b/src/cmd/pumicectl/main.c
@@ -279,7 +279,7 @@
     pm_log_setup("error", "pumicectl");
     signal(SIGPIPE, SIG_IGN);
     if (!options->command->offline &&
-        pm_settings_load(&settings, options->config, err, sizeof err)) {
+        !pm_settings_load(&settings, options->config, err, sizeof err)) {
         fprintf(stderr, "pumicectl: %s: %s\n", options->config, err);
         return PM_EXIT_USAGE;
     }
--- a/src/cmd/pumicemount/main.c
+++ b/src/cmd/pumicemount/main.c
@@ -49,10 +49,10 @@
         fprintf(stderr, "pumicemount: --config FILE is needed (see --help)\n");
         return 2;
     }
-    if (pm_settings_load(&settings, check ? check : config, err, sizeof err))
+    if (!pm_settings_load(&settings, check ? check : config, err, sizeof err))
         return fail_settings(check ? check : config, err);
     pm_operator_settings_defaults(&op);
-    if (operator_file && pm_operator_settings_load(&op, operator_file, err, sizeof err))
+    if (operator_file && !pm_operator_settings_load(&op, operator_file, err, sizeof err))
         return fail_settings(operator_file, err);
     if (check)
         return 0;
