--- a/src/cmd/pumicemount/link_monitor.c
+++ b/src/cmd/pumicemount/link_monitor.c
@@ -1,4 +1,5 @@
-/* Evidence for the links slice from the traffic of the others, its probes, and what follows. */
+/* Evidence for the links slice from the traffic of the other slices, its probes, and what follows
+ * from its judgement. Runs in the event-loop thread. */
 #include "base/clock.h"
 #include "base/log.h"
 #include "base/protocol.h"
@@ -6,12 +7,16 @@
 
 #include <stdio.h>
 
-#define UNHEARD_LEAST_S 3.5 /* workers are silent after this long, */
-#define UNHEARD_REPORTS 1.6 /* or after so many reports' time */
-#define UNHEARD_MACHINES 3  /* fewer say nothing about the controller */
-#define ROOM_FOR_VIEW 4     /* changes that have to be free in the write budget */
+/* A worker is silent after this long, or after so many heartbeat intervals if that is longer. */
+#define SILENCE_MIN_S 3.5
+#define SILENCE_INTERVALS 1.6
 #define PROBE_TIMEOUT_S 1.0
-#define PROBE_ANSWER_MAX (1024 * 1024)
+
+enum {
+    SILENT_MACHINES_MIN = 3, /* fewer say nothing about the controller */
+    VIEW_WRITE_BUDGET = 4,   /* changes that have to be free for writing the view */
+    PROBE_ANSWER_BYTES = 1024 * 1024
+};
 
 /* ---- evidence ---- */
 
@@ -20,12 +25,13 @@
     pm_links_call_ended(((struct pm_controller *)arg)->links, outcome);
 }
 
-static unsigned char *on_pack(void *arg, size_t *size)
+static unsigned char *on_encode_views(void *arg, size_t *size)
 {
     return pm_links_encode_views(((struct pm_controller *)arg)->links, pm_clock_monotonic(), size);
 }
 
-static void on_unpack(void *arg, int peer, const unsigned char *data, size_t size, double asked_at)
+static void on_decode_views(void *arg, int peer, const unsigned char *data, size_t size,
+                            double asked_at)
 {
     pm_links_decode_views(((struct pm_controller *)arg)->links, peer, data, size, asked_at,
                           pm_clock_monotonic());
@@ -41,9 +47,11 @@
     return pm_links_candidate_wait_s(((struct pm_controller *)arg)->links, pm_clock_monotonic());
 }
 
-static bool is_ours(const struct pm_controller *n, const struct pm_machine *m)
+/* Whether this controller places tasks on the machine. */
+static bool is_ours(const struct pm_controller *controller, const struct pm_machine *machine)
 {
-    return m && m->state == PM_MACHINE_UP && !m->shard.owner && n->ruling;
+    return machine && machine->state == PM_MACHINE_UP && !machine->shard.owner &&
+           controller->is_active;
 }
 
 static void add_endpoint(struct pm_links_zone_census *census, const char *endpoint)
@@ -55,164 +63,171 @@
         }
 }
 
-/* Addresses for the others' probes are those of machines that are heard, and, where there are too
- * few, of silent ones, which another controller may reach. */
-static void count_zones(struct pm_controller *n, double now)
+/* Addresses for the other controllers' probes are those of machines that are heard, and, where
+ * there are too few, of silent ones, which another controller may reach. */
+static void count_zones(struct pm_controller *controller, double now)
 {
     struct pm_links_zone_census census[PM_ZONES_MAX] = {0};
     struct pm_links_zone_census silent[PM_ZONES_MAX] = {0};
-    GPtrArray *all = pm_workers_all(n->workers);
+    GPtrArray *all = pm_workers_all(controller->workers);
 
     for (guint i = 0; i < all->len; i++) {
-        const struct pm_machine *m = g_ptr_array_index(all, i);
-        if (!is_ours(n, m) || m->zone < 0)
+        const struct pm_machine *machine = g_ptr_array_index(all, i);
+        if (!is_ours(controller, machine) || machine->zone < 0)
             continue;
-        add_endpoint(pm_machine_missed_heartbeat(m, n->settings, now) ? &silent[m->zone]
-                                                                      : &census[m->zone],
-                     m->endpoint);
-        if (!m->heartbeat.is_known)
+        add_endpoint(pm_machine_missed_heartbeat(machine, controller->settings, now)
+                         ? &silent[machine->zone]
+                         : &census[machine->zone],
+                     machine->endpoint);
+        if (!machine->heartbeat.is_known)
             continue;
-        census[m->zone].up++;
-        census[m->zone].unreachable += pm_machine_is_unreachable(m, now);
+        census[machine->zone].up++;
+        census[machine->zone].unreachable += pm_machine_is_unreachable(machine, now);
     }
-    for (int zone = 0; zone < n->settings->zone_count; zone++) {
+    for (int zone = 0; zone < controller->settings->zone_count; zone++) {
         for (int i = 0; i < PM_VIEW_ENDPOINTS; i++)
             add_endpoint(&census[zone], silent[zone].endpoint[i]);
-        pm_links_count_zone(n->links, zone, &census[zone], now);
+        pm_links_count_zone(controller->links, zone, &census[zone], now);
     }
 }
 
 /* ---- probes ---- */
 
-static void on_probed(void *arg, int status, const unsigned char *body, size_t size)
+/* The HTTP client's observer has told of the call. */
+static void on_probe_done(void *arg, int status, const unsigned char *body, size_t size)
 {
-    (void)arg; /* the client's observer has told of it */
+    (void)arg;
     (void)status;
     (void)body;
     (void)size;
 }
 
-static void on_fresh(void *arg, bool ok)
+static void on_read_done(void *arg, bool ok)
 {
     (void)arg;
     (void)ok;
 }
 
-static void probe(struct pm_controller *n, double now)
+static void probe(struct pm_controller *controller, double now)
 {
-    if (pm_links_probe_state_due(n->links, now))
-        pm_store_linearizable_read(n->store, on_fresh, n);
-    if (pm_links_probe_cloud_due(n->links, now))
-        pm_http_call(n->http, n->settings->cloud_addr, "GET", "/machine_types", NULL, 0,
-                     PROBE_TIMEOUT_S, PROBE_ANSWER_MAX, on_probed, n);
-    for (int zone = 0; zone < n->settings->zone_count; zone++) {
-        const char *addr = pm_links_probe_zone_due(n->links, zone, now);
+    if (pm_links_probe_state_due(controller->links, now))
+        pm_store_linearizable_read(controller->store, on_read_done, controller);
+    if (pm_links_probe_cloud_due(controller->links, now))
+        pm_http_call(controller->http, controller->settings->cloud_addr, "GET", "/machine_types",
+                     NULL, 0, PROBE_TIMEOUT_S, PROBE_ANSWER_BYTES, on_probe_done, controller);
+    for (int zone = 0; zone < controller->settings->zone_count; zone++) {
+        const char *addr = pm_links_probe_zone_due(controller->links, zone, now);
         if (addr)
-            pm_http_call(n->http, addr, "GET", "/status", NULL, 0, PROBE_TIMEOUT_S,
-                         PROBE_ANSWER_MAX, on_probed, n);
+            pm_http_call(controller->http, addr, "GET", "/status", NULL, 0, PROBE_TIMEOUT_S,
+                         PROBE_ANSWER_BYTES, on_probe_done, controller);
     }
 }
 
 /* ---- what is written and decided ---- */
 
 static void on_view_written(void *arg, enum pm_store_result result, uint64_t store_revision,
-                            const cbor_item_t *failed)
+                            const cbor_item_t *conflicting_keys)
 {
-    struct pm_controller *n = arg;
+    struct pm_controller *controller = arg;
 
     (void)store_revision;
-    (void)failed;
-    n->links_busy = false;
-    pm_links_view_written(n->links, result == PM_STORE_OK);
+    (void)conflicting_keys;
+    controller->view_write_in_flight = false;
+    pm_links_view_written(controller->links, result == PM_STORE_OK);
 }
 
-static void write_view(struct pm_controller *n, double now)
+static void write_view(struct pm_controller *controller, double now)
 {
     struct pm_txn txn = {0};
     char key[PM_NAME_MAX + 16];
 
-    if (n->links_busy || !pm_links_is_write_due(n->links, now) ||
-        !pm_controller_is_store_writable(n, now) ||
-        pm_election_protocol_version(n->lead) < PM_PROTOCOL_LINKS ||
-        pm_store_write_budget(n->store, now) < ROOM_FOR_VIEW)
+    if (controller->view_write_in_flight || !pm_links_is_write_due(controller->links, now) ||
+        !pm_controller_is_store_writable(controller, now) ||
+        pm_election_protocol_version(controller->election) < PM_PROTOCOL_LINKS ||
+        pm_store_write_budget(controller->store, now) < VIEW_WRITE_BUDGET)
         return;
-    n->links_busy = true;
-    snprintf(key, sizeof key, PM_LINKS_PREFIX "%s", n->settings->name);
+    controller->view_write_in_flight = true;
+    snprintf(key, sizeof key, PM_LINKS_PREFIX "%s", controller->settings->name);
     pm_txn_put(&txn, key);
-    pm_links_encode_view(n->links, &txn.writes, now);
+    pm_links_encode_view(controller->links, &txn.writes, now);
     pm_txn_put_end(&txn, 0);
-    pm_store_commit(n->store, &txn, on_view_written, n);
+    pm_store_commit(controller->store, &txn, on_view_written, controller);
 }
 
-/* Cut off from the workers alone, a leader does nothing but let their leases lapse: another one may
- * reach them. With views to go by, it stays where nobody else is known to do better. */
-static void step_down_if_unheard(struct pm_controller *n, double now)
+/* Cut off from the workers alone, a leader only lets their leases expire: another one may reach
+ * them. */
+static void step_down_if_unreachable(struct pm_controller *controller, double now)
 {
-    GPtrArray *all = pm_workers_all(n->workers);
-    double limit = MAX(UNHEARD_LEAST_S, UNHEARD_REPORTS * n->settings->heartbeat_s);
+    GPtrArray *all = pm_workers_all(controller->workers);
+    double silence_s = MAX(SILENCE_MIN_S, SILENCE_INTERVALS * controller->settings->heartbeat_s);
     int silent = 0;
-    int deaf = 0;
-    int up = 0;
+    int unreachable = 0;
+    int up_count = 0;
 
-    if (!n->settings->peer_count || now - n->took_at < limit)
+    if (!controller->settings->peer_count || now - controller->elected_at < silence_s)
         return;
     for (guint i = 0; i < all->len; i++) {
-        const struct pm_machine *m = g_ptr_array_index(all, i);
-        if (!is_ours(n, m))
+        const struct pm_machine *machine = g_ptr_array_index(all, i);
+        if (!is_ours(controller, machine))
             continue;
-        up++;
-        /* An answer to a command is none: a worker whose reports come nowhere loses its lease. */
-        silent += now - MAX(m->heartbeat.last_at, n->took_at) >= limit;
-        deaf += pm_machine_is_unreachable(m, now);
+        up_count++;
+        /* Answers to pushes do not count: a worker whose heartbeats arrive nowhere loses its lease.
+         */
+        silent += now - MAX(machine->heartbeat.last_at, controller->elected_at) >= silence_s;
+        unreachable += pm_machine_is_unreachable(machine, now);
     }
-    /* Any report counts, also one that an outage keeps from being answered. */
-    if (silent >= UNHEARD_MACHINES && now - n->report_at >= limit)
-        pm_election_step_down(n->lead, "no worker is heard");
-    else if (deaf >= UNHEARD_MACHINES && 2 * deaf > up && pm_election_is_confirmed(n->lead, now))
-        pm_election_step_down(n->lead, "the workers do not hear us");
+    /* Any heartbeat counts, also one that an outage keeps from being answered. */
+    if (silent >= SILENT_MACHINES_MIN && now - controller->last_heartbeat_at >= silence_s)
+        pm_election_step_down(controller->election, "no worker is heard");
+    else if (unreachable >= SILENT_MACHINES_MIN && 2 * unreachable > up_count &&
+             pm_election_is_confirmed(controller->election, now))
+        pm_election_step_down(controller->election, "the workers do not hear us");
 }
 
-void pm_controller_yield_lead_if_unfit(struct pm_controller *n, double now)
+void pm_controller_yield_lead_if_unfit(struct pm_controller *controller, double now)
 {
-    if (pm_links_should_yield_lead(n->links, now - n->took_at, now))
-        pm_election_step_down(n->lead, "another controller has better links");
-    else if (!n->op->links.decide || pm_links_has_equal(n->links, now))
-        step_down_if_unheard(n, now);
+    if (pm_links_should_yield_lead(controller->links, now - controller->elected_at, now))
+        pm_election_step_down(controller->election, "another controller has better links");
+    else if (!controller->operator_settings->links.decide ||
+             pm_links_has_equal(controller->links, now))
+        step_down_if_unreachable(controller, now);
 }
 
-void pm_controller_tick_links(struct pm_controller *n, double now)
+void pm_controller_tick_links(struct pm_controller *controller, double now)
 {
-    if (n->op->links.observe)
-        count_zones(n, now);
-    pm_links_tick(n->links, n->leading, pm_election_epoch(n->lead), now);
-    pm_api_set_cut_off(n->intake, pm_links_is_cut_off(n->links));
-    if (!n->op->links.observe)
+    if (controller->operator_settings->links.observe)
+        count_zones(controller, now);
+    pm_links_tick(controller->links, controller->is_leader, pm_election_epoch(controller->election),
+                  now);
+    pm_api_set_cut_off(controller->api, pm_links_is_cut_off(controller->links));
+    if (!controller->operator_settings->links.observe)
         return;
-    probe(n, now);
-    write_view(n, now);
+    probe(controller, now);
+    write_view(controller, now);
 }
 
-void pm_controller_init_links(struct pm_controller *n)
+void pm_controller_init_links(struct pm_controller *controller)
 {
-    const struct pm_links_setting *setting = &n->op->links;
+    const struct pm_links_setting *setting = &controller->operator_settings->links;
     char err[512];
 
     if (setting->trace_dir[0]) {
-        n->trace = pm_links_trace_new(setting->trace_dir, n->settings->name, setting->trace_mb, err,
-                                      sizeof err);
-        if (!n->trace) /* the service goes on without */
+        controller->trace = pm_links_trace_new(setting->trace_dir, controller->settings->name,
+                                               setting->trace_mb, err, sizeof err);
+        if (!controller->trace) /* the service goes on without */
             pm_error("links.trace", "%s", err);
     }
-    n->links = pm_links_new(n->settings, setting, n->trace);
+    controller->links = pm_links_new(controller->settings, setting, controller->trace);
     if (setting->observe)
-        pm_http_client_observe(n->http, on_call_ended, n);
+        pm_http_client_observe(controller->http, on_call_ended, controller);
 }
 
-void pm_controller_attach_links(struct pm_controller *n)
+void pm_controller_attach_links(struct pm_controller *controller)
 {
-    if (!n->op->links.observe)
+    if (!controller->operator_settings->links.observe)
         return;
-    pm_election_attach_links(n->lead,
-                             &(struct pm_election_links){n->op->links.probe_s, on_pack, on_unpack,
-                                                         on_peer_heard, on_candidate_wait, n});
+    pm_election_attach_links(
+        controller->election,
+        &(struct pm_election_links){controller->operator_settings->links.probe_s, on_encode_views,
+                                    on_decode_views, on_peer_heard, on_candidate_wait, controller});
 }
--- a/src/cmd/pumicemount/main.c
+++ b/src/cmd/pumicemount/main.c
@@ -1,3 +1,4 @@
+/* The daemon: reads its settings and runs one controller until it is killed. */
 #include "controller.h"
 #include "base/log.h"
 
@@ -17,7 +18,7 @@
 int main(int argc, char **argv)
 {
     static struct pm_settings settings;
-    static struct pm_operator_settings op;
+    static struct pm_operator_settings operator_settings;
     char *config = NULL;
     char *check = NULL;
     char *operator_file = NULL;
@@ -51,8 +52,9 @@
     }
     if (!pm_settings_load(&settings, check ? check : config, err, sizeof err))
         return fail_settings(check ? check : config, err);
-    pm_operator_settings_defaults(&op);
-    if (operator_file && !pm_operator_settings_load(&op, operator_file, err, sizeof err))
+    pm_operator_settings_defaults(&operator_settings);
+    if (operator_file &&
+        !pm_operator_settings_load(&operator_settings, operator_file, err, sizeof err))
         return fail_settings(operator_file, err);
     if (check)
         return 0;
@@ -61,7 +63,7 @@
     signal(SIGPIPE, SIG_IGN);
     pm_log_setup(getenv("LOG_LEVEL"), settings.name);
     loop = ev_default_loop(EVFLAG_AUTO);
-    if (!loop || !pm_controller_new(loop, &settings, &op))
+    if (!loop || !pm_controller_new(loop, &settings, &operator_settings))
         return 1;
     for (int i = 0; i < settings.team_count; i++)
         pm_info("controller.team", "%s: %g cpus, %g at most; %g accelerators, %g at most",
--- /dev/null
+++ b/src/cmd/pumicemount/placement_events.c
@@ -0,0 +1,176 @@
+/* What becomes of placements and machines: the hooks of the workers slice, the write-back and the
+ * autoscaler. Runs in the event-loop thread; a task's exit also in the planner's, with the lock. */
+#include "base/clock.h"
+#include "base/log.h"
+#include "internal.h"
+
+#define PREEMPTED_BACKOFF_S                                                                        \
+    1.0 /* a preempted task does not compete for its capacity before this                          \
+         */
+
+/* ---- write-back ---- */
+
+static void on_placement_durable(void *arg, struct pm_placement *placement)
+{
+    struct pm_controller *controller = arg;
+
+    if (controller->is_active)
+        pm_controller_push_commands(controller, placement->machine, false);
+}
+
+static void on_epoch_confirmed(void *arg, double sent_at, uint64_t store_revision)
+{
+    struct pm_controller *controller = arg;
+
+    pm_election_confirm_epoch(controller->election, sent_at, store_revision);
+    pm_controller_commit(controller);
+    pm_controller_plan_soon(controller);
+}
+
+static void on_epoch_conflict(void *arg)
+{
+    struct pm_controller *controller = arg;
+
+    pm_election_recheck_epoch(controller->election);
+}
+
+struct pm_commit_hooks pm_controller_commit_hooks(struct pm_controller *controller)
+{
+    return (struct pm_commit_hooks){
+        .placement_durable = on_placement_durable,
+        .epoch_confirmed = on_epoch_confirmed,
+        .epoch_conflict = on_epoch_conflict,
+        .arg = controller,
+    };
+}
+
+/* ---- workers ---- */
+
+/* The tasks of a gang complete together: when one is done, all are. */
+static void mark_gang_done(struct pm_job *job)
+{
+    for (uint32_t i = 0; i < job->task_count; i++)
+        pm_job_task(job, i)->done = true;
+    job->work.done_count = job->task_count;
+}
+
+static void note_completion(struct pm_controller *controller, const struct pm_placement *placement,
+                            const struct pm_task *task, double now)
+{
+    struct pm_job *job = placement->job;
+
+    if (placement->running_since && !task->was_resumed)
+        pm_scheduler_record_run_time(controller->scheduler, job, now - placement->running_since);
+    if (job->spec->kind == PM_WORKLOAD_GANG)
+        mark_gang_done(job);
+}
+
+static void note_interruption(const struct pm_placement *placement, struct pm_task *task,
+                              double now)
+{
+    const struct pm_spec *spec = placement->job->spec;
+
+    if (placement->running_since && spec->checkpoint_interval_s > 0)
+        task->was_resumed = true;
+    if (placement->should_stop && spec->kind == PM_WORKLOAD_ARRAY)
+        pm_job_back_off(placement->job, placement->task_index, now + PREEMPTED_BACKOFF_S);
+}
+
+static void on_placement_ended(void *arg, struct pm_placement *placement, enum pm_task_exit end,
+                               bool saved, double now)
+{
+    static const char *const ends[] = {"",        "done",     "stopped", "failed",
+                                       "refused", "its gang", "gone"};
+    struct pm_controller *controller = arg;
+    struct pm_task *task = pm_job_task(placement->job, placement->task_index);
+
+    pm_debug("task.exited", "%s/%u try %u on %s: %s%s", placement->job->id, placement->task_index,
+             placement->attempt, placement->machine->name, ends[end], saved ? " saved" : "");
+    if (end == PM_TASK_EXIT_DONE)
+        note_completion(controller, placement, task, now);
+    else
+        note_interruption(placement, task, now);
+}
+
+static void on_placement_running(void *arg, struct pm_placement *placement, double now)
+{
+    (void)arg;
+    pm_debug("task.running", "%s/%u try %u on %s after %.2f", placement->job->id,
+             placement->task_index, placement->attempt, placement->machine->name,
+             now - placement->placed_at);
+}
+
+struct pm_workers_hooks pm_controller_workers_hooks(struct pm_controller *controller)
+{
+    return (struct pm_workers_hooks){
+        .placement_ended = on_placement_ended,
+        .placement_running = on_placement_running,
+        .arg = controller,
+    };
+}
+
+/* ---- autoscaler ---- */
+
+static void on_machine_terminated(void *arg, struct pm_machine *machine)
+{
+    struct pm_controller *controller = arg;
+
+    pm_workers_mark_lost(controller->workers, machine, pm_clock_monotonic());
+    pm_workers_remove(controller->workers, machine);
+    pm_controller_plan_soon(controller);
+}
+
+static void on_machines_changed(void *arg)
+{
+    pm_controller_plan_soon(arg);
+}
+
+static void on_machine_types_written(void *arg, enum pm_store_result result,
+                                     uint64_t store_revision, const cbor_item_t *conflicting_keys)
+{
+    struct pm_controller *controller = arg;
+
+    (void)result;
+    (void)store_revision;
+    (void)conflicting_keys;
+    controller->machine_types.write_in_flight = false;
+}
+
+/* Keeps the types in the state service, for controllers that start while the provider has an
+ * outage. */
+static void store_machine_types(struct pm_controller *controller, const cbor_item_t *models)
+{
+    struct pm_txn txn = {0};
+
+    controller->machine_types.write_in_flight = true;
+    pm_txn_compare(&txn, "p/epoch", pm_election_epoch_revision(controller->election));
+    pm_txn_compare(&txn, "p/types", 0);
+    pm_txn_put(&txn, "p/types");
+    pm_put_item(&txn.writes, models);
+    pm_txn_put_end(&txn, 0);
+    pm_store_commit(controller->store, &txn, on_machine_types_written, controller);
+}
+
+static void on_machine_types(void *arg, const cbor_item_t *models)
+{
+    struct pm_controller *controller = arg;
+
+    if (!pm_machine_types_decode(&controller->tables, models)) {
+        pm_error("autoscaler.machine_types", "unreadable machine types");
+        return;
+    }
+    pm_controller_plan_soon(controller);
+    if (controller->is_leader && !controller->machine_types.write_in_flight &&
+        !controller->machine_types.revision)
+        store_machine_types(controller, models);
+}
+
+struct pm_autoscaler_hooks pm_controller_autoscaler_hooks(struct pm_controller *controller)
+{
+    return (struct pm_autoscaler_hooks){
+        .machine_types = on_machine_types,
+        .machine_terminated = on_machine_terminated,
+        .changed = on_machines_changed,
+        .arg = controller,
+    };
+}
--- a/src/cmd/pumicemount/planner.c
+++ b/src/cmd/pumicemount/planner.c
@@ -1,156 +1,211 @@
-/* The planner's thread, and what follows from a plan: what is written, sent and rented. */
+/* The planner's thread, and what follows from a plan: what is written back, pushed to workers and
+ * requested of the provider. Each of these runs again only after a rest that grows with its cost,
+ * so that on a large fleet, or a slow machine, workers and users are still answered. */
 #include "base/clock.h"
-#include "base/log.h"
 #include "internal.h"
 
-#include <math.h>
-#include <string.h>
+#define PLAN_INTERVAL_S 0.03 /* plans are made no more often than this, */
+#define PLAN_REST_FACTOR 8   /* nor before this many times as long as they take, */
+#define PLAN_REST_MAX_S 0.6  /* if that is not longer than this */
+#define SIZING_REST_FACTOR 15
+#define SIZING_REST_MAX_S 1
+#define COMMIT_REST_FACTOR 6
+#define COMMIT_REST_MAX_S 0.05
+#define TIMER_MIN_S 0.002
+#define COST_WEIGHT 0.3 /* of the latest cost in the moving average */
+#define STORE_SILENCE_MAX_S 1.5
+
+static double update_cost(double average_s, double latest_s)
+{
+    return average_s * (1 - COST_WEIGHT) + latest_s * COST_WEIGHT;
+}
 
-#define PLAN_PACE_S 0.03 /* plans no more often than this, */
-#define PLAN_REST 8      /* nor before this many times as long as the last one took, */
-#define PLAN_REST_S 0.6  /* if that is not longer than this */
-#define FLEET_REST 15    /* the same for the sizing of the fleet */
-#define COMMIT_REST 6 /* and for looking for what is to be written, which every report asks for */
-#define COMMIT_REST_S 0.05
+static void restart_timer(struct ev_loop *loop, ev_timer *timer, double seconds)
+{
+    ev_timer_stop(loop, timer);
+    ev_timer_set(timer, MAX(seconds, TIMER_MIN_S), 0.);
+    ev_timer_start(loop, timer);
+}
 
-bool pm_controller_is_store_writable(const struct pm_controller *n, double now)
+bool pm_controller_is_store_writable(const struct pm_controller *controller, double now)
 {
-    return !pm_store_is_refusing(n->store) && now - pm_store_last_served_at(n->store) < 1.5;
+    return !pm_store_is_refusing(controller->store) &&
+           now - pm_store_last_served_at(controller->store) < STORE_SILENCE_MAX_S;
 }
 
-static void plan(struct pm_controller *n)
+/* ---- the planner's thread ---- */
+
+static void plan(struct pm_controller *controller)
 {
+    struct pm_scheduler *scheduler = controller->scheduler;
     double now = pm_clock_monotonic();
 
-    pm_scheduler_set_full_view(n->plan, n->leading);
-    pm_scheduler_set_writable(n->plan, pm_controller_is_store_writable(n, now));
-    pm_scheduler_begin(n->plan, now, pm_clock_wall());
-    if (n->leading)
-        pm_shards_assign_jobs(n->blocks, now);
-    pm_scheduler_place(n->plan, now);
-    if (n->leading)
-        pm_shards_assign_machines(n->blocks, now);
-    pm_scheduler_preempt(n->plan, now);
+    pm_scheduler_set_full_view(scheduler, controller->is_leader);
+    pm_scheduler_set_writable(scheduler, pm_controller_is_store_writable(controller, now));
+    pm_scheduler_begin(scheduler, now, pm_clock_wall());
+    if (controller->is_leader)
+        pm_shards_assign_jobs(controller->shards, now);
+    pm_scheduler_place(scheduler, now);
+    if (controller->is_leader)
+        pm_shards_assign_machines(controller->shards, now);
+    pm_scheduler_preempt(scheduler, now);
+}
+
+static void wait_until_due(struct pm_controller_planning *planning)
+{
+    g_mutex_lock(&planning->wake_lock);
+    while (!planning->is_due)
+        g_cond_wait(&planning->wake, &planning->wake_lock);
+    planning->is_due = false;
+    g_mutex_unlock(&planning->wake_lock);
 }
 
-gpointer pm_controller_planner(gpointer data)
+static gpointer run_planner(gpointer data)
 {
-    struct pm_controller *n = data;
+    struct pm_controller *controller = data;
+    struct pm_controller_planning *planning = &controller->planning;
 
     for (;;) {
-        g_mutex_lock(&n->wake_lock);
-        while (!n->due)
-            g_cond_wait(&n->wake, &n->wake_lock);
-        n->due = false;
-        g_mutex_unlock(&n->wake_lock);
-        g_mutex_lock(&n->lock);
-        if (n->ruling && n->tables.type_count) {
-            double began = pm_clock_monotonic();
-            plan(n);
-            n->plan_cost = n->plan_cost * 0.7 + (pm_clock_monotonic() - began) * 0.3;
+        wait_until_due(planning);
+        g_mutex_lock(&controller->lock);
+        if (controller->is_active && controller->tables.type_count) {
+            double started_at = pm_clock_monotonic();
+            plan(controller);
+            planning->cost_s = update_cost(planning->cost_s, pm_clock_monotonic() - started_at);
         }
-        g_mutex_unlock(&n->lock);
-        ev_async_send(n->loop, &n->planned);
+        g_mutex_unlock(&controller->lock);
+        ev_async_send(controller->loop, &planning->done);
     }
     return NULL;
 }
 
-void pm_controller_on_pace(struct ev_loop *loop, ev_timer *w, int events)
+static void on_plan_timer(struct ev_loop *loop, ev_timer *watcher, int events)
 {
-    struct pm_controller *n = w->data;
+    struct pm_controller *controller = watcher->data;
+    struct pm_controller_planning *planning = &controller->planning;
 
     (void)loop;
     (void)events;
-    n->plan_at = pm_clock_monotonic();
-    g_mutex_lock(&n->wake_lock);
-    n->due = true;
-    g_cond_signal(&n->wake);
-    g_mutex_unlock(&n->wake_lock);
+    planning->started_at = pm_clock_monotonic();
+    g_mutex_lock(&planning->wake_lock);
+    planning->is_due = true;
+    g_cond_signal(&planning->wake);
+    g_mutex_unlock(&planning->wake_lock);
 }
 
-void pm_controller_plan_soon(struct pm_controller *n)
+void pm_controller_plan_soon(struct pm_controller *controller)
 {
-    double left;
+    struct pm_controller_planning *planning = &controller->planning;
+    double rest;
 
-    if (!n->ruling || ev_is_active(&n->pace))
+    if (!controller->is_active || ev_is_active(&planning->timer))
         return;
-    /* On a large fleet, or a slow machine, plans take long: workers and users must not wait. */
-    left = n->plan_at + MIN(MAX(PLAN_PACE_S, PLAN_REST * n->plan_cost), PLAN_REST_S) -
-           pm_clock_monotonic();
-    ev_timer_set(&n->pace, MAX(left, 0.002), 0.);
-    ev_timer_start(n->loop, &n->pace);
+    rest = MIN(MAX(PLAN_INTERVAL_S, PLAN_REST_FACTOR * planning->cost_s), PLAN_REST_MAX_S);
+    restart_timer(controller->loop, &planning->timer,
+                  planning->started_at + rest - pm_clock_monotonic());
 }
 
-static void commit_at(struct pm_controller *n, double at, double now)
+/* ---- write-back ---- */
+
+static struct pm_commit_conditions conditions_of(const struct pm_controller *controller)
 {
-    ev_timer_stop(n->loop, &n->commit_timer);
-    ev_timer_set(&n->commit_timer, MAX(at - now, 0.002), 0.);
-    ev_timer_start(n->loop, &n->commit_timer);
+    struct pm_commit_conditions conditions = {
+        .epoch_revision = pm_election_epoch_revision(controller->election),
+    };
+
+    if (!controller->is_leader) {
+        conditions.shard_key = controller->own_shard_key;
+        conditions.shard_revision = pm_shards_owned_revision(controller->shards);
+    }
+    return conditions;
 }
 
-void pm_controller_commit(struct pm_controller *n)
+void pm_controller_commit(struct pm_controller *controller)
 {
+    struct pm_controller_committing *committing = &controller->committing;
     double now = pm_clock_monotonic();
-    double rested = n->commit_ended + MIN(COMMIT_REST * n->commit_cost, COMMIT_REST_S);
-    double next;
-    struct pm_commit_conditions grounds = {0};
+    double rest = MIN(COMMIT_REST_FACTOR * committing->cost_s, COMMIT_REST_MAX_S);
+    struct pm_commit_conditions conditions;
+    double next_at;
 
-    if (!n->ruling)
+    if (!controller->is_active)
         return;
-    if (now < rested) { /* what came since is written together */
-        commit_at(n, rested, now);
+    if (now < committing->ended_at + rest) { /* what has come since is written together */
+        restart_timer(controller->loop, &committing->timer, committing->ended_at + rest - now);
         return;
     }
-    pm_scheduler_recheck_quota(n->plan, now);
-    grounds.epoch_revision = pm_election_epoch_revision(n->lead);
-    if (!n->leading) {
-        grounds.shard_key = n->block_key;
-        grounds.shard_revision = pm_shards_owned_revision(n->blocks);
-    }
-    next = pm_commit_run(n->commit, &grounds, now, pm_clock_wall());
-    n->commit_ended = pm_clock_monotonic();
-    n->commit_cost = n->commit_cost * 0.7 + (n->commit_ended - now) * 0.3;
-    ev_timer_stop(n->loop, &n->commit_timer);
-    if (next > 0)
-        commit_at(n, next, now);
+    pm_scheduler_recheck_quota(controller->scheduler, now);
+    conditions = conditions_of(controller);
+    next_at = pm_commit_run(controller->commit, &conditions, now, pm_clock_wall());
+    committing->ended_at = pm_clock_monotonic();
+    committing->cost_s = update_cost(committing->cost_s, committing->ended_at - now);
+    ev_timer_stop(controller->loop, &committing->timer);
+    if (next_at > 0)
+        restart_timer(controller->loop, &committing->timer, next_at - now);
 }
 
-void pm_controller_on_commit_timer(struct ev_loop *loop, ev_timer *w, int events)
+static void on_commit_timer(struct ev_loop *loop, ev_timer *watcher, int events)
 {
-    struct pm_controller *n = w->data;
-
     (void)loop;
     (void)events;
-    pm_controller_commit(n);
+    pm_controller_commit(watcher->data);
 }
 
-static void fleet_run(struct pm_controller *n)
+/* ---- what follows from a plan ---- */
+
+static void run_autoscaler(struct pm_controller *controller)
 {
+    struct pm_controller_sizing *sizing = &controller->sizing;
     double now = pm_clock_monotonic();
+    double rest = MIN(SIZING_REST_FACTOR * sizing->cost_s, SIZING_REST_MAX_S);
+    bool may_give_up;
 
-    if (now < n->fleet_at + MIN(FLEET_REST * n->fleet_cost, 1))
+    if (now < sizing->ended_at + rest)
         return;
-    /* Who stood still, or lags, has not heard who spoke meanwhile: nobody is given up for that. */
-    pm_autoscaler_set_writable(
-        n->fleet, pm_controller_is_store_writable(n, now) && !pm_links_is_lagging(n->links, now),
-        now);
-    pm_autoscaler_run(n->fleet, now, pm_clock_wall());
-    n->fleet_at = pm_clock_monotonic();
-    n->fleet_cost = n->fleet_at - now;
+    /* A process that was not run for a while has missed heartbeats: no machine is given up for
+     * that. */
+    may_give_up = pm_controller_is_store_writable(controller, now) &&
+                  !pm_links_is_lagging(controller->links, now);
+    pm_autoscaler_set_writable(controller->autoscaler, may_give_up, now);
+    pm_autoscaler_run(controller->autoscaler, now, pm_clock_wall());
+    sizing->ended_at = pm_clock_monotonic();
+    sizing->cost_s = sizing->ended_at - now;
 }
 
-void pm_controller_on_planned(struct ev_loop *loop, ev_async *w, int events)
+static void on_plan_done(struct ev_loop *loop, ev_async *watcher, int events)
 {
-    struct pm_controller *n = w->data;
+    struct pm_controller *controller = watcher->data;
 
     (void)loop;
     (void)events;
-    if (n->ruling) {
-        pm_controller_commit(n);
-        pm_controller_push_all_commands(n);
-        if (n->leading && pm_election_is_confirmed(n->lead, pm_clock_monotonic())) {
-            pm_shards_exchange(n->blocks, pm_clock_monotonic());
-            fleet_run(n);
-        }
-    }
+    if (!controller->is_active)
+        return;
+    pm_controller_commit(controller);
+    pm_controller_push_all_commands(controller);
+    if (!controller->is_leader ||
+        !pm_election_is_confirmed(controller->election, pm_clock_monotonic()))
+        return;
+    pm_shards_exchange(controller->shards, pm_clock_monotonic());
+    run_autoscaler(controller);
+}
+
+void pm_controller_init_planner(struct pm_controller *controller)
+{
+    struct pm_controller_planning *planning = &controller->planning;
+    struct pm_controller_committing *committing = &controller->committing;
+
+    g_mutex_init(&planning->wake_lock);
+    g_cond_init(&planning->wake);
+    ev_async_init(&planning->done, on_plan_done);
+    ev_timer_init(&planning->timer, on_plan_timer, 0., 0.);
+    ev_timer_init(&committing->timer, on_commit_timer, 0., 0.);
+    planning->done.data = controller;
+    planning->timer.data = controller;
+    committing->timer.data = controller;
+    ev_async_start(controller->loop, &planning->done);
+}
+
+void pm_controller_start_planner(struct pm_controller *controller)
+{
+    controller->planning.thread = g_thread_new("planner", run_planner, controller);
 }
--- a/src/cmd/pumicemount/reconciliation.c
+++ b/src/cmd/pumicemount/reconciliation.c
@@ -1,133 +1,184 @@
-/* What is looked after by the clock: leases, machines not heard of, the ledger, the log. */
+/* What is looked after by the clock: leases of workers, workers that are not heard, the stored
+ * ledger (p/ledger), and the log of the state. Runs in the event-loop thread every
+ * PM_CONTROLLER_RECONCILE_S. */
 #include "base/clock.h"
 #include "base/log.h"
 #include "internal.h"
 
 #include <math.h>
-#include <string.h>
 
-#define ASK_MAX 150 /* workers that are asked for a report at a time */
-#define LEDGER_S 5.0
-#define TELL_S 10.0
+#define LEDGER_INTERVAL_S 5.0
+#define LOG_INTERVAL_S 10.0
+#define ADVANCE_EPOCH_INTERVAL_S 6.0 /* for unknown outcomes of launches */
+#define RECENT_MESSAGE_S 3.0
+/* A worker is asked once its heartbeat is late by this factor and this span. */
+#define LATE_HEARTBEAT_FACTOR 1.25
+#define LATE_HEARTBEAT_S 0.4
+
+enum {
+    PROBES_MAX = 150,       /* workers that are asked at a time */
+    LEDGER_WRITE_BUDGET = 6 /* changes that have to be free for the ledger, at first */
+};
+
+/* ---- the stored ledger ---- */
 
 static void on_ledger_written(void *arg, enum pm_store_result result, uint64_t store_revision,
-                              const cbor_item_t *failed)
+                              const cbor_item_t *conflicting_keys)
 {
-    struct pm_controller *n = arg;
+    struct pm_controller *controller = arg;
+    struct pm_controller_ledger *ledger = &controller->ledger;
 
+    (void)conflicting_keys;
     if (result == PM_STORE_REJECTED)
         pm_error("controller.ledger_rejected", "the state service refuses p/ledger");
     if (result == PM_STORE_OK)
-        n->ledger_revision = MAX(n->ledger_revision, store_revision);
-    (void)failed;
-    n->ledger_busy = false;
+        ledger->revision = MAX(ledger->revision, store_revision);
+    ledger->write_in_flight = false;
 }
 
-static void write_ledger(struct pm_controller *n, double now)
+/* Launches come first in the write budget, though not for long: the next leader reads the ledger.
+ */
+static bool is_ledger_due(struct pm_controller *controller, double now)
+{
+    const struct pm_controller_ledger *ledger = &controller->ledger;
+    double age_s = now - ledger->written_at;
+
+    if (ledger->write_in_flight || age_s < LEDGER_INTERVAL_S)
+        return false;
+    return pm_store_write_budget(controller->store, now) >= LEDGER_WRITE_BUDGET ||
+           age_s >= 2 * LEDGER_INTERVAL_S;
+}
+
+static void write_ledger(struct pm_controller *controller, double now)
 {
     struct pm_txn txn = {0};
 
-    if (n->ledger_busy || now - n->ledger_at < LEDGER_S ||
-        (pm_store_write_budget(n->store, now) < 6 && now - n->ledger_at < 2 * LEDGER_S))
-        return; /* launches first, though not for long: who leads next reads it */
-    n->ledger_busy = true;
-    n->ledger_at = now;
-    pm_txn_compare(&txn, "p/epoch", pm_election_epoch_revision(n->lead));
-    /* One that is carried out late must not hide a newer one: which zones were silent would be said
-     * of a time long past. */
-    pm_txn_compare(&txn, "p/ledger", n->ledger_revision);
+    if (!is_ledger_due(controller, now))
+        return;
+    controller->ledger.write_in_flight = true;
+    controller->ledger.written_at = now;
+    pm_txn_compare(&txn, "p/epoch", pm_election_epoch_revision(controller->election));
+    /* A write that is carried out late must not replace a newer one: it would say of a time long
+     * past which zones were silent. */
+    pm_txn_compare(&txn, "p/ledger", controller->ledger.revision);
     pm_txn_put(&txn, "p/ledger");
-    pm_scheduler_encode_ledger(n->plan, now, pm_clock_wall(), &txn.writes);
+    pm_scheduler_encode_ledger(controller->scheduler, now, pm_clock_wall(), &txn.writes);
     pm_txn_put_end(&txn, 0);
-    pm_store_commit(n->store, &txn, on_ledger_written, n);
+    pm_store_commit(controller->store, &txn, on_ledger_written, controller);
 }
 
-/* A machine whose lease nobody can have renewed has killed its tasks, if it still is there. Counted
- * from our last answer to it, or, before we ever answered it, from the time since when no earlier
- * leader can have. */
-static void judge_leases(struct pm_controller *n, double now)
+/* ---- workers' leases ---- */
+
+/* Monotonic time since when no other controller can have renewed the machine's lease; 0: unknown,
+ * and INFINITY: not yet. */
+static double lease_lower_bound(struct pm_controller *controller, struct pm_machine *machine)
 {
-    GPtrArray *all = pm_workers_all(n->workers);
+    struct pm_machine_lease *lease = &machine->lease;
+    double bound = lease->lower_bound;
+
+    if (!bound && controller->is_leader) {
+        bound = pm_election_lease_lower_bound(controller->election, lease->reclaimed_epoch);
+        if (lease->reclaimed_epoch && isfinite(bound))
+            lease->lower_bound = bound;
+    }
+    return MAX(bound, pm_election_exclusive_since(controller->election));
+}
+
+/* A worker whose lease nobody can have renewed has killed its tasks, if it still runs. The lease
+ * counts from our last answer to it, or, before we ever answered it, from the lower bound. */
+static void expire_leases(struct pm_controller *controller, double now)
+{
+    GPtrArray *machines = pm_workers_all(controller->workers);
+
     /* Cut off, we hear nothing because workers report to a later leader: that proves nothing, and
-     * returning their machines as idle would end what runs there. */
-    if (!pm_election_is_confirmed(n->lead, now))
+     * terminating their machines as idle would end what runs there. */
+    if (!pm_election_is_confirmed(controller->election, now))
         return;
-    for (guint i = 0; i < all->len; i++) {
-        struct pm_machine *m = g_ptr_array_index(all, i);
-        double base;
-        if (!m || !m->placements->len || m->shard.owner)
+    for (guint i = 0; i < machines->len; i++) {
+        struct pm_machine *machine = g_ptr_array_index(machines, i);
+        double bound;
+        if (!machine || !machine->placements->len || machine->shard.owner)
             continue;
-        base = m->lease.lower_bound;
-        if (!base && n->leading) {
-            base = pm_election_lease_lower_bound(n->lead, m->lease.reclaimed_epoch);
-            if (m->lease.reclaimed_epoch && isfinite(base))
-                m->lease.lower_bound = base;
-        }
-        /* Another controller may have answered it in our stead. */
-        base = MAX(base, pm_election_exclusive_since(n->lead));
-        if (!pm_workers_is_lease_expired(m, base, n->settings->lease_s, now))
+        bound = lease_lower_bound(controller, machine);
+        if (!pm_workers_is_lease_expired(machine, bound, controller->settings->lease_s, now))
             continue;
-        pm_info("worker.lease_expired", "%s with %u places", m->name, m->placements->len);
-        pm_workers_mark_lost(n->workers, m, now);
-        pm_controller_plan_soon(n);
+        pm_info("worker.lease_expired", "%s with %u placements", machine->name,
+                machine->placements->len);
+        pm_workers_mark_lost(controller->workers, machine, now);
+        pm_controller_plan_soon(controller);
     }
 }
 
+/* ---- workers that are not heard ---- */
+
 /* Whether the worker's answer to a command would tell something. */
-static bool is_worth_asking(const struct pm_controller *n, const struct pm_machine *m, double now)
+static bool is_worth_probing(const struct pm_controller *controller,
+                             const struct pm_machine *machine, double now)
 {
-    bool known = m->endpoint[0] && m->provider.is_listed;
-    bool silent = m->state == PM_MACHINE_UP &&
-                  now - m->heartbeat.last_message_at > 1.25 * n->settings->heartbeat_s + 0.4;
+    double late_s = LATE_HEARTBEAT_FACTOR * controller->settings->heartbeat_s + LATE_HEARTBEAT_S;
 
-    if (!m->heartbeat.is_known && known)
+    if (!machine->heartbeat.is_known && machine->endpoint[0] && machine->provider.is_listed)
         return true;
-    if (m->heartbeat.is_known && (m->delivery.failures || !pm_machine_is_verified(m)))
-        return true; /* does it hear us, is it there at all? */
-    return silent;   /* perhaps it reaches another controller only */
+    /* Does it receive what we send, and is it there at all? */
+    if (machine->heartbeat.is_known &&
+        (machine->delivery.failures || !pm_machine_is_verified(machine)))
+        return true;
+    /* It may reach another controller only. */
+    return machine->state == PM_MACHINE_UP && now - machine->heartbeat.last_message_at > late_s;
 }
 
-void pm_controller_probe_workers(struct pm_controller *n, double now)
+/* Whether a launch to the machine may still be carried out, and a later token would prevent that.
+ */
+static bool has_unknown_outcome(const struct pm_controller *controller,
+                                const struct pm_machine *machine, double now)
 {
-    GPtrArray *all = pm_workers_all(n->workers);
-    bool doubtful = false;
-    int asked = 0;
+    uint64_t epoch = machine->push.unknown_outcome_epoch;
 
-    for (guint i = 0; i < all->len; i++) {
-        struct pm_machine *m = g_ptr_array_index(all, i);
-        if (!m || m->state == PM_MACHINE_RELEASING || m->shard.owner)
+    return epoch && machine->heartbeat.fencing_token <= epoch &&
+           epoch >= pm_election_epoch(controller->election) &&
+           now - machine->heartbeat.last_message_at < RECENT_MESSAGE_S;
+}
+
+void pm_controller_probe_workers(struct pm_controller *controller, double now)
+{
+    GPtrArray *machines = pm_workers_all(controller->workers);
+    bool is_outcome_unknown = false;
+    int probes = 0;
+
+    for (guint i = 0; i < machines->len; i++) {
+        struct pm_machine *machine = g_ptr_array_index(machines, i);
+        if (!machine || machine->state == PM_MACHINE_RELEASING || machine->shard.owner)
             continue;
-        doubtful |= m->push.unknown_outcome_epoch &&
-                    m->heartbeat.fencing_token <= m->push.unknown_outcome_epoch &&
-                    m->push.unknown_outcome_epoch >= pm_election_epoch(n->lead) &&
-                    now - m->heartbeat.last_message_at < 3;
-        /* A worker that has not come to us yet is asked: the answer is its report, and it learns
-         * our token. A wrong session is refused, with the report all the same. */
-        if (asked >= ASK_MAX)
-            continue; /* the others are asked next time: not all workers at once */
-        if (is_worth_asking(n, m, now))
-            pm_controller_push_commands(n, m, true);
-        asked += m->push.in_flight != 0;
+        is_outcome_unknown |= has_unknown_outcome(controller, machine, now);
+        if (probes >= PROBES_MAX)
+            continue; /* the next time: not all workers at once */
+        /* The answer is the worker's report, and brings it our token; it comes even where the
+         * incarnation does not match. */
+        if (is_worth_probing(controller, machine, now))
+            pm_controller_push_commands(controller, machine, true);
+        probes += machine->push.in_flight != 0;
     }
-    if (doubtful && n->leading && now - n->raised_at > 6) {
-        n->raised_at = now;
-        pm_election_advance_epoch(n->lead, NULL,
-                                  0); /* ends the doubt: late copies of the old token die */
+    if (is_outcome_unknown && controller->is_leader &&
+        now - controller->epoch_advanced_at > ADVANCE_EPOCH_INTERVAL_S) {
+        controller->epoch_advanced_at = now;
+        pm_election_advance_epoch(controller->election, NULL, 0);
     }
 }
 
-static void count_machine(struct pm_controller *n, const struct pm_machine *m,
+/* ---- the log of the state ---- */
+
+static void count_machine(struct pm_controller *controller, const struct pm_machine *machine,
                           struct pm_controller_counts *counts, double now)
 {
-    counts->up += m->state == PM_MACHINE_UP && !m->shard.owner;
-    counts->booting += m->state == PM_MACHINE_BOOTING;
-    counts->lent += m->shard.owner > 0;
-    counts->silent += m->state == PM_MACHINE_UP && !m->shard.owner &&
-                      pm_machine_missed_heartbeat(m, n->settings, now);
-    if (m->state != PM_MACHINE_UP)
+    counts->machines_up += machine->state == PM_MACHINE_UP && !machine->shard.owner;
+    counts->machines_booting += machine->state == PM_MACHINE_BOOTING;
+    counts->machines_leased += machine->shard.owner > 0;
+    counts->machines_silent += machine->state == PM_MACHINE_UP && !machine->shard.owner &&
+                               pm_machine_missed_heartbeat(machine, controller->settings, now);
+    if (machine->state != PM_MACHINE_UP)
         return;
-    counts->cpus += n->tables.types[m->type].cpus;
-    counts->idle += m->shard.owner ? 0 : m->free.cpus;
+    counts->cpus += controller->tables.types[machine->type].cpus;
+    counts->idle_cpus += machine->shard.owner ? 0 : machine->free.cpus;
 }
 
 static void count_job(const struct pm_job *job, struct pm_controller_counts *counts)
@@ -137,68 +188,72 @@
 
     if (job->delegated && job->spec) {
         pm_job_count_tasks(job, &done, &running);
-        counts->placed += running;
-        counts->delegated += job->task_count - MIN(job->task_count, done + running);
+        counts->tasks_placed += running;
+        counts->tasks_delegated += job->task_count - MIN(job->task_count, done + running);
     } else {
-        counts->placed += job->work.placed_count;
-        counts->waiting += pm_job_waiting_tasks(job);
+        counts->tasks_placed += job->work.placed_count;
+        counts->tasks_waiting += pm_job_waiting_tasks(job);
     }
 }
 
-struct pm_controller_counts pm_controller_count(struct pm_controller *n, double now)
+struct pm_controller_counts pm_controller_count(struct pm_controller *controller, double now)
 {
-    GPtrArray *all = pm_workers_all(n->workers);
-    GPtrArray *active = pm_jobs_active(n->jobs);
-    struct pm_controller_counts counts = {.live = active->len};
+    GPtrArray *all = pm_workers_all(controller->workers);
+    GPtrArray *active = pm_jobs_active(controller->jobs);
+    struct pm_controller_counts counts = {.jobs = active->len};
 
     for (guint i = 0; i < all->len; i++) {
-        const struct pm_machine *m = g_ptr_array_index(all, i);
-        if (m && m->type >= 0)
-            count_machine(n, m, &counts, now);
+        const struct pm_machine *machine = g_ptr_array_index(all, i);
+        if (machine && machine->type >= 0)
+            count_machine(controller, machine, &counts, now);
     }
     for (guint i = 0; i < active->len; i++)
         count_job(g_ptr_array_index(active, i), &counts);
     return counts;
 }
 
-/* What there is and what waits, for whoever reads the log. */
-static void tell_state(struct pm_controller *n, double now)
+static void log_state(struct pm_controller *controller, double now)
 {
     struct pm_controller_counts counts;
 
-    if (now - n->told_at < TELL_S)
+    if (now - controller->state_logged_at < LOG_INTERVAL_S)
         return;
-    n->told_at = now;
-    counts = pm_controller_count(n, now);
+    controller->state_logged_at = now;
+    counts = pm_controller_count(controller, now);
     pm_info("controller.state",
             "machines up %d (%d silent), leased out %d, booting %d; cpus %.0f, idle %.0f; jobs %u, "
-            "tasks placed %u, waiting %u, at holders %u",
-            counts.up, counts.silent, counts.lent, counts.booting, counts.cpus, counts.idle,
-            counts.live, counts.placed, counts.waiting, counts.delegated);
-    pm_scheduler_log_quota_usage(n->plan);
+            "tasks placed %u, waiting %u, at owners of shards %u",
+            counts.machines_up, counts.machines_silent, counts.machines_leased,
+            counts.machines_booting, counts.cpus, counts.idle_cpus, counts.jobs,
+            counts.tasks_placed, counts.tasks_waiting, counts.tasks_delegated);
+    pm_scheduler_log_quota_usage(controller->scheduler);
 }
 
-void pm_controller_on_reconcile_timer(struct ev_loop *loop, ev_timer *w, int events)
+/* What an active controller looks after. */
+static void reconcile(struct pm_controller *controller, double now)
 {
-    struct pm_controller *n = w->data;
+    expire_leases(controller, now);
+    pm_controller_probe_workers(controller, now);
+    pm_controller_push_all_commands(controller);
+    if (controller->is_leader) {
+        write_ledger(controller, now);
+        log_state(controller, now);
+        pm_controller_yield_lead_if_unfit(controller, now);
+    }
+    pm_controller_plan_soon(controller);
+}
+
+void pm_controller_on_reconcile_timer(struct ev_loop *loop, ev_timer *watcher, int events)
+{
+    struct pm_controller *controller = watcher->data;
     double now = pm_clock_monotonic();
 
     (void)loop;
     (void)events;
-    pm_controller_tick_links(n, now);
-    pm_controller_tick_roles(n, now);
-    if (!n->tables.type_count && pm_store_is_ready(n->store))
-        pm_autoscaler_request_machine_types(n->fleet, now);
-    if (n->ruling) {
-        judge_leases(n, now);
-        pm_controller_probe_workers(n, now);
-        pm_controller_push_all_commands(n);
-        if (n->leading)
-            write_ledger(n, now);
-        if (n->leading)
-            tell_state(n, now);
-        if (n->leading)
-            pm_controller_yield_lead_if_unfit(n, now);
-        pm_controller_plan_soon(n);
-    }
+    pm_controller_tick_links(controller, now);
+    pm_controller_tick_roles(controller, now);
+    if (!controller->tables.type_count && pm_store_is_ready(controller->store))
+        pm_autoscaler_request_machine_types(controller->autoscaler, now);
+    if (controller->is_active)
+        reconcile(controller, now);
 }
--- a/src/cmd/pumicemount/singleton_roles.c
+++ b/src/cmd/pumicemount/singleton_roles.c
@@ -1,4 +1,5 @@
-/* What the duties slice rests on, and what follows from it. */
+/* Singleton roles: the conditions that the roles slice goes by, what follows from it, and garbage
+ * collection of stored keys. Runs in the event-loop thread. */
 #include "base/clock.h"
 #include "base/log.h"
 #include "base/protocol.h"
@@ -6,86 +7,100 @@
 
 #include <stdio.h>
 
-#define CLEAN_S 1.0 /* between two looks through the stored keys */
+#define GC_INTERVAL_S 1.0 /* between two looks through the stored keys */
 
-enum { CLEAN_SPARE = 6 }; /* changes that stay free in the write budget */
+enum { GC_SPARE_WRITES = 6 }; /* changes that stay free in the write budget */
 
-static void on_taken(void *arg)
+static void on_role_acquired(void *arg)
 {
-    pm_controller_plan_soon(arg); /* the fleet finishes what is open */
+    pm_controller_plan_soon(arg); /* the autoscaler finishes the open intents */
 }
 
-/* Renting and returning follow the lead: who is to give them up leaves it. */
-static void on_drained(void *arg, enum pm_role duty)
+/* Scale-out and scale-in belong to the leader, so that draining one of them makes it step down. */
+static void on_role_drained(void *arg, enum pm_role role)
 {
-    struct pm_controller *n = arg;
+    struct pm_controller *controller = arg;
 
-    if (duty != PM_ROLE_GARBAGE_COLLECTION)
-        pm_election_step_down(n->lead, "drained by an operator");
+    if (role != PM_ROLE_GARBAGE_COLLECTION)
+        pm_election_step_down(controller->election, "drained by an operator");
 }
 
-/* ---- cleaning ---- */
+/* ---- garbage collection ---- */
 
-static void on_cleaned(void *arg, enum pm_store_result result, uint64_t store_revision,
-                       const cbor_item_t *failed)
+static void on_garbage_deleted(void *arg, enum pm_store_result result, uint64_t store_revision,
+                               const cbor_item_t *conflicting_keys)
 {
-    struct pm_controller *n = arg;
-    char text[32];
+    struct pm_controller *controller = arg;
+    char detail[32];
 
     (void)store_revision;
-    (void)failed;
-    n->clean_busy = false;
-    snprintf(text, sizeof text, "status %d", result);
-    pm_roles_log_action(n->duties, PM_ROLE_GARBAGE_COLLECTION, "cleaned", "stored keys", text);
+    (void)conflicting_keys;
+    controller->gc_run.in_flight = false;
+    snprintf(detail, sizeof detail, "status %d", result);
+    pm_roles_log_action(controller->roles, PM_ROLE_GARBAGE_COLLECTION, "cleaned", "stored keys",
+                        detail);
 }
 
-/* Takes away some keys that nobody needs; the transaction refuses a holder that was replaced. */
-static void clean(struct pm_controller *n, double now)
+/* Deletes some keys that nobody needs. The transaction fails for a controller that has lost the
+ * role. */
+static void collect_garbage(struct pm_controller *controller, double now)
 {
-    int most = MIN(pm_store_write_budget(n->store, now) - CLEAN_SPARE, n->settings->store_txn_ops);
-    uint64_t token = pm_roles_token(n->duties, PM_ROLE_GARBAGE_COLLECTION);
+    int deletes_max = MIN(pm_store_write_budget(controller->store, now) - GC_SPARE_WRITES,
+                          controller->settings->store_txn_ops);
+    uint64_t token = pm_roles_token(controller->roles, PM_ROLE_GARBAGE_COLLECTION);
     struct pm_txn txn = {0};
 
-    if (n->clean_busy || now - n->clean_at < CLEAN_S || most < 1 ||
-        !pm_roles_holds(n->duties, PM_ROLE_GARBAGE_COLLECTION, now))
+    if (controller->gc_run.in_flight || now - controller->gc_run.checked_at < GC_INTERVAL_S ||
+        deletes_max < 1 || !pm_roles_holds(controller->roles, PM_ROLE_GARBAGE_COLLECTION, now))
         return;
-    n->clean_at = now;
+    controller->gc_run.checked_at = now;
     pm_txn_compare(&txn, PM_ROLE_KEY_PREFIX "clean", token);
-    if (!pm_gc_add_due_deletes(n->clean, &txn, most, now)) {
+    if (!pm_gc_add_due_deletes(controller->gc, &txn, deletes_max, now)) {
         pm_txn_free(&txn);
         return;
     }
-    n->clean_busy = true;
-    pm_store_commit(n->store, &txn, on_cleaned, n);
+    controller->gc_run.in_flight = true;
+    pm_store_commit(controller->store, &txn, on_garbage_deleted, controller);
 }
 
-void pm_controller_tick_roles(struct pm_controller *n, double now)
+void pm_controller_tick_roles(struct pm_controller *controller, double now)
 {
-    struct pm_roles_conditions grounds = {
-        .is_supported = pm_election_protocol_version(n->lead) >= PM_PROTOCOL_ROLES,
-        .is_leader = n->leading,
-        .epoch_revision = n->leading ? pm_election_epoch_revision(n->lead) : 0,
+    struct pm_election *election = controller->election;
+    struct pm_roles_conditions conditions = {
+        .is_supported = pm_election_protocol_version(election) >= PM_PROTOCOL_ROLES,
+        .is_leader = controller->is_leader,
+        .epoch_revision = controller->is_leader ? pm_election_epoch_revision(election) : 0,
     };
 
-    pm_roles_tick(n->duties, &grounds, now);
-    clean(n, now);
+    pm_roles_tick(controller->roles, &conditions, now);
+    collect_garbage(controller, now);
 }
 
-void pm_controller_init_roles(struct pm_controller *n)
+/* NULL where none is to be kept, or it can't be written: the service goes on without. */
+static struct pm_audit_log *open_audit_log(const struct pm_controller *controller)
 {
-    const struct pm_roles_setting *setting = &n->op->roles;
-    struct pm_audit_log *record = NULL;
+    const struct pm_roles_setting *setting = &controller->operator_settings->roles;
+    struct pm_audit_log *audit_log;
     char err[512];
 
-    if (setting->audit_log_dir[0]) {
-        record =
-            pm_audit_log_new(setting->audit_log_dir, n->settings->name, setting->audit_log_period_s,
-                             setting->audit_log_mb, err, sizeof err);
-        if (!record) /* the service goes on without */
-            pm_error("audit_log.error", "%s", err);
-    }
-    n->duties = pm_roles_new(n->store, n->settings, setting, pm_election_incarnation_id(n->lead),
-                             n->trace, record, &(struct pm_roles_hooks){on_taken, on_drained, n});
-    pm_autoscaler_set_duties(n->fleet, n->duties);
-    n->clean = pm_gc_new(n->settings, setting->gc_after_s);
+    if (!setting->audit_log_dir[0])
+        return NULL;
+    audit_log =
+        pm_audit_log_new(setting->audit_log_dir, controller->settings->name,
+                         setting->audit_log_period_s, setting->audit_log_mb, err, sizeof err);
+    if (!audit_log)
+        pm_error("audit_log.error", "%s", err);
+    return audit_log;
+}
+
+void pm_controller_init_roles(struct pm_controller *controller)
+{
+    const struct pm_roles_setting *setting = &controller->operator_settings->roles;
+    const struct pm_roles_hooks hooks = {on_role_acquired, on_role_drained, controller};
+
+    controller->roles = pm_roles_new(controller->store, controller->settings, setting,
+                                     pm_election_incarnation_id(controller->election),
+                                     controller->trace, open_audit_log(controller), &hooks);
+    pm_autoscaler_set_duties(controller->autoscaler, controller->roles);
+    controller->gc = pm_gc_new(controller->settings, setting->gc_after_s);
 }
--- a/src/cmd/pumicemount/worker_endpoint.c
+++ b/src/cmd/pumicemount/worker_endpoint.c
@@ -1,206 +1,324 @@
-/* Commands to workers, and their reports. */
+/* Workers: their heartbeats (POST /v1/report) are answered here, and commands are pushed to them
+ * (POST /do). Wire names of both are mapped in this file and in the workers slice. */
 #include "base/clock.h"
 #include "base/log.h"
 #include "internal.h"
 
-#include <math.h>
 #include <string.h>
 
-#define DIRECT_SHARE 8 /* of the sockets, one in so many for commands to workers at a time */
+#define PUSH_TIMEOUT_S 3.0  /* a push with commands and no answer by then has an unknown outcome */
+#define PROBE_TIMEOUT_S 1.5 /* one without commands asks only whether the worker is there */
+#define PUSH_RETRY_S 0.7
+#define OVERTAKEN_S 2.0 /* a heartbeat may come so much later than a message sent after it */
 
-enum { DIRECT_ANSWER_MAX = 1024 * 1024 }; /* bytes: a worker's report */
-#define PROBE_S 1.5     /* one without orders asks only whether the worker is there */
-#define OVERTAKEN_S 2.0 /* a report may come so much later than a message sent after it */
+enum {
+    PUSH_SOCKET_SHARE = 8,           /* of the sockets, one in so many for pushes at a time */
+    PUSH_ANSWER_BYTES = 1024 * 1024, /* a worker's report */
+    FIRST_INCARNATION = 1,           /* of a worker, by the protocol */
+    RETRY_AFTER_S = 1
+};
+
+/* ---- pushing commands ---- */
 
-struct direct {
-    struct pm_controller *node;
-    int machine;
+/* A push that is under way. */
+struct push {
+    struct pm_controller *controller;
+    int machine; /* its index: the machine may go meanwhile */
     uint64_t number, epoch;
-    double valid_until; /* steady: not written later */
-    double sent;
+    double deadline; /* monotonic: not written later */
+    double sent_at;
 };
 
-static void on_direct(void *arg, int status, const unsigned char *body, size_t size)
+/* One that was not written in time says nothing about the machine. */
+static bool was_dropped_here(const struct push *push, int status)
+{
+    return status == PM_HTTP_NOT_SENT && pm_clock_monotonic() > push->deadline;
+}
+
+static void note_push_failure(struct pm_controller *controller, struct pm_machine *machine)
+{
+    double now = pm_clock_monotonic();
+
+    machine->push.failed_at = now;
+    /* A machine that boots can't answer, and a process that was not run has missed answers. */
+    if (machine->heartbeat.is_known && !pm_links_is_lagging(controller->links, now))
+        pm_machine_note_delivery_failure(machine, "a /do has no answer", now);
+    machine->push.retry_at = now + PUSH_RETRY_S;
+}
+
+static void apply_push_answer(struct pm_controller *controller, const cbor_item_t *report)
 {
-    struct direct *direct = arg;
-    struct pm_controller *n = direct->node;
-    struct pm_machine *m = n->ruling ? pm_workers_at(n->workers, direct->machine) : NULL;
-    cbor_item_t *report;
     bool fresh;
 
-    n->directs--;
-    if (m && m->heartbeat.is_known && status != PM_HTTP_NOT_SENT)
-        pm_links_worker_answered(n->links, m->zone, status > 0, direct->sent, pm_clock_monotonic());
-    report = status == 200 || status == 409 ? pm_cbor_parse(body, size) : NULL;
-    if (m && pm_worker_push_done(m, direct->number, direct->epoch,
-                                 status > 0 && !report ? PM_HTTP_NO_ANSWER : status)) {
-        /* One that we did not write in time says nothing about the machine. */
-        if (status < 0 &&
-            !(status == PM_HTTP_NOT_SENT && pm_clock_monotonic() > direct->valid_until)) {
-            m->push.failed_at = pm_clock_monotonic();
-            if (m->heartbeat.is_known &&
-                !pm_links_is_lagging(n->links, m->push.failed_at)) /* one that boots can't answer */
-                pm_machine_note_delivery_failure(m, "a /do has no answer", m->push.failed_at);
-            m->push.retry_at = m->push.failed_at + 0.7;
-        }
-        if (report) {
-            pm_workers_apply_heartbeat(n->workers, report, PM_SOURCE_PUSH,
-                                       pm_election_epoch(n->lead), pm_clock_monotonic(), &fresh);
-            pm_controller_plan_soon(n);
-            pm_controller_commit(n);
-        }
-        pm_controller_push_commands(n, m, false);
-    }
+    pm_workers_apply_heartbeat(controller->workers, report, PM_SOURCE_PUSH,
+                               pm_election_epoch(controller->election), pm_clock_monotonic(),
+                               &fresh);
+    pm_controller_plan_soon(controller);
+    pm_controller_commit(controller);
+}
+
+/* Settles the push, unless it is from before the working state was reset. */
+static void settle_push(const struct push *push, struct pm_machine *machine, int status,
+                        const cbor_item_t *report)
+{
+    struct pm_controller *controller = push->controller;
+    int outcome = status > 0 && !report ? PM_HTTP_NO_ANSWER : status;
+
+    if (!pm_worker_push_done(machine, push->number, push->epoch, outcome))
+        return;
+    if (status < 0 && !was_dropped_here(push, status))
+        note_push_failure(controller, machine);
+    if (report)
+        apply_push_answer(controller, report);
+    pm_controller_push_commands(controller, machine, false);
+}
+
+static void on_push_done(void *arg, int status, const unsigned char *body, size_t size)
+{
+    struct push *push = arg;
+    struct pm_controller *controller = push->controller;
+    struct pm_machine *machine =
+        controller->is_active ? pm_workers_at(controller->workers, push->machine) : NULL;
+    cbor_item_t *report = NULL;
+
+    controller->pushes_in_flight--;
+    if (machine && machine->heartbeat.is_known && status != PM_HTTP_NOT_SENT)
+        pm_links_worker_answered(controller->links, machine->zone, status > 0, push->sent_at,
+                                 pm_clock_monotonic());
+    if (status == 200 || status == 409) /* both bring the worker's report */
+        report = pm_cbor_parse(body, size);
+    if (machine)
+        settle_push(push, machine, status, report);
     pm_cbor_free(report);
-    g_free(direct);
+    g_free(push);
+}
+
+static bool may_push(const struct pm_controller *controller, const struct pm_machine *machine,
+                     bool probe)
+{
+    int pushes_max = controller->settings->sockets / PUSH_SOCKET_SHARE;
+
+    if (machine->push.in_flight || controller->pushes_in_flight >= pushes_max ||
+        !machine->endpoint[0])
+        return false;
+    if (machine->push.retry_at > pm_clock_monotonic())
+        return false;
+    if (!probe && !pm_worker_push_is_due(machine))
+        return false;
+    return pm_election_is_confirmed(controller->election, pm_clock_monotonic());
+}
+
+/* Returns how many commands it wrote. */
+static int encode_push(struct pm_machine *machine, uint64_t epoch, struct pm_buf *body)
+{
+    uint64_t incarnation = machine->heartbeat.incarnation;
+    int commands;
+
+    pm_put_map(body);
+    pm_put_pair_count(body, "mandate", epoch);
+    pm_put_pair_count(body, "shift", incarnation ? incarnation : FIRST_INCARNATION);
+    pm_put_text(body, "orders");
+    commands = pm_workers_encode_commands(machine, true, epoch, body);
+    pm_put_end(body);
+    return commands;
 }
 
-void pm_controller_push_commands(struct pm_controller *n, struct pm_machine *m, bool probe)
+void pm_controller_push_commands(struct pm_controller *controller, struct pm_machine *machine,
+                                 bool probe)
 {
     struct pm_buf body = {0};
-    struct direct *direct;
-    double timeout;
+    struct push *push;
+    int commands;
 
-    if (m->push.in_flight || n->directs >= n->settings->sockets / DIRECT_SHARE || !m->endpoint[0] ||
-        m->push.retry_at > pm_clock_monotonic() || (!probe && !pm_worker_push_is_due(m)) ||
-        !pm_election_is_confirmed(n->lead, pm_clock_monotonic()))
+    if (!may_push(controller, machine, probe))
         return;
-    direct = g_new0(struct direct, 1);
-    *direct = (struct direct){.node = n,
-                              .machine = m->index,
-                              .number = pm_worker_push_begin(n->workers, m),
-                              .epoch = pm_election_epoch(n->lead),
-                              .valid_until = pm_election_confirmation_deadline(n->lead),
-                              .sent = pm_clock_monotonic()};
-    pm_put_map(&body);
-    pm_put_pair_count(&body, "mandate", direct->epoch);
-    pm_put_pair_count(&body, "shift", m->heartbeat.incarnation ? m->heartbeat.incarnation : 1);
-    pm_put_text(&body, "orders");
-    timeout = pm_workers_encode_commands(m, true, direct->epoch, &body) ? DIRECT_S : PROBE_S;
-    pm_put_end(&body);
-    n->directs++;
-    pm_http_call_until(n->http, m->endpoint, "POST", "/do", body.data, body.size, timeout,
-                       DIRECT_ANSWER_MAX, direct->valid_until, on_direct, direct);
+    push = g_new0(struct push, 1);
+    push->controller = controller;
+    push->machine = machine->index;
+    push->number = pm_worker_push_begin(controller->workers, machine);
+    push->epoch = pm_election_epoch(controller->election);
+    push->deadline = pm_election_confirmation_deadline(controller->election);
+    push->sent_at = pm_clock_monotonic();
+    commands = encode_push(machine, push->epoch, &body);
+    controller->pushes_in_flight++;
+    pm_http_call_until(controller->http, machine->endpoint, "POST", "/do", body.data, body.size,
+                       commands ? PUSH_TIMEOUT_S : PROBE_TIMEOUT_S, PUSH_ANSWER_BYTES,
+                       push->deadline, on_push_done, push);
     pm_buf_free(&body);
 }
 
-void pm_controller_push_all_commands(struct pm_controller *n)
+void pm_controller_push_all_commands(struct pm_controller *controller)
 {
-    GPtrArray *all = pm_workers_all(n->workers);
+    GPtrArray *machines = pm_workers_all(controller->workers);
 
-    for (guint i = 0; i < all->len; i++) {
-        struct pm_machine *m = g_ptr_array_index(all, i);
-        if (m && m->state == PM_MACHINE_UP && !m->shard.owner)
-            pm_controller_push_commands(n, m, false);
+    for (guint i = 0; i < machines->len; i++) {
+        struct pm_machine *machine = g_ptr_array_index(machines, i);
+        if (machine && machine->state == PM_MACHINE_UP && !machine->shard.owner)
+            pm_controller_push_commands(controller, machine, false);
     }
 }
 
-static void reply_elsewhere(struct pm_controller *n, struct pm_http_request *req,
-                            const char *machine)
+/* ---- heartbeats ---- */
+
+static void reply_unavailable(struct pm_http_request *request)
 {
-    const char *other = pm_shards_owner_of(n->blocks, machine);
-    struct pm_buf body = {0};
+    pm_http_reply(request, 503, NULL, 0, RETRY_AFTER_S);
+}
 
-    if (!other || !strcmp(other, n->settings->name))
-        other = pm_election_other_leader(n->lead);
+/* Redirects the worker to the machine's owner or the leader, if one is known. */
+static void reply_redirect(struct pm_controller *controller, struct pm_http_request *request,
+                           const char *machine)
+{
+    const char *other = pm_shards_owner_of(controller->shards, machine);
+    struct pm_buf body = {0};
 
+    if (!other || !strcmp(other, controller->settings->name))
+        other = pm_election_other_leader(controller->election);
     if (!other) {
-        pm_http_reply(req, 503, NULL, 0, 1);
+        reply_unavailable(request);
         return;
     }
     pm_put_map(&body);
     pm_put_pair_text(&body, "steward", other);
     pm_put_end(&body);
-    pm_http_reply(req, 421, body.data, body.size, 0);
+    pm_http_reply(request, 421, body.data, body.size, 0);
     pm_buf_free(&body);
 }
 
-/* 200, with the orders due for the machine; NULL: the lease is renewed, and only what is cancelled
- * of all that it reports is killed. */
-static void answer_worker(struct pm_controller *n, struct pm_http_request *req, uint64_t epoch,
-                          struct pm_machine *m, const cbor_item_t *report)
+/* 200 with the commands that are due for the machine. Without a machine the lease is renewed, and
+ * only tasks that are known to be cancelled are killed, of all that the report names. */
+static void reply_commands(struct pm_controller *controller, struct pm_http_request *request,
+                           struct pm_machine *machine, const cbor_item_t *report)
 {
+    uint64_t epoch = pm_election_epoch(controller->election);
     struct pm_buf body = {0};
 
     pm_put_map(&body);
     pm_put_pair_count(&body, "mandate", epoch);
     pm_put_text(&body, "orders");
-    if (m)
-        pm_workers_encode_commands(m, false, epoch, &body);
+    if (machine)
+        pm_workers_encode_commands(machine, false, epoch, &body);
     else
-        pm_workers_encode_cancel_kills(n->workers, report, &body);
+        pm_workers_encode_cancel_kills(controller->workers, report, &body);
     pm_put_end(&body);
-    pm_http_reply(req, 200, body.data, body.size, 0);
+    pm_http_reply(request, 200, body.data, body.size, 0);
     pm_buf_free(&body);
 }
 
-/* Safety invariant 5: 200 only with the epoch confirmed within A seconds, and never with a token
- * below what the worker has seen. */
-void pm_controller_handle_heartbeat(struct pm_controller *n, struct pm_http_request *req)
+/* A heartbeat as it is being handled. */
+struct heartbeat {
+    struct pm_http_request *request;
+    const cbor_item_t *report;
+    char machine[PM_NAME_MAX];
+    uint64_t fencing_token; /* the highest that the worker has seen */
+    double now;
+};
+
+/* The machine is another controller's, or this controller's working state is not there. */
+static bool is_not_ours(const struct pm_controller *controller, const struct pm_machine *machine)
 {
-    uint64_t epoch = pm_election_epoch(n->lead);
-    uint64_t token = 0;
-    double now = pm_clock_monotonic();
-    struct pm_machine *m;
-    cbor_item_t *report;
-    char name[PM_NAME_MAX];
-    bool fresh;
+    if (!controller->is_active)
+        return true;
+    if (controller->is_leader)
+        return machine && machine->shard.owner;
+    return !machine || machine->shard.returned;
+}
 
-    n->report_at = now;
-    report = pm_cbor_parse(req->body, req->body_size);
-    if (!pm_cbor_read_text(pm_cbor_get(report, "host"), name, sizeof name)) {
-        pm_cbor_free(report);
-        pm_http_reply(req, 400, NULL, 0, 0);
-        return;
-    }
-    pm_cbor_read_count(pm_cbor_get(report, "mandate"), &token);
-    if (n->leading && pm_autoscaler_is_terminated(n->fleet, name)) {
-        /* A copy of a report of a machine that is proven gone. */
-        pm_cbor_free(report);
-        pm_http_reply(req, 503, NULL, 0, 1);
+static void answer_for_another(struct pm_controller *controller, const struct heartbeat *heartbeat)
+{
+    struct pm_election *election = controller->election;
+
+    if (!pm_election_may_renew_in_outage(election, heartbeat->now) ||
+        heartbeat->fencing_token > pm_election_epoch(election)) {
+        reply_redirect(controller, heartbeat->request, heartbeat->machine);
         return;
     }
-    m = n->ruling ? pm_workers_find(n->workers, name) : NULL;
-    if (m)
-        pm_links_worker_heard(n->links, m->zone, token && token == epoch, now);
-    if (!n->ruling || (n->leading ? m && m->shard.owner : !m || m->shard.returned)) {
-        if (pm_election_may_renew_in_outage(n->lead, now) && token <= epoch) {
-            req->valid_until = pm_election_outage_renewal_deadline(n->lead);
-            answer_worker(n, req, epoch, NULL, report);
-        } else {
-            reply_elsewhere(n, req, name);
-        }
-        pm_cbor_free(report);
+    heartbeat->request->valid_until = pm_election_outage_renewal_deadline(election);
+    reply_commands(controller, heartbeat->request, NULL, heartbeat->report);
+}
+
+/* Safety invariant 5: a worker is answered 200 only under an epoch that was confirmed within the
+ * allowed age, and never with a token below the highest that it has seen. False: it was answered
+ * 503. */
+static bool check_epoch(struct pm_controller *controller, const struct heartbeat *heartbeat)
+{
+    uint64_t epoch = pm_election_epoch(controller->election);
+    bool is_deposed = heartbeat->fencing_token > epoch;
+
+    if (pm_election_is_confirmed(controller->election, heartbeat->now) && !is_deposed)
+        return true;
+    if (is_deposed)
+        pm_election_recheck_epoch(controller->election);
+    pm_debug("heartbeat.epoch_unconfirmed", "%s: epoch %llu, its token %llu", heartbeat->machine,
+             (unsigned long long)epoch, (unsigned long long)heartbeat->fencing_token);
+    reply_unavailable(heartbeat->request);
+    return false;
+}
+
+static void answer_own_worker(struct pm_controller *controller, const struct heartbeat *heartbeat)
+{
+    uint64_t epoch = pm_election_epoch(controller->election);
+    struct pm_machine *machine;
+    bool fresh;
+
+    if (!check_epoch(controller, heartbeat))
         return;
-    }
-    if (!pm_election_is_confirmed(n->lead, now) || token > epoch) {
-        if (token > epoch)
-            pm_election_recheck_epoch(n->lead);
-        pm_debug("heartbeat.epoch_unconfirmed", "%s: epoch %llu, its token %llu", name,
-                 (unsigned long long)epoch, (unsigned long long)token);
-        pm_cbor_free(report);
-        pm_http_reply(req, 503, NULL, 0, 1);
+    machine = pm_workers_apply_heartbeat(controller->workers, heartbeat->report,
+                                         PM_SOURCE_HEARTBEAT, epoch, heartbeat->now, &fresh);
+    if (!machine) {
+        pm_http_reply(heartbeat->request, 400, NULL, 0, 0);
         return;
     }
-    m = pm_workers_apply_heartbeat(n->workers, report, PM_SOURCE_HEARTBEAT, epoch, now, &fresh);
-    if (!m) {
-        pm_cbor_free(report);
-        pm_http_reply(req, 400, NULL, 0, 0);
+    /* A late copy is not answered 200: nothing of it counts, neither as a sign of life nor for the
+     * lease. A worker that has lost its memory gets the same answer, and moves on to its next
+     * incarnation. The heartbeat of a machine that was heard just now was overtaken by its answer
+     * to a push. */
+    if (machine->state == PM_MACHINE_RELEASING ||
+        (!fresh && heartbeat->now - machine->heartbeat.last_message_at > OVERTAKEN_S)) {
+        reply_unavailable(heartbeat->request);
         return;
     }
-    /* A late copy is not answered 200: nothing of it counts, neither as a sign of life nor for its
-     * lease. A worker that lost its memory is told so too, and moves on to its next session. One
-     * that was heard just now has had its report overtaken by its answer to a /do. */
-    if (m->state == PM_MACHINE_RELEASING ||
-        (!fresh && now - m->heartbeat.last_message_at > OVERTAKEN_S)) {
-        pm_cbor_free(report);
-        pm_http_reply(req, 503, NULL, 0, 1);
+    heartbeat->request->valid_until = pm_election_confirmation_deadline(controller->election);
+    reply_commands(controller, heartbeat->request, fresh ? machine : NULL, heartbeat->report);
+    pm_machine_note_ack(machine, epoch, heartbeat->now);
+    pm_controller_plan_soon(controller);
+    pm_controller_commit(controller);
+}
+
+static void answer_heartbeat(struct pm_controller *controller, const struct heartbeat *heartbeat)
+{
+    uint64_t token = heartbeat->fencing_token;
+    struct pm_machine *machine = NULL;
+
+    if (controller->is_leader &&
+        pm_autoscaler_is_terminated(controller->autoscaler, heartbeat->machine)) {
+        reply_unavailable(heartbeat->request); /* a copy, from a machine that is proven gone */
         return;
     }
-    req->valid_until = pm_election_confirmation_deadline(n->lead);
-    answer_worker(n, req, epoch, fresh ? m : NULL, report);
+    if (controller->is_active)
+        machine = pm_workers_find(controller->workers, heartbeat->machine);
+    if (machine)
+        pm_links_worker_heard(controller->links, machine->zone,
+                              token && token == pm_election_epoch(controller->election),
+                              heartbeat->now);
+    if (is_not_ours(controller, machine))
+        answer_for_another(controller, heartbeat);
+    else
+        answer_own_worker(controller, heartbeat);
+}
+
+void pm_controller_handle_heartbeat(struct pm_controller *controller,
+                                    struct pm_http_request *request)
+{
+    struct heartbeat heartbeat = {.request = request, .now = pm_clock_monotonic()};
+    cbor_item_t *report = pm_cbor_parse(request->body, request->body_size);
+
+    controller->last_heartbeat_at = heartbeat.now;
+    heartbeat.report = report;
+    pm_cbor_read_count(pm_cbor_get(report, "mandate"), &heartbeat.fencing_token);
+    if (pm_cbor_read_text(pm_cbor_get(report, "host"), heartbeat.machine, sizeof heartbeat.machine))
+        answer_heartbeat(controller, &heartbeat);
+    else
+        pm_http_reply(request, 400, NULL, 0, 0);
     pm_cbor_free(report);
-    pm_machine_note_ack(m, epoch, now);
-    pm_controller_plan_soon(n);
-    pm_controller_commit(n);
 }
