--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -1,168 +1,194 @@
-/* The orders that are due at a machine, and what became of the /do that carried them. */
+/* Encodes the commands that are due at a machine. The wire names of commands stand here. */
 #include "workers/internal.h"
 
 #include <stdio.h>
-#include <string.h>
 
-enum { ORDERS_MAX = 400 }; /* keeps an answer well below 64 KiB */
+enum {
+    COMMANDS_MAX = 400, /* keeps an answer well below 64 KiB */
+    TASK_NAME_BYTES = 64
+};
 
-static void put_order(struct pm_buf *out, const char *verb, const char *id, uint32_t index,
-                      uint32_t attempt, double leave_s)
+#define NO_GRACE_PERIOD (-1.0) /* the command has none */
+
+/* A list of commands under construction. */
+struct command_list {
+    struct pm_buf *out;
+    int count;
+};
+
+static bool is_full(const struct command_list *list)
+{
+    return list->count >= COMMANDS_MAX;
+}
+
+static void add_command(struct command_list *list, const char *verb, const char *job_id,
+                        uint32_t task_index, uint32_t attempt, double grace_s)
 {
-    char text[64];
+    struct pm_buf *out = list->out;
+    char name[TASK_NAME_BYTES];
 
-    snprintf(text, sizeof text, "%s/%u", id, index);
+    snprintf(name, sizeof name, "%s/%u", job_id, task_index);
     pm_put_map(out);
     pm_put_pair_text(out, "verb", verb);
-    pm_put_pair_text(out, "entry", text);
+    pm_put_pair_text(out, "entry", name);
     pm_put_pair_count(out, "try", attempt);
-    if (leave_s >= 0)
-        pm_put_pair_number(out, "leave_s", leave_s);
+    if (grace_s >= 0)
+        pm_put_pair_number(out, "leave_s", grace_s);
     pm_put_end(out);
+    list->count++;
+}
+
+static void add_launch(struct command_list *list, const struct pm_placement *placement)
+{
+    add_command(list, "launch", placement->job->id, placement->task_index, placement->attempt,
+                NO_GRACE_PERIOD);
+}
+
+static void add_kill(struct command_list *list, const struct pm_placement *placement)
+{
+    add_command(list, "kill", placement->job->id, placement->task_index, placement->attempt,
+                placement->grace_s);
 }
 
-static bool launch_due(const struct pm_placement *place, const struct pm_machine *m, bool direct)
+/* ---- what is due ---- */
+
+static bool is_launch_due(const struct pm_placement *placement, const struct pm_machine *machine)
 {
-    return place->state == PM_PLACEMENT_DURABLE && !place->should_stop &&
-           place->incarnation == m->heartbeat.incarnation && m->state == PM_MACHINE_UP &&
-           (!direct || (!place->launch_push && !place->launch_reply_sequence));
+    return placement->state == PM_PLACEMENT_DURABLE && !placement->should_stop &&
+           placement->incarnation == machine->heartbeat.incarnation &&
+           machine->state == PM_MACHINE_UP;
 }
 
-static bool kill_due(const struct pm_placement *place, const struct pm_machine *m, bool direct)
+/* A launch is pushed once; after that it goes out with the answers to heartbeats. */
+static bool is_launch_push_due(const struct pm_placement *placement,
+                               const struct pm_machine *machine)
 {
-    return place->should_stop && place->state >= PM_PLACEMENT_DURABLE &&
-           place->state < PM_PLACEMENT_ENDED && place->incarnation == m->heartbeat.incarnation &&
-           (!direct || !place->stop_acked);
+    return is_launch_due(placement, machine) && !placement->launch_push &&
+           !placement->launch_reply_sequence;
 }
 
-bool pm_worker_push_is_due(const struct pm_machine *m)
+static bool is_kill_due(const struct pm_placement *placement, const struct pm_machine *machine)
 {
-    for (guint i = 0; i < m->placements->len; i++) {
-        const struct pm_placement *place = g_ptr_array_index(m->placements, i);
-        if (launch_due(place, m, true) || kill_due(place, m, true))
+    return placement->should_stop && placement->state >= PM_PLACEMENT_DURABLE &&
+           placement->state < PM_PLACEMENT_ENDED &&
+           placement->incarnation == machine->heartbeat.incarnation;
+}
+
+static bool is_kill_push_due(const struct pm_placement *placement, const struct pm_machine *machine)
+{
+    return is_kill_due(placement, machine) && !placement->stop_acked;
+}
+
+bool pm_worker_push_is_due(const struct pm_machine *machine)
+{
+    for (guint i = 0; i < machine->placements->len; i++) {
+        const struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
+        if (is_launch_push_due(placement, machine) || is_kill_push_due(placement, machine))
             return true;
     }
     return false;
 }
 
 /* No forget while a copy of a launch may be under way: it would start the task anew. That is so
- * while a /do is open or in doubt, and while the worker would still obey an earlier token. Nor
- * before the end is durable: a forgotten end that nobody wrote down is lost. */
-static bool may_forget(const struct pm_machine *m, const struct pm_task_ref *entry, uint64_t epoch)
+ * while a push is in flight or of unknown outcome, and while the worker would still obey an earlier
+ * token. Nor before the exit is durable: one that is forgotten and nobody wrote down is lost. */
+static bool may_forget(const struct pm_machine *machine, const struct pm_task_ref *task,
+                       uint64_t epoch)
 {
     const struct pm_chunk *chunk;
 
-    if (m->push.in_flight || m->push.unknown_outcome_epoch || m->heartbeat.fencing_token < epoch)
+    if (machine->push.in_flight || machine->push.unknown_outcome_epoch ||
+        machine->heartbeat.fencing_token < epoch)
         return false;
-    if (!entry->job->chunks)
-        return true; /* over, durably */
-    chunk = entry->job->chunks[entry->task_index / PM_CHUNK_TASKS];
+    if (!task->job->chunks)
+        return true; /* the job is over, durably */
+    chunk = task->job->chunks[task->task_index / PM_CHUNK_TASKS];
     return !chunk || (!chunk->dirty && !chunk->in_flight);
 }
 
-int pm_workers_encode_commands(struct pm_machine *m, bool direct, uint64_t epoch,
-                               struct pm_buf *out)
-{
-    int n = 0;
+/* ---- encoding ---- */
 
-    pm_put_list(out);
-    for (guint i = 0; i < m->placements->len && n < ORDERS_MAX; i++) {
-        struct pm_placement *place = g_ptr_array_index(m->placements, i);
-        if (launch_due(place, m, direct)) {
-            put_order(out, "launch", place->job->id, place->task_index, place->attempt, -1);
-            if (direct)
-                place->launch_push = m->push.in_flight, m->push.has_launches = true;
-            else
-                place->launch_reply_sequence = m->heartbeat.sequence;
-            n++;
-        } else if (kill_due(place, m, direct)) {
-            put_order(out, "kill", place->job->id, place->task_index, place->attempt,
-                      place->grace_s);
-            if (direct)
-                place->stop_acked = true;
-            n++;
+static void add_pushed_commands(struct command_list *list, struct pm_machine *machine)
+{
+    for (guint i = 0; i < machine->placements->len && !is_full(list); i++) {
+        struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
+        if (is_launch_push_due(placement, machine)) {
+            add_launch(list, placement);
+            placement->launch_push = machine->push.in_flight;
+            machine->push.has_launches = true;
+        } else if (is_kill_push_due(placement, machine)) {
+            add_kill(list, placement);
+            placement->stop_acked = true;
         }
     }
-    for (guint i = 0; !direct && i < m->heartbeat.orphan_tasks->len && n < ORDERS_MAX; i++, n++) {
-        struct pm_task_ref *entry =
-            &g_array_index(m->heartbeat.orphan_tasks, struct pm_task_ref, i);
-        put_order(out, "kill", entry->job->id, entry->task_index, entry->attempt, 0);
-    }
-    for (guint i = 0; !direct && i < m->heartbeat.exited_tasks->len && n < ORDERS_MAX; i++) {
-        struct pm_task_ref *entry =
-            &g_array_index(m->heartbeat.exited_tasks, struct pm_task_ref, i);
-        if (!may_forget(m, entry, epoch))
-            continue;
-        put_order(out, "forget", entry->job->id, entry->task_index, entry->attempt, -1);
-        n++;
+}
+
+static void add_answered_commands(struct command_list *list, struct pm_machine *machine)
+{
+    for (guint i = 0; i < machine->placements->len && !is_full(list); i++) {
+        struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
+        if (is_launch_due(placement, machine)) {
+            add_launch(list, placement);
+            placement->launch_reply_sequence = machine->heartbeat.sequence;
+        } else if (is_kill_due(placement, machine)) {
+            add_kill(list, placement);
+        }
     }
-    pm_put_end(out);
-    return n;
 }
 
-void pm_workers_encode_cancel_kills(struct pm_workers *w, const cbor_item_t *report,
-                                    struct pm_buf *out)
+static void add_orphan_kills(struct command_list *list, const struct pm_machine *machine)
 {
-    cbor_item_t *entries = pm_cbor_get(report, "entries");
-    int n = 0;
+    const GArray *orphans = machine->heartbeat.orphan_tasks;
 
-    pm_put_list(out);
-    for (size_t i = 0; i < pm_cbor_length(entries) && n < ORDERS_MAX; i++) {
-        const cbor_item_t *item = pm_cbor_at(entries, i);
-        char text[64];
-        char id[PM_ID_MAX];
-        char status[16] = "";
-        uint64_t attempt;
-        uint32_t index;
-        pm_cbor_read_text(pm_cbor_get(item, "status"), status, sizeof status);
-        if (!pm_cbor_read_text(pm_cbor_get(item, "entry"), text, sizeof text) ||
-            !pm_task_name_parse(text, id, &index) ||
-            !pm_cbor_read_count(pm_cbor_get(item, "try"), &attempt) ||
-            !strcmp(status, pm_task_states[4]) || !pm_jobs_cancellation_revision(w->jobs, id))
-            continue;
-        put_order(out, "kill", id, index, (uint32_t)attempt, 0);
-        n++;
+    for (guint i = 0; i < orphans->len && !is_full(list); i++) {
+        const struct pm_task_ref *task = &g_array_index(orphans, struct pm_task_ref, i);
+        add_command(list, "kill", task->job->id, task->task_index, task->attempt, 0);
     }
-    pm_put_end(out);
 }
 
-/* ---- direct commands ---- */
-
-uint64_t pm_worker_push_begin(struct pm_workers *w, struct pm_machine *m)
+static void add_forgets(struct command_list *list, const struct pm_machine *machine, uint64_t epoch)
 {
-    m->push.in_flight = ++w->push_count;
-    m->push.has_launches = false;
-    return m->push.in_flight;
+    const GArray *exited = machine->heartbeat.exited_tasks;
+
+    for (guint i = 0; i < exited->len && !is_full(list); i++) {
+        const struct pm_task_ref *task = &g_array_index(exited, struct pm_task_ref, i);
+        if (may_forget(machine, task, epoch))
+            add_command(list, "forget", task->job->id, task->task_index, task->attempt,
+                        NO_GRACE_PERIOD);
+    }
 }
 
-/* What the end of a /do tells of one place. */
-static void note_direct_end(struct pm_placement *place, uint64_t number, int status)
+int pm_workers_encode_commands(struct pm_machine *machine, bool push, uint64_t epoch,
+                               struct pm_buf *out)
 {
-    if (status == PM_HTTP_NO_ANSWER) {
-        place->launch_outcome_unknown |= place->launch_push == number;
-    } else if (status == PM_HTTP_NOT_SENT) {
-        if (place->launch_push == number)
-            place->launch_push = 0;
-    } else if (place->launch_push <= number) {
-        /* The machine answers: what is still not there is sent anew. That says nothing of an
-         * earlier /do that had no answer: its launch may be carried out yet. */
-        place->launch_push = 0;
+    struct command_list list = {.out = out};
+
+    pm_put_list(out);
+    if (push) {
+        add_pushed_commands(&list, machine);
+    } else {
+        add_answered_commands(&list, machine);
+        add_orphan_kills(&list, machine);
+        add_forgets(&list, machine, epoch);
     }
-    if (status != 200)
-        place->stop_acked = false;
+    pm_put_end(out);
+    return list.count;
 }
 
-bool pm_worker_push_done(struct pm_machine *m, uint64_t number, uint64_t epoch, int status)
+void pm_workers_encode_cancel_kills(struct pm_workers *workers, const cbor_item_t *report,
+                                    struct pm_buf *out)
 {
-    if (m->push.in_flight != number)
-        return false;
-    m->push.in_flight = 0;
-    for (guint i = 0; i < m->placements->len; i++)
-        note_direct_end(g_ptr_array_index(m->placements, i), number, status);
-    /* Whatever became of the launches it carried, a copy may still arrive minutes late. */
-    if (status == PM_HTTP_NO_ANSWER && m->push.has_launches) {
-        m->push.unknown_outcome_epoch = epoch;
-        m->push.unknown_outcome_incarnation = m->heartbeat.incarnation;
+    const cbor_item_t *tasks = pm_cbor_get(report, "entries");
+    struct command_list list = {.out = out};
+
+    pm_put_list(out);
+    for (size_t i = 0; i < pm_cbor_length(tasks) && !is_full(&list); i++) {
+        struct pm_reported_task task;
+        if (!pm_reported_task_decode(pm_cbor_at(tasks, i), &task) ||
+            task.state == PM_WORKER_TASK_ENDED ||
+            !pm_jobs_cancellation_revision(workers->jobs, task.job_id))
+            continue;
+        add_command(&list, "kill", task.job_id, task.task_index, task.attempt, 0);
     }
-    return true;
+    pm_put_end(out);
 }
--- a/src/workers/failures.c
+++ b/src/workers/failures.c
@@ -1,29 +1,30 @@
+/* Failure attribution: each exit of a task is counted for its job and for its machine. */
 #include "workers/failures.h"
 #include "base/log.h"
 
 enum {
-    /* Distinct machines on which a job has to fail, none of them known to be faulty, */
-    FAILING_MACHINES = 2,
-    /* or failures in a row wherever they were, for it to be taken for broken: on the only machine
-     * of its kind there is no second one to tell by. */
-    FAILING_TASKS = 4,
-    /* Blame from which on a machine is given up. */
-    FAULTY_BLAME = 3,
-    /* Jobs remembered against a machine; the oldest gives way. */
-    RECORDS_MAX = 8,
+    /* A job is failing after failures on so many distinct machines, none of them known to be
+     * faulty, or after so many in a row wherever they were: the only machine of its kind has no
+     * second one to compare with. */
+    FAILING_MACHINES_MIN = 2,
+    FAILING_TASKS_MIN = 4,
+    FAULTY_SCORE_MIN = 3,
+    RECORDS_MAX = 8, /* jobs recorded against a machine; the oldest gives way */
     RETRY_DOUBLINGS_MAX = 4,
-    REST_DOUBLINGS_MAX = 6
+    BACKOFF_DOUBLINGS_MAX = 6
 };
-#define REST_S 0.5 /* a task that failed rests for twice this, then twice as long, and so on */
-#define REPLICA_RUNS_S 20.0 /* a replica that has run for so long is sound, and so is its job */
+
+#define BACKOFF_S                                                                                  \
+    0.5 /* a task that failed backs off for twice this, then twice as long, and so on */
+#define SOUND_REPLICA_S 20.0 /* a replica that has run for so long is sound, and so is its job */
 #define RETRY_S 2.0 /* after a failure of a failing job; twice as long after each further one */
 
 bool pm_failures_is_job_failing(const struct pm_job *job)
 {
-    const struct pm_job_failures *faults = &job->failures;
+    const struct pm_job_failures *failures = &job->failures;
 
-    return faults->reported_failing || faults->machine_count >= FAILING_MACHINES ||
-           faults->consecutive >= FAILING_TASKS;
+    return failures->reported_failing || failures->machine_count >= FAILING_MACHINES_MIN ||
+           failures->consecutive >= FAILING_TASKS_MIN;
 }
 
 bool pm_failures_may_retry(const struct pm_job *job, double now)
@@ -31,138 +32,139 @@
     return now >= job->failures.retry_at;
 }
 
-/* What one job's failures say against the machine: nothing if it fails everywhere, all of them if
- * it is known to succeed elsewhere, and little while nothing else is known of it. */
-static unsigned blame_of(const struct pm_failure_record *record)
+/* What one job's failures count against the machine: nothing if the job fails everywhere, all of
+ * them if it is known to succeed elsewhere, and one while nothing else is known of it. */
+static unsigned score_of(const struct pm_failure_record *record)
 {
     if (pm_failures_is_job_failing(record->job))
         return 0;
     return record->job->failures.has_succeeded ? record->failures : 1;
 }
 
-unsigned pm_failures_machine_score(const struct pm_machine *m)
+unsigned pm_failures_machine_score(const struct pm_machine *machine)
 {
-    unsigned blame = 0;
+    unsigned score = 0;
 
-    for (guint i = 0; m->failures.records && i < m->failures.records->len; i++)
-        blame += blame_of(&g_array_index(m->failures.records, struct pm_failure_record, i));
-    return m->failures.quarantined_by_owner ? MAX(blame, FAULTY_BLAME) : blame;
+    for (guint i = 0; machine->failures.records && i < machine->failures.records->len; i++)
+        score += score_of(&g_array_index(machine->failures.records, struct pm_failure_record, i));
+    return machine->failures.quarantined_by_owner ? MAX(score, FAULTY_SCORE_MIN) : score;
 }
 
-bool pm_failures_is_machine_faulty(const struct pm_machine *m)
+bool pm_failures_is_machine_faulty(const struct pm_machine *machine)
 {
-    return pm_failures_machine_score(m) >= FAULTY_BLAME;
+    return pm_failures_machine_score(machine) >= FAULTY_SCORE_MIN;
 }
 
-bool pm_failures_has_failed_on(const struct pm_job *job, const struct pm_machine *m)
+bool pm_failures_has_failed_on(const struct pm_job *job, const struct pm_machine *machine)
 {
     for (unsigned i = 0; i < job->failures.machine_count; i++)
-        if (job->failures.machines[i] == m->index)
+        if (job->failures.machines[i] == machine->index)
             return true;
     return false;
 }
 
-static void record_on_machine(struct pm_machine *m, const struct pm_job *job)
+static void record_on_machine(struct pm_machine *machine, const struct pm_job *job)
 {
     struct pm_failure_record record = {.job = job, .failures = 1};
 
-    if (!m->failures.records)
-        m->failures.records = g_array_new(FALSE, FALSE, sizeof record);
-    for (guint i = 0; i < m->failures.records->len; i++) {
+    if (!machine->failures.records)
+        machine->failures.records = g_array_new(FALSE, FALSE, sizeof record);
+    for (guint i = 0; i < machine->failures.records->len; i++) {
         struct pm_failure_record *known =
-            &g_array_index(m->failures.records, struct pm_failure_record, i);
+            &g_array_index(machine->failures.records, struct pm_failure_record, i);
         if (known->job == job) {
             known->failures++;
             return;
         }
     }
-    if (m->failures.records->len >= RECORDS_MAX)
-        g_array_remove_index(m->failures.records, 0);
-    g_array_append_val(m->failures.records, record);
+    if (machine->failures.records->len >= RECORDS_MAX)
+        g_array_remove_index(machine->failures.records, 0);
+    g_array_append_val(machine->failures.records, record);
 }
 
-static void record_on_job(struct pm_job *job, const struct pm_machine *m)
+static void record_on_job(struct pm_job *job, const struct pm_machine *machine)
 {
-    struct pm_job_failures *faults = &job->failures;
+    struct pm_job_failures *failures = &job->failures;
 
-    faults->consecutive++;
-    if (pm_failures_has_failed_on(job, m) ||
-        faults->machine_count >= G_N_ELEMENTS(faults->machines))
+    failures->consecutive++;
+    if (pm_failures_has_failed_on(job, machine) ||
+        failures->machine_count >= G_N_ELEMENTS(failures->machines))
         return;
-    faults->machines[faults->machine_count++] = m->index;
+    failures->machines[failures->machine_count++] = machine->index;
 }
 
-/* Of tasks that were started together, all fail at about the same time: that makes one round. */
-static void put_off_retry(struct pm_job *job, double now)
+/* Tasks that were started together fail at about the same time: that makes one round. */
+static void schedule_retry(struct pm_job *job, double now)
 {
-    struct pm_job_failures *faults = &job->failures;
+    struct pm_job_failures *failures = &job->failures;
 
-    if (now < faults->retry_at)
+    if (now < failures->retry_at)
         return;
-    faults->retry_at = now + RETRY_S * (1 << faults->retry_rounds);
-    if (faults->retry_rounds < RETRY_DOUBLINGS_MAX)
-        faults->retry_rounds++;
+    failures->retry_at = now + RETRY_S * (1 << failures->retry_rounds);
+    if (failures->retry_rounds < RETRY_DOUBLINGS_MAX)
+        failures->retry_rounds++;
 }
 
-static void note_failure(struct pm_job *job, struct pm_machine *m, double now)
+static void note_failure(struct pm_job *job, struct pm_machine *machine, double now)
 {
     bool was_failing = pm_failures_is_job_failing(job);
-    bool was_faulty = pm_failures_is_machine_faulty(m);
+    bool was_faulty = pm_failures_is_machine_faulty(machine);
 
     /* What fails on a faulty machine says nothing about the job. */
     if (!was_faulty)
-        record_on_job(job, m);
-    record_on_machine(m, job);
+        record_on_job(job, machine);
+    record_on_machine(machine, job);
     if (pm_failures_is_job_failing(job))
-        put_off_retry(job, now);
-    /* Once each: not every task of hundreds. */
+        schedule_retry(job, now);
+    /* Logged once, not for every task. */
     if (!was_failing && pm_failures_is_job_failing(job))
         pm_info("job.failing", "%s fails wherever it runs: one task at a time is tried", job->id);
-    if (!was_faulty && pm_failures_is_machine_faulty(m))
-        pm_info("machine.quarantined", "%s: tasks fail there that do not elsewhere", m->name);
+    if (!was_faulty && pm_failures_is_machine_faulty(machine))
+        pm_info("machine.quarantined", "%s: tasks fail there that do not elsewhere", machine->name);
 }
 
-static void note_success(struct pm_job *job, struct pm_machine *m)
+static void note_success(struct pm_job *job, struct pm_machine *machine)
 {
     if (pm_failures_is_job_failing(job))
-        pm_info("job.recovered", "%s has succeeded on %s", job->id, m->name);
+        pm_info("job.recovered", "%s has succeeded on %s", job->id, machine->name);
     job->failures = (struct pm_job_failures){.has_succeeded = true};
-    if (m->failures.records)
-        g_array_set_size(m->failures.records, 0);
+    if (machine->failures.records)
+        g_array_set_size(machine->failures.records, 0);
 }
 
-void pm_failures_note_running(const struct pm_placement *place, double now)
+void pm_failures_note_running(const struct pm_placement *placement, double now)
 {
-    if (place->job->spec->kind != PM_WORKLOAD_SERVICE || !place->job->failures.consecutive ||
-        now - place->running_since < REPLICA_RUNS_S)
+    if (placement->job->spec->kind != PM_WORKLOAD_SERVICE ||
+        !placement->job->failures.consecutive || now - placement->running_since < SOUND_REPLICA_S)
         return;
-    note_success(place->job, place->machine);
+    note_success(placement->job, placement->machine);
 }
 
-static void rest_after_failure(struct pm_placement *place, enum pm_task_exit end, double now)
+static void back_off_task(struct pm_placement *placement, enum pm_task_exit end, double now)
 {
-    struct pm_task *task = pm_job_task(place->job, place->task_index);
-    double rest = REST_S;
+    struct pm_task *task = pm_job_task(placement->job, placement->task_index);
+    double backoff_s = BACKOFF_S;
 
-    task->failures = (uint16_t)MIN(task->failures + 1, REST_DOUBLINGS_MAX);
+    task->failures = (uint16_t)MIN(task->failures + 1, BACKOFF_DOUBLINGS_MAX);
     if (end == PM_TASK_EXIT_ERROR)
-        rest = REST_S * (1 << task->failures);
-    pm_job_back_off(place->job, place->task_index, now + rest);
+        backoff_s = BACKOFF_S * (1 << task->failures);
+    pm_job_back_off(placement->job, placement->task_index, now + backoff_s);
 }
 
-void pm_failures_note_exit(struct pm_placement *place, enum pm_task_exit end, double now)
+void pm_failures_note_exit(struct pm_placement *placement, enum pm_task_exit end, double now)
 {
     if (end == PM_TASK_EXIT_DONE) {
-        pm_job_task(place->job, place->task_index)->failures = 0;
-        note_success(place->job, place->machine);
+        pm_job_task(placement->job, placement->task_index)->failures = 0;
+        note_success(placement->job, placement->machine);
         return;
     }
     if (end != PM_TASK_EXIT_ERROR && end != PM_TASK_EXIT_REFUSED)
         return;
-    pm_debug("task.failed", "%s/%u on %s", place->job->id, place->task_index, place->machine->name);
-    rest_after_failure(place, end, now);
+    pm_debug("task.failed", "%s/%u on %s", placement->job->id, placement->task_index,
+             placement->machine->name);
+    back_off_task(placement, end, now);
     if (end == PM_TASK_EXIT_ERROR)
-        note_failure(place->job, place->machine, now);
+        note_failure(placement->job, placement->machine, now);
 }
 
 void pm_failures_report_job(struct pm_job *job, double now)
@@ -170,7 +172,7 @@
     if (pm_failures_is_job_failing(job))
         return;
     job->failures.reported_failing = true;
-    put_off_retry(job, now);
+    schedule_retry(job, now);
 }
 
 void pm_failures_clear_job(struct pm_job *job)
@@ -178,7 +180,7 @@
     job->failures.reported_failing = false;
 }
 
-void pm_failures_quarantine_machine(struct pm_machine *m)
+void pm_failures_quarantine_machine(struct pm_machine *machine)
 {
-    m->failures.quarantined_by_owner = true;
+    machine->failures.quarantined_by_owner = true;
 }
--- a/src/workers/heartbeat.c
+++ b/src/workers/heartbeat.c
@@ -1,277 +1,350 @@
-/* Takes in what a worker reports: its tasks, and what their absence proves. */
+/* Applies what a worker reports: its tasks, what their absence proves, and whether it hears us. */
 #include "base/log.h"
 #include "workers/failures.h"
 #include "workers/internal.h"
 
-#include <stdlib.h>
 #include <string.h>
 
-const char *const pm_task_states[PM_TASK_STATES] = {"fetching", "waiting", "running", "saving",
-                                                    "ended"};
+/* ---- images ---- */
 
-bool pm_task_name_parse(const char *text, char *id, uint32_t *index)
+/* Least recently used images give way where the machine's disk is full. */
+static void evict_images(struct pm_machine_images *images, double disk_gb)
 {
-    const char *slash = strchr(text, '/');
-    char *end;
-    unsigned long value;
-
-    if (!slash || (size_t)(slash - text) >= PM_ID_MAX)
-        return false;
-    memcpy(id, text, (size_t)(slash - text));
-    id[slash - text] = 0;
-    value = strtoul(slash + 1, &end, 10);
-    if (end == slash + 1 || *end || value >= PM_JOB_TASKS_MAX)
-        return false;
-    *index = (uint32_t)value;
-    return true;
+    double free_gb = disk_gb;
+
+    for (int i = 0; i < images->count; i++) {
+        free_gb -= images->cached[i].gb;
+        if (i > 0 && free_gb < 0)
+            images->count = i;
+    }
 }
 
-static enum pm_task_exit read_end(const cbor_item_t *entry)
+/* A task that has got past its fetch shows that its image is there. */
+static void note_image_use(const struct pm_workers *workers, struct pm_machine *machine,
+                           const struct pm_spec *spec)
 {
-    char cause[32];
-
-    if (!pm_cbor_read_text(pm_cbor_get(entry, "cause"), cause, sizeof cause))
-        return PM_TASK_EXIT_ERROR;
-    if (!strcmp(cause, "done"))
-        return PM_TASK_EXIT_DONE;
-    if (!strcmp(cause, "stopped"))
-        return PM_TASK_EXIT_STOPPED;
-    if (!strcmp(cause, "mates_gone") || !strcmp(cause, "incomplete"))
-        return PM_TASK_EXIT_GANG;
-    if (!strcmp(cause, "error"))
-        return PM_TASK_EXIT_ERROR;
-    return PM_TASK_EXIT_REFUSED;
+    struct pm_machine_images *images = &machine->images;
+    struct pm_cached_image used = {spec->image, spec->image_gb};
+    int position = 0;
+
+    while (position < images->count && images->cached[position].image != spec->image)
+        position++;
+    if (position == 0 && images->count)
+        return;
+    if (position == images->count && images->count < PM_CACHED_IMAGES_MAX)
+        images->count++;
+    if (position == PM_CACHED_IMAGES_MAX)
+        position--;
+    memmove(images->cached + 1, images->cached, (size_t)position * sizeof images->cached[0]);
+    images->cached[0] = used;
+    evict_images(images, machine->type >= 0 ? workers->tables->types[machine->type].local_gb : 0);
 }
 
-static void note_image(struct pm_workers *w, struct pm_machine *m, const struct pm_spec *spec)
+/* ---- tasks ---- */
+
+/* The placement that the task was started for; NULL: there is none, so that it is an orphan. */
+static struct pm_placement *find_placement(const struct pm_machine *machine,
+                                           const struct pm_task_ref *ref)
 {
-    struct pm_cached_image entry = {spec->image, spec->image_gb};
-    double room = m->type >= 0 ? w->tables->types[m->type].local_gb : 0;
-    int i;
+    const struct pm_task *task;
+    struct pm_placement *placement;
+
+    if (!ref->job->spec || !ref->job->chunks)
+        return NULL;
+    task = pm_job_find_task(ref->job, ref->task_index);
+    placement = task ? task->placement : NULL;
+    if (!placement || placement->machine != machine || placement->attempt != ref->attempt ||
+        placement->incarnation != machine->heartbeat.incarnation)
+        return NULL;
+    return placement;
+}
 
-    for (i = 0; i < m->images.count && m->images.cached[i].image != spec->image; i++)
-        ;
-    if (i == 0 && m->images.count)
+static void apply_orphan(struct pm_machine *machine, const struct pm_reported_task *task,
+                         const struct pm_task_ref *ref)
+{
+    if (task->state == PM_WORKER_TASK_ENDED) {
+        g_array_append_val(machine->heartbeat.exited_tasks, *ref);
         return;
-    if (i == m->images.count && m->images.count < PM_CACHED_IMAGES_MAX)
-        m->images.count++;
-    if (i == PM_CACHED_IMAGES_MAX)
-        i--;
-    memmove(m->images.cached + 1, m->images.cached, (size_t)i * sizeof m->images.cached[0]);
-    m->images.cached[0] = entry;
-    for (i = 0; i < m->images.count; i++) { /* the least recently used give way */
-        room -= m->images.cached[i].gb;
-        if (i > 0 && room < 0)
-            m->images.count = i;
     }
+    g_array_append_val(machine->heartbeat.orphan_tasks, *ref);
+    pm_info("worker.orphan_task", "%s has %s try %u, which has no placement there", machine->name,
+            task->name, task->attempt);
 }
 
-static void read_task(struct pm_workers *w, struct pm_machine *m, const cbor_item_t *item,
-                      double now)
+static void apply_exit(struct pm_workers *workers, struct pm_placement *placement,
+                       const struct pm_reported_task *task, const struct pm_task_ref *ref,
+                       double now)
 {
-    char text[64];
-    char id[PM_ID_MAX];
-    char status[16];
-    struct pm_task_ref entry;
-    struct pm_placement *place = NULL;
-    uint64_t attempt;
-    bool saved = false;
-    int state;
-
-    if (!pm_cbor_read_text(pm_cbor_get(item, "entry"), text, sizeof text) ||
-        !pm_task_name_parse(text, id, &entry.task_index) ||
-        !pm_cbor_read_count(pm_cbor_get(item, "try"), &attempt) ||
-        !pm_cbor_read_text(pm_cbor_get(item, "status"), status, sizeof status)) {
-        pm_error("worker.bad_task", "unreadable entry from %s", m->name);
-        return;
+    bool checkpointed;
+    enum pm_task_exit end = pm_reported_task_exit(task, &checkpointed);
+
+    g_array_append_val(placement->machine->heartbeat.exited_tasks, *ref);
+    pm_workers_end_placement(workers, placement, end, checkpointed, now);
+}
+
+static enum pm_placement_state placement_state_of(enum pm_worker_task_state state)
+{
+    switch (state) {
+    case PM_WORKER_TASK_FETCHING:
+        return PM_PLACEMENT_FETCHING;
+    case PM_WORKER_TASK_WAITING:
+        return PM_PLACEMENT_WAITING;
+    case PM_WORKER_TASK_RUNNING:
+        return PM_PLACEMENT_RUNNING;
+    case PM_WORKER_TASK_CHECKPOINTING:
+        return PM_PLACEMENT_CHECKPOINTING;
+    default:
+        return PM_PLACEMENT_ENDED;
     }
-    for (state = 0; state < PM_TASK_STATES && strcmp(pm_task_states[state], status); state++)
-        ;
-    entry.job = pm_jobs_find(w->jobs, id);
-    entry.attempt = (uint32_t)attempt;
-    if (!entry.job || state == PM_TASK_STATES || entry.task_index >= entry.job->task_count) {
-        if (w->ignored_tasks++ == 0)
-            pm_error("worker.bad_task", "%s reports %s, unknown here", m->name, text);
+}
+
+static void apply_progress(struct pm_workers *workers, struct pm_placement *placement,
+                           enum pm_worker_task_state state, double now)
+{
+    placement->state = placement_state_of(state);
+    if (placement->state != PM_PLACEMENT_RUNNING)
         return;
+    if (!placement->running_since) {
+        placement->running_since = now;
+        workers->hooks.placement_running(workers->hooks.arg, placement, now);
     }
-    if (entry.job->spec && entry.job->chunks) {
-        const struct pm_task *task = pm_job_find_task(entry.job, entry.task_index);
-        if (task && task->placement && task->placement->machine == m &&
-            task->placement->attempt == entry.attempt &&
-            task->placement->incarnation == m->heartbeat.incarnation)
-            place = task->placement;
+    pm_failures_note_running(placement, now);
+}
+
+static void apply_known_task(struct pm_workers *workers, struct pm_machine *machine,
+                             const struct pm_reported_task *task, const struct pm_task_ref *ref,
+                             double now)
+{
+    struct pm_placement *placement = find_placement(machine, ref);
+
+    if (!placement) {
+        apply_orphan(machine, task, ref);
+        return;
     }
-    if (!place) {
-        g_array_append_val(*(state == 4 ? &m->heartbeat.exited_tasks : &m->heartbeat.orphan_tasks),
-                           entry);
-        if (state != 4)
-            pm_info("worker.orphan_task", "%s has %s try %u, not in the books", m->name, text,
-                    entry.attempt);
+    placement->seen_in_message = true;
+    if (task->state == PM_WORKER_TASK_ENDED) {
+        apply_exit(workers, placement, task, ref, now);
         return;
     }
-    place->seen_in_message = true;
-    if (state >= 1 && state <= 3)
-        note_image(w, m, entry.job->spec);
-    if (state == 4) {
-        pm_cbor_read_flag(pm_cbor_get(item, "stored"), &saved);
-        g_array_append_val(m->heartbeat.exited_tasks, entry);
-        pm_workers_end_placement(w, place, read_end(item), saved, now);
+    if (task->state != PM_WORKER_TASK_FETCHING)
+        note_image_use(workers, machine, ref->job->spec);
+    apply_progress(workers, placement, task->state, now);
+}
+
+static void apply_task(struct pm_workers *workers, struct pm_machine *machine,
+                       const cbor_item_t *item, double now)
+{
+    struct pm_reported_task task;
+    struct pm_task_ref ref;
+
+    if (!pm_reported_task_decode(item, &task) || !task.has_state) {
+        pm_error("worker.bad_task", "unreadable entry from %s", machine->name);
         return;
     }
-    place->state = (enum pm_placement_state)(PM_PLACEMENT_FETCHING + state);
-    if (place->state == PM_PLACEMENT_RUNNING && !place->running_since) {
-        place->running_since = now;
-        w->hooks.placement_running(w->hooks.arg, place, now);
+    ref.job = pm_jobs_find(workers->jobs, task.job_id);
+    ref.task_index = task.task_index;
+    ref.attempt = task.attempt;
+    if (ref.job && task.state != PM_WORKER_TASK_UNKNOWN && ref.task_index < ref.job->task_count) {
+        apply_known_task(workers, machine, &task, &ref, now);
+        return;
     }
-    if (place->state == PM_PLACEMENT_RUNNING)
-        pm_failures_note_running(place, now);
+    if (workers->ignored_tasks++ == 0)
+        pm_error("worker.bad_task", "%s reports %s, unknown here", machine->name, task.name);
+}
+
+/* ---- absence ---- */
+
+/* Whether a copy of the launch may still arrive: in a push without an answer (until the worker has
+ * seen a later token, or is in a later incarnation), or in an answer to a heartbeat (until the next
+ * heartbeat, for the worker has one in flight at a time and drops late answers). */
+static bool may_launch_arrive(const struct pm_placement *placement,
+                              const struct pm_machine *machine, enum pm_task_list_source source)
+{
+    if (placement->launch_reply_sequence &&
+        (source != PM_SOURCE_HEARTBEAT ||
+         machine->heartbeat.sequence <= placement->launch_reply_sequence))
+        return true;
+    return (placement->launch_push && machine->push.in_flight) ||
+           (placement->launch_outcome_unknown && machine->push.unknown_outcome_epoch);
+}
+
+/* Absence from a message that is newer than all others proves nothing while the launch may arrive.
+ */
+static bool is_absence_proven(const struct pm_placement *placement,
+                              const struct pm_machine *machine, enum pm_task_list_source source,
+                              uint64_t epoch)
+{
+    return !placement->seen_in_message && placement->state != PM_PLACEMENT_PROPOSED &&
+           machine->heartbeat.fencing_token >= epoch &&
+           !may_launch_arrive(placement, machine, source);
 }
 
-/* What a fresh message does not list. Absence proves nothing while a copy of the launch may still
- * arrive: one in a /do without an answer (until the worker has seen a later token, or a later
- * session), or one in an answer to a report (until the next report, for the worker has one report
- * in flight and drops late answers). */
-static void read_absence(struct pm_workers *w, struct pm_machine *m, enum pm_task_list_source kind,
-                         uint64_t epoch, double now)
+/* Ends placements whose tasks are not there, and can't come there any more. */
+static void apply_absence(struct pm_workers *workers, struct pm_machine *machine,
+                          enum pm_task_list_source source, uint64_t epoch, double now)
 {
-    for (guint i = 0; i < m->placements->len;) {
-        struct pm_placement *place = g_ptr_array_index(m->placements, i);
-        bool in_answer =
-            place->launch_reply_sequence &&
-            (kind != PM_SOURCE_HEARTBEAT || m->heartbeat.sequence <= place->launch_reply_sequence);
-        bool in_direct = (place->launch_push && m->push.in_flight) ||
-                         (place->launch_outcome_unknown && m->push.unknown_outcome_epoch);
-
-        if (place->seen_in_message || place->state == PM_PLACEMENT_PROPOSED ||
-            m->heartbeat.fencing_token < epoch || in_answer || in_direct) {
+    for (guint i = 0; i < machine->placements->len;) {
+        struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
+        if (!is_absence_proven(placement, machine, source, epoch)) {
             i++;
             continue;
         }
-        place->launch_reply_sequence = place->launch_push = 0; /* no copy is under way any more */
-        place->launch_outcome_unknown = false;
-        if (place->should_stop || place->state > PM_PLACEMENT_DURABLE) {
-            /* Not there, and nothing can bring it. */
-            pm_workers_end_placement(w, place, PM_TASK_EXIT_LOST, false, now);
-            i = 0;
+        placement->launch_reply_sequence = placement->launch_push = 0;
+        placement->launch_outcome_unknown = false;
+        if (!placement->should_stop && placement->state <= PM_PLACEMENT_DURABLE) {
+            i++; /* the launch never arrived: it is sent anew, as the same attempt */
             continue;
         }
-        i++; /* never arrived: launched anew, as the same attempt */
+        pm_workers_end_placement(workers, placement, PM_TASK_EXIT_LOST, false, now);
+        i = 0; /* the array has changed its order */
     }
 }
 
-/* Signs that the answer to an earlier report never arrived. Any of them may come of one lost
- * message: a /do then asks the worker, and its answer clears the doubt. */
-static void read_unheard(struct pm_machine *m, bool risen, double lease_s, double now)
+/* ---- delivery ---- */
+
+static bool shows_no_launch(const struct pm_machine *machine)
 {
-    if (risen && m->delivery.acked_epoch && now - m->lease.last_acked_at < lease_s) {
-        pm_machine_note_delivery_failure(m, "its lease ran out though we answered", now);
-        return;
+    for (guint i = 0; i < machine->placements->len; i++) {
+        const struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
+        if (placement->state == PM_PLACEMENT_DURABLE && placement->launch_reply_sequence &&
+            machine->heartbeat.sequence > placement->launch_reply_sequence)
+            return true;
     }
-    if (m->delivery.acked_epoch && m->heartbeat.sequence > m->delivery.acked_sequence &&
-        m->heartbeat.fencing_token < m->delivery.acked_epoch) {
-        pm_machine_note_delivery_failure(m, "it has not taken our token", now);
-        return;
-    }
-    for (guint i = 0; i < m->placements->len; i++) {
-        const struct pm_placement *place = g_ptr_array_index(m->placements, i);
-        if (place->state == PM_PLACEMENT_DURABLE && place->launch_reply_sequence &&
-            m->heartbeat.sequence > place->launch_reply_sequence) {
-            pm_machine_note_delivery_failure(m, "it shows no trace of an order", now);
-            return;
+    return false;
+}
+
+/* Signs that the answer to an earlier heartbeat never arrived. Any of them may come of one lost
+ * message: a push then asks the worker, and its answer clears them. */
+static void check_delivery(struct pm_machine *machine, bool is_new_incarnation, double lease_s,
+                           double now)
+{
+    const struct pm_machine_heartbeat *heartbeat = &machine->heartbeat;
+    const struct pm_machine_delivery *delivery = &machine->delivery;
+
+    if (is_new_incarnation && delivery->acked_epoch && now - machine->lease.last_acked_at < lease_s)
+        pm_machine_note_delivery_failure(machine, "its lease ran out though we answered", now);
+    else if (delivery->acked_epoch && heartbeat->sequence > delivery->acked_sequence &&
+             heartbeat->fencing_token < delivery->acked_epoch)
+        pm_machine_note_delivery_failure(machine, "it has not taken our token", now);
+    else if (shows_no_launch(machine))
+        pm_machine_note_delivery_failure(machine, "it shows no trace of a command", now);
+}
+
+/* ---- the report as a whole ---- */
+
+static bool is_stale(const struct pm_machine_heartbeat *known,
+                     const struct pm_report_header *report)
+{
+    if (report->incarnation < known->incarnation || report->incarnation < known->min_incarnation)
+        return true;
+    return report->incarnation == known->incarnation && report->sequence <= known->sequence;
+}
+
+/* What earlier incarnations held was killed with their lease. Placements recovered from the state
+ * service may be of the new one already: those stay. */
+static void begin_incarnation(struct pm_workers *workers, struct pm_machine *machine,
+                              uint64_t incarnation, double now)
+{
+    for (guint i = 0; i < machine->placements->len;) {
+        struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
+        if (placement->incarnation >= incarnation) {
+            i++;
+            continue;
         }
+        pm_workers_end_placement(workers, placement, PM_TASK_EXIT_LOST, false, now);
+        i = 0; /* the array has changed its order */
     }
+    if (machine->heartbeat.incarnation)
+        machine->images.count = 0;
 }
 
-static int read_identity(struct pm_workers *w, struct pm_machine *m, const cbor_item_t *report)
+static void apply_header(struct pm_machine *machine, const struct pm_report_header *report,
+                         enum pm_task_list_source source, double now)
 {
-    char type[PM_NAME_MAX];
-    char zone[PM_NAME_MAX];
-
-    if (!pm_cbor_read_text(pm_cbor_get(report, "endpoint"), m->endpoint, sizeof m->endpoint) ||
-        !pm_cbor_read_text(pm_cbor_get(report, "model"), type, sizeof type) ||
-        !pm_cbor_read_text(pm_cbor_get(report, "room"), zone, sizeof zone))
-        return -1;
-    m->zone = pm_settings_find_zone(w->tables->settings, zone);
-    m->spot = false;
-    pm_cbor_read_flag(pm_cbor_get(report, "borrowed"), &m->spot);
-    pm_workers_set_type(w, m, pm_names_find(w->tables->type_names, type));
-    return 0;
+    struct pm_machine_heartbeat *heartbeat = &machine->heartbeat;
+
+    if (report->incarnation > heartbeat->incarnation || !heartbeat->is_known)
+        machine->lease.incarnation_seen_at = now;
+    heartbeat->incarnation = report->incarnation;
+    heartbeat->sequence = report->sequence;
+    heartbeat->fencing_token = report->fencing_token;
+    heartbeat->last_message_at = now;
+    if (source == PM_SOURCE_HEARTBEAT || !heartbeat->is_known)
+        heartbeat->last_at = now;
+    heartbeat->is_known = true;
+    heartbeat->spot_interruption_at =
+        report->has_interruption_notice ? now + report->interruption_in_s : 0;
 }
 
-struct pm_machine *pm_workers_apply_heartbeat(struct pm_workers *w, const cbor_item_t *report,
-                                              enum pm_task_list_source kind, uint64_t epoch,
+/* A later token, or a later incarnation, keeps launches of unknown outcome from being carried out.
+ */
+static void clear_unknown_outcome(struct pm_machine *machine)
+{
+    struct pm_machine_push *push = &machine->push;
+
+    if (machine->heartbeat.fencing_token > push->unknown_outcome_epoch ||
+        machine->heartbeat.incarnation > push->unknown_outcome_incarnation)
+        push->unknown_outcome_epoch = 0;
+}
+
+static void apply_task_list(struct pm_workers *workers, struct pm_machine *machine,
+                            const cbor_item_t *tasks, double now)
+{
+    for (guint i = 0; i < machine->placements->len; i++) {
+        struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
+        placement->seen_in_message = false;
+    }
+    g_array_set_size(machine->heartbeat.exited_tasks, 0);
+    g_array_set_size(machine->heartbeat.orphan_tasks, 0);
+    for (size_t i = 0; i < pm_cbor_length(tasks); i++)
+        apply_task(workers, machine, pm_cbor_at(tasks, i), now);
+}
+
+static void apply_report(struct pm_workers *workers, struct pm_machine *machine,
+                         const struct pm_report_header *report, enum pm_task_list_source source,
+                         double now)
+{
+    bool is_new_incarnation = report->incarnation > machine->heartbeat.incarnation;
+    bool was_known = machine->heartbeat.is_known;
+
+    if (is_new_incarnation)
+        begin_incarnation(workers, machine, report->incarnation, now);
+    apply_header(machine, report, source, now);
+    machine->provider.absent_since = 0;
+    if (machine->state == PM_MACHINE_BOOTING) {
+        machine->state = PM_MACHINE_UP;
+        pm_debug("worker.up", "%s", machine->name);
+    }
+    clear_unknown_outcome(machine);
+    apply_task_list(workers, machine, report->tasks, now);
+    if (source == PM_SOURCE_HEARTBEAT) {
+        check_delivery(machine, was_known && is_new_incarnation, workers->tables->settings->lease_s,
+                       now);
+    } else {
+        machine->push.has_answered = true;
+        machine->delivery.failures = 0;
+    }
+}
+
+struct pm_machine *pm_workers_apply_heartbeat(struct pm_workers *workers, const cbor_item_t *item,
+                                              enum pm_task_list_source source, uint64_t epoch,
                                               double now, bool *fresh)
 {
-    char name[PM_NAME_MAX];
-    uint64_t session;
-    uint64_t sequence;
-    uint64_t token;
-    struct pm_machine *m;
-    cbor_item_t *entries = pm_cbor_get(report, "entries");
-    double recall;
-    bool risen;
+    struct pm_report_header report;
+    struct pm_machine *machine;
 
     *fresh = false;
-    if (!pm_cbor_read_text(pm_cbor_get(report, "host"), name, sizeof name) || !name[0] ||
-        !pm_cbor_read_count(pm_cbor_get(report, "shift"), &session) ||
-        !pm_cbor_read_count(pm_cbor_get(report, "tally"), &sequence) ||
-        !pm_cbor_read_count(pm_cbor_get(report, "mandate"), &token) ||
-        (entries && !cbor_isa_array(entries)))
+    if (!pm_report_decode(item, &report))
         return NULL;
-    m = pm_workers_add(w, name);
-    if (read_identity(w, m, report))
+    machine = pm_workers_add(workers, report.machine);
+    if (!pm_report_decode_identity(workers, item, machine))
         return NULL;
-    if (session < m->heartbeat.incarnation || session < m->heartbeat.min_incarnation ||
-        (session == m->heartbeat.incarnation && sequence <= m->heartbeat.sequence)) {
-        m->heartbeat.last_stale_at = now;
-        return m; /* late: its list is as old as itself */
+    if (is_stale(&machine->heartbeat, &report)) {
+        machine->heartbeat.last_stale_at = now;
+        return machine; /* its list is as old as itself */
     }
     *fresh = true;
-    risen = m->heartbeat.is_known && session > m->heartbeat.incarnation;
-    if (session > m->heartbeat.incarnation) {
-        /* A later session: what an earlier one held was killed. Places found in the state service
-         * may be of this session already: those stay. */
-        for (guint i = 0; i < m->placements->len;) {
-            struct pm_placement *place = g_ptr_array_index(m->placements, i);
-            if (place->incarnation < session) {
-                pm_workers_end_placement(w, place, PM_TASK_EXIT_LOST, false, now);
-                i = 0;
-            } else {
-                i++;
-            }
-        }
-        if (m->heartbeat.incarnation)
-            m->images.count = 0;
-    }
-    if (session > m->heartbeat.incarnation || !m->heartbeat.is_known)
-        m->lease.incarnation_seen_at = now;
-    m->heartbeat.incarnation = session;
-    m->heartbeat.sequence = sequence;
-    m->heartbeat.fencing_token = token;
-    m->heartbeat.last_message_at = now;
-    if (kind == PM_SOURCE_HEARTBEAT || !m->heartbeat.is_known)
-        m->heartbeat.last_at = now;
-    m->heartbeat.is_known = true;
-    m->provider.absent_since = 0;
-    if (m->state == PM_MACHINE_BOOTING) {
-        m->state = PM_MACHINE_UP;
-        pm_debug("worker.up", "%s", m->name);
-    }
-    if (m->push.unknown_outcome_epoch &&
-        (token > m->push.unknown_outcome_epoch || session > m->push.unknown_outcome_incarnation))
-        m->push.unknown_outcome_epoch = 0;
-    m->heartbeat.spot_interruption_at =
-        !pm_cbor_read_number(pm_cbor_get(report, "recall_s"), &recall) ? 0 : now + recall;
-    for (guint i = 0; i < m->placements->len; i++)
-        ((struct pm_placement *)g_ptr_array_index(m->placements, i))->seen_in_message = false;
-    g_array_set_size(m->heartbeat.exited_tasks, 0);
-    g_array_set_size(m->heartbeat.orphan_tasks, 0);
-    for (size_t i = 0; i < pm_cbor_length(entries); i++)
-        read_task(w, m, pm_cbor_at(entries, i), now);
-    if (kind == PM_SOURCE_HEARTBEAT)
-        read_unheard(m, risen, w->tables->settings->lease_s, now);
-    else
-        m->push.has_answered = true, m->delivery.failures = 0;
-    read_absence(w, m, kind, epoch, now);
-    return m;
+    apply_report(workers, machine, &report, source, now);
+    apply_absence(workers, machine, source, epoch, now);
+    return machine;
 }
--- /dev/null
+++ b/src/workers/machine_health.c
@@ -0,0 +1,92 @@
+/* What messages, and their absence, say of a machine: whether it is there, whether what we send
+ * reaches it, and whether its lease has expired. */
+#include "base/clock.h"
+#include "base/log.h"
+#include "workers/internal.h"
+
+/* A heartbeat is missed after so many intervals and this span: intervals vary by a quarter. */
+#define MISSED_INTERVALS 1.6
+#define MISSED_S 1.0
+/* A worker that finds no controller tries each of them; one with a new leader finds it within this.
+ */
+#define NOT_REPORTING_INTERVALS 2
+#define NOT_REPORTING_S 4.0
+/* Deliveries that fail within less than this may have one cause. */
+#define UNREACHABLE_S 1.5
+#define LEASE_MARGIN_S 0.2 /* for the time from a decision to its effect */
+
+enum { UNREACHABLE_FAILURES = 2 };
+
+bool pm_machine_missed_heartbeat(const struct pm_machine *machine,
+                                 const struct pm_settings *settings, double now)
+{
+    return now - machine->heartbeat.last_message_at >=
+           MISSED_INTERVALS * settings->heartbeat_s + MISSED_S;
+}
+
+bool pm_machine_is_not_reporting(const struct pm_machine *machine,
+                                 const struct pm_settings *settings, double now)
+{
+    const struct pm_machine_heartbeat *heartbeat = &machine->heartbeat;
+
+    return heartbeat->is_known && heartbeat->last_message_at > heartbeat->last_at &&
+           now - heartbeat->last_at >=
+               NOT_REPORTING_INTERVALS * settings->heartbeat_s + NOT_REPORTING_S;
+}
+
+bool pm_machine_is_verified(const struct pm_machine *machine)
+{
+    return machine->provider.is_listed || machine->provider.rented_at != 0 ||
+           machine->push.has_answered;
+}
+
+bool pm_machine_is_unreachable(const struct pm_machine *machine, double now)
+{
+    const struct pm_machine_delivery *delivery = &machine->delivery;
+
+    /* Of a machine that sends no heartbeats either, silence is what tells. */
+    return delivery->failures >= UNREACHABLE_FAILURES &&
+           machine->heartbeat.last_message_at >= delivery->failed_at &&
+           now - delivery->failing_since > UNREACHABLE_S;
+}
+
+void pm_machine_note_delivery_failure(struct pm_machine *machine, const char *why, double now)
+{
+    struct pm_machine_delivery *delivery = &machine->delivery;
+
+    pm_debug("worker.delivery_failure", "%s: %s", machine->name, why);
+    if (!delivery->failures)
+        delivery->failing_since = now;
+    delivery->failures++;
+    delivery->failed_at = now;
+}
+
+void pm_machine_note_ack(struct pm_machine *machine, uint64_t epoch, double now)
+{
+    machine->lease.last_acked_at = now;
+    machine->delivery.acked_epoch = epoch;
+    machine->delivery.acked_sequence = machine->heartbeat.sequence;
+}
+
+bool pm_machine_is_drained(const struct pm_machine *machine, uint64_t epoch)
+{
+    const struct pm_machine_heartbeat *heartbeat = &machine->heartbeat;
+    bool is_empty =
+        !machine->placements->len && !heartbeat->exited_tasks->len && !heartbeat->orphan_tasks->len;
+    bool may_get_commands = machine->push.in_flight || machine->push.unknown_outcome_epoch ||
+                            heartbeat->fencing_token < epoch;
+
+    return is_empty && !may_get_commands && heartbeat->is_known;
+}
+
+/* A worker's lease runs from its last answered heartbeat, or, in an incarnation in which none was
+ * answered, from that incarnation's begin: a machine that only answered pushes so far is not
+ * silent. */
+bool pm_workers_is_lease_expired(const struct pm_machine *machine, double lower_bound,
+                                 double lease_s, double now)
+{
+    const struct pm_machine_lease *lease = &machine->lease;
+    double renewed_at = MAX(MAX(lease->last_acked_at, lease->incarnation_seen_at), lower_bound);
+
+    return now > renewed_at + lease_s * (1 + 2 * PM_CLOCK_DRIFT_MAX) + LEASE_MARGIN_S;
+}
--- /dev/null
+++ b/src/workers/push.c
@@ -0,0 +1,43 @@
+/* Pushes of commands (POST /do): one at a time to a machine, numbered, and settled by their answer.
+ */
+#include "base/http.h"
+#include "workers/internal.h"
+
+uint64_t pm_worker_push_begin(struct pm_workers *workers, struct pm_machine *machine)
+{
+    workers->push_count++;
+    machine->push.in_flight = workers->push_count;
+    machine->push.has_launches = false;
+    return machine->push.in_flight;
+}
+
+static void settle_placement(struct pm_placement *placement, uint64_t number, int status)
+{
+    if (status == PM_HTTP_NO_ANSWER) {
+        placement->launch_outcome_unknown |= placement->launch_push == number;
+    } else if (status == PM_HTTP_NOT_SENT) {
+        if (placement->launch_push == number)
+            placement->launch_push = 0;
+    } else if (placement->launch_push <= number) {
+        /* The machine answers: what is still not there is sent anew. That says nothing of an
+         * earlier push that had no answer: its launch may be carried out yet. */
+        placement->launch_push = 0;
+    }
+    if (status != 200)
+        placement->stop_acked = false;
+}
+
+bool pm_worker_push_done(struct pm_machine *machine, uint64_t number, uint64_t epoch, int status)
+{
+    if (machine->push.in_flight != number)
+        return false;
+    machine->push.in_flight = 0;
+    for (guint i = 0; i < machine->placements->len; i++)
+        settle_placement(g_ptr_array_index(machine->placements, i), number, status);
+    /* Whatever became of the launches that it carried, a copy may still arrive minutes late. */
+    if (status == PM_HTTP_NO_ANSWER && machine->push.has_launches) {
+        machine->push.unknown_outcome_epoch = epoch;
+        machine->push.unknown_outcome_incarnation = machine->heartbeat.incarnation;
+    }
+    return true;
+}
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -1,7 +1,13 @@
-/* Machines, their workers' reports, the orders to them, and what is proven gone.
+/* Machines and their workers: heartbeats, commands, placements, and what is proven gone.
  *
- * A place is freed only by proof (safety invariant 3): a newer report of a worker that has seen our
- * epoch, a later session, a confirmed release, or a lease that nobody can have renewed. */
+ * Owns all machines and placements of a controller. Called from the event-loop thread and the
+ * planner's, with the controller's lock; no I/O, and the time is an argument. Stores nothing: after
+ * a change of leader placements are recovered from the chunks of the jobs slice, and the rest from
+ * heartbeats.
+ *
+ * A placement is freed only by proof (safety invariant 3): a newer message of a worker that has
+ * seen our epoch, a later incarnation, a confirmed termination, or a lease that nobody can have
+ * renewed. */
 #ifndef PM_WORKERS_WORKERS_H
 #define PM_WORKERS_WORKERS_H
 
@@ -9,11 +15,12 @@
 #include "jobs/jobs.h"
 
 enum pm_machine_state {
-    PM_MACHINE_BOOTING,  /* rented, not reported yet */
-    PM_MACHINE_UP,       /* reports */
-    PM_MACHINE_RELEASING /* being returned: never used again */
+    PM_MACHINE_BOOTING,  /* rented, no heartbeat yet */
+    PM_MACHINE_UP,       /* its worker has reported */
+    PM_MACHINE_RELEASING /* being terminated: never used again */
 };
 
+/* Why a placement ended. */
 enum pm_task_exit {
     PM_TASK_EXIT_NONE,
     PM_TASK_EXIT_DONE,
@@ -145,6 +152,7 @@
     char endpoint[64];
 };
 
+/* A task and its attempt, as a worker names it. */
 struct pm_task_ref {
     struct pm_job *job;
     uint32_t task_index, attempt;
@@ -153,85 +161,112 @@
 struct pm_workers;
 
 struct pm_workers_hooks {
-    /* A place's task ended or is proven gone. It holds nothing any more, and is itself gone after
-     * this call. */
-    void (*placement_ended)(void *arg, struct pm_placement *place, enum pm_task_exit end,
+    /* A placement's task has ended or is proven gone. The placement holds nothing any more, and is
+     * freed after this call. `saved`: its progress was checkpointed. */
+    void (*placement_ended)(void *arg, struct pm_placement *placement, enum pm_task_exit end,
                             bool saved, double now);
-    void (*placement_running)(void *arg, struct pm_placement *place,
-                              double now); /* first seen running */
+    /* A placement's task was first seen running. */
+    void (*placement_running)(void *arg, struct pm_placement *placement, double now);
     void *arg;
 };
 
+/* ---- machines.c: the table of machines ---- */
+
+/* An empty table; `tables` and `jobs` are borrowed, `hooks` are copied. */
 struct pm_workers *pm_workers_new(struct pm_name_tables *tables, struct pm_jobs *jobs,
                                   const struct pm_workers_hooks *hooks);
+/* Frees all machines and placements; no hook is called. */
 void pm_workers_free(struct pm_workers *workers);
-/* All machines, by index; entries may be NULL. */
+/* All machines, by index; entries may be NULL. Owned by the table. */
 GPtrArray *pm_workers_all(struct pm_workers *workers);
+/* The machine of that name, NULL: none. */
 struct pm_machine *pm_workers_find(struct pm_workers *workers, const char *name);
-struct pm_machine *pm_workers_at(struct pm_workers *workers, int index); /* NULL: none */
+/* The machine of that index, NULL: none. */
+struct pm_machine *pm_workers_at(struct pm_workers *workers, int index);
+/* The machine of that name, made when missing: booting, and of unknown type and zone. */
 struct pm_machine *pm_workers_add(struct pm_workers *workers, const char *name);
+/* Frees the machine with its placements; no hook is called. */
 void pm_workers_remove(struct pm_workers *workers, struct pm_machine *machine);
-/* Forgets all places and what was heard: on taking or losing the lead. */
+/* Frees all machines and placements: on becoming active, or no longer being it. */
 void pm_workers_reset(struct pm_workers *workers);
-
-/* Gives it its type, and the room that goes with it, once. */
+/* Sets the machine's type, and adds the capacity that goes with it, once. An unknown type changes
+ * nothing. */
 void pm_workers_set_type(struct pm_workers *workers, struct pm_machine *machine, int type);
-/* Whether it is known to be there: rented by us or listed, or it answered. A report alone may be a
- * copy that comes long after its machine is gone. */
+
+/* ---- machine_health.c: what messages and silence say of a machine ---- */
+
+/* Whether the machine is known to be there: rented by us or listed, or its worker has answered a
+ * push. A heartbeat alone may be a copy that comes long after its machine is gone. */
 bool pm_machine_is_verified(const struct pm_machine *machine);
-/* Whether our answers and commands do not arrive there, though its reports do. */
+/* Whether our answers and commands do not arrive there though its heartbeats do: a one-way
+ * partition. */
 bool pm_machine_is_unreachable(const struct pm_machine *machine, double now);
-/* A sign that something we sent did not arrive. */
+/* Notes a sign that something we sent did not arrive; `why` is for the log. */
 void pm_machine_note_delivery_failure(struct pm_machine *machine, const char *why, double now);
-/* A report was answered with 200. */
+/* Notes that a heartbeat was answered with 200, under that epoch. */
 void pm_machine_note_ack(struct pm_machine *machine, uint64_t epoch, double now);
-/* Whether it answers commands but reports to nobody here: nothing renews its lease. */
+/* Whether the worker answers pushes while its heartbeats do not arrive here: nothing renews its
+ * lease. */
 bool pm_machine_is_not_reporting(const struct pm_machine *machine,
                                  const struct pm_settings *settings, double now);
-/* Whether it has missed a report, by how they come on a quiet day. */
+/* Whether nothing came from the worker for longer than heartbeats ever take. */
 bool pm_machine_missed_heartbeat(const struct pm_machine *machine,
                                  const struct pm_settings *settings, double now);
-/* Whether nothing is there, and nothing to it is under way or in doubt. */
+/* Whether nothing is on the machine, and no command to it is under way or of unknown outcome. */
 bool pm_machine_is_drained(const struct pm_machine *machine, uint64_t epoch);
+/* Whether the worker's lease has expired for certain, so that its tasks are killed. `lower_bound`
+ * is the monotonic time since when no other controller can have renewed it, INFINITY if that is not
+ * known. */
+bool pm_workers_is_lease_expired(const struct pm_machine *machine, double lower_bound,
+                                 double lease_s, double now);
+
+/* ---- placements.c ---- */
 
-/* The replica' record of a place: an intent of ours, or one found in the state service. */
+/* Makes a placement of the task on the machine, in that state, and takes its capacity. Owned by the
+ * machine, and freed when it ends or is removed. */
 struct pm_placement *pm_workers_add_placement(struct pm_workers *workers, struct pm_job *job,
-                                              uint32_t index, struct pm_machine *machine,
-                                              uint32_t attempt, uint64_t session,
+                                              uint32_t task_index, struct pm_machine *machine,
+                                              uint32_t attempt, uint64_t incarnation,
                                               enum pm_placement_state state, double now);
-/* Removes a place that is ended, or was an intent that never became durable. */
-void pm_workers_remove_placement(struct pm_workers *workers, struct pm_placement *place);
+/* Frees a placement that has ended, or that was proposed and never became durable. */
+void pm_workers_remove_placement(struct pm_workers *workers, struct pm_placement *placement);
+/* Ends all placements on the machine as lost: its lease has expired, or it was terminated. */
+void pm_workers_mark_lost(struct pm_workers *workers, struct pm_machine *machine, double now);
+/* Has the task killed with that grace period, in seconds; a longer one than before changes nothing.
+ */
+void pm_placement_stop(struct pm_placement *placement, double grace_s);
+
+/* ---- heartbeat.c ---- */
 
-/* What sort of message carries the worker's task list. */
+/* What carries a worker's list of tasks: a heartbeat, or its answer to a push. */
 enum pm_task_list_source { PM_SOURCE_HEARTBEAT, PM_SOURCE_PUSH };
 
-/* Takes in a worker's report. Returns NULL when malformed. `fresh` tells whether it was newer than
- * what we had. `epoch` is the one in force. */
-struct pm_machine *pm_workers_apply_heartbeat(struct pm_workers *workers, const cbor_item_t *report,
-                                              enum pm_task_list_source kind, uint64_t epoch,
+/* Applies a worker's report. Returns its machine, made when missing, or NULL when the report is
+ * malformed. `fresh` tells whether it was newer than what is known; if it was not, nothing of it
+ * was applied. `epoch` is the one in force. */
+struct pm_machine *pm_workers_apply_heartbeat(struct pm_workers *workers, const cbor_item_t *item,
+                                              enum pm_task_list_source source, uint64_t epoch,
                                               double now, bool *fresh);
-/* Writes the orders due for a machine as a CBOR list. With `direct`, launches and kills only; the
- * places told to launch are marked. Returns how many orders. */
-int pm_workers_encode_commands(struct pm_machine *machine, bool direct, uint64_t epoch,
+
+/* ---- commands.c, push.c ---- */
+
+/* Encodes the commands that are due for the machine as a CBOR list, and returns how many. With
+ * `push`, launches and kills that were not sent yet, and the placements concerned are marked as
+ * sent by the push in flight; else all that the answer to a heartbeat is to carry. */
+int pm_workers_encode_commands(struct pm_machine *machine, bool push, uint64_t epoch,
                                struct pm_buf *out);
-/* Writes a kill for each task in the report whose job is known cancelled, by the attempt reported,
- * and nothing else: a list that is safe to send whoever may command the worker. */
+/* Encodes a kill for each task in the report whose job is known to be cancelled, by the attempt
+ * reported, and nothing else: a list that is safe to send whoever may command the worker. */
 void pm_workers_encode_cancel_kills(struct pm_workers *workers, const cbor_item_t *report,
                                     struct pm_buf *out);
-/* Whether /do would carry something. */
+/* Whether a push would carry any command. */
 bool pm_worker_push_is_due(const struct pm_machine *machine);
-/* A /do is about to be sent: its number, under which pm_workers_encode_commands notes what it
- * carries. Never 0, and never the same twice, also after a reset. */
+/* Begins a push; its number is never 0, and never the same twice, also after a reset. Called before
+ * pm_workers_encode_commands. */
 uint64_t pm_worker_push_begin(struct pm_workers *workers, struct pm_machine *machine);
-/* That /do, sent at `epoch`, came to this; on no answer, launches it carried stay in doubt. False:
- * it is not the one that is open, but from before a reset. */
+/* Settles the push of that number, sent at `epoch`; `status` is that of HTTP, PM_HTTP_NO_ANSWER
+ * (its launches have an unknown outcome) or PM_HTTP_NOT_SENT. False: it is not the one in flight,
+ * but from before a reset. */
 bool pm_worker_push_done(struct pm_machine *machine, uint64_t number, uint64_t epoch, int status);
-/* Everything on the machine is gone, its session over: the lease lapsed, or it was released. */
-void pm_workers_mark_lost(struct pm_workers *workers, struct pm_machine *machine, double now);
-/* Whether the lease of what is on the machine has lapsed for certain. `floor` is the steady time
- * since when no other controller can have answered it, INFINITY if that is not known. */
-bool pm_workers_is_lease_expired(const struct pm_machine *machine, double floor, double lease_s,
-                                 double now);
-void pm_placement_stop(struct pm_placement *place, double leave_s);
 
 #endif
