--- a/src/autoscaler/provider_client.c
+++ b/src/autoscaler/provider_client.c
@@ -35,7 +35,7 @@
     char intent[PM_INTENT_NAME];      /* "": there is none */
     guint rental;                     /* its place in the intent */
     GPtrArray *machines;              /* to be returned, NULL for a rental */
-    double sent_size;
+    double sent_at;
     int tries;
 };
 
@@ -45,7 +45,7 @@
 
     call->fleet = f;
     call->round = f->round;
-    call->sent_size = now;
+    call->sent_at = now;
     return call;
 }
 
@@ -69,7 +69,7 @@
         pm_roles_log_action(f->duties, duty, "sent", call->intent, call->booking);
         valid_until = pm_roles_valid_until(f->duties, duty);
         if (valid_until <= 0) /* not held any more; 0 would mean no limit */
-            valid_until = call->sent_size;
+            valid_until = call->sent_at;
     }
     pm_http_call_until(f->http, f->tables->settings->cloud_addr, "POST", target, body->data,
                        body->size, PM_AUTOSCALER_CALL_TIMEOUT_S, RENT_ANSWER_MAX, valid_until, done,
@@ -171,7 +171,7 @@
 
     if (m->state == PM_MACHINE_RELEASING)
         return; /* the answer to a request that was sent again */
-    m->provider.rented_at = call->sent_size;
+    m->provider.rented_at = call->sent_at;
     if (m->type >= 0)
         return; /* reported already */
     pm_workers_set_type(f->workers, m, call->rent.type);
@@ -278,7 +278,7 @@
         f->in_flight--;
         if (name)
             send_rentals(f, pm_roles_find_intent(f->duties, name), PM_INTENT_RENTALS,
-                         call->sent_size);
+                         call->sent_at);
     }
     call_free(call);
 }
@@ -438,7 +438,7 @@
     if (call->round == f->round) { /* else whoever holds the duty finishes what was written */
         f->in_flight--;
         if (name)
-            send_return(f, pm_roles_find_intent(f->duties, name), call->sent_size);
+            send_return(f, pm_roles_find_intent(f->duties, name), call->sent_at);
         else
             retry_machines(call, pm_clock_monotonic() + UNWRITTEN_S);
     }
