--- a/src/cmd/pumicectl/main.c
+++ b/src/cmd/pumicectl/main.c
@@ -227,6 +227,7 @@
 {
     static char wrong[96];
     const struct command *command;
+    enum pm_role role;
     int own;
 
     if (argc < 2)
@@ -241,7 +242,7 @@
     if (options->count >= command->least && options->count <= command->most) {
         if (!strcmp(command->name, "why") && !pm_job_id_is_valid(options->words[0]))
             return "why: not the id of a job";
-        if (!strcmp(command->name, "duty") && pm_role_find(options->words[0]) < 0)
+        if (!strcmp(command->name, "duty") && !pm_role_from_name(options->words[0], &role))
             return "duty drain: rent, return or clean";
         if ((strcmp(command->name, "cleanup") == 0) != options->dry_run)
             return "--dry-run goes with cleanup, which does nothing else";
--- a/src/roles/audit_log.c
+++ b/src/roles/audit_log.c
@@ -1,5 +1,5 @@
+/* Writing the audit log, and deleting its oldest files. */
 #include "roles/audit_log.h"
-#include "base/cbor.h"
 #include "base/clock.h"
 #include "base/log.h"
 #include "base/writer.h"
@@ -12,299 +12,282 @@
 #include <glib/gstdio.h>
 #include <math.h>
 #include <stdio.h>
-#include <stdlib.h>
 #include <string.h>
 #include <unistd.h>
 
 enum {
-    QUEUE_MOST = 8192,     /* entries that wait for the thread */
-    BLOCK_SIZE = 512,      /* of a tar archive */
-    FILES_KEPT = 8,        /* a file is closed at this share of the size that is kept */
-    ENTRY_MOST = 4 * 1024, /* bytes of one entry's value */
-    NAME_SIZE = 768
+    QUEUE_MAX = 8192,   /* entries that wait for the writer's thread */
+    FILES_KEPT_MIN = 8, /* a file is closed at this fraction of the size that is kept */
+    FILE_MODE = 0640,
+    DIR_MODE = 0750,
+    DIR_SIZE = 256,
+    CONTROLLER_SIZE = 128,
+    FILE_PREFIX_SIZE = 160,
+    PATH_SIZE = 768,
+    MEMBER_NAME_SIZE = 64,
+    BYTES_PER_MEGABYTE = 1024 * 1024
 };
 
-#define PART ".part"
-#define SEAL "sealed" /* the event of the last entry of a whole file; no other entry has it */
+#define PART_SUFFIX ".part"
+
+/* The file that is being written; only the writer's thread uses it. */
+struct audit_file {
+    struct archive *archive; /* NULL: none is open */
+    int fd;
+    char path[PATH_SIZE]; /* of the complete file: without PART_SUFFIX */
+    double opened_wall;   /* wall clock, seconds */
+    uint64_t bytes, entries;
+};
 
 struct pm_audit_log {
-    char dir[256], controller[128];
+    /* Fixed when it is made. */
+    char dir[DIR_SIZE], controller[CONTROLLER_SIZE];
     double period_s;
-    uint64_t bytes_most; /* of all files together */
+    uint64_t max_bytes; /* of all files of this controller together */
     struct pm_writer *writer;
-    /* The writer's own. */
-    struct archive *archive;
-    int file;
-    char path[NAME_SIZE]; /* without PART */
-    double opened;
-    uint64_t bytes, entries, files;
-    bool failing; /* said so already */
+    /* The writer's thread's own. */
+    struct audit_file file;
+    uint64_t file_count; /* opened so far: the number of the last file */
+    bool error_reported; /* since the last file that could be opened */
 };
 
-/* ---- what is kept ---- */
+/* ---- deleting old files ---- */
 
-static bool is_of_controller(const struct pm_audit_log *r, const char *name)
+static bool is_own_file(const struct pm_audit_log *log, const char *name)
 {
-    char start[160];
+    char prefix[FILE_PREFIX_SIZE];
 
-    snprintf(start, sizeof start, "duties-%s-", r->controller);
-    return g_str_has_prefix(name, start) &&
-           (g_str_has_suffix(name, ".tar") || g_str_has_suffix(name, ".tar" PART));
+    snprintf(prefix, sizeof prefix, "duties-%s-", log->controller);
+    return g_str_has_prefix(name, prefix) &&
+           (g_str_has_suffix(name, ".tar") || g_str_has_suffix(name, ".tar" PART_SUFFIX));
 }
 
-static gint by_name(gconstpointer a, gconstpointer b)
+static gint compare_paths(gconstpointer left, gconstpointer right)
 {
-    return strcmp(*(const char *const *)a, *(const char *const *)b);
+    return strcmp(*(const char *const *)left, *(const char *const *)right);
 }
 
-/* Deletes the oldest files until the others take no more than is kept. */
-static void bound_size(const struct pm_audit_log *r)
+/* The paths of this controller's files, oldest first: names are ordered by time. */
+static GPtrArray *list_own_files(const struct pm_audit_log *log)
 {
-    GDir *dir = g_dir_open(r->dir, 0, NULL);
     GPtrArray *paths = g_ptr_array_new_with_free_func(g_free);
-    uint64_t bytes = 0;
+    GDir *dir = g_dir_open(log->dir, 0, NULL);
     const char *name;
 
-    while (dir && (name = g_dir_read_name(dir)))
-        if (is_of_controller(r, name))
-            g_ptr_array_add(paths, g_build_filename(r->dir, name, NULL));
-    if (dir)
-        g_dir_close(dir);
-    g_ptr_array_sort(paths, by_name); /* the newest last: names go by time */
+    if (!dir)
+        return paths;
+    while ((name = g_dir_read_name(dir)))
+        if (is_own_file(log, name))
+            g_ptr_array_add(paths, g_build_filename(log->dir, name, NULL));
+    g_dir_close(dir);
+    g_ptr_array_sort(paths, compare_paths);
+    return paths;
+}
+
+/* Deletes the oldest files so that the others are within the size that is kept. */
+static void delete_old_files(const struct pm_audit_log *log)
+{
+    GPtrArray *paths = list_own_files(log);
+    uint64_t bytes = 0;
+
     for (guint i = paths->len; i > 0; i--) {
         const char *path = g_ptr_array_index(paths, i - 1);
         GStatBuf status;
         if (g_stat(path, &status))
             continue;
         bytes += (uint64_t)status.st_size;
-        if (bytes > r->bytes_most)
+        if (bytes > log->max_bytes)
             g_unlink(path);
     }
     g_ptr_array_free(paths, TRUE);
 }
 
-/* ---- writing ---- */
+/* ---- writing, in the writer's thread ---- */
 
-static void say_failing(struct pm_audit_log *r, const char *what)
+/* Logs what failed, once until a file can be opened again. */
+static void report_error(struct pm_audit_log *log, const char *what)
 {
-    if (!r->failing)
-        pm_error("audit_log.error", "%s: %s; entries are lost", r->path,
-                 r->archive && archive_error_string(r->archive) ? archive_error_string(r->archive)
-                                                                : what);
-    r->failing = true;
+    struct archive *archive = log->file.archive;
+    const char *archive_error = archive ? archive_error_string(archive) : NULL;
+
+    if (!log->error_reported)
+        pm_error("audit_log.error", "%s: %s; entries are lost", log->file.path,
+                 archive_error ? archive_error : what);
+    log->error_reported = true;
 }
 
-static void put_entry(const struct pm_audit_entry *entry, struct pm_buf *out)
+/* What a member adds to the archive: its header and its data, padded to whole blocks. */
+static uint64_t member_bytes(size_t value_size)
 {
-    pm_put_map(out);
-    pm_put_pair_count(out, "number", entry->number);
-    pm_put_pair_number(out, "day", entry->day);
-    pm_put_pair_text(out, "event", entry->event);
-    pm_put_pair_text(out, "duty", entry->duty);
-    pm_put_pair_text(out, "subject", entry->subject);
-    pm_put_pair_text(out, "detail", entry->detail);
-    pm_put_end(out);
+    uint64_t blocks = (value_size + PM_AUDIT_TAR_BLOCK - 1) / PM_AUDIT_TAR_BLOCK;
+
+    return PM_AUDIT_TAR_BLOCK + blocks * PM_AUDIT_TAR_BLOCK;
 }
 
-static bool write_member(struct pm_audit_log *r, const struct pm_audit_entry *entry)
+static void describe_member(struct archive_entry *member, const struct pm_audit_entry *entry,
+                            size_t value_size)
 {
-    struct archive_entry *member = archive_entry_new();
-    struct pm_buf value = {0};
-    char name[64];
-    bool well;
+    char name[MEMBER_NAME_SIZE];
 
-    put_entry(entry, &value);
     snprintf(name, sizeof name, "%09llu-%s.cbor", (unsigned long long)entry->number, entry->event);
     archive_entry_set_pathname(member, name);
     archive_entry_set_filetype(member, AE_IFREG);
-    archive_entry_set_perm(member, 0640);
-    archive_entry_set_size(member, (la_int64_t)value.size);
+    archive_entry_set_perm(member, FILE_MODE);
+    archive_entry_set_size(member, (la_int64_t)value_size);
     archive_entry_set_mtime(member, (time_t)entry->day, 0);
-    well = archive_write_header(r->archive, member) == ARCHIVE_OK &&
-           archive_write_data(r->archive, value.data, value.size) == (la_ssize_t)value.size &&
-           archive_write_finish_entry(r->archive) == ARCHIVE_OK;
-    r->bytes += BLOCK_SIZE + (value.size + BLOCK_SIZE - 1) / BLOCK_SIZE * BLOCK_SIZE;
+}
+
+/* False: the member is not, or not completely, written. */
+static bool write_member(struct audit_file *file, const struct pm_audit_entry *entry)
+{
+    struct archive_entry *member = archive_entry_new();
+    struct pm_buf value = {0};
+    bool is_written;
+
+    pm_audit_entry_encode(entry, &value);
+    describe_member(member, entry, value.size);
+    is_written =
+        archive_write_header(file->archive, member) == ARCHIVE_OK &&
+        archive_write_data(file->archive, value.data, value.size) == (la_ssize_t)value.size &&
+        archive_write_finish_entry(file->archive) == ARCHIVE_OK;
+    file->bytes += member_bytes(value.size);
     archive_entry_free(member);
     pm_buf_free(&value);
-    return well;
+    return is_written;
+}
+
+static void format_part_path(const struct audit_file *file, char *out, size_t size)
+{
+    snprintf(out, size, "%s" PART_SUFFIX, file->path);
 }
 
-static void close_file(struct pm_audit_log *r)
+/* Seals the file and gives it its final name; one that can't be completed keeps PART_SUFFIX. */
+static void close_file(struct pm_audit_log *log)
 {
-    struct pm_audit_entry seal = {.number = r->entries + 1, .day = pm_clock_wall(), .event = SEAL};
-    char part[NAME_SIZE + sizeof PART];
-    bool whole;
+    struct audit_file *file = &log->file;
+    struct pm_audit_entry seal = {
+        .number = file->entries + 1, .day = pm_clock_wall(), .event = PM_AUDIT_SEAL_EVENT};
+    char part_path[PATH_SIZE + sizeof PART_SUFFIX];
+    bool is_complete;
 
-    if (!r->archive)
+    if (!file->archive)
         return;
-    whole = write_member(r, &seal) && archive_write_close(r->archive) == ARCHIVE_OK;
-    if (!whole)
-        say_failing(r, "not closed");
-    archive_write_free(r->archive);
-    r->archive = NULL;
-    whole &= !fsync(r->file);
-    close(r->file);
-    snprintf(part, sizeof part, "%s" PART, r->path);
-    if (whole)
-        g_rename(part, r->path);
-    bound_size(r);
+    is_complete = write_member(file, &seal) && archive_write_close(file->archive) == ARCHIVE_OK;
+    if (!is_complete)
+        report_error(log, "not closed");
+    archive_write_free(file->archive);
+    file->archive = NULL;
+    is_complete &= !fsync(file->fd);
+    close(file->fd);
+    format_part_path(file, part_path, sizeof part_path);
+    if (is_complete)
+        g_rename(part_path, file->path);
+    delete_old_files(log);
 }
 
-static bool open_file(struct pm_audit_log *r, double day)
+/* Makes file->archive write to file->fd. Blocks are as small as the format allows, so that each
+ * entry goes to the disk at its end and is not kept in memory. */
+static bool open_archive(struct audit_file *file)
 {
-    char part[NAME_SIZE + sizeof PART];
-
-    r->opened = day;
-    r->bytes = r->entries = 0;
-    snprintf(r->path, sizeof r->path, "%s/duties-%s-%012.0f-%d-%03llu.tar", r->dir, r->controller,
-             day, (int)getpid(), (unsigned long long)++r->files);
-    snprintf(part, sizeof part, "%s" PART, r->path);
-    r->file = open(part, O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0640);
-    if (r->file < 0) {
-        say_failing(r, g_strerror(errno));
+    file->archive = archive_write_new();
+    return file->archive && archive_write_set_format_ustar(file->archive) == ARCHIVE_OK &&
+           archive_write_set_bytes_per_block(file->archive, PM_AUDIT_TAR_BLOCK) == ARCHIVE_OK &&
+           archive_write_open_fd(file->archive, file->fd) == ARCHIVE_OK;
+}
+
+static bool open_file(struct pm_audit_log *log, double wall)
+{
+    struct audit_file *file = &log->file;
+    char part_path[PATH_SIZE + sizeof PART_SUFFIX];
+
+    file->opened_wall = wall;
+    file->bytes = file->entries = 0;
+    snprintf(file->path, sizeof file->path, "%s/duties-%s-%012.0f-%d-%03llu.tar", log->dir,
+             log->controller, wall, (int)getpid(), (unsigned long long)++log->file_count);
+    format_part_path(file, part_path, sizeof part_path);
+    file->fd = open(part_path, O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, FILE_MODE);
+    if (file->fd < 0) {
+        report_error(log, g_strerror(errno));
         return false;
     }
-    r->archive = archive_write_new();
-    /* Each entry is on its way to the disk once it has ended: no larger block gathers them. */
-    if (r->archive && archive_write_set_format_ustar(r->archive) == ARCHIVE_OK &&
-        archive_write_set_bytes_per_block(r->archive, BLOCK_SIZE) == ARCHIVE_OK &&
-        archive_write_open_fd(r->archive, r->file) == ARCHIVE_OK) {
-        r->failing = false;
+    if (open_archive(file)) {
+        log->error_reported = false;
         return true;
     }
-    say_failing(r, "no archive");
-    archive_write_free(r->archive);
-    r->archive = NULL;
-    close(r->file);
+    report_error(log, "no archive");
+    archive_write_free(file->archive);
+    file->archive = NULL;
+    close(file->fd);
     return false;
 }
 
+/* Wall time may jump either way: a file is closed in both cases. */
+static bool is_file_full(const struct pm_audit_log *log, double wall)
+{
+    const struct audit_file *file = &log->file;
+
+    return fabs(wall - file->opened_wall) >= log->period_s ||
+           file->bytes > log->max_bytes / FILES_KEPT_MIN;
+}
+
 static void write_entry(void *arg, const void *item)
 {
-    struct pm_audit_log *r = arg;
+    struct pm_audit_log *log = arg;
     struct pm_audit_entry entry = *(const struct pm_audit_entry *)item;
 
-    if (r->archive &&
-        (fabs(entry.day - r->opened) >= r->period_s || r->bytes > r->bytes_most / FILES_KEPT))
-        close_file(r);
-    if (!r->archive && !open_file(r, entry.day))
+    if (log->file.archive && is_file_full(log, entry.day))
+        close_file(log);
+    if (!log->file.archive && !open_file(log, entry.day))
         return;
-    entry.number = ++r->entries;
-    if (write_member(r, &entry))
+    entry.number = ++log->file.entries;
+    if (write_member(&log->file, &entry))
         return;
-    say_failing(r, "not written");
-    close_file(r);
+    report_error(log, "not written");
+    close_file(log);
 }
 
-void pm_audit_log_append(struct pm_audit_log *r, const char *event, const char *duty,
+/* ---- the log ---- */
+
+void pm_audit_log_append(struct pm_audit_log *log, const char *event, const char *role_name,
                          const char *subject, const char *detail)
 {
     struct pm_audit_entry *entry = g_new0(struct pm_audit_entry, 1);
 
     entry->day = pm_clock_wall();
     g_strlcpy(entry->event, event, sizeof entry->event);
-    g_strlcpy(entry->duty, duty, sizeof entry->duty);
+    g_strlcpy(entry->duty, role_name, sizeof entry->duty);
     g_strlcpy(entry->subject, subject, sizeof entry->subject);
     g_strlcpy(entry->detail, detail, sizeof entry->detail);
-    pm_writer_push(r->writer, entry);
+    pm_writer_push(log->writer, entry);
 }
 
-uint64_t pm_audit_log_dropped(const struct pm_audit_log *r)
+uint64_t pm_audit_log_dropped(const struct pm_audit_log *log)
 {
-    return pm_writer_dropped(r->writer);
+    return pm_writer_dropped(log->writer);
 }
 
 struct pm_audit_log *pm_audit_log_new(const char *dir, const char *controller, double period_s,
                                       unsigned megabytes, char *err, size_t err_size)
 {
-    struct pm_audit_log *r;
+    struct pm_audit_log *log;
 
-    if (g_mkdir_with_parents(dir, 0750) || g_access(dir, W_OK | X_OK)) {
+    if (g_mkdir_with_parents(dir, DIR_MODE) || g_access(dir, W_OK | X_OK)) {
         snprintf(err, err_size, "%s: %s", dir, g_strerror(errno));
         return NULL;
     }
-    r = g_new0(struct pm_audit_log, 1);
-    g_strlcpy(r->dir, dir, sizeof r->dir);
-    g_strlcpy(r->controller, controller, sizeof r->controller);
-    r->period_s = period_s;
-    r->bytes_most = (uint64_t)megabytes * 1024 * 1024;
-    r->writer = pm_writer_new("record", QUEUE_MOST,
-                              &(struct pm_writer_hooks){.write = write_entry, .arg = r});
-    return r;
-}
-
-void pm_audit_log_free(struct pm_audit_log *r)
-{
-    pm_writer_free(r->writer);
-    close_file(r);
-    g_free(r);
-}
-
-/* ---- reading ---- */
-
-static bool read_entry(const void *data, size_t size, struct pm_audit_entry *out)
-{
-    cbor_item_t *value = pm_cbor_parse(data, size);
-    bool well =
-        value && pm_cbor_read_count(pm_cbor_get(value, "number"), &out->number) &&
-        pm_cbor_read_number(pm_cbor_get(value, "day"), &out->day) &&
-        pm_cbor_read_text(pm_cbor_get(value, "event"), out->event, sizeof out->event) &&
-        pm_cbor_read_text(pm_cbor_get(value, "duty"), out->duty, sizeof out->duty) &&
-        pm_cbor_read_text(pm_cbor_get(value, "subject"), out->subject, sizeof out->subject) &&
-        pm_cbor_read_text(pm_cbor_get(value, "detail"), out->detail, sizeof out->detail);
-
-    pm_cbor_free(value);
-    return well;
-}
-
-static enum pm_audit_file_state read_members(struct archive *archive, pm_audit_entry_reader *reader,
-                                             void *arg, char *why, size_t why_size)
-{
-    struct archive_entry *member;
-    uint64_t number = 0;
-    bool sealed = false;
-    char data[ENTRY_MOST];
-    int code;
-
-    while ((code = archive_read_next_header(archive, &member)) == ARCHIVE_OK) {
-        struct pm_audit_entry entry = {0};
-        la_ssize_t size = archive_read_data(archive, data, sizeof data);
-        if (size < 0 || size < archive_entry_size(member)) {
-            snprintf(why, why_size, "entry %llu is cut off", (unsigned long long)number + 1);
-            return PM_AUDIT_FILE_TRUNCATED;
-        }
-        if (!read_entry(data, (size_t)size, &entry) || entry.number != number + 1) {
-            snprintf(why, why_size, "entry %llu can't be read, or is missing",
-                     (unsigned long long)number + 1);
-            return PM_AUDIT_FILE_CORRUPT;
-        }
-        number++;
-        sealed = !strcmp(entry.event, SEAL);
-        if (!sealed)
-            reader(arg, &entry);
-    }
-    if (code == ARCHIVE_EOF && sealed)
-        return PM_AUDIT_FILE_COMPLETE;
-    if (code == ARCHIVE_EOF) {
-        snprintf(why, why_size, "it was never closed");
-        return PM_AUDIT_FILE_TRUNCATED;
-    }
-    snprintf(why, why_size, "%s", archive_error_string(archive));
-    return strstr(why, "runcated") ? PM_AUDIT_FILE_TRUNCATED : PM_AUDIT_FILE_CORRUPT;
+    log = g_new0(struct pm_audit_log, 1);
+    g_strlcpy(log->dir, dir, sizeof log->dir);
+    g_strlcpy(log->controller, controller, sizeof log->controller);
+    log->period_s = period_s;
+    log->max_bytes = (uint64_t)megabytes * BYTES_PER_MEGABYTE;
+    log->writer = pm_writer_new("record", QUEUE_MAX,
+                                &(struct pm_writer_hooks){.write = write_entry, .arg = log});
+    return log;
 }
 
-enum pm_audit_file_state pm_audit_log_read_file(const char *path, pm_audit_entry_reader *reader,
-                                                void *arg, char *why, size_t why_size)
+void pm_audit_log_free(struct pm_audit_log *log)
 {
-    struct archive *archive = archive_read_new();
-    enum pm_audit_file_state state = PM_AUDIT_FILE_MISSING;
-
-    why[0] = 0;
-    archive_read_support_format_tar(archive);
-    if (archive_read_open_filename(archive, path, BLOCK_SIZE) == ARCHIVE_OK)
-        state = read_members(archive, reader, arg, why, why_size);
-    else
-        snprintf(why, why_size, "%s", archive_error_string(archive));
-    archive_read_free(archive);
-    return state;
+    pm_writer_free(log->writer);
+    close_file(log);
+    g_free(log);
 }
--- a/src/roles/garbage_collector.c
+++ b/src/roles/garbage_collector.c
@@ -1,241 +1,280 @@
 #include "roles/garbage_collector.h"
-#include "roles/roles.h"
+#include "roles/role.h"
 
+#include <glib.h>
 #include <string.h>
 
 #define VIEW_PREFIX "p/links/"
-#define POSITION_PREFIX "p/seen/"
+#define ACKED_REVISION_PREFIX "p/seen/"
 
+/* A key that is of no use, or a request to drain, which becomes so when its holder changes. */
 struct candidate {
     uint64_t revision;
-    double since;    /* steady: unchanged since */
-    uint64_t token;  /* of a request to drain */
-    const char *why; /* NULL: not now, as for a drain whose holder is still the same */
-    bool told;       /* by the listing under way */
+    double unchanged_since_at; /* monotonic seconds */
+    uint64_t drain_token;      /* named by a request to drain; else 0 */
+    const char *reason;        /* why it is of no use; NULL: it is of use now */
+    bool is_in_snapshot;       /* put since the last snapshot began */
 };
 
 struct pm_gc {
     const struct pm_settings *settings;
     double after_s;
-    uint64_t token[PM_ROLE_COUNT]; /* in force */
-    GTree *candidates;             /* key to struct candidate, in order */
-    bool listing;
+    uint64_t holder_tokens[PM_ROLE_COUNT]; /* as the replica has them; 0: none seen */
+    GTree *candidates;                     /* key to struct candidate, by key */
+    bool is_snapshot_open;
 };
 
-static int by_text(gconstpointer a, gconstpointer b, gpointer arg)
+static int compare_keys(gconstpointer left, gconstpointer right, gpointer arg)
 {
     (void)arg;
-    return strcmp(a, b);
+    return strcmp(left, right);
 }
 
 struct pm_gc *pm_gc_new(const struct pm_settings *settings, double after_s)
 {
-    struct pm_gc *c = g_new0(struct pm_gc, 1);
+    struct pm_gc *collector = g_new0(struct pm_gc, 1);
 
-    c->settings = settings;
-    c->after_s = after_s;
-    c->candidates = g_tree_new_full(by_text, NULL, g_free, g_free);
-    return c;
+    collector->settings = settings;
+    collector->after_s = after_s;
+    collector->candidates = g_tree_new_full(compare_keys, NULL, g_free, g_free);
+    return collector;
 }
 
-void pm_gc_free(struct pm_gc *c)
+void pm_gc_free(struct pm_gc *collector)
 {
-    g_tree_destroy(c->candidates);
-    g_free(c);
+    g_tree_destroy(collector->candidates);
+    g_free(collector);
 }
 
+/* ---- what is of no use ---- */
+
 static bool is_controller(const struct pm_settings *settings, const char *name)
 {
     return !strcmp(name, settings->name) || pm_settings_find_peer(settings, name) >= 0;
 }
 
-/* Why the key is of no use, as its name alone tells; NULL: it may be. */
-static const char *find_why(const struct pm_gc *c, const char *key)
+/* Whether the key belongs to a controller, named after `prefix`, that is not in the settings. */
+static bool is_of_unknown_controller(const struct pm_gc *collector, const char *key,
+                                     const char *prefix)
 {
-    if (g_str_has_prefix(key, VIEW_PREFIX) &&
-        !is_controller(c->settings, key + strlen(VIEW_PREFIX)))
+    return g_str_has_prefix(key, prefix) &&
+           !is_controller(collector->settings, key + strlen(prefix));
+}
+
+/* Why the key is of no use, as its name alone shows; NULL: it may be of use. */
+static const char *find_reason(const struct pm_gc *collector, const char *key)
+{
+    if (is_of_unknown_controller(collector, key, VIEW_PREFIX))
         return "the view of a controller that is not in the settings";
-    if (g_str_has_prefix(key, POSITION_PREFIX) &&
-        !is_controller(c->settings, key + strlen(POSITION_PREFIX)))
+    if (is_of_unknown_controller(collector, key, ACKED_REVISION_PREFIX))
         return "the reading position of a controller that is not in the settings";
     return NULL;
 }
 
-static const char *why_drain(const struct pm_gc *c, const char *key, uint64_t token)
+/* Why a request to drain the holder of `drain_token` is of no use; NULL: it is of use. */
+static const char *find_drain_reason(const struct pm_gc *collector, const char *key,
+                                     uint64_t drain_token)
 {
-    int duty = pm_role_find(key + strlen(PM_ROLE_DRAIN_KEY_PREFIX));
+    enum pm_role role;
 
-    if (duty < 0)
+    if (!pm_role_from_name(key + strlen(PM_ROLE_DRAIN_KEY_PREFIX), &role))
         return "a request to drain a duty that does not exist";
-    return c->token[duty] != token ? "a request to drain a holder that has changed" : NULL;
+    if (collector->holder_tokens[role] != drain_token)
+        return "a request to drain a holder that has changed";
+    return NULL;
 }
 
-static void add_candidate(struct pm_gc *c, const char *key, const char *why, uint64_t token,
-                          uint64_t revision, double now)
+/* ---- candidates ---- */
+
+static void add_candidate(struct pm_gc *collector, const char *key, struct candidate candidate)
 {
-    struct candidate *known = g_tree_lookup(c->candidates, key);
+    struct candidate *known = g_tree_lookup(collector->candidates, key);
 
-    if (known && known->revision == revision) {
-        known->told = true;
+    if (known && known->revision == candidate.revision) {
+        known->is_in_snapshot = true;
         return;
     }
-    known = g_new0(struct candidate, 1);
-    *known = (struct candidate){revision, now, token, why, true};
-    g_tree_replace(c->candidates, g_strdup(key), known);
+    known = g_new(struct candidate, 1);
+    *known = candidate;
+    known->is_in_snapshot = true;
+    g_tree_replace(collector->candidates, g_strdup(key), known);
 }
 
-struct changed_duty {
-    const struct pm_gc *clean;
+struct holder_change {
+    const struct pm_gc *collector;
     double now;
 };
 
-static gboolean judge_drain(gpointer key, gpointer value, gpointer arg)
+static gboolean update_drain_reason(gpointer key, gpointer value, gpointer arg)
 {
-    const struct changed_duty *changed = arg;
+    const struct holder_change *change = arg;
     struct candidate *candidate = value;
-    const char *why;
+    const char *reason;
 
     if (!g_str_has_prefix(key, PM_ROLE_DRAIN_KEY_PREFIX))
         return FALSE;
-    why = why_drain(changed->clean, key, candidate->token);
-    if (why && !candidate->why)
-        candidate->since = changed->now;
-    candidate->why = why;
+    reason = find_drain_reason(change->collector, key, candidate->drain_token);
+    if (reason && !candidate->reason)
+        candidate->unchanged_since_at = change->now;
+    candidate->reason = reason;
     return FALSE;
 }
 
-static void note_duty(struct pm_gc *c, const char *key, uint64_t token, double now)
+static void put_holder(struct pm_gc *collector, const char *key, uint64_t token, double now)
+{
+    struct holder_change change = {.collector = collector, .now = now};
+    enum pm_role role;
+
+    if (!pm_role_from_name(key + strlen(PM_ROLE_KEY_PREFIX), &role))
+        return;
+    collector->holder_tokens[role] = token;
+    g_tree_foreach(collector->candidates, update_drain_reason, &change);
+}
+
+static void put_drain_request(struct pm_gc *collector, const char *key, const cbor_item_t *value,
+                              uint64_t revision, double now)
 {
-    int duty = pm_role_find(key + strlen(PM_ROLE_KEY_PREFIX));
-    struct changed_duty changed = {c, now};
+    struct candidate candidate = {.revision = revision, .unchanged_since_at = now};
 
-    if (duty < 0)
+    if (!pm_cbor_read_count(pm_cbor_get(value, "token"), &candidate.drain_token))
         return;
-    c->token[duty] = token;
-    g_tree_foreach(c->candidates, judge_drain, &changed);
+    candidate.reason = find_drain_reason(collector, key, candidate.drain_token);
+    add_candidate(collector, key, candidate);
 }
 
-void pm_gc_apply_put(struct pm_gc *c, const char *key, const cbor_item_t *value, uint64_t revision,
-                     double now)
+/* ---- the replica's feed ---- */
+
+void pm_gc_apply_put(struct pm_gc *collector, const char *key, const cbor_item_t *value,
+                     uint64_t revision, double now)
 {
-    const char *why;
-    uint64_t token;
+    struct candidate candidate = {.revision = revision, .unchanged_since_at = now};
 
     if (g_str_has_prefix(key, PM_ROLE_KEY_PREFIX)) {
-        note_duty(c, key, revision, now);
-    } else if (g_str_has_prefix(key, PM_ROLE_DRAIN_KEY_PREFIX)) {
-        if (pm_cbor_read_count(pm_cbor_get(value, "token"), &token))
-            add_candidate(c, key, why_drain(c, key, token), token, revision, now);
-    } else if ((why = find_why(c, key))) {
-        add_candidate(c, key, why, 0, revision, now);
+        put_holder(collector, key, revision, now);
+        return;
     }
+    if (g_str_has_prefix(key, PM_ROLE_DRAIN_KEY_PREFIX)) {
+        put_drain_request(collector, key, value, revision, now);
+        return;
+    }
+    candidate.reason = find_reason(collector, key);
+    if (candidate.reason)
+        add_candidate(collector, key, candidate);
 }
 
-void pm_gc_apply_delete(struct pm_gc *c, const char *key, uint64_t revision)
+void pm_gc_apply_delete(struct pm_gc *collector, const char *key, uint64_t revision)
 {
-    const struct candidate *known = g_tree_lookup(c->candidates, key);
+    const struct candidate *known = g_tree_lookup(collector->candidates, key);
 
     if (known && known->revision < revision)
-        g_tree_remove(c->candidates, key);
+        g_tree_remove(collector->candidates, key);
 }
 
-static gboolean forget_told(gpointer key, gpointer value, gpointer arg)
+static gboolean clear_in_snapshot(gpointer key, gpointer value, gpointer arg)
 {
     (void)key;
     (void)arg;
-    ((struct candidate *)value)->told = false;
+    ((struct candidate *)value)->is_in_snapshot = false;
     return FALSE;
 }
 
-void pm_gc_snapshot_begin(struct pm_gc *c)
+void pm_gc_snapshot_begin(struct pm_gc *collector)
 {
-    c->listing = true;
-    g_tree_foreach(c->candidates, forget_told, NULL);
+    collector->is_snapshot_open = true;
+    g_tree_foreach(collector->candidates, clear_in_snapshot, NULL);
 }
 
-static gboolean gather_untold(gpointer key, gpointer value, gpointer arg)
+static gboolean collect_absent(gpointer key, gpointer value, gpointer arg)
 {
-    if (!((const struct candidate *)value)->told)
+    if (!((const struct candidate *)value)->is_in_snapshot)
         g_ptr_array_add(arg, key);
     return FALSE;
 }
 
-void pm_gc_snapshot_end(struct pm_gc *c)
+void pm_gc_snapshot_end(struct pm_gc *collector)
 {
-    GPtrArray *untold = g_ptr_array_new();
+    GPtrArray *absent_keys;
 
-    if (c->listing)
-        g_tree_foreach(c->candidates, gather_untold, untold);
-    for (guint i = 0; i < untold->len; i++)
-        g_tree_remove(c->candidates, g_ptr_array_index(untold, i));
-    g_ptr_array_free(untold, TRUE);
-    c->listing = false;
+    if (!collector->is_snapshot_open)
+        return;
+    absent_keys = g_ptr_array_new();
+    g_tree_foreach(collector->candidates, collect_absent, absent_keys);
+    for (guint i = 0; i < absent_keys->len; i++)
+        g_tree_remove(collector->candidates, g_ptr_array_index(absent_keys, i));
+    g_ptr_array_free(absent_keys, TRUE);
+    collector->is_snapshot_open = false;
 }
 
-static bool is_due(const struct pm_gc *c, const struct candidate *candidate, double now)
+/* ---- collection ---- */
+
+static bool is_due(const struct pm_gc *collector, const struct candidate *candidate, double now)
 {
-    return candidate->why && now - candidate->since >= c->after_s;
+    return candidate->reason && now - candidate->unchanged_since_at >= collector->after_s;
 }
 
-struct adding {
-    const struct pm_gc *clean;
+struct due_deletes {
+    const struct pm_gc *collector;
     struct pm_txn *txn;
-    int left;
+    int remaining; /* keys that may still be added */
     double now;
 };
 
-static gboolean add_drop(gpointer key, gpointer value, gpointer arg)
+static gboolean add_delete_if_due(gpointer key, gpointer value, gpointer arg)
 {
-    struct adding *adding = arg;
+    struct due_deletes *deletes = arg;
     const struct candidate *candidate = value;
 
-    if (adding->left <= 0)
+    if (deletes->remaining <= 0)
         return TRUE;
-    if (!is_due(adding->clean, candidate, adding->now))
+    if (!is_due(deletes->collector, candidate, deletes->now))
         return FALSE;
-    pm_txn_compare(adding->txn, key, candidate->revision);
-    pm_txn_delete(adding->txn, key);
-    adding->left--;
+    pm_txn_compare(deletes->txn, key, candidate->revision);
+    pm_txn_delete(deletes->txn, key);
+    deletes->remaining--;
     return FALSE;
 }
 
-int pm_gc_add_due_deletes(struct pm_gc *c, struct pm_txn *txn, int most, double now)
+int pm_gc_add_due_deletes(struct pm_gc *collector, struct pm_txn *txn, int max_count, double now)
 {
-    struct adding adding = {c, txn, most, now};
+    struct due_deletes deletes = {
+        .collector = collector, .txn = txn, .remaining = max_count, .now = now};
 
-    if (c->listing)
+    if (collector->is_snapshot_open)
         return 0;
-    g_tree_foreach(c->candidates, add_drop, &adding);
-    return most - adding.left;
+    g_tree_foreach(collector->candidates, add_delete_if_due, &deletes);
+    return max_count - deletes.remaining;
 }
 
-struct telling {
-    const struct pm_gc *clean;
+/* ---- status ---- */
+
+struct status_output {
+    const struct pm_gc *collector;
     struct pm_buf *out;
     double now;
 };
 
-static gboolean tell_candidate(gpointer key, gpointer value, gpointer arg)
+static gboolean encode_candidate(gpointer key, gpointer value, gpointer arg)
 {
-    const struct telling *telling = arg;
+    const struct status_output *status = arg;
     const struct candidate *candidate = value;
+    double unchanged_s = status->now - candidate->unchanged_since_at;
 
-    if (!candidate->why)
+    if (!candidate->reason)
         return FALSE;
-    pm_put_map(telling->out);
-    pm_put_pair_text(telling->out, "key", key);
-    pm_put_pair_text(telling->out, "why", candidate->why);
-    pm_put_pair_number(telling->out, "unchanged_s", telling->now - candidate->since);
-    pm_put_pair_flag(telling->out, "due", is_due(telling->clean, candidate, telling->now));
-    pm_put_end(telling->out);
+    pm_put_map(status->out);
+    pm_put_pair_text(status->out, "key", key);
+    pm_put_pair_text(status->out, "why", candidate->reason);
+    pm_put_pair_number(status->out, "unchanged_s", unchanged_s);
+    pm_put_pair_flag(status->out, "due", is_due(status->collector, candidate, status->now));
+    pm_put_end(status->out);
     return FALSE;
 }
 
-void pm_gc_encode_status(const struct pm_gc *c, struct pm_buf *out, double now)
+void pm_gc_encode_status(const struct pm_gc *collector, struct pm_buf *out, double now)
 {
-    struct telling telling = {c, out, now};
+    struct status_output status = {.collector = collector, .out = out, .now = now};
 
     pm_put_list(out);
-    g_tree_foreach(c->candidates, tell_candidate, &telling);
+    g_tree_foreach(collector->candidates, encode_candidate, &status);
     pm_put_end(out);
 }
--- a/src/roles/intent.h
+++ b/src/roles/intent.h
@@ -1,13 +1,22 @@
-/* Intents: what a controller is about to ask of the cloud, durable before it is asked.
+/* Intents: what a controller is about to request of the machine provider, made durable first.
  *
- * An intent names its duty, the duty's fencing token, and either the machines that are to be
- * returned or the rentals that are to be requested: one intent is one write, however many these
- * are. It is open from when it is written until the cloud has said what became of all of it. */
+ * An intent names its role, the role's fencing token, and either the machines to terminate or the
+ * rentals to request. It is one stored key, however many machines it names. It is open from when it
+ * is written until the provider has answered for all of it; whoever has the role then completes the
+ * open intents of earlier holders.
+ *
+ * This module owns the type and its codec. Its functions have no state of their own and do no I/O.
+ * The controller's intents are guarded by `struct pm_controller.lock`.
+ *
+ * Key: p/intent/NAME {duty, token, rentals or machines}. `duty` is the role's stored name, `token`
+ * the fencing token of its writer, `rentals` a list of {type, zone, spot, count}, `machines` a list
+ * of machine names. */
 #ifndef PM_ROLES_INTENT_H
 #define PM_ROLES_INTENT_H
 
 #include "base/cbor.h"
 #include "base/settings.h"
+#include "roles/role.h"
 
 #include <glib.h>
 #include <stdbool.h>
@@ -15,50 +24,51 @@
 
 #define PM_INTENT_KEY_PREFIX "p/intent/"
 
-/* The duties that are held under a lease of their own. */
-enum pm_role { PM_ROLE_SCALE_OUT, PM_ROLE_SCALE_IN, PM_ROLE_GARBAGE_COLLECTION, PM_ROLE_COUNT };
-
-const char *pm_role_name(enum pm_role duty);
-/* -1: no such duty. */
-int pm_role_find(const char *name);
-
 enum {
-    PM_INTENT_NAME = 64,
-    PM_INTENT_MACHINES = 100, /* in one request to return, */
-    PM_INTENT_RENTED = 50,    /* in one to rent, as the cloud takes them */
-    PM_INTENT_RENTALS = 8     /* requests to rent in one intent */
+    PM_INTENT_NAME = 64,      /* bytes of an intent's name, with the NUL at its end */
+    PM_INTENT_MACHINES = 100, /* machines in one request to terminate, at most */
+    PM_INTENT_RENTED = 50,    /* machines in one request to rent, at most */
+    PM_INTENT_RENTALS = 8     /* requests to rent in one intent, at most */
 };
 
+/* One request to rent machines of one kind. */
 struct pm_intent_rental {
     char type[PM_NAME_MAX], zone[PM_NAME_MAX];
     bool spot;
-    uint64_t count;
-    bool busy, settled; /* this controller's own: a call is under way; the cloud has answered */
+    uint64_t count; /* machines, at least 1 */
+    /* Known to this controller alone; not stored. */
+    bool busy;    /* a call for it is in flight */
+    bool settled; /* the provider has answered */
 };
 
 struct pm_intent {
-    char name[PM_INTENT_NAME]; /* DUTY-TOKEN-NUMBER */
+    char name[PM_INTENT_NAME]; /* ROLE-TOKEN-NUMBER */
     enum pm_role duty;
-    uint64_t token;      /* of the duty, as its writer held it */
+    uint64_t token;      /* the fencing token under which it was written */
     uint64_t revision;   /* of its key, 0: not known to be durable */
-    GArray *rentals;     /* of struct pm_intent_rental */
-    GPtrArray *machines; /* to be returned: names, owned */
-    /* This controller's own. */
-    bool busy;       /* a call to return is under way */
-    bool closing;    /* the cloud has said what became of it; its key is to go */
-    double retry_at; /* steady: not to be sent again before */
+    GArray *rentals;     /* of struct pm_intent_rental; empty unless scaling out */
+    GPtrArray *machines; /* names of the machines to terminate, owned; empty unless scaling in */
+    /* Known to this controller alone; not stored. */
+    bool busy;       /* a call to terminate is in flight */
+    bool closing;    /* the provider has answered for all of it; its key is to be deleted */
+    double retry_at; /* monotonic seconds: no call before this time */
 };
 
-/* An empty one, for the caller to fill. */
-struct pm_intent *pm_intent_new(enum pm_role duty);
+/* An empty intent for the caller to fill; the caller owns it. */
+struct pm_intent *pm_intent_new(enum pm_role role);
+/* Frees the intent and all inside it; NULL is allowed. */
 void pm_intent_free(struct pm_intent *intent);
-/* Names it, so that nobody ever names another one alike. */
+/* Sets the intent's token and name. `number` must differ between all intents of one token, so that
+ * no two intents ever have the same name. */
 void pm_intent_set_name(struct pm_intent *intent, uint64_t token, uint64_t number);
-/* The name of a rental's request to the cloud: that of the intent, and its place in it. */
-void pm_intent_booking(const struct pm_intent *intent, guint rental, char *out, size_t size);
-/* Its value in the state service. */
-void pm_intent_write(const struct pm_intent *intent, struct pm_buf *out);
-/* NULL: the value, or the key, is malformed. */
-struct pm_intent *pm_intent_read(const char *key, const cbor_item_t *value, uint64_t revision);
+/* Writes the idempotency name of a rental's request to `out`, of `size` bytes: the intent's name
+ * and the rental's index in it. */
+void pm_intent_booking(const struct pm_intent *intent, guint rental_index, char *out, size_t size);
+/* Appends the intent's stored value to `out`. */
+void pm_intent_encode(const struct pm_intent *intent, struct pm_buf *out);
+/* The intent that is stored under `key` with `value` at `revision`; the caller owns it. `key`
+ * starts with PM_INTENT_KEY_PREFIX. NULL: the value is malformed, or the key does not belong to it.
+ */
+struct pm_intent *pm_intent_decode(const char *key, const cbor_item_t *value, uint64_t revision);
 
 #endif
--- /dev/null
+++ b/src/roles/intent_closing.c
@@ -0,0 +1,112 @@
+/* Deleting the keys of intents for which the provider has answered, several in a transaction. */
+#include "roles/internal.h"
+
+#include <stdio.h>
+
+enum {
+    CLOSE_BATCH = 8,         /* so many closing intents are deleted without waiting for the tick */
+    OVER_BUDGET_CLOSING = 32 /* so many are deleted even when the write budget is used up */
+};
+
+/* A transaction in flight that deletes intents. */
+struct close_transaction {
+    struct pm_roles *roles;
+    enum pm_role role;
+    GPtrArray *names; /* owned */
+};
+
+static void on_close_done(void *arg, enum pm_store_result result, uint64_t store_revision,
+                          const cbor_item_t *conflicting_keys)
+{
+    struct close_transaction *close = arg;
+    struct pm_roles *roles = close->roles;
+
+    (void)store_revision;
+    (void)conflicting_keys;
+    roles->intents.close_in_flight[close->role] = false;
+    for (guint i = 0; result == PM_STORE_OK && i < close->names->len; i++) {
+        const char *name = g_ptr_array_index(close->names, i);
+        pm_roles_log_action(roles, close->role, "closed", name, "");
+        g_hash_table_remove(roles->intents.open, name);
+    }
+    g_ptr_array_free(close->names, TRUE);
+    g_free(close);
+}
+
+static unsigned count_closing(const struct pm_roles *roles, enum pm_role role)
+{
+    GHashTableIter iter;
+    gpointer value;
+    unsigned count = 0;
+
+    g_hash_table_iter_init(&iter, roles->intents.open);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
+        const struct pm_intent *intent = value;
+        count += intent->duty == role && intent->closing;
+    }
+    return count;
+}
+
+/* How many keys may be deleted now, of `closing` that wait for it. */
+static int max_deletes(const struct pm_roles *roles, unsigned closing, double now)
+{
+    int txn_ops = roles->settings->store_txn_ops;
+
+    if (closing >= OVER_BUDGET_CLOSING)
+        return txn_ops;
+    return MIN(pm_store_write_budget(roles->store, now), txn_ops);
+}
+
+/* Adds deletes of at most `max_count` closing intents, oldest first, to the transaction, and their
+ * names to `names`. */
+static void add_deletes(const struct pm_roles *roles, enum pm_role role, guint max_count,
+                        struct pm_txn *txn, GPtrArray *names)
+{
+    GPtrArray *open = pm_roles_open_intents(roles, role);
+    char key[sizeof PM_INTENT_KEY_PREFIX + PM_INTENT_NAME];
+
+    for (guint i = 0; i < open->len && names->len < max_count; i++) {
+        const struct pm_intent *intent = g_ptr_array_index(open, i);
+        if (!intent->closing)
+            continue;
+        snprintf(key, sizeof key, PM_INTENT_KEY_PREFIX "%s", intent->name);
+        pm_txn_compare(txn, key, intent->revision);
+        pm_txn_delete(txn, key);
+        g_ptr_array_add(names, g_strdup(intent->name));
+    }
+    g_ptr_array_free(open, TRUE);
+}
+
+void pm_roles_delete_closed_intents(struct pm_roles *roles, enum pm_role role, double now)
+{
+    struct close_transaction *close;
+    struct pm_txn txn = {0};
+    char key[PM_NAME_MAX];
+    unsigned closing = count_closing(roles, role);
+    int max_count = max_deletes(roles, closing, now);
+
+    if (!closing || roles->intents.close_in_flight[role] || !pm_roles_holds(roles, role, now) ||
+        max_count < 1)
+        return;
+    close = g_new(struct close_transaction, 1);
+    close->roles = roles;
+    close->role = role;
+    close->names = g_ptr_array_new_with_free_func(g_free);
+    pm_role_format_key(role, key, sizeof key);
+    pm_txn_compare(&txn, key, pm_roles_token(roles, role));
+    add_deletes(roles, role, (guint)max_count, &txn, close->names);
+    roles->intents.close_in_flight[role] = true;
+    pm_store_commit(roles->store, &txn, on_close_done, close);
+}
+
+void pm_roles_close_intent(struct pm_roles *roles, const char *name, double now)
+{
+    struct pm_intent *intent = pm_roles_find_intent(roles, name);
+
+    if (!intent)
+        return;
+    intent->busy = false;
+    intent->closing = true;
+    if (count_closing(roles, intent->duty) >= CLOSE_BATCH)
+        pm_roles_delete_closed_intents(roles, intent->duty, now);
+}
--- a/src/roles/internal.h
+++ b/src/roles/internal.h
@@ -1,76 +1,127 @@
-/* What the parts of the duties slice share; nobody else includes it. */
+/* Shared by the files of this directory that manage the singleton roles; not included elsewhere. */
 #ifndef PM_ROLES_INTERNAL_H
 #define PM_ROLES_INTERNAL_H
 
 #include "roles/roles.h"
 
-enum {
-    PROCESS_SIZE = 24,
-    CLOSED_AT_ONCE = 8, /* intents that are dropped together, unless the clock comes first */
-    CLOSING_MOST = 32   /* that wait for room in the write budget */
+/* The leader's epoch (leadership/): compared by what only the leader may do, never written here. */
+#define PM_ROLES_EPOCH_KEY "p/epoch"
+
+enum { PM_ROLES_INCARNATION_ID_SIZE = 24 }; /* bytes, with the NUL at its end */
+
+/* The holder's key, as the replica has it. Written by replica.c, and by acquisition.c when a
+ * transaction of this controller has written the key. */
+struct pm_role_holder {
+    uint64_t revision; /* 0: there is no holder */
+    char name[PM_NAME_MAX];
+    char incarnation_id[PM_ROLES_INCARNATION_ID_SIZE];
+    bool is_unreadable; /* the value is malformed: the key is left in place */
+    double changed_at;  /* monotonic seconds: the last change of holder; 0: none was seen */
+};
+
+/* An operator's request to drain the role, as the replica has it. Written by replica.c. */
+struct pm_role_drain_request {
+    uint64_t revision; /* 0: there is no request */
+    uint64_t token;    /* of the holder that is to release the role; 0: none, or malformed */
+};
+
+/* This controller's own claim on the role. */
+struct pm_role_claim {
+    uint64_t token;          /* its fencing token; 0: this controller does not have the role */
+    bool acquire_in_flight;  /* acquisition.c */
+    bool drain_in_flight;    /* drain.c */
+    double vacant_at;        /* monotonic seconds: seen without a holder since; 0: it has one */
+    double backoff_until_at; /* monotonic seconds: not acquired before this time (drain.c) */
 };
 
-/* One duty: as the replica knows it, and what we have of it. */
-struct duty {
-    uint64_t revision; /* 0: nobody holds it */
-    char holder[PM_NAME_MAX], boot[PROCESS_SIZE];
-    uint64_t drain_revision, drain_token;
-    uint64_t token; /* ours, 0: not held */
-    bool taking, draining, unreadable;
-    double vacant_since, stand_back_until; /* steady */
-    double held_since;                     /* steady: since when the holder is as it is */
+struct pm_role_state {
+    struct pm_role_holder holder;
+    struct pm_role_drain_request drain_request;
+    struct pm_role_claim claim;
+};
+
+/* The lease to which the keys of this controller's roles are attached. Written by lease.c. */
+struct pm_roles_lease {
+    uint64_t id;        /* 0: none */
+    double sent_at;     /* monotonic seconds: when the last grant or keep-alive was sent */
+    double renew_at;    /* monotonic seconds: the next grant or keep-alive is due */
+    double valid_until; /* monotonic seconds: lower bound of its expiry; 0: it has expired */
+    bool grant_in_flight, keep_alive_in_flight;
+};
+
+/* Open intents of all controllers. Written by intent_log.c and intent_closing.c. */
+struct pm_roles_intents {
+    GHashTable *open;           /* name to struct pm_intent, owned */
+    GHashTable *writes;         /* name to struct intent_write: transactions in flight */
+    GHashTable *snapshot_names; /* names in the snapshot that is being read; NULL: none is */
+    uint64_t last_number;       /* of an intent that this controller wrote */
+    bool close_in_flight[PM_ROLE_COUNT];
 };
 
 struct pm_roles {
+    /* Fixed when it is made. */
     struct pm_store *store;
     const struct pm_settings *settings;
     const struct pm_roles_setting *setting;
-    const char *boot;
-    struct pm_links_trace *trace;
-    struct pm_audit_log *record;
+    const char *incarnation_id;
+    struct pm_links_trace *trace;   /* NULL: none is written */
+    struct pm_audit_log *audit_log; /* NULL: none is written */
     struct pm_roles_hooks hooks;
-    struct pm_roles_conditions grounds;
-    struct duty duty[PM_ROLE_COUNT];
-    uint64_t lease_id; /* 0: none */
-    double lease_sent, renew_at, valid_until;
-    bool hold_busy, renew_busy;
-    GHashTable *intents; /* name to struct pm_intent: open */
-    GHashTable *writing; /* name to struct writing */
-    GHashTable *listed;  /* names that the listing under way has told, NULL: none is */
-    uint64_t last_number;
-    bool closing_busy[PM_ROLE_COUNT];
+
+    struct pm_roles_conditions conditions; /* of the last tick */
+    struct pm_role_state states[PM_ROLE_COUNT];
+    struct pm_roles_lease lease;
+    struct pm_roles_intents intents;
 };
 
-/* duties.c */
-/* For the log, the record and the trace: a duty was taken or lost. */
-void pm_roles_log_change(struct pm_roles *d, enum pm_role duty, const char *event, uint64_t token,
-                         const char *why);
-
-/* holding.c: the lease, and who holds what */
-void pm_role_key(enum pm_role duty, char *out, size_t size);
-void pm_role_drain_key(enum pm_role duty, char *out, size_t size);
-/* Whether the duty is the leader's, and can't be anybody else's. */
-bool pm_roles_follows_lead(enum pm_role duty);
-/* Whether the key, as the replica has it, was written by this process. */
-bool pm_roles_is_ours(const struct pm_roles *d, const struct duty *duty);
-void pm_roles_acquire(struct pm_roles *d, enum pm_role duty, uint64_t token);
-void pm_roles_lose(struct pm_roles *d, enum pm_role duty, const char *why);
-/* An operator asked for the duty, and its key has gone. */
-void pm_roles_drained(struct pm_roles *d, enum pm_role duty);
-void pm_roles_keep_lease_alive(struct pm_roles *d, double now);
-/* The leader takes what follows the lead from whoever has it: the epoch says that it may. */
-void pm_roles_acquire_as_leader(struct pm_roles *d);
-void pm_roles_acquire_if_vacant(struct pm_roles *d, enum pm_role duty, double now);
-/* The duty and the request for it go in one transaction. */
-void pm_roles_drain_if_asked(struct pm_roles *d, enum pm_role duty);
-
-/* intents.c */
-/* How many intents of the duty are open; with `closing`, of those that the cloud has answered. */
-unsigned pm_roles_count(const struct pm_roles *d, enum pm_role duty, bool closing);
-void pm_roles_apply_intent_put(struct pm_roles *d, const char *key, const cbor_item_t *value,
+/* ---- event_log.c ---- */
+
+/* Writes an acquisition or a loss of the role to the log, the audit log and the trace. `event` and
+ * `reason` ("": none) are stored in the audit log as they are. */
+void pm_roles_log_change(struct pm_roles *roles, enum pm_role role, const char *event,
+                         uint64_t token, const char *reason);
+
+/* ---- lease.c ---- */
+
+/* Sends a grant, or a keep-alive, when one is due at `now` (monotonic seconds) and none is in
+ * flight. */
+void pm_roles_keep_lease_alive(struct pm_roles *roles, double now);
+
+/* ---- acquisition.c ---- */
+
+/* Whether the holder's key, as the replica has it, was written by this incarnation. */
+bool pm_roles_is_own_holder(const struct pm_roles *roles, const struct pm_role_holder *holder);
+/* Notes that this controller has the role under `token`; does nothing when it is known already. */
+void pm_roles_mark_acquired(struct pm_roles *roles, enum pm_role role, uint64_t token);
+/* Notes that this controller does not have the role any more; does nothing when it did not.
+ * `reason` is stored in the audit log. */
+void pm_roles_mark_lost(struct pm_roles *roles, enum pm_role role, const char *reason);
+/* Acquires the roles that are bound to the leader, whoever has them: the compared epoch proves that
+ * this controller leads. */
+void pm_roles_acquire_as_leader(struct pm_roles *roles);
+/* Acquires the role once it has had no holder for long enough at `now` (monotonic seconds). */
+void pm_roles_acquire_if_vacant(struct pm_roles *roles, enum pm_role role, double now);
+
+/* ---- drain.c ---- */
+
+/* Notes that this controller released the role at an operator's request, and calls the hook. */
+void pm_roles_mark_drained(struct pm_roles *roles, enum pm_role role);
+/* Releases the role if a request to drain names this controller's token. The holder's key and the
+ * request are deleted in one transaction. */
+void pm_roles_drain_if_requested(struct pm_roles *roles, enum pm_role role);
+
+/* ---- intent_log.c ---- */
+
+/* Applies a put of an intent's key from the replica. */
+void pm_roles_apply_intent_put(struct pm_roles *roles, const char *key, const cbor_item_t *value,
                                uint64_t revision);
-/* Drops what is closing, as many as one transaction takes. It can wait for room in the write
- * budget, though not for ever. */
-void pm_roles_delete_closed_intents(struct pm_roles *d, enum pm_role duty, double now);
+/* How many intents of the role are open. */
+unsigned pm_roles_count_open_intents(const struct pm_roles *roles, enum pm_role role);
+
+/* ---- intent_closing.c ---- */
+
+/* Deletes the keys of closing intents, as many as one transaction takes. Below a certain number of
+ * them it waits for room in the write budget. `now` in monotonic seconds. */
+void pm_roles_delete_closed_intents(struct pm_roles *roles, enum pm_role role, double now);
 
 #endif
--- /dev/null
+++ b/src/roles/tests/provider_call_checker.c
@@ -0,0 +1,239 @@
+#include "provider_call_checker.h"
+#include "roles/roles.h"
+
+#include <glib.h>
+#include <stdlib.h>
+#include <string.h>
+
+enum { DECIMAL = 10 };
+
+/* An intent as it was written, and what was done for it. */
+struct known_intent {
+    struct pm_intent *intent; /* owned */
+    double written_at;        /* monotonic seconds */
+    bool is_open;
+    uint64_t rented[PM_INTENT_RENTALS]; /* machines, for each rental */
+};
+
+struct call_checker {
+    double lost_after_s;
+    uint64_t current_tokens[PM_ROLE_COUNT]; /* 0: the role has no holder */
+    uint64_t last_tokens[PM_ROLE_COUNT];
+    GHashTable *intents;             /* name to struct known_intent */
+    GHashTable *termination_intents; /* machine to the name of the intent to terminate it */
+    unsigned rented, terminated, acquisitions;
+    GString *violations;
+};
+
+static void free_known_intent(gpointer data)
+{
+    struct known_intent *known = data;
+
+    pm_intent_free(known->intent);
+    g_free(known);
+}
+
+struct call_checker *call_checker_new(double lost_after_s)
+{
+    struct call_checker *checker = g_new0(struct call_checker, 1);
+
+    checker->lost_after_s = lost_after_s;
+    checker->intents = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_known_intent);
+    checker->termination_intents = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    checker->violations = g_string_new("");
+    return checker;
+}
+
+void call_checker_free(struct call_checker *checker)
+{
+    g_hash_table_destroy(checker->intents);
+    g_hash_table_destroy(checker->termination_intents);
+    g_string_free(checker->violations, TRUE);
+    g_free(checker);
+}
+
+/* ---- the state service ---- */
+
+static void put_holder(struct call_checker *checker, enum pm_role role, uint64_t token)
+{
+    checker->current_tokens[role] = token;
+    if (token <= checker->last_tokens[role])
+        g_string_append_printf(checker->violations,
+                               "token %llu of %s is no higher than one before\n",
+                               (unsigned long long)token, pm_role_name(role));
+    checker->last_tokens[role] = token;
+    checker->acquisitions += role == PM_ROLE_SCALE_OUT;
+}
+
+static void check_new_intent(struct call_checker *checker, const char *key,
+                             const struct pm_intent *intent)
+{
+    uint64_t current_token = checker->current_tokens[intent->duty];
+
+    if (intent->token != current_token)
+        g_string_append_printf(checker->violations, "%s is written, while token %llu is in force\n",
+                               key, (unsigned long long)current_token);
+    if (g_hash_table_contains(checker->intents, intent->name))
+        g_string_append_printf(checker->violations, "%s is written again\n", key);
+}
+
+static void put_intent(struct call_checker *checker, const char *key, const cbor_item_t *value,
+                       uint64_t revision, double now)
+{
+    struct pm_intent *intent = pm_intent_decode(key, value, revision);
+    struct known_intent *known;
+
+    if (!intent) {
+        g_string_append_printf(checker->violations, "%s is malformed\n", key);
+        return;
+    }
+    check_new_intent(checker, key, intent);
+    known = g_new0(struct known_intent, 1);
+    known->intent = intent;
+    known->written_at = now;
+    known->is_open = true;
+    g_hash_table_replace(checker->intents, intent->name, known);
+    for (guint i = 0; i < intent->machines->len; i++)
+        g_hash_table_replace(checker->termination_intents,
+                             g_strdup(g_ptr_array_index(intent->machines, i)),
+                             g_strdup(intent->name));
+}
+
+static void delete_intent(struct call_checker *checker, const char *name)
+{
+    struct known_intent *known = g_hash_table_lookup(checker->intents, name);
+
+    if (known)
+        known->is_open = false;
+}
+
+void call_checker_on_state_change(struct call_checker *checker, const char *key,
+                                  const cbor_item_t *value, uint64_t revision, double now)
+{
+    enum pm_role role;
+
+    if (g_str_has_prefix(key, PM_ROLE_KEY_PREFIX)) {
+        if (!pm_role_from_name(key + strlen(PM_ROLE_KEY_PREFIX), &role))
+            return;
+        if (value)
+            put_holder(checker, role, revision);
+        else
+            checker->current_tokens[role] = 0;
+    } else if (g_str_has_prefix(key, PM_INTENT_KEY_PREFIX)) {
+        if (value)
+            put_intent(checker, key, value, revision, now);
+        else
+            delete_intent(checker, key + strlen(PM_INTENT_KEY_PREFIX));
+    }
+}
+
+/* ---- calls ---- */
+
+/* The intent that a request to rent names, and sets `rental` to its index there; NULL: there is no
+ * such intent. */
+static struct known_intent *find_rental(const struct call_checker *checker, const char *booking,
+                                        guint *rental)
+{
+    const char *suffix = strrchr(booking, '-');
+    char *name;
+    struct known_intent *known;
+
+    if (!suffix)
+        return NULL;
+    name = g_strndup(booking, (gsize)(suffix - booking));
+    known = g_hash_table_lookup(checker->intents, name);
+    g_free(name);
+    if (!known || known->intent->duty != PM_ROLE_SCALE_OUT)
+        return NULL;
+    *rental = (guint)strtoul(suffix + 1, NULL, DECIMAL);
+    return *rental < known->intent->rentals->len ? known : NULL;
+}
+
+static void check_rental(struct call_checker *checker, const struct fleet_call *call)
+{
+    guint rental = 0;
+    struct known_intent *known = find_rental(checker, call->booking, &rental);
+
+    checker->rented++;
+    if (!known) {
+        g_string_append_printf(checker->violations, "%s is rented as %s, which nobody intended\n",
+                               call->machine, call->booking);
+        return;
+    }
+    if (!known->is_open)
+        g_string_append_printf(checker->violations, "%s is rented as %s, which is closed\n",
+                               call->machine, call->booking);
+    if (++known->rented[rental] >
+        g_array_index(known->intent->rentals, struct pm_intent_rental, rental).count)
+        g_string_append_printf(checker->violations, "%s is one more than %s says\n", call->machine,
+                               call->booking);
+}
+
+static void check_termination(struct call_checker *checker, const struct fleet_call *call)
+{
+    const char *name = g_hash_table_lookup(checker->termination_intents, call->machine);
+    const struct known_intent *known = name ? g_hash_table_lookup(checker->intents, name) : NULL;
+
+    checker->terminated++;
+    if (!known || !known->is_open) {
+        g_string_append_printf(checker->violations, "%s is returned, and no open intent says so\n",
+                               call->machine);
+        return;
+    }
+    if (!call->task)
+        return;
+    if (call->task_began > known->written_at)
+        g_string_append_printf(checker->violations,
+                               "%s was given %s after its return was intended\n", call->machine,
+                               call->task);
+    else if (call->heard_ago_s < checker->lost_after_s)
+        g_string_append_printf(checker->violations, "%s is returned while %s runs there\n",
+                               call->machine, call->task);
+}
+
+void call_checker_on_call(struct call_checker *checker, const struct fleet_call *call)
+{
+    if (call->booking)
+        check_rental(checker, call);
+    else
+        check_termination(checker, call);
+}
+
+/* ---- results ---- */
+
+void call_checker_clear_violations(struct call_checker *checker)
+{
+    g_string_truncate(checker->violations, 0);
+}
+
+unsigned call_checker_rented(const struct call_checker *checker)
+{
+    return checker->rented;
+}
+
+unsigned call_checker_terminated(const struct call_checker *checker)
+{
+    return checker->terminated;
+}
+
+unsigned call_checker_acquisitions(const struct call_checker *checker)
+{
+    return checker->acquisitions;
+}
+
+unsigned call_checker_open_intents(const struct call_checker *checker)
+{
+    GHashTableIter iter;
+    gpointer known;
+    unsigned count = 0;
+
+    g_hash_table_iter_init(&iter, checker->intents);
+    while (g_hash_table_iter_next(&iter, NULL, &known))
+        count += ((const struct known_intent *)known)->is_open;
+    return count;
+}
+
+const char *call_checker_violations(const struct call_checker *checker)
+{
+    return checker->violations->str;
+}
--- a/src/roles/tests/test_callers.c
+++ b/src/roles/tests/test_callers.c
@@ -97,8 +97,9 @@
 {
     (void)state;
     assert_users("pm_txn_delete(",
-                 "jobs/commit.c 2, leadership/campaign.c 2, roles/garbage_collector.c 1, "
-                 "roles/intent_log.c 1, roles/lease.c 3, store/txn.c 1");
+                 "jobs/commit.c 2, leadership/campaign.c 2, roles/acquisition.c 1, "
+                 "roles/drain.c 2, roles/garbage_collector.c 1, roles/intent_closing.c 1, "
+                 "store/txn.c 1");
 }
 
 int main(void)
--- a/src/roles/tests/test_intent.c
+++ b/src/roles/tests/test_intent.c
@@ -45,7 +45,7 @@
     struct pm_buf buf = {0};
     GString *text = g_string_new(NULL);
 
-    pm_intent_write(intent, &buf);
+    pm_intent_encode(intent, &buf);
     for (size_t i = 0; i < buf.size; i++)
         g_string_append_printf(text, "%02x", buf.data[i]);
     pm_buf_free(&buf);
@@ -58,7 +58,7 @@
     size_t size;
     unsigned char *bytes = recorded_bytes(digits, &size);
     cbor_item_t *value = pm_cbor_parse(bytes, size);
-    struct pm_intent *intent = pm_intent_read(key, value, 7);
+    struct pm_intent *intent = pm_intent_decode(key, value, 7);
 
     pm_cbor_free(value);
     g_free(bytes);
--- a/src/roles/tests/test_calls.c
+++ b/src/roles/tests/test_provider_call_checker.c
@@ -1,6 +1,6 @@
 /* The checker of the cloud's calls finds each kind of violation that is planted, and nothing in
  * what is as it should be. */
-#include "calls.h"
+#include "provider_call_checker.h"
 #include "roles/roles.h"
 
 #include <setjmp.h>
@@ -14,7 +14,7 @@
 
 enum { RENT_TOKEN = 5, RETURN_TOKEN = 6 };
 
-static struct calls *calls;
+static struct call_checker *calls;
 static double now;
 
 static void put_duty(enum pm_role duty, uint64_t revision)
@@ -23,7 +23,7 @@
     char key[64];
 
     snprintf(key, sizeof key, PM_ROLE_KEY_PREFIX "%s", pm_role_name(duty));
-    calls_state_changed(calls, key, value, revision, now);
+    call_checker_on_state_change(calls, key, value, revision, now);
     cbor_decref(&value);
 }
 
@@ -40,10 +40,10 @@
         g_array_append_val(intent->rentals, rental);
     if (machine)
         g_ptr_array_add(intent->machines, g_strdup(machine));
-    pm_intent_write(intent, &buf);
+    pm_intent_encode(intent, &buf);
     value = pm_cbor_parse(buf.data, buf.size);
     snprintf(key, sizeof key, PM_INTENT_KEY_PREFIX "%s", intent->name);
-    calls_state_changed(calls, key, value, 100 + number, now);
+    call_checker_on_state_change(calls, key, value, 100 + number, now);
     pm_cbor_free(value);
     pm_buf_free(&buf);
     pm_intent_free(intent);
@@ -51,17 +51,17 @@
 
 static void drop(const char *key)
 {
-    calls_state_changed(calls, key, NULL, 200, now);
+    call_checker_on_state_change(calls, key, NULL, 200, now);
 }
 
 static void rent(const char *booking, const char *machine)
 {
-    calls_carried_out(calls, &(struct fleet_call){.booking = booking, .machine = machine});
+    call_checker_on_call(calls, &(struct fleet_call){.booking = booking, .machine = machine});
 }
 
 static void return_machine(const char *machine, const char *task, double began, double silent)
 {
-    calls_carried_out(
+    call_checker_on_call(
         calls, &(struct fleet_call){
                    .machine = machine, .task = task, .task_began = began, .heard_ago_s = silent});
 }
@@ -70,7 +70,7 @@
 {
     (void)state;
     now = 10;
-    calls = calls_new(SILENT_S);
+    calls = call_checker_new(SILENT_S);
     put_duty(PM_ROLE_SCALE_OUT, RENT_TOKEN);
     put_duty(PM_ROLE_SCALE_IN, RETURN_TOKEN);
     return 0;
@@ -79,13 +79,13 @@
 static int tear_down(void **state)
 {
     (void)state;
-    calls_free(calls);
+    call_checker_free(calls);
     return 0;
 }
 
 static void assert_found(const char *violation)
 {
-    assert_non_null(strstr(calls_violations(calls), violation));
+    assert_non_null(strstr(call_checker_violations(calls), violation));
 }
 
 static void what_is_well_is_no_violation(void **state)
@@ -96,10 +96,10 @@
     drop(PM_INTENT_KEY_PREFIX "rent-5-1");
     put_intent(PM_ROLE_SCALE_IN, RETURN_TOKEN, 2, "i-1");
     return_machine("i-1", "job/0", 1, SILENT_S + 1); /* silent: its return proves it gone */
-    assert_string_equal(calls_violations(calls), "");
-    assert_int_equal(calls_open(calls), 1);
-    assert_int_equal(calls_rented(calls), 1);
-    assert_int_equal(calls_returned(calls), 1);
+    assert_string_equal(call_checker_violations(calls), "");
+    assert_int_equal(call_checker_open_intents(calls), 1);
+    assert_int_equal(call_checker_rented(calls), 1);
+    assert_int_equal(call_checker_terminated(calls), 1);
 }
 
 static void finds_a_stale_holders_intent(void **state)
--- a/src/roles/tests/test_replacements.c
+++ b/src/roles/tests/test_replacements.c
@@ -6,7 +6,7 @@
  * wall clock that jumps. */
 #include "testing/cluster.h"
 #include "base/clock.h"
-#include "calls.h"
+#include "provider_call_checker.h"
 #include "roles/roles.h"
 
 #include <glib.h>
@@ -43,7 +43,7 @@
 
 struct replacing {
     struct cluster *cluster;
-    struct calls *calls;
+    struct call_checker *calls;
     enum step step;
     enum pm_role duty;
     bool armed, killed;
@@ -87,7 +87,7 @@
 {
     struct replacing *r = arg;
 
-    calls_state_changed(r->calls, key, data, revision, pm_clock_monotonic());
+    call_checker_on_state_change(r->calls, key, data, revision, pm_clock_monotonic());
     if (data && !strcmp(key, PM_ROLE_KEY_PREFIX "rent"))
         note_holder(r);
     if (is_of_duty(r, key) &&
@@ -100,7 +100,7 @@
     struct replacing *r = arg;
     bool rental = call->booking != NULL;
 
-    calls_carried_out(r->calls, call);
+    call_checker_on_call(r->calls, call);
     if (rental != (r->duty == PM_ROLE_SCALE_OUT) || !r->armed)
         return;
     if (r->step == STEP_UNANSWERED)
@@ -186,12 +186,12 @@
 
 static bool all_settled(struct cluster *c)
 {
-    return cluster_is_idle(c) && !calls_open(current->calls);
+    return cluster_is_idle(c) && !call_checker_open_intents(current->calls);
 }
 
 static void begin_with(struct replacing *r, const char *operator, const char * old_daemon)
 {
-    *r = (struct replacing){.stopped = -1, .calls = calls_new(SILENT_S)};
+    *r = (struct replacing){.stopped = -1, .calls = call_checker_new(SILENT_S)};
     for (int killed = 0; killed < 2; killed++)
         r->gaps[killed] = g_array_new(FALSE, FALSE, sizeof(double));
     current = r;
@@ -212,7 +212,7 @@
 static void end(struct replacing *r)
 {
     cluster_free(r->cluster);
-    calls_free(r->calls);
+    call_checker_free(r->calls);
     for (int killed = 0; killed < 2; killed++)
         g_array_free(r->gaps[killed], TRUE);
 }
@@ -223,22 +223,23 @@
     cluster_heal(r->cluster);
     cluster_until(r->cluster, all_settled, SOON_S);
     history_close(cluster_history(r->cluster));
-    assert_string_equal(calls_violations(r->calls), "");
+    assert_string_equal(call_checker_violations(r->calls), "");
     assert_string_equal(history_violations(cluster_history(r->cluster)), "");
-    assert_int_equal(calls_open(r->calls), 0); /* whoever holds the duties finishes what is open */
+    assert_int_equal(call_checker_open_intents(r->calls),
+                     0); /* whoever holds the duties finishes what is open */
     end(r);
 }
 
 static bool has_returned(struct cluster *c)
 {
     (void)c;
-    return calls_returned(current->calls) > 0 && calls_rented(current->calls) > 0;
+    return call_checker_terminated(current->calls) > 0 && call_checker_rented(current->calls) > 0;
 }
 
 static bool is_held(struct cluster *c)
 {
     (void)c;
-    return calls_holders(current->calls) > 0;
+    return call_checker_acquisitions(current->calls) > 0;
 }
 
 static bool is_begun(struct cluster *c)
@@ -302,14 +303,15 @@
         bool reached = replace(&r, step, duty, killed, g_rand_int_range(random, 0, 5) == 0);
         done += reached;
         missed += !reached;
-        if (*calls_violations(r.calls))
+        if (*call_checker_violations(r.calls))
             break;
     }
     printf("%ld replacements, %ld steps not reached; %u machines rented, %u returned, %u holders\n",
-           done, missed, calls_rented(r.calls), calls_returned(r.calls), calls_holders(r.calls));
+           done, missed, call_checker_rented(r.calls), call_checker_terminated(r.calls),
+           call_checker_acquisitions(r.calls));
     print_gaps(&r);
-    assert_true(done >= wanted || *calls_violations(r.calls));
-    assert_true(calls_holders(r.calls) > (unsigned)done / 2);
+    assert_true(done >= wanted || *call_checker_violations(r.calls));
+    assert_true(call_checker_acquisitions(r.calls) > (unsigned)done / 2);
     finish(&r);
     g_rand_free(random);
 }
@@ -325,8 +327,8 @@
     assert_true(cluster_until(r.cluster, is_begun, SOON_S));
     fleet_fail_machine(cluster_fleet(r.cluster));
     assert_true(cluster_until(r.cluster, has_returned, SOON_S));
-    assert_non_null(strstr(calls_violations(r.calls), "which nobody intended"));
-    assert_non_null(strstr(calls_violations(r.calls), "no open intent says so"));
+    assert_non_null(strstr(call_checker_violations(r.calls), "which nobody intended"));
+    assert_non_null(strstr(call_checker_violations(r.calls), "no open intent says so"));
     end(&r);
 }
 
@@ -346,11 +348,11 @@
     fleet_refuse(fleet, 503, 3);
     fleet_fail_machine(fleet);
     cluster_run(r.cluster, REACHED_S / 3);
-    returned = calls_returned(r.calls);
+    returned = call_checker_terminated(r.calls);
     fleet_delay_return(fleet, LATE_S);
     fleet_fail_machine(fleet);
     cluster_run(r.cluster, 2 * LATE_S); /* sent again, and then the first one comes */
-    assert_true(calls_returned(r.calls) > returned);
+    assert_true(call_checker_terminated(r.calls) > returned);
     finish(&r);
 }
 
@@ -434,10 +436,10 @@
     }
     assert_int_equal(cluster_leader(r.cluster), 0);
     cluster_run(r.cluster, REACHED_S / 2);
-    assert_int_equal(calls_holders(r.calls), 0);
+    assert_int_equal(call_checker_acquisitions(r.calls), 0);
     cluster_upgrade(r.cluster);
     assert_true(cluster_until(r.cluster, is_held, SOON_S));
-    calls_forget(r.calls); /* what was rented without intents is no violation */
+    call_checker_clear_violations(r.calls); /* what was rented without intents is no violation */
     for (int step = 0; step < STEPS; step++)
         replace(&r, (enum step)step, PM_ROLE_SCALE_IN, step % 2 == 0, false);
     finish(&r);
--- a/src/soak/soak.c
+++ b/src/soak/soak.c
@@ -1,5 +1,5 @@
 #include "soak/soak.h"
-#include "../roles/tests/calls.h"
+#include "../roles/tests/provider_call_checker.h"
 #include "base/clock.h"
 #include "soak/workload.h"
 
@@ -36,9 +36,9 @@
     struct cluster *cluster;
     GRand *random; /* of the workload, and of what the stand-ins delay */
     GArray *schedule;
-    char *log_file;      /* the caller's, or one that goes with the run */
-    GArray *active;      /* of struct active */
-    struct calls *calls; /* NULL: rents and returns are not checked */
+    char *log_file;             /* the caller's, or one that goes with the run */
+    GArray *active;             /* of struct active */
+    struct call_checker *calls; /* NULL: rents and returns are not checked */
     size_t calls_said;
     double began, lease_s, stall_s;
     double delayed_until; /* seconds of the run: until then commands are, or were, held up */
@@ -275,12 +275,13 @@
 {
     note_new(s, history_violations(cluster_history(s->cluster)), &s->said);
     if (s->calls)
-        note_new(s, calls_violations(s->calls), &s->calls_said);
+        note_new(s, call_checker_violations(s->calls), &s->calls_said);
 }
 
 static void on_state_change(void *arg, const char *key, const cbor_item_t *data, uint64_t revision)
 {
-    calls_state_changed(((struct soak *)arg)->calls, key, data, revision, pm_clock_monotonic());
+    call_checker_on_state_change(((struct soak *)arg)->calls, key, data, revision,
+                                 pm_clock_monotonic());
 }
 
 /* A machine whose commands got no answer lately was right to be taken for deaf, and is returned
@@ -292,7 +293,7 @@
 
     if (elapsed(s) < s->delayed_until + DEAF_FOR_S)
         seen.heard_ago_s = INFINITY;
-    calls_carried_out(s->calls, &seen);
+    call_checker_on_call(s->calls, &seen);
 }
 
 static const char *operators_of(const struct soak_settings *settings)
@@ -304,7 +305,7 @@
 
 static void check_calls(struct soak *s)
 {
-    s->calls = calls_new(SILENT_S);
+    s->calls = call_checker_new(SILENT_S);
     cluster_observe(s->cluster, on_state_change, s);
     fleet_observe(cluster_fleet(s->cluster), on_call, s);
 }
@@ -399,7 +400,7 @@
 static bool has_begun(struct cluster *c)
 {
     return history_starts(cluster_history(c)) > 0 &&
-           (!current->calls || calls_holders(current->calls) > 0);
+           (!current->calls || call_checker_acquisitions(current->calls) > 0);
 }
 
 static void print_schedule(const GArray *schedule)
@@ -459,7 +460,7 @@
     begun = cluster_until(s.cluster, has_begun, BEGIN_S);
     s.began = pm_clock_monotonic();
     if (s.calls) /* what was rented before all controllers spoke of duties */
-        calls_forget(s.calls);
+        call_checker_clear_violations(s.calls);
     if (begun) {
         play(&s);
         settle(&s);
@@ -473,7 +474,7 @@
                                    .violations = g_string_free(s.violations, FALSE)};
     cluster_free(s.cluster);
     if (s.calls)
-        calls_free(s.calls);
+        call_checker_free(s.calls);
     if (s.log)
         fclose(s.log);
     if (!settings->log_file)
