--- a/src/roles/tests/test_callers.c
+++ b/src/roles/tests/test_callers.c
@@ -1,5 +1,6 @@
-/* Lists who calls the cloud, and who deletes keys: an action that is new has to be judged for what
- * refuses it when its caller was replaced (docs/design/duties.md), and only then be listed here. */
+/* Lists where the machine provider is called, and where keys are deleted. Before a new place is
+ * added here, make sure that its action is refused when the caller is a replaced holder
+ * (docs/design/duties.md). */
 #include <glib.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -8,13 +9,27 @@
 #include <string.h>
 #include <cmocka.h>
 
-static gint by_name(gconstpointer a, gconstpointer b)
+static gint compare_paths(gconstpointer left, gconstpointer right)
 {
-    return strcmp(*(const char *const *)a, *(const char *const *)b);
+    return strcmp(*(const char *const *)left, *(const char *const *)right);
 }
 
-/* The sources but for the tests and their stand-ins (which no program of the operators' holds),
- * "slice/file.c", in order. */
+/* Adds the C files of the directory to `paths`. */
+static void add_sources(GPtrArray *paths, const char *directory)
+{
+    GDir *files = g_dir_open(directory, 0, NULL);
+    const char *name;
+
+    if (!files)
+        return;
+    while ((name = g_dir_read_name(files)))
+        if (g_str_has_suffix(name, ".c"))
+            g_ptr_array_add(paths, g_build_filename(directory, name, NULL));
+    g_dir_close(files);
+}
+
+/* The sources in order, without the tests and the simulations in testing/, which are part of no
+ * installed program. */
 static GPtrArray *list_sources(void)
 {
     static const char *const roots[] = {"src", "src/cmd"};
@@ -22,91 +37,85 @@
 
     for (size_t i = 0; i < G_N_ELEMENTS(roots); i++) {
         GDir *root = g_dir_open(roots[i], 0, NULL);
-        const char *slice;
+        const char *name;
         assert_non_null(root); /* the tests run in the root of the sources */
-        while ((slice = g_dir_read_name(root))) {
-            char *dir = g_build_filename(roots[i], slice, NULL);
-            bool stand_ins = !strcmp(slice, "testing");
-            GDir *files = stand_ins ? NULL : g_dir_open(dir, 0, NULL);
-            const char *name;
-            while (files && (name = g_dir_read_name(files)))
-                if (g_str_has_suffix(name, ".c"))
-                    g_ptr_array_add(paths, g_build_filename(dir, name, NULL));
-            if (files)
-                g_dir_close(files);
-            g_free(dir);
+        while ((name = g_dir_read_name(root))) {
+            char *directory = g_build_filename(roots[i], name, NULL);
+            if (strcmp(name, "testing") != 0)
+                add_sources(paths, directory);
+            g_free(directory);
         }
         g_dir_close(root);
     }
-    g_ptr_array_sort(paths, by_name);
+    g_ptr_array_sort(paths, compare_paths);
     return paths;
 }
 
-static int count(const char *text, const char *wanted)
+static int count_occurrences(const char *text, const char *needle)
 {
-    int found = 0;
+    int occurrences = 0;
 
-    for (const char *at = text; (at = strstr(at, wanted)); at += strlen(wanted))
-        found++;
-    return found;
+    for (const char *at = text; (at = strstr(at, needle)); at += strlen(needle))
+        occurrences++;
+    return occurrences;
 }
 
 /* "file.c 2, other.c 1": the files that have the text, and how often; owned by the caller. */
-static char *find_users(const char *wanted)
+static char *find_callers(const char *needle)
 {
     GPtrArray *paths = list_sources();
-    GString *users = g_string_new(NULL);
+    GString *callers = g_string_new(NULL);
 
     for (guint i = 0; i < paths->len; i++) {
         const char *path = g_ptr_array_index(paths, i);
         char *text;
-        int found;
+        int occurrences;
         assert_true(g_file_get_contents(path, &text, NULL, NULL));
-        found = count(text, wanted);
-        if (found)
-            g_string_append_printf(users, "%s%s %d", users->len ? ", " : "", path + strlen("src/"),
-                                   found);
+        occurrences = count_occurrences(text, needle);
+        if (occurrences)
+            g_string_append_printf(callers, "%s%s %d", callers->len ? ", " : "",
+                                   path + strlen("src/"), occurrences);
         g_free(text);
     }
     g_ptr_array_free(paths, TRUE);
-    return g_string_free(users, FALSE);
+    return g_string_free(callers, FALSE);
 }
 
-static void assert_users(const char *wanted, const char *expected)
+static void assert_callers(const char *needle, const char *expected)
 {
-    char *users = find_users(wanted);
+    char *callers = find_callers(needle);
 
-    assert_string_equal(users, expected);
-    g_free(users);
+    assert_string_equal(callers, expected);
+    g_free(callers);
 }
 
-/* One that rents and returns, send_to_cloud; the others read. */
-static void the_cloud_is_called_from(void **state)
+/* Only send_to_cloud rents and terminates; the other calls read. */
+static void provider_is_called_from_known_places(void **state)
 {
     (void)state;
-    assert_users("settings->cloud_addr,",
-                 "autoscaler/inventory.c 1, autoscaler/machine_types.c 1, "
-                 "autoscaler/provider_client.c 1, cmd/pumicemount/link_monitor.c 1");
-    assert_users("\"/machines/release\"", "autoscaler/provider_client.c 1");
-    assert_users("\"/machines\"", "autoscaler/provider_client.c 1");
-    assert_users("send_to_cloud(",
-                 "autoscaler/provider_client.c 3"); /* itself, to rent, to return */
+    assert_callers("settings->cloud_addr,",
+                   "autoscaler/inventory.c 1, autoscaler/machine_types.c 1, "
+                   "autoscaler/provider_client.c 1, cmd/pumicemount/link_monitor.c 1");
+    assert_callers("\"/machines/release\"", "autoscaler/provider_client.c 1");
+    assert_callers("\"/machines\"", "autoscaler/provider_client.c 1");
+    assert_callers("send_to_cloud(",
+                   "autoscaler/provider_client.c 3"); /* its definition, to rent, to terminate */
 }
 
-static void keys_are_deleted_from(void **state)
+static void keys_are_deleted_from_known_places(void **state)
 {
     (void)state;
-    assert_users("pm_txn_delete(",
-                 "jobs/commit.c 2, leadership/campaign.c 2, roles/acquisition.c 1, "
-                 "roles/drain.c 2, roles/garbage_collector.c 1, roles/intent_closing.c 1, "
-                 "store/txn.c 1");
+    assert_callers("pm_txn_delete(",
+                   "jobs/commit.c 2, leadership/campaign.c 2, roles/acquisition.c 1, "
+                   "roles/drain.c 2, roles/garbage_collector.c 1, roles/intent_closing.c 1, "
+                   "store/txn.c 1");
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(the_cloud_is_called_from),
-        cmocka_unit_test(keys_are_deleted_from),
+        cmocka_unit_test(provider_is_called_from_known_places),
+        cmocka_unit_test(keys_are_deleted_from_known_places),
     };
 
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/src/roles/tests/test_intent.c
+++ b/src/roles/tests/test_intent.c
@@ -1,4 +1,4 @@
-/* Intents as they are stored: bytes that later versions go on reading, and what is malformed. */
+/* The stored form of intents: bytes that every later version can read, and malformed values. */
 #include "../../jobs/tests/recorded_values.h"
 #include "roles/intent.h"
 
@@ -9,16 +9,16 @@
 #include <string.h>
 #include <cmocka.h>
 
-/* As the first version with intents writes them; not to be made anew from later code. */
-#define STORED_RENT                                                                                \
+/* As the first version with intents wrote them; never to be recorded again from later code. */
+#define STORED_SCALE_OUT                                                                           \
     "bf64647574796472656e7465746f6b656e19071b6772656e74616c739fbf6474797065626d38"                 \
     "647a6f6e65667a6f6e652d306473706f74f565636f756e741832ffbf6474797065626738647a"                 \
     "6f6e65667a6f6e652d316473706f74f465636f756e7401ffffff"
-#define STORED_RETURN                                                                              \
+#define STORED_SCALE_IN                                                                            \
     "bf64647574796672657475726e65746f6b656e19071c686d616368696e65739f68692d30303030303168692d3030" \
     "30303032ffff"
 
-static struct pm_intent *make_rent(void)
+static struct pm_intent *make_scale_out(void)
 {
     struct pm_intent *intent = pm_intent_new(PM_ROLE_SCALE_OUT);
     struct pm_intent_rental first = {.type = "m8", .zone = "zone-0", .spot = true, .count = 50};
@@ -30,7 +30,7 @@
     return intent;
 }
 
-static struct pm_intent *make_return(void)
+static struct pm_intent *make_scale_in(void)
 {
     struct pm_intent *intent = pm_intent_new(PM_ROLE_SCALE_IN);
 
@@ -40,7 +40,7 @@
     return intent;
 }
 
-static char *write_hex(struct pm_intent *intent)
+static char *encode_hex(struct pm_intent *intent)
 {
     struct pm_buf buf = {0};
     GString *text = g_string_new(NULL);
@@ -53,7 +53,7 @@
     return g_string_free(text, FALSE);
 }
 
-static struct pm_intent *read_hex(const char *key, const char *digits)
+static struct pm_intent *decode_hex(const char *key, const char *digits)
 {
     size_t size;
     unsigned char *bytes = recorded_bytes(digits, &size);
@@ -65,21 +65,21 @@
     return intent;
 }
 
-static void is_written_as_ever(void **state)
+static void intents_are_encoded_as_recorded(void **state)
 {
-    char *rent = write_hex(make_rent());
-    char *back = write_hex(make_return());
+    char *scale_out = encode_hex(make_scale_out());
+    char *scale_in = encode_hex(make_scale_in());
 
     (void)state;
-    assert_string_equal(rent, STORED_RENT);
-    assert_string_equal(back, STORED_RETURN);
-    g_free(rent);
-    g_free(back);
+    assert_string_equal(scale_out, STORED_SCALE_OUT);
+    assert_string_equal(scale_in, STORED_SCALE_IN);
+    g_free(scale_out);
+    g_free(scale_in);
 }
 
-static void what_was_stored_is_read(void **state)
+static void recorded_intents_are_decoded(void **state)
 {
-    struct pm_intent *intent = read_hex(PM_INTENT_KEY_PREFIX "rent-1819-3", STORED_RENT);
+    struct pm_intent *intent = decode_hex(PM_INTENT_KEY_PREFIX "rent-1819-3", STORED_SCALE_OUT);
     const struct pm_intent_rental *rental;
     char booking[PM_INTENT_NAME + 8];
 
@@ -96,15 +96,15 @@
     pm_intent_booking(intent, 1, booking, sizeof booking);
     assert_string_equal(booking, "rent-1819-3-1");
     pm_intent_free(intent);
-    intent = read_hex(PM_INTENT_KEY_PREFIX "return-1820-4", STORED_RETURN);
+    intent = decode_hex(PM_INTENT_KEY_PREFIX "return-1820-4", STORED_SCALE_IN);
     assert_non_null(intent);
     assert_int_equal(intent->machines->len, 2);
     assert_string_equal(g_ptr_array_index(intent->machines, 1), "i-000002");
     pm_intent_free(intent);
 }
 
-/* A key that another token or duty wrote, and every value that ends early. */
-static void what_is_malformed_is_not_read(void **state)
+/* A key of another token or role, and every value that ends early. */
+static void malformed_intents_are_rejected(void **state)
 {
     static const char *const keys[] = {
         PM_INTENT_KEY_PREFIX "rent-1818-3", PM_INTENT_KEY_PREFIX "return-1819-3",
@@ -114,47 +114,48 @@
 
     (void)state;
     for (size_t i = 0; i < G_N_ELEMENTS(keys); i++)
-        assert_null(read_hex(keys[i], STORED_RENT));
-    for (size_t length = strlen(STORED_RENT) - 2; length > 0; length -= 2) {
-        char *part = g_strndup(STORED_RENT, length);
-        assert_null(read_hex(PM_INTENT_KEY_PREFIX "rent-1819-3", part));
-        g_free(part);
+        assert_null(decode_hex(keys[i], STORED_SCALE_OUT));
+    for (size_t length = strlen(STORED_SCALE_OUT) - 2; length > 0; length -= 2) {
+        char *truncated = g_strndup(STORED_SCALE_OUT, length);
+        assert_null(decode_hex(PM_INTENT_KEY_PREFIX "rent-1819-3", truncated));
+        g_free(truncated);
     }
 }
 
-/* More than any version writes, or nothing at all. */
-static void what_is_out_of_bounds_is_not_read(void **state)
+/* More than any version writes, or nothing. */
+static void out_of_bounds_intents_are_rejected(void **state)
 {
-    struct pm_intent *many = make_rent();
-    struct pm_intent *none = pm_intent_new(PM_ROLE_SCALE_IN);
-    struct pm_intent *large = make_rent();
+    struct pm_intent *too_many_rentals = make_scale_out();
+    struct pm_intent *no_machines = pm_intent_new(PM_ROLE_SCALE_IN);
+    struct pm_intent *too_many_instances = make_scale_out();
     char *digits;
 
     (void)state;
-    g_array_set_size(many->rentals, PM_INTENT_RENTALS + 1);
-    for (guint i = 0; i < many->rentals->len; i++)
-        g_array_index(many->rentals, struct pm_intent_rental, i) =
-            g_array_index(many->rentals, struct pm_intent_rental, 0);
-    digits = write_hex(many);
-    assert_null(read_hex(PM_INTENT_KEY_PREFIX "rent-1819-3", digits));
+    g_array_set_size(too_many_rentals->rentals, PM_INTENT_RENTALS + 1);
+    for (guint i = 0; i < too_many_rentals->rentals->len; i++)
+        g_array_index(too_many_rentals->rentals, struct pm_intent_rental, i) =
+            g_array_index(too_many_rentals->rentals, struct pm_intent_rental, 0);
+    digits = encode_hex(too_many_rentals);
+    assert_null(decode_hex(PM_INTENT_KEY_PREFIX "rent-1819-3", digits));
     g_free(digits);
-    pm_intent_set_name(none, 1820, 4);
-    digits = write_hex(none);
-    assert_null(read_hex(PM_INTENT_KEY_PREFIX "return-1820-4", digits));
+    pm_intent_set_name(no_machines, 1820, 4);
+    digits = encode_hex(no_machines);
+    assert_null(decode_hex(PM_INTENT_KEY_PREFIX "return-1820-4", digits));
     g_free(digits);
-    g_array_index(large->rentals, struct pm_intent_rental, 1).count = PM_INTENT_RENTED + 1;
-    digits = write_hex(large);
-    assert_null(read_hex(PM_INTENT_KEY_PREFIX "rent-1819-3", digits));
+    g_array_index(too_many_instances->rentals, struct pm_intent_rental, 1).count =
+        PM_INTENT_RENTED + 1;
+    digits = encode_hex(too_many_instances);
+    assert_null(decode_hex(PM_INTENT_KEY_PREFIX "rent-1819-3", digits));
     g_free(digits);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(is_written_as_ever),
-        cmocka_unit_test(what_was_stored_is_read),
-        cmocka_unit_test(what_is_malformed_is_not_read),
-        cmocka_unit_test(what_is_out_of_bounds_is_not_read),
+        cmocka_unit_test(intents_are_encoded_as_recorded),
+        cmocka_unit_test(recorded_intents_are_decoded),
+        cmocka_unit_test(malformed_intents_are_rejected),
+        cmocka_unit_test(out_of_bounds_intents_are_rejected),
     };
 
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/src/roles/tests/test_provider_call_checker.c
+++ b/src/roles/tests/test_provider_call_checker.c
@@ -1,5 +1,5 @@
-/* The checker of the cloud's calls finds each kind of violation that is planted, and nothing in
- * what is as it should be. */
+/* The checker of calls to the machine provider finds each kind of violation, and nothing in calls
+ * that are allowed. */
 #include "provider_call_checker.h"
 #include "roles/roles.h"
 
@@ -10,175 +10,177 @@
 #include <string.h>
 #include <cmocka.h>
 
-#define SILENT_S 2.0
+#define LOST_AFTER_S 2.0
 
-enum { RENT_TOKEN = 5, RETURN_TOKEN = 6 };
+enum { SCALE_OUT_TOKEN = 5, SCALE_IN_TOKEN = 6 };
 
-static struct call_checker *calls;
+static struct call_checker *checker;
 static double now;
 
-static void put_duty(enum pm_role duty, uint64_t revision)
+static void put_holder(enum pm_role role, uint64_t revision)
 {
     cbor_item_t *value = cbor_new_indefinite_map();
     char key[64];
 
-    snprintf(key, sizeof key, PM_ROLE_KEY_PREFIX "%s", pm_role_name(duty));
-    call_checker_on_state_change(calls, key, value, revision, now);
+    snprintf(key, sizeof key, PM_ROLE_KEY_PREFIX "%s", pm_role_name(role));
+    call_checker_on_state_change(checker, key, value, revision, now);
     cbor_decref(&value);
 }
 
-static void put_intent(enum pm_role duty, uint64_t token, uint64_t number, const char *machine)
+static void put_intent(enum pm_role role, uint64_t token, uint64_t number, const char *machine)
 {
     struct pm_intent_rental rental = {.type = "m8", .zone = "zone-0", .count = 1};
-    struct pm_intent *intent = pm_intent_new(duty);
+    struct pm_intent *intent = pm_intent_new(role);
     struct pm_buf buf = {0};
     cbor_item_t *value;
     char key[128];
 
     pm_intent_set_name(intent, token, number);
-    if (duty == PM_ROLE_SCALE_OUT)
+    if (role == PM_ROLE_SCALE_OUT)
         g_array_append_val(intent->rentals, rental);
     if (machine)
         g_ptr_array_add(intent->machines, g_strdup(machine));
     pm_intent_encode(intent, &buf);
     value = pm_cbor_parse(buf.data, buf.size);
     snprintf(key, sizeof key, PM_INTENT_KEY_PREFIX "%s", intent->name);
-    call_checker_on_state_change(calls, key, value, 100 + number, now);
+    call_checker_on_state_change(checker, key, value, 100 + number, now);
     pm_cbor_free(value);
     pm_buf_free(&buf);
     pm_intent_free(intent);
 }
 
-static void drop(const char *key)
+static void delete_key(const char *key)
 {
-    call_checker_on_state_change(calls, key, NULL, 200, now);
+    call_checker_on_state_change(checker, key, NULL, 200, now);
 }
 
-static void rent(const char *booking, const char *machine)
+static void report_rental(const char *booking, const char *machine)
 {
-    call_checker_on_call(calls, &(struct fleet_call){.booking = booking, .machine = machine});
+    call_checker_on_call(checker, &(struct fleet_call){.booking = booking, .machine = machine});
 }
 
-static void return_machine(const char *machine, const char *task, double began, double silent)
+static void report_termination(const char *machine, const char *task, double task_began_at,
+                               double silent_s)
 {
-    call_checker_on_call(
-        calls, &(struct fleet_call){
-                   .machine = machine, .task = task, .task_began = began, .heard_ago_s = silent});
+    call_checker_on_call(checker, &(struct fleet_call){.machine = machine,
+                                                       .task = task,
+                                                       .task_began = task_began_at,
+                                                       .heard_ago_s = silent_s});
 }
 
 static int set_up(void **state)
 {
     (void)state;
     now = 10;
-    calls = call_checker_new(SILENT_S);
-    put_duty(PM_ROLE_SCALE_OUT, RENT_TOKEN);
-    put_duty(PM_ROLE_SCALE_IN, RETURN_TOKEN);
+    checker = call_checker_new(LOST_AFTER_S);
+    put_holder(PM_ROLE_SCALE_OUT, SCALE_OUT_TOKEN);
+    put_holder(PM_ROLE_SCALE_IN, SCALE_IN_TOKEN);
     return 0;
 }
 
 static int tear_down(void **state)
 {
     (void)state;
-    call_checker_free(calls);
+    call_checker_free(checker);
     return 0;
 }
 
 static void assert_found(const char *violation)
 {
-    assert_non_null(strstr(call_checker_violations(calls), violation));
+    assert_non_null(strstr(call_checker_violations(checker), violation));
 }
 
-static void what_is_well_is_no_violation(void **state)
+static void allowed_calls_are_no_violations(void **state)
 {
     (void)state;
-    put_intent(PM_ROLE_SCALE_OUT, RENT_TOKEN, 1, NULL);
-    rent("rent-5-1-0", "i-1");
-    drop(PM_INTENT_KEY_PREFIX "rent-5-1");
-    put_intent(PM_ROLE_SCALE_IN, RETURN_TOKEN, 2, "i-1");
-    return_machine("i-1", "job/0", 1, SILENT_S + 1); /* silent: its return proves it gone */
-    assert_string_equal(call_checker_violations(calls), "");
-    assert_int_equal(call_checker_open_intents(calls), 1);
-    assert_int_equal(call_checker_rented(calls), 1);
-    assert_int_equal(call_checker_terminated(calls), 1);
+    put_intent(PM_ROLE_SCALE_OUT, SCALE_OUT_TOKEN, 1, NULL);
+    report_rental("rent-5-1-0", "i-1");
+    delete_key(PM_INTENT_KEY_PREFIX "rent-5-1");
+    put_intent(PM_ROLE_SCALE_IN, SCALE_IN_TOKEN, 2, "i-1");
+    report_termination("i-1", "job/0", 1, LOST_AFTER_S + 1); /* unreachable for long enough */
+    assert_string_equal(call_checker_violations(checker), "");
+    assert_int_equal(call_checker_open_intents(checker), 1);
+    assert_int_equal(call_checker_rented(checker), 1);
+    assert_int_equal(call_checker_terminated(checker), 1);
 }
 
-static void finds_a_stale_holders_intent(void **state)
+static void finds_intent_of_stale_holder(void **state)
 {
     (void)state;
-    put_duty(PM_ROLE_SCALE_OUT, RENT_TOKEN + 10);
-    put_intent(PM_ROLE_SCALE_OUT, RENT_TOKEN, 1, NULL);
+    put_holder(PM_ROLE_SCALE_OUT, SCALE_OUT_TOKEN + 10);
+    put_intent(PM_ROLE_SCALE_OUT, SCALE_OUT_TOKEN, 1, NULL);
     assert_found("while token 15 is in force");
 }
 
-static void finds_a_token_that_falls(void **state)
+static void finds_token_that_falls(void **state)
 {
     (void)state;
-    put_duty(PM_ROLE_SCALE_IN, RETURN_TOKEN - 1);
+    put_holder(PM_ROLE_SCALE_IN, SCALE_IN_TOKEN - 1);
     assert_found("no higher than one before");
 }
 
-static void finds_a_rental_without_an_intent(void **state)
+static void finds_rental_without_intent(void **state)
 {
     (void)state;
-    rent("rent-5-1-0", "i-1");
+    report_rental("rent-5-1-0", "i-1");
     assert_found("which nobody intended");
 }
 
-static void finds_a_rental_after_its_intent(void **state)
+static void finds_rental_after_intent_is_closed(void **state)
 {
     (void)state;
-    put_intent(PM_ROLE_SCALE_OUT, RENT_TOKEN, 1, NULL);
-    drop(PM_INTENT_KEY_PREFIX "rent-5-1");
-    rent("rent-5-1-0", "i-1");
+    put_intent(PM_ROLE_SCALE_OUT, SCALE_OUT_TOKEN, 1, NULL);
+    delete_key(PM_INTENT_KEY_PREFIX "rent-5-1");
+    report_rental("rent-5-1-0", "i-1");
     assert_found("which is closed");
 }
 
-static void finds_a_machine_rented_twice(void **state)
+static void finds_more_machines_than_intended(void **state)
 {
     (void)state;
-    put_intent(PM_ROLE_SCALE_OUT, RENT_TOKEN, 1, NULL);
-    rent("rent-5-1-0", "i-1");
-    rent("rent-5-1-0", "i-2");
+    put_intent(PM_ROLE_SCALE_OUT, SCALE_OUT_TOKEN, 1, NULL);
+    report_rental("rent-5-1-0", "i-1");
+    report_rental("rent-5-1-0", "i-2");
     assert_found("one more than");
-    rent("rent-5-1-1", "i-3"); /* the intent has one rental only */
+    report_rental("rent-5-1-1", "i-3"); /* the intent has one rental only */
     assert_found("rent-5-1-1, which nobody intended");
 }
 
-static void finds_a_return_without_an_intent(void **state)
+static void finds_termination_without_intent(void **state)
 {
     (void)state;
-    return_machine("i-1", NULL, 0, 0);
+    report_termination("i-1", NULL, 0, 0);
     assert_found("no open intent says so");
 }
 
-static void finds_work_given_after_the_intent(void **state)
+static void finds_task_begun_after_intent(void **state)
 {
     (void)state;
-    put_intent(PM_ROLE_SCALE_IN, RETURN_TOKEN, 1, "i-1");
-    return_machine("i-1", "job/0", now + 1, SILENT_S + 1);
+    put_intent(PM_ROLE_SCALE_IN, SCALE_IN_TOKEN, 1, "i-1");
+    report_termination("i-1", "job/0", now + 1, LOST_AFTER_S + 1);
     assert_found("after its return was intended");
 }
 
-static void finds_a_return_without_proof(void **state)
+static void finds_termination_of_busy_machine(void **state)
 {
     (void)state;
-    put_intent(PM_ROLE_SCALE_IN, RETURN_TOKEN, 1, "i-1");
-    return_machine("i-1", "job/0", now - 1, SILENT_S / 2);
+    put_intent(PM_ROLE_SCALE_IN, SCALE_IN_TOKEN, 1, "i-1");
+    report_termination("i-1", "job/0", now - 1, LOST_AFTER_S / 2);
     assert_found("while job/0 runs there");
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(what_is_well_is_no_violation, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(finds_a_stale_holders_intent, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(finds_a_token_that_falls, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(finds_a_rental_without_an_intent, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(finds_a_rental_after_its_intent, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(finds_a_machine_rented_twice, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(finds_a_return_without_an_intent, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(finds_work_given_after_the_intent, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(finds_a_return_without_proof, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(allowed_calls_are_no_violations, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(finds_intent_of_stale_holder, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(finds_token_that_falls, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(finds_rental_without_intent, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(finds_rental_after_intent_is_closed, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(finds_more_machines_than_intended, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(finds_termination_without_intent, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(finds_task_begun_after_intent, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(finds_termination_of_busy_machine, set_up, tear_down),
     };
 
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/src/roles/tests/test_replacements.c
+++ b/src/roles/tests/test_replacements.c
@@ -1,9 +1,9 @@
-/* Real controller processes whose holder of the duties is paused or killed at each step between
- * deciding, intending, sending, being answered and recording, replaced, and back.
+/* Real controller processes: the holder of the roles is paused or killed at each step between
+ * writing an intent and deleting it, is replaced, and comes back.
  *
- * What the cloud carried out is checked against what the state service held. PM_REPLACEMENTS and
- * PM_SEED make longer runs, outside CI; PM_FIRST_DAEMON is run in place of controller 0, say with a
- * wall clock that jumps. */
+ * What the machine provider carried out is checked against what the state service contained.
+ * PM_REPLACEMENTS and PM_SEED make longer runs, outside CI; PM_FIRST_DAEMON is run in place of
+ * controller 0, say with a wall clock that jumps. */
 #include "testing/cluster.h"
 #include "base/clock.h"
 #include "provider_call_checker.h"
@@ -18,443 +18,454 @@
 #include <string.h>
 #include <cmocka.h>
 
-#define SOON_S 60.0    /* within this what is to come about does, on a busy machine too */
-#define REACHED_S 12.0 /* a step that is not reached within this is left out */
-#define ACTS_S 0.7     /* for which the next holder acts before the one before is back */
-#define SILENT_S 2.0
-#define LOAD_S 0.5 /* between two jobs */
-#define LATE_S 7.0 /* longer than the cloud's answer is awaited */
-#define BACK_S 0.3
+#define DEADLINE_S 60.0      /* whatever is waited for happens within this, on a busy machine too */
+#define STEP_DEADLINE_S 12.0 /* a step that is not reached within this is skipped */
+#define ACTING_S 0.7         /* the next holder acts this long before the previous one is back */
+#define LOST_AFTER_S 2.0
+#define JOB_INTERVAL_S 0.5   /* between two submissions */
+#define PROVIDER_DELAY_S 7.0 /* longer than the provider's answer is awaited */
+#define DOWNTIME_S 0.3
 
 enum { CONTROLLERS = 3, REPLACEMENTS = 20, SEED = 1 };
 
-static const char fenced[] = "leader_ttl_s: 1\nconfirm_s: 0.6\nidle_return_s: 1\n"
-                             "duties:\n  fence: true\n  ttl_s: 1.5\n";
+static const char enabled_settings[] = "leader_ttl_s: 1\nconfirm_s: 0.6\nidle_return_s: 1\n"
+                                       "duties:\n  fence: true\n  ttl_s: 1.5\n";
 
-/* Where the holder is when it is stopped. */
+/* How far the holder is when it is paused or killed. */
 enum step {
-    STEP_INTENDING, /* its intent is on the way, and arrives late */
-    STEP_INTENDED,  /* the intent is durable, the answer waits in the holder's socket */
-    STEP_SENT,      /* the cloud has carried the request out, its answer waits */
-    STEP_UNANSWERED,
-    STEP_RECORDED, /* the intent was dropped, the answer waits */
-    STEPS
+    STEP_INTENT_IN_FLIGHT, /* its intent is in flight, and arrives late */
+    STEP_INTENT_DURABLE,   /* the intent is durable, the answer is in the holder's socket */
+    STEP_CALL_EXECUTED,    /* the provider has executed the call, its answer is in the socket */
+    STEP_CALL_ANSWER_LOST,
+    STEP_INTENT_DELETED, /* the intent is deleted, the answer is in the holder's socket */
+    STEP_COUNT
 };
 
-struct replacing {
+/* One cluster under test, and the replacement of a holder that is under way. */
+struct scenario {
     struct cluster *cluster;
-    struct call_checker *calls;
+    struct call_checker *checker;
     enum step step;
-    enum pm_role duty;
-    bool armed, killed;
-    int stopped;       /* the controller, -1: none */
-    double stopped_at; /* steady, 0: another one has taken the duty since */
-    GArray *gaps[2];   /* seconds without a holder: after pauses, after ends */
+    enum pm_role role;
+    bool is_armed, is_kill;
+    int stopped_controller; /* index of the controller, -1: none */
+    double stopped_at;      /* monotonic seconds, 0: another one has acquired the role since */
+    GArray *vacancies[2];   /* seconds without a holder: after pauses, after kills */
 };
 
-/* ---- stopping the holder ---- */
+/* ---- pausing the holder ---- */
 
-static void stop_holder(struct replacing *r)
+static void pause_holder(struct scenario *scenario)
 {
-    int leader = cluster_leader(r->cluster);
+    int leader = cluster_leader(scenario->cluster);
 
-    if (!r->armed || leader < 0)
+    if (!scenario->is_armed || leader < 0)
         return;
-    r->armed = false;
-    r->stopped = leader;
-    r->stopped_at = pm_clock_monotonic();
-    cluster_pause(r->cluster, leader, true); /* at once: nothing more of it gets out */
+    scenario->is_armed = false;
+    scenario->stopped_controller = leader;
+    scenario->stopped_at = pm_clock_monotonic();
+    cluster_pause(scenario->cluster, leader, true); /* at once: it sends nothing more */
 }
 
-static bool is_of_duty(const struct replacing *r, const char *key)
+static bool is_intent_of_role(const struct scenario *scenario, const char *key)
 {
     const char *name = key + strlen(PM_INTENT_KEY_PREFIX);
 
     return g_str_has_prefix(key, PM_INTENT_KEY_PREFIX) &&
-           g_str_has_prefix(name, pm_role_name(r->duty));
+           g_str_has_prefix(name, pm_role_name(scenario->role));
 }
 
-static void note_holder(struct replacing *r)
+static void record_vacancy(struct scenario *scenario)
 {
-    double gap = pm_clock_monotonic() - r->stopped_at;
+    double vacancy_s = pm_clock_monotonic() - scenario->stopped_at;
 
-    if (r->stopped_at > 0)
-        g_array_append_val(r->gaps[r->killed], gap);
-    r->stopped_at = 0;
+    if (scenario->stopped_at > 0)
+        g_array_append_val(scenario->vacancies[scenario->is_kill], vacancy_s);
+    scenario->stopped_at = 0;
 }
 
 static void on_state_change(void *arg, const char *key, const cbor_item_t *data, uint64_t revision)
 {
-    struct replacing *r = arg;
+    struct scenario *scenario = arg;
 
-    call_checker_on_state_change(r->calls, key, data, revision, pm_clock_monotonic());
+    call_checker_on_state_change(scenario->checker, key, data, revision, pm_clock_monotonic());
     if (data && !strcmp(key, PM_ROLE_KEY_PREFIX "rent"))
-        note_holder(r);
-    if (is_of_duty(r, key) &&
-        ((r->step == STEP_INTENDED && data) || (r->step == STEP_RECORDED && !data)))
-        stop_holder(r);
+        record_vacancy(scenario);
+    if (is_intent_of_role(scenario, key) && ((scenario->step == STEP_INTENT_DURABLE && data) ||
+                                             (scenario->step == STEP_INTENT_DELETED && !data)))
+        pause_holder(scenario);
 }
 
 static void on_call(void *arg, const struct fleet_call *call)
 {
-    struct replacing *r = arg;
+    struct scenario *scenario = arg;
     bool rental = call->booking != NULL;
 
-    call_checker_on_call(r->calls, call);
-    if (rental != (r->duty == PM_ROLE_SCALE_OUT) || !r->armed)
+    call_checker_on_call(scenario->checker, call);
+    if (rental != (scenario->role == PM_ROLE_SCALE_OUT) || !scenario->is_armed)
         return;
-    if (r->step == STEP_UNANSWERED)
-        fleet_lose_answer(cluster_fleet(r->cluster), rental);
-    if (r->step == STEP_SENT || r->step == STEP_UNANSWERED)
-        stop_holder(r);
+    if (scenario->step == STEP_CALL_ANSWER_LOST)
+        fleet_lose_answer(cluster_fleet(scenario->cluster), rental);
+    if (scenario->step == STEP_CALL_EXECUTED || scenario->step == STEP_CALL_ANSWER_LOST)
+        pause_holder(scenario);
 }
 
-static struct replacing *current; /* for what cluster_until asks */
+static struct scenario *current; /* for the predicates of cluster_until */
 
-static bool is_stopped(struct cluster *c)
+static bool holder_is_paused(struct cluster *cluster)
 {
-    if (current->armed && current->step == STEP_INTENDING && fake_state_has_late(cluster_state(c)))
-        stop_holder(current);
-    return current->stopped >= 0;
+    if (current->is_armed && current->step == STEP_INTENT_IN_FLIGHT &&
+        fake_state_has_late(cluster_state(cluster)))
+        pause_holder(current);
+    return current->stopped_controller >= 0;
 }
 
-static bool another_holds(struct cluster *c)
+static bool another_leads(struct cluster *cluster)
 {
-    int leader = cluster_leader(c);
+    int leader = cluster_leader(cluster);
 
-    return leader >= 0 && leader != current->stopped;
+    return leader >= 0 && leader != current->stopped_controller;
 }
 
 /* ---- one replacement ---- */
 
-static void resume(struct replacing *r)
+static void resume_stopped(struct scenario *scenario)
 {
-    if (r->killed) {
-        cluster_kill(r->cluster, r->stopped);
-        cluster_start(r->cluster, r->stopped);
+    if (scenario->is_kill) {
+        cluster_kill(scenario->cluster, scenario->stopped_controller);
+        cluster_start(scenario->cluster, scenario->stopped_controller);
     } else {
-        cluster_pause(r->cluster, r->stopped, false);
+        cluster_pause(scenario->cluster, scenario->stopped_controller, false);
     }
-    if (fake_state_has_late(cluster_state(r->cluster)))
-        fake_state_deliver(cluster_state(r->cluster));
-    r->stopped = -1;
+    if (fake_state_has_late(cluster_state(scenario->cluster)))
+        fake_state_deliver(cluster_state(scenario->cluster));
+    scenario->stopped_controller = -1;
 }
 
-static int next_holder; /* for a_third_holds */
+static int next_leader; /* for third_leads */
 
-static bool a_third_holds(struct cluster *c)
+static bool third_leads(struct cluster *cluster)
 {
-    int leader = cluster_leader(c);
+    int leader = cluster_leader(cluster);
 
-    return leader >= 0 && leader != current->stopped && leader != next_holder;
+    return leader >= 0 && leader != current->stopped_controller && leader != next_leader;
 }
 
-/* The next holder ends too, so that the first one wakes after two changes. */
-static void replace_again(struct replacing *r)
+/* The next leader is killed too, so that the first one resumes after two changes. */
+static void replace_next_leader(struct scenario *scenario)
 {
-    next_holder = cluster_leader(r->cluster);
-    cluster_kill(r->cluster, next_holder);
-    assert_true(cluster_until(r->cluster, a_third_holds, SOON_S));
-    cluster_start(r->cluster, next_holder);
+    next_leader = cluster_leader(scenario->cluster);
+    cluster_kill(scenario->cluster, next_leader);
+    assert_true(cluster_until(scenario->cluster, third_leads, DEADLINE_S));
+    cluster_start(scenario->cluster, next_leader);
 }
 
-/* False: the step was not reached. */
-static bool replace(struct replacing *r, enum step step, enum pm_role duty, bool killed, bool twice)
+/* False: the step was not reached, and nothing was replaced. */
+static bool replace_holder(struct scenario *scenario, enum step step, enum pm_role role,
+                           bool is_kill, bool replace_twice)
 {
     char key[64];
 
-    r->step = step;
-    r->duty = duty;
-    r->killed = killed;
-    r->armed = true;
-    snprintf(key, sizeof key, PM_INTENT_KEY_PREFIX "%s", pm_role_name(duty));
-    if (step == STEP_INTENDING)
-        fake_state_put_off(cluster_state(r->cluster), key);
-    fleet_fail_machine(cluster_fleet(r->cluster)); /* it goes back, and another is rented */
-    if (!cluster_until(r->cluster, is_stopped, REACHED_S)) {
-        r->armed = false;
-        fake_state_put_off(cluster_state(r->cluster), "");
+    scenario->step = step;
+    scenario->role = role;
+    scenario->is_kill = is_kill;
+    scenario->is_armed = true;
+    snprintf(key, sizeof key, PM_INTENT_KEY_PREFIX "%s", pm_role_name(role));
+    if (step == STEP_INTENT_IN_FLIGHT)
+        fake_state_put_off(cluster_state(scenario->cluster), key);
+    /* The failed machine is terminated, and another one is rented. */
+    fleet_fail_machine(cluster_fleet(scenario->cluster));
+    if (!cluster_until(scenario->cluster, holder_is_paused, STEP_DEADLINE_S)) {
+        scenario->is_armed = false;
+        fake_state_put_off(cluster_state(scenario->cluster), "");
         return false;
     }
-    assert_true(cluster_until(r->cluster, another_holds, SOON_S));
-    cluster_run(r->cluster, ACTS_S);
-    if (twice)
-        replace_again(r);
-    resume(r);
+    assert_true(cluster_until(scenario->cluster, another_leads, DEADLINE_S));
+    cluster_run(scenario->cluster, ACTING_S);
+    if (replace_twice)
+        replace_next_leader(scenario);
+    resume_stopped(scenario);
     return true;
 }
 
-static bool all_settled(struct cluster *c)
+static bool has_no_work(struct cluster *cluster)
 {
-    return cluster_is_idle(c) && !call_checker_open_intents(current->calls);
+    return cluster_is_idle(cluster) && !call_checker_open_intents(current->checker);
 }
 
-static void begin_with(struct replacing *r, const char *operator, const char * old_daemon)
+static void start_cluster_with(struct scenario *scenario, const char *operator_settings,
+                               const char *old_daemon)
 {
-    *r = (struct replacing){.stopped = -1, .calls = call_checker_new(SILENT_S)};
-    for (int killed = 0; killed < 2; killed++)
-        r->gaps[killed] = g_array_new(FALSE, FALSE, sizeof(double));
-    current = r;
-    r->cluster = cluster_new(&(struct cluster_settings){.controllers = CONTROLLERS,
-                                                        .daemon = PM_DAEMON,
-                                                        .operator= operator,
-                                                        .old_daemon = old_daemon,
-                                                        .quiet = !g_getenv("PM_TEST_LOG")});
-    cluster_observe(r->cluster, on_state_change, r);
-    fleet_observe(cluster_fleet(r->cluster), on_call, r);
+    *scenario =
+        (struct scenario){.stopped_controller = -1, .checker = call_checker_new(LOST_AFTER_S)};
+    for (int is_kill = 0; is_kill < 2; is_kill++)
+        scenario->vacancies[is_kill] = g_array_new(FALSE, FALSE, sizeof(double));
+    current = scenario;
+    scenario->cluster = cluster_new(&(struct cluster_settings){.controllers = CONTROLLERS,
+                                                               .daemon = PM_DAEMON,
+                                                               .operator= operator_settings,
+                                                               .old_daemon = old_daemon,
+                                                               .quiet = !g_getenv("PM_TEST_LOG")});
+    cluster_observe(scenario->cluster, on_state_change, scenario);
+    fleet_observe(cluster_fleet(scenario->cluster), on_call, scenario);
 }
 
-static void begin(struct replacing *r, const char *operator)
+static void start_cluster(struct scenario *scenario, const char *operator_settings)
 {
-    begin_with(r, operator, NULL);
+    start_cluster_with(scenario, operator_settings, NULL);
 }
 
-static void end(struct replacing *r)
+static void free_scenario(struct scenario *scenario)
 {
-    cluster_free(r->cluster);
-    call_checker_free(r->calls);
-    for (int killed = 0; killed < 2; killed++)
-        g_array_free(r->gaps[killed], TRUE);
+    cluster_free(scenario->cluster);
+    call_checker_free(scenario->checker);
+    for (int is_kill = 0; is_kill < 2; is_kill++)
+        g_array_free(scenario->vacancies[is_kill], TRUE);
 }
 
-static void finish(struct replacing *r)
+static void finish_and_check(struct scenario *scenario)
 {
-    cluster_load(r->cluster, 0);
-    cluster_heal(r->cluster);
-    cluster_until(r->cluster, all_settled, SOON_S);
-    history_close(cluster_history(r->cluster));
-    assert_string_equal(call_checker_violations(r->calls), "");
-    assert_string_equal(history_violations(cluster_history(r->cluster)), "");
-    assert_int_equal(call_checker_open_intents(r->calls),
-                     0); /* whoever holds the duties finishes what is open */
-    end(r);
+    cluster_load(scenario->cluster, 0);
+    cluster_heal(scenario->cluster);
+    cluster_until(scenario->cluster, has_no_work, DEADLINE_S);
+    history_close(cluster_history(scenario->cluster));
+    assert_string_equal(call_checker_violations(scenario->checker), "");
+    assert_string_equal(history_violations(cluster_history(scenario->cluster)), "");
+    /* Whoever has the roles completes what is open. */
+    assert_int_equal(call_checker_open_intents(scenario->checker), 0);
+    free_scenario(scenario);
 }
 
-static bool has_returned(struct cluster *c)
+static bool has_rented_and_terminated(struct cluster *cluster)
 {
-    (void)c;
-    return call_checker_terminated(current->calls) > 0 && call_checker_rented(current->calls) > 0;
+    (void)cluster;
+    return call_checker_terminated(current->checker) > 0 &&
+           call_checker_rented(current->checker) > 0;
 }
 
-static bool is_held(struct cluster *c)
+static bool has_acquisition(struct cluster *cluster)
 {
-    (void)c;
-    return call_checker_acquisitions(current->calls) > 0;
+    (void)cluster;
+    return call_checker_acquisitions(current->checker) > 0;
 }
 
-static bool is_begun(struct cluster *c)
+static bool has_started_tasks(struct cluster *cluster)
 {
-    return history_starts(cluster_history(c)) >= 4;
+    return history_starts(cluster_history(cluster)) >= 4;
 }
 
-/* Nothing is rented before all controllers are known to know duties. */
-static void begin_fenced(struct replacing *r)
+/* Nothing is rented before all controllers are known to support roles. */
+static void start_cluster_with_roles(struct scenario *scenario)
 {
-    begin_with(r, fenced, g_getenv("PM_FIRST_DAEMON"));
-    assert_true(cluster_until(r->cluster, is_held, SOON_S));
-    cluster_load(r->cluster, LOAD_S);
-    assert_true(cluster_until(r->cluster, is_begun, SOON_S));
+    start_cluster_with(scenario, enabled_settings, g_getenv("PM_FIRST_DAEMON"));
+    assert_true(cluster_until(scenario->cluster, has_acquisition, DEADLINE_S));
+    cluster_load(scenario->cluster, JOB_INTERVAL_S);
+    assert_true(cluster_until(scenario->cluster, has_started_tasks, DEADLINE_S));
 }
 
-static long number_from(const char *variable, long otherwise)
+static long read_number(const char *variable, long default_value)
 {
     const char *text = g_getenv(variable);
 
-    return text ? strtol(text, NULL, 10) : otherwise;
+    return text ? strtol(text, NULL, 10) : default_value;
 }
 
-static gint by_size(gconstpointer a, gconstpointer b)
+static gint compare_numbers(gconstpointer left, gconstpointer right)
 {
-    double x = *(const double *)a;
-    double y = *(const double *)b;
+    double first = *(const double *)left;
+    double second = *(const double *)right;
 
-    return x < y ? -1 : x > y;
+    return first < second ? -1 : first > second;
 }
 
-static void print_gaps(const struct replacing *r)
+static void print_vacancies(const struct scenario *scenario)
 {
     static const char *const names[] = {"paused", "ended"};
 
-    for (int killed = 0; killed < 2; killed++) {
-        GArray *gaps = r->gaps[killed];
-        g_array_sort(gaps, by_size);
-        if (gaps->len)
-            printf("without a holder, %s: median %.2f s, most %.2f s of %u\n", names[killed],
-                   g_array_index(gaps, double, gaps->len / 2),
-                   g_array_index(gaps, double, gaps->len - 1), gaps->len);
+    for (int is_kill = 0; is_kill < 2; is_kill++) {
+        GArray *vacancies = scenario->vacancies[is_kill];
+        g_array_sort(vacancies, compare_numbers);
+        if (vacancies->len)
+            printf("without a holder, %s: median %.2f s, most %.2f s of %u\n", names[is_kill],
+                   g_array_index(vacancies, double, vacancies->len / 2),
+                   g_array_index(vacancies, double, vacancies->len - 1), vacancies->len);
     }
 }
 
-/* Every step, of both duties, paused and killed in turn; the seed says in what order. */
+/* Every step, of both roles, by pauses and kills; the seed determines the order. */
 static void holders_are_replaced_at_every_step(void **arg)
 {
-    long wanted = number_from("PM_REPLACEMENTS", REPLACEMENTS);
-    GRand *random = g_rand_new_with_seed((guint32)number_from("PM_SEED", SEED));
-    struct replacing r;
-    long done = 0;
-    long missed = 0;
+    long wanted_count = read_number("PM_REPLACEMENTS", REPLACEMENTS);
+    GRand *random = g_rand_new_with_seed((guint32)read_number("PM_SEED", SEED));
+    struct scenario scenario;
+    long done_count = 0;
+    long missed_count = 0;
 
     (void)arg;
-    begin_fenced(&r);
-    for (long i = 0; done < wanted && missed < wanted; i++) {
-        enum step step = (enum step)(i % STEPS);
-        enum pm_role duty = g_rand_boolean(random) ? PM_ROLE_SCALE_OUT : PM_ROLE_SCALE_IN;
-        bool killed = g_rand_int_range(random, 0, 3) == 0;
-        bool reached = replace(&r, step, duty, killed, g_rand_int_range(random, 0, 5) == 0);
-        done += reached;
-        missed += !reached;
-        if (*call_checker_violations(r.calls))
+    start_cluster_with_roles(&scenario);
+    for (long i = 0; done_count < wanted_count && missed_count < wanted_count; i++) {
+        enum step step = (enum step)(i % STEP_COUNT);
+        enum pm_role role = g_rand_boolean(random) ? PM_ROLE_SCALE_OUT : PM_ROLE_SCALE_IN;
+        bool is_kill = g_rand_int_range(random, 0, 3) == 0;
+        bool is_reached =
+            replace_holder(&scenario, step, role, is_kill, g_rand_int_range(random, 0, 5) == 0);
+        done_count += is_reached;
+        missed_count += !is_reached;
+        if (*call_checker_violations(scenario.checker))
             break;
     }
     printf("%ld replacements, %ld steps not reached; %u machines rented, %u returned, %u holders\n",
-           done, missed, call_checker_rented(r.calls), call_checker_terminated(r.calls),
-           call_checker_acquisitions(r.calls));
-    print_gaps(&r);
-    assert_true(done >= wanted || *call_checker_violations(r.calls));
-    assert_true(call_checker_acquisitions(r.calls) > (unsigned)done / 2);
-    finish(&r);
+           done_count, missed_count, call_checker_rented(scenario.checker),
+           call_checker_terminated(scenario.checker), call_checker_acquisitions(scenario.checker));
+    print_vacancies(&scenario);
+    assert_true(done_count >= wanted_count || *call_checker_violations(scenario.checker));
+    assert_true(call_checker_acquisitions(scenario.checker) > (unsigned)done_count / 2);
+    finish_and_check(&scenario);
     g_rand_free(random);
 }
 
-/* The checker has something to find: without duties, nobody intends anything. */
-static void without_duties_nothing_is_intended(void **arg)
+/* The checker finds something: with roles disabled, no intents are written. */
+static void checker_finds_violations_without_roles(void **arg)
 {
-    struct replacing r;
+    struct scenario scenario;
 
     (void)arg;
-    begin(&r, "idle_return_s: 1\n");
-    cluster_load(r.cluster, LOAD_S);
-    assert_true(cluster_until(r.cluster, is_begun, SOON_S));
-    fleet_fail_machine(cluster_fleet(r.cluster));
-    assert_true(cluster_until(r.cluster, has_returned, SOON_S));
-    assert_non_null(strstr(call_checker_violations(r.calls), "which nobody intended"));
-    assert_non_null(strstr(call_checker_violations(r.calls), "no open intent says so"));
-    end(&r);
+    start_cluster(&scenario, "idle_return_s: 1\n");
+    cluster_load(scenario.cluster, JOB_INTERVAL_S);
+    assert_true(cluster_until(scenario.cluster, has_started_tasks, DEADLINE_S));
+    fleet_fail_machine(cluster_fleet(scenario.cluster));
+    assert_true(cluster_until(scenario.cluster, has_rented_and_terminated, DEADLINE_S));
+    assert_non_null(strstr(call_checker_violations(scenario.checker), "which nobody intended"));
+    assert_non_null(strstr(call_checker_violations(scenario.checker), "no open intent says so"));
+    free_scenario(&scenario);
 }
 
-/* Requests that are refused, not answered, or carried out after they were given up. */
-static void the_cloud_refuses_and_is_late(void **arg)
+/* Calls that are refused, not answered, or executed after their timeout. */
+static void provider_refuses_and_answers_late(void **arg)
 {
-    struct replacing r;
+    struct scenario scenario;
     struct fleet *fleet;
-    unsigned returned;
+    unsigned terminated_before;
 
     (void)arg;
-    begin_fenced(&r);
-    fleet = cluster_fleet(r.cluster);
+    start_cluster_with_roles(&scenario);
+    fleet = cluster_fleet(scenario.cluster);
     fleet_refuse(fleet, 429, 3);
     fleet_fail_machine(fleet);
-    cluster_run(r.cluster, REACHED_S / 3);
+    cluster_run(scenario.cluster, STEP_DEADLINE_S / 3);
     fleet_refuse(fleet, 503, 3);
     fleet_fail_machine(fleet);
-    cluster_run(r.cluster, REACHED_S / 3);
-    returned = call_checker_terminated(r.calls);
-    fleet_delay_return(fleet, LATE_S);
+    cluster_run(scenario.cluster, STEP_DEADLINE_S / 3);
+    terminated_before = call_checker_terminated(scenario.checker);
+    fleet_delay_return(fleet, PROVIDER_DELAY_S);
     fleet_fail_machine(fleet);
-    cluster_run(r.cluster, 2 * LATE_S); /* sent again, and then the first one comes */
-    assert_true(call_checker_terminated(r.calls) > returned);
-    finish(&r);
+    /* The call is sent again, and then the first one is executed. */
+    cluster_run(scenario.cluster, 2 * PROVIDER_DELAY_S);
+    assert_true(call_checker_terminated(scenario.checker) > terminated_before);
+    finish_and_check(&scenario);
 }
 
-/* All controllers end while a request is under way, and are back within a fraction of a second. */
-static void all_end_at_once(void **arg)
+/* All controllers are killed while a call is in flight, and soon restarted. */
+static void all_controllers_are_killed_at_once(void **arg)
 {
-    struct replacing r;
+    struct scenario scenario;
 
     (void)arg;
-    begin_fenced(&r);
-    for (int step = STEP_INTENDED; step < STEPS; step++) {
-        r.step = (enum step)step;
-        r.duty = PM_ROLE_SCALE_IN;
-        r.armed = true;
-        fleet_fail_machine(cluster_fleet(r.cluster));
-        assert_true(cluster_until(r.cluster, is_stopped, SOON_S));
+    start_cluster_with_roles(&scenario);
+    for (int step = STEP_INTENT_DURABLE; step < STEP_COUNT; step++) {
+        scenario.step = (enum step)step;
+        scenario.role = PM_ROLE_SCALE_IN;
+        scenario.is_armed = true;
+        fleet_fail_machine(cluster_fleet(scenario.cluster));
+        assert_true(cluster_until(scenario.cluster, holder_is_paused, DEADLINE_S));
         for (int i = 0; i < CONTROLLERS; i++)
-            cluster_kill(r.cluster, i);
-        cluster_run(r.cluster, BACK_S);
+            cluster_kill(scenario.cluster, i);
+        cluster_run(scenario.cluster, DOWNTIME_S);
         for (int i = 0; i < CONTROLLERS; i++)
-            cluster_start(r.cluster, i);
-        r.stopped = -1;
-        assert_true(cluster_until(r.cluster, another_holds, SOON_S));
-        cluster_run(r.cluster, ACTS_S);
+            cluster_start(scenario.cluster, i);
+        scenario.stopped_controller = -1;
+        assert_true(cluster_until(scenario.cluster, another_leads, DEADLINE_S));
+        cluster_run(scenario.cluster, ACTING_S);
     }
-    finish(&r);
+    finish_and_check(&scenario);
 }
 
-/* An operator asks the holder to give up a duty, and it ends at that moment; then one that is well
- * is asked, twice. */
-static void a_holder_is_drained_and_ends(void **arg)
+/* An operator drains a role and its holder is killed at that moment; then one that runs is drained,
+ * by two requests. */
+static void holder_is_killed_while_drained(void **arg)
 {
-    static const char drain[] = PM_ROLE_DRAIN_KEY_PREFIX "return";
-    static const char duty[] = PM_ROLE_KEY_PREFIX "return";
-    struct replacing r;
+    static const char drain_key[] = PM_ROLE_DRAIN_KEY_PREFIX "return";
+    static const char holder_key[] = PM_ROLE_KEY_PREFIX "return";
+    struct scenario scenario;
     struct fake_state *state;
     uint64_t token;
 
     (void)arg;
-    begin_fenced(&r);
-    state = cluster_state(r.cluster);
-    token = fake_state_revision(state, duty);
-    r.stopped = cluster_leader(r.cluster);
-    fake_state_put_number(state, drain, "token", token);
-    cluster_kill(r.cluster, r.stopped);
-    assert_true(cluster_until(r.cluster, another_holds, SOON_S));
-    cluster_start(r.cluster, r.stopped);
-    cluster_run(r.cluster, ACTS_S);
-    assert_true(fake_state_revision(state, duty) > token);
-    assert_int_equal(fake_state_revision(state, drain), 0); /* the next holder took it away */
-    token = fake_state_revision(state, duty);
-    r.stopped = cluster_leader(r.cluster);
-    fake_state_put_number(state, drain, "token", token);
-    fake_state_put_number(state, drain, "token", token);
-    assert_true(cluster_until(r.cluster, another_holds, SOON_S));
-    cluster_run(r.cluster, ACTS_S);
-    assert_true(fake_state_revision(state, duty) > token);
-    finish(&r);
+    start_cluster_with_roles(&scenario);
+    state = cluster_state(scenario.cluster);
+    token = fake_state_revision(state, holder_key);
+    scenario.stopped_controller = cluster_leader(scenario.cluster);
+    fake_state_put_number(state, drain_key, "token", token);
+    cluster_kill(scenario.cluster, scenario.stopped_controller);
+    assert_true(cluster_until(scenario.cluster, another_leads, DEADLINE_S));
+    cluster_start(scenario.cluster, scenario.stopped_controller);
+    cluster_run(scenario.cluster, ACTING_S);
+    assert_true(fake_state_revision(state, holder_key) > token);
+    assert_int_equal(fake_state_revision(state, drain_key), 0); /* the next holder deleted it */
+    token = fake_state_revision(state, holder_key);
+    scenario.stopped_controller = cluster_leader(scenario.cluster);
+    fake_state_put_number(state, drain_key, "token", token);
+    fake_state_put_number(state, drain_key, "token", token);
+    assert_true(cluster_until(scenario.cluster, another_leads, DEADLINE_S));
+    cluster_run(scenario.cluster, ACTING_S);
+    assert_true(fake_state_revision(state, holder_key) > token);
+    finish_and_check(&scenario);
 }
 
-static bool old_one_leads(struct cluster *c)
+static bool old_version_leads(struct cluster *cluster)
 {
-    return cluster_leader(c) == 0;
+    return cluster_leader(cluster) == 0;
 }
 
 /* A controller of an earlier version beside new ones, PM_OLD_DAEMON: outside CI, which builds only
- * one version. Nothing of duties is written until it is replaced as well, whoever leads. */
-static void an_earlier_version_runs_beside(void **arg)
+ * one version. No roles are written until it is upgraded as well, whoever leads. */
+static void earlier_version_runs_beside(void **arg)
 {
-    struct replacing r;
+    struct scenario scenario;
 
     (void)arg;
-    begin_with(&r, fenced, g_getenv("PM_OLD_DAEMON"));
-    cluster_load(r.cluster, LOAD_S);
-    assert_true(cluster_until(r.cluster, is_begun, SOON_S));
-    for (int turn = 0; turn < CONTROLLERS && !old_one_leads(r.cluster); turn++) {
-        int leader = cluster_leader(r.cluster);
-        cluster_kill(r.cluster, leader);
-        cluster_until(r.cluster, old_one_leads, REACHED_S);
-        cluster_start(r.cluster, leader);
+    start_cluster_with(&scenario, enabled_settings, g_getenv("PM_OLD_DAEMON"));
+    cluster_load(scenario.cluster, JOB_INTERVAL_S);
+    assert_true(cluster_until(scenario.cluster, has_started_tasks, DEADLINE_S));
+    for (int attempt = 0; attempt < CONTROLLERS && !old_version_leads(scenario.cluster);
+         attempt++) {
+        int leader = cluster_leader(scenario.cluster);
+        cluster_kill(scenario.cluster, leader);
+        cluster_until(scenario.cluster, old_version_leads, STEP_DEADLINE_S);
+        cluster_start(scenario.cluster, leader);
     }
-    assert_int_equal(cluster_leader(r.cluster), 0);
-    cluster_run(r.cluster, REACHED_S / 2);
-    assert_int_equal(call_checker_acquisitions(r.calls), 0);
-    cluster_upgrade(r.cluster);
-    assert_true(cluster_until(r.cluster, is_held, SOON_S));
-    call_checker_clear_violations(r.calls); /* what was rented without intents is no violation */
-    for (int step = 0; step < STEPS; step++)
-        replace(&r, (enum step)step, PM_ROLE_SCALE_IN, step % 2 == 0, false);
-    finish(&r);
+    assert_int_equal(cluster_leader(scenario.cluster), 0);
+    cluster_run(scenario.cluster, STEP_DEADLINE_S / 2);
+    assert_int_equal(call_checker_acquisitions(scenario.checker), 0);
+    cluster_upgrade(scenario.cluster);
+    assert_true(cluster_until(scenario.cluster, has_acquisition, DEADLINE_S));
+    /* What was rented before there were intents is no violation. */
+    call_checker_clear_violations(scenario.checker);
+    for (int step = 0; step < STEP_COUNT; step++)
+        replace_holder(&scenario, (enum step)step, PM_ROLE_SCALE_IN, step % 2 == 0, false);
+    finish_and_check(&scenario);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(holders_are_replaced_at_every_step),
-        cmocka_unit_test(the_cloud_refuses_and_is_late),
-        cmocka_unit_test(all_end_at_once),
-        cmocka_unit_test(a_holder_is_drained_and_ends),
-        cmocka_unit_test(without_duties_nothing_is_intended),
+        cmocka_unit_test(provider_refuses_and_answers_late),
+        cmocka_unit_test(all_controllers_are_killed_at_once),
+        cmocka_unit_test(holder_is_killed_while_drained),
+        cmocka_unit_test(checker_finds_violations_without_roles),
     };
-    const struct CMUnitTest upgrades[] = {cmocka_unit_test(an_earlier_version_runs_beside)};
+    const struct CMUnitTest upgrades[] = {cmocka_unit_test(earlier_version_runs_beside)};
 
     if (g_getenv("PM_OLD_DAEMON"))
         return cmocka_run_group_tests(upgrades, NULL, NULL);
