--- a/src/cmd/pumicectl/json.c
+++ b/src/cmd/pumicectl/cbor_to_json.c
@@ -1,21 +1,26 @@
+#include "cbor_to_json.h"
 #include "base/cbor.h"
-#include "gather.h"
 
 #include <glib.h>
-#include <string.h>
+#include <stdbool.h>
 
-enum { TEXT_MAX = 4096 };
+enum { TEXT_MAX = 4096, DELETE_CHARACTER = 0x7f };
 
-/* Control characters are replaced: what an answer says may not steer the terminal. */
-static json_t *clean_text(const cbor_item_t *item)
+static bool is_control(unsigned char character)
+{
+    return character < ' ' || character == DELETE_CHARACTER;
+}
+
+/* The text without control characters: an answer must not steer the terminal. */
+static json_t *convert_text(const cbor_item_t *item)
 {
     char text[TEXT_MAX];
 
     if (!pm_cbor_read_text(item, text, sizeof text) || !g_utf8_validate(text, -1, NULL))
         return json_string("(unreadable text)");
-    for (char *c = text; *c; c++)
-        if ((unsigned char)*c < ' ' || *c == 0x7f)
-            *c = '?';
+    for (char *at = text; *at; at++)
+        if (is_control((unsigned char)*at))
+            *at = '?';
     return json_string(text);
 }
 
@@ -27,7 +32,7 @@
     struct cbor_pair *pairs = cbor_map_handle(item);
 
     for (size_t i = 0; i < cbor_map_size(item); i++) {
-        json_t *key = cbor_isa_string(pairs[i].key) ? clean_text(pairs[i].key) : NULL;
+        json_t *key = cbor_isa_string(pairs[i].key) ? convert_text(pairs[i].key) : NULL;
         if (key)
             json_object_set_new(out, json_string_value(key), convert(pairs[i].value));
         json_decref(key);
@@ -55,7 +60,7 @@
     if (cbor_isa_array(item))
         return convert_list(item);
     if (cbor_isa_string(item))
-        return clean_text(item);
+        return convert_text(item);
     if (pm_cbor_read_flag(item, &flag))
         return json_boolean(flag);
     if (pm_cbor_read_count(item, &count))
@@ -65,7 +70,7 @@
     return json_null();
 }
 
-json_t *pm_json_of_cbor(const void *data, size_t size)
+json_t *pm_json_from_cbor(const void *data, size_t size)
 {
     cbor_item_t *item = pm_cbor_parse(data, size);
     json_t *out = item ? convert(item) : NULL;
--- a/src/cmd/pumicectl/drain.c
+++ b/src/cmd/pumicectl/drain.c
@@ -1,81 +1,97 @@
 #include "drain.h"
 #include "base/clock.h"
 #include "base/http.h"
-#include "document.h"
-#include "roles/roles.h"
+#include "cbor_to_json.h"
+#include "json_fields.h"
+#include "roles/role.h"
+#include "store/store.h"
 
 #include <ev.h>
+#include <glib.h>
 #include <stdio.h>
 #include <string.h>
 
-#define REQUEST_S 2.0
-#define POLL_S 0.3
+#define REQUEST_TIMEOUT_S 2.0
+#define POLL_INTERVAL_S 0.3
 
-enum { ANSWER_MAX = 64 * 1024, CONNECTIONS_MAX = 2 };
+enum {
+    ANSWER_MAX = 64 * 1024, /* bytes */
+    CONNECTIONS_MAX = 2,
+    KEY_SIZE = 128,
+    STATUS_OK = 200,
+    STATUS_NOT_FOUND = 404,
+    STATUS_CONFLICT = 409
+};
 
-/* The state service, asked one thing at a time. */
+/* A client of the state service that makes one request at a time. */
 struct state_client {
     struct ev_loop *loop;
     struct pm_http_client *http;
     const char *addr;
-    int status;
+    int status;   /* of the last answer; not positive: there was none */
     json_t *body; /* of the last answer, owned */
 };
 
-/* A key as it is. */
-struct known {
-    bool reached;
-    uint64_t stamp; /* 0: there is none */
-    uint64_t token;
+/* A key as it was read. */
+struct stored_key {
+    bool is_reached;   /* the state service answered */
+    uint64_t revision; /* 0: there is no such key */
+    uint64_t token;    /* of a request to drain */
     char holder[PM_NAME_MAX];
 };
 
+/* ---- requests ---- */
+
 static void on_answer(void *arg, int status, const unsigned char *body, size_t size)
 {
     struct state_client *client = arg;
 
     json_decref(client->body);
     client->status = status;
-    client->body = status > 0 && size ? pm_json_of_cbor(body, size) : NULL;
+    client->body = status > 0 && size ? pm_json_from_cbor(body, size) : NULL;
     ev_break(client->loop, EVBREAK_ALL);
 }
 
+/* Returns when the request is answered or has timed out. `body` may be NULL. */
 static void call(struct state_client *client, const char *method, const char *target,
                  const struct pm_buf *body)
 {
     pm_http_call(client->http, client->addr, method, target, body ? body->data : NULL,
-                 body ? body->size : 0, REQUEST_S, ANSWER_MAX, on_answer, client);
+                 body ? body->size : 0, REQUEST_TIMEOUT_S, ANSWER_MAX, on_answer, client);
     ev_run(client->loop, 0);
 }
 
-static struct known read_key(struct state_client *client, const char *prefix, const char *duty)
+static struct stored_key read_key(struct state_client *client, const char *prefix,
+                                  const char *role_name)
 {
-    struct known known = {0};
+    struct stored_key key = {0};
     const json_t *data;
-    char target[128];
+    char target[KEY_SIZE];
 
-    snprintf(target, sizeof target, "/kv/%s%s", prefix, duty);
+    snprintf(target, sizeof target, "/kv/%s%s", prefix, role_name);
     call(client, "GET", target, NULL);
-    known.reached = client->status == 200 || client->status == 404;
-    if (client->status != 200)
-        return known;
+    key.is_reached = client->status == STATUS_OK || client->status == STATUS_NOT_FOUND;
+    if (client->status != STATUS_OK)
+        return key;
     data = json_object_get(client->body, "data");
-    known.stamp = (uint64_t)pm_number_of(client->body, "stamp");
-    known.token = (uint64_t)pm_number_of(data, "token");
-    g_strlcpy(known.holder, pm_text_of(data, "holder"), sizeof known.holder);
-    return known;
+    key.revision = (uint64_t)pm_json_number(client->body, "stamp");
+    key.token = (uint64_t)pm_json_number(data, "token");
+    g_strlcpy(key.holder, pm_json_text(data, "holder"), sizeof key.holder);
+    return key;
 }
 
-static void ask(struct state_client *client, const char *duty, uint64_t token, uint64_t stamp)
+/* Writes a request to drain the holder of `token`, in place of the one at `request_revision`. */
+static void write_request(struct state_client *client, const char *role_name, uint64_t token,
+                          uint64_t request_revision)
 {
     struct pm_txn txn = {0};
     struct pm_buf body = {0};
-    char key[128];
+    char key[KEY_SIZE];
 
-    snprintf(key, sizeof key, PM_ROLE_KEY_PREFIX "%s", duty);
+    snprintf(key, sizeof key, PM_ROLE_KEY_PREFIX "%s", role_name);
     pm_txn_compare(&txn, key, token);
-    snprintf(key, sizeof key, PM_ROLE_DRAIN_KEY_PREFIX "%s", duty);
-    pm_txn_compare(&txn, key, stamp);
+    snprintf(key, sizeof key, PM_ROLE_DRAIN_KEY_PREFIX "%s", role_name);
+    pm_txn_compare(&txn, key, request_revision);
     pm_txn_put(&txn, key);
     pm_put_map(&txn.writes);
     pm_put_pair_count(&txn.writes, "token", token);
@@ -87,84 +103,102 @@
     pm_txn_free(&txn);
 }
 
-static void on_poll(struct ev_loop *loop, ev_timer *w, int events)
+/* ---- waiting for the next holder ---- */
+
+static void on_timer(struct ev_loop *loop, ev_timer *timer, int events)
 {
-    (void)w;
+    (void)timer;
     (void)events;
     ev_break(loop, EVBREAK_ALL);
 }
 
-/* The next holder, or an empty key. */
-static struct known await_next(struct state_client *client, const char *duty, uint64_t token,
-                               double timeout_s)
+static void wait_for(struct ev_loop *loop, double seconds)
+{
+    ev_timer timer;
+
+    ev_timer_init(&timer, on_timer, seconds, 0.);
+    ev_timer_start(loop, &timer);
+    ev_run(loop, 0);
+    ev_timer_stop(loop, &timer);
+}
+
+/* The key of the holder after the one with `token`; without a revision if there is none in time. */
+static struct stored_key wait_for_next_holder(struct state_client *client, const char *role_name,
+                                              uint64_t token, double timeout_s)
 {
-    double until = pm_clock_monotonic() + timeout_s;
+    double deadline_at = pm_clock_monotonic() + timeout_s;
 
-    while (pm_clock_monotonic() < until) {
-        struct known next = read_key(client, PM_ROLE_KEY_PREFIX, duty);
-        ev_timer poll;
-        if (next.stamp && next.stamp != token)
+    while (pm_clock_monotonic() < deadline_at) {
+        struct stored_key next = read_key(client, PM_ROLE_KEY_PREFIX, role_name);
+        if (next.revision && next.revision != token)
             return next;
-        ev_timer_init(&poll, on_poll, POLL_S, 0.);
-        ev_timer_start(client->loop, &poll);
-        ev_run(client->loop, 0);
-        ev_timer_stop(client->loop, &poll);
+        wait_for(client->loop, POLL_INTERVAL_S);
     }
-    return (struct known){0};
+    return (struct stored_key){0};
 }
 
-static struct pm_report report(const char *duty, const char *outcome, bool well,
-                               const struct known *holder, const struct known *next)
+/* ---- the report ---- */
+
+/* `holder` and `next` may be NULL: not known. */
+static struct pm_report make_report(const char *role_name, const char *outcome, bool is_requested,
+                                    const struct stored_key *holder, const struct stored_key *next)
 {
-    struct pm_report out = {.exit = well ? PM_EXIT_WELL : PM_EXIT_WRONG};
-
-    out.document =
-        json_pack("{s:s, s:s, s:b, s:b, s:s, s:I, s:b, s:s, s:I}", "duty", duty, "outcome", outcome,
-                  "asked", well, "has_holder", holder && holder->stamp, "holder",
-                  holder ? holder->holder : "", "token", (json_int_t)(holder ? holder->stamp : 0),
-                  "has_successor", next && next->stamp, "successor", next ? next->holder : "",
-                  "successor_token", (json_int_t)(next ? next->stamp : 0));
-    return out;
+    static const struct stored_key none = {0};
+    struct pm_report report = {.exit = is_requested ? PM_EXIT_OK : PM_EXIT_PROBLEMS};
+
+    if (!holder)
+        holder = &none;
+    if (!next)
+        next = &none;
+    report.document = json_pack(
+        "{s:s, s:s, s:b, s:b, s:s, s:I, s:b, s:s, s:I}", "duty", role_name, "outcome", outcome,
+        "asked", is_requested, "has_holder", holder->revision != 0, "holder", holder->holder,
+        "token", (json_int_t)holder->revision, "has_successor", next->revision != 0, "successor",
+        next->holder, "successor_token", (json_int_t)next->revision);
+    return report;
 }
 
-static struct pm_report drain(struct state_client *client, const char *duty, double timeout_s)
+static struct pm_report drain(struct state_client *client, const char *role_name, double timeout_s)
 {
-    struct known holder = read_key(client, PM_ROLE_KEY_PREFIX, duty);
-    struct known asked = read_key(client, PM_ROLE_DRAIN_KEY_PREFIX, duty);
-    struct known next;
-
-    if (!holder.reached || !asked.reached)
-        return report(duty, "the state service is not reached; nothing was changed", false, NULL,
-                      NULL);
-    if (!holder.stamp)
-        return report(duty, "nobody holds it; nothing was changed", false, NULL, NULL);
-    if (asked.stamp && asked.token == holder.stamp)
-        return report(duty, "its holder was asked before; nothing was changed", true, &holder,
-                      NULL);
-    ask(client, duty, holder.stamp, asked.stamp);
-    if (client->status == 409)
-        return report(duty,
-                      "it has passed on, or another operator asked first; nothing was changed",
-                      false, &holder, NULL);
-    if (client->status != 200)
-        return report(duty, "no answer from the state service: the request may have been made",
-                      false, &holder, NULL);
-    next = await_next(client, duty, holder.stamp, timeout_s);
-    return report(duty,
-                  next.stamp ? "its holder has given it up"
-                             : "its holder is asked to give it up, and nobody else has it yet",
-                  true, &holder, &next);
+    struct stored_key holder = read_key(client, PM_ROLE_KEY_PREFIX, role_name);
+    struct stored_key request = read_key(client, PM_ROLE_DRAIN_KEY_PREFIX, role_name);
+    struct stored_key next;
+
+    if (!holder.is_reached || !request.is_reached)
+        return make_report(role_name, "the state service is not reached; nothing was changed",
+                           false, NULL, NULL);
+    if (!holder.revision)
+        return make_report(role_name, "nobody holds it; nothing was changed", false, NULL, NULL);
+    if (request.revision && request.token == holder.revision)
+        return make_report(role_name, "its holder was asked before; nothing was changed", true,
+                           &holder, NULL);
+    write_request(client, role_name, holder.revision, request.revision);
+    if (client->status == STATUS_CONFLICT)
+        return make_report(role_name,
+                           "it has passed on, or another operator asked first; nothing was changed",
+                           false, &holder, NULL);
+    if (client->status != STATUS_OK)
+        return make_report(role_name,
+                           "no answer from the state service: the request may have been made",
+                           false, &holder, NULL);
+    next = wait_for_next_holder(client, role_name, holder.revision, timeout_s);
+    return make_report(role_name,
+                       next.revision ? "its holder has given it up"
+                                     : "its holder is asked to give it up, and nobody else has it "
+                                       "yet",
+                       true, &holder, &next);
 }
 
-struct pm_report pm_drain(const struct pm_settings *settings, const char *duty, double timeout_s)
+struct pm_report pm_drain_role(const struct pm_settings *settings, const char *role_name,
+                               double timeout_s)
 {
     struct state_client client = {.loop = ev_loop_new(EVFLAG_AUTO), .addr = settings->store_addr};
-    struct pm_report out;
+    struct pm_report report;
 
     client.http = pm_http_client_new(client.loop, CONNECTIONS_MAX);
-    out = drain(&client, duty, timeout_s);
+    report = drain(&client, role_name, timeout_s);
     json_decref(client.body);
     pm_http_client_free(client.http);
     ev_loop_destroy(client.loop);
-    return out;
+    return report;
 }
--- a/src/cmd/pumicectl/render.cpp
+++ b/src/cmd/pumicectl/render.cpp
@@ -1,4 +1,4 @@
-// Text from a document, through the Mustache library (header-only C++).
+// Renders documents with the Mustache library, which is header-only C++.
 #include "render.h"
 
 #include <kainjow/mustache.hpp>
@@ -69,8 +69,8 @@
         bool is_empty = text.empty();
         text.resize(std::max(widths->at(key), text.size()), ' ');
         out.set(key, data{text});
-        out.set(std::string("has_") + key, data{is_empty ? data::type::bool_false
-                                                         : data::type::bool_true});
+        out.set(std::string("has_") + key,
+                data{is_empty ? data::type::bool_false : data::type::bool_true});
     }
     return out;
 }
--- /dev/null
+++ b/src/cmd/pumicectl/report_roles.c
@@ -0,0 +1,130 @@
+#include "controller_views.h"
+#include "json_fields.h"
+#include "report_frame.h"
+#include "roles/role.h"
+
+#include <string.h>
+
+/* ---- fitness of each controller for each of its roles ---- */
+
+static void add_fitness(json_t *rows, json_t *problems, const json_t *view, const json_t *role,
+                        const char *controller, const char *source)
+{
+    const char *name = pm_json_text(role, "duty");
+    const char *fitness = pm_json_text(role, "fitness");
+    const char *reason = pm_json_text(role, "reason");
+    bool is_leader = pm_json_flag(view, "leads") && !strcmp(name, "lead");
+
+    json_array_append_new(rows, json_pack("{s:s, s:s, s:s, s:s, s:b, s:s, s:f}", "controller",
+                                          controller, "duty", name, "fitness", fitness, "reason",
+                                          reason, "holds", is_leader, "told_by", source, "age_s",
+                                          pm_json_number(view, "age_s")));
+    if (is_leader && strcmp(fitness, "fit") != 0 && pm_json_flag(view, "fresh"))
+        pm_report_add_problem(problems, "%s leads, and is %s for it: %s", controller, fitness,
+                              reason);
+}
+
+static void add_view(json_t *rows, json_t *problems, const json_t *view, const char *controller,
+                     const char *source)
+{
+    const json_t *roles = json_object_get(view, "duties");
+
+    for (size_t i = 0; i < json_array_size(roles); i++)
+        add_fitness(rows, problems, view, json_array_get(roles, i), controller, source);
+}
+
+/* ---- singleton roles ---- */
+
+static const json_t *find_role(const json_t *body, const char *name)
+{
+    const json_t *roles = json_object_get(body, "single_duties");
+
+    for (size_t i = 0; i < json_array_size(roles); i++)
+        if (!strcmp(pm_json_text(json_array_get(roles, i), "duty"), name))
+            return json_array_get(roles, i);
+    return NULL;
+}
+
+/* The answer with the highest token of the role; of equal ones, the holder's. NULL: there is none.
+ */
+static const struct pm_answer *find_newest_answer(const struct pm_gathered *gathered,
+                                                  const char *name)
+{
+    const struct pm_answer *newest = NULL;
+    double newest_token = -1;
+
+    for (int i = 0; i < gathered->controller_count; i++) {
+        const struct pm_answer *answer = &gathered->controllers[i];
+        const json_t *role = find_role(answer->body, name);
+        double token = pm_json_number(role, "token");
+        if (!role || token < newest_token)
+            continue;
+        if (token > newest_token || pm_json_flag(role, "holds"))
+            newest = answer;
+        newest_token = token;
+    }
+    return newest;
+}
+
+static void add_singleton_role(json_t *rows, json_t *problems, const char *name,
+                               const struct pm_answer *answer)
+{
+    json_t *role = json_copy((json_t *)find_role(answer->body, name));
+    bool has_holder = pm_json_number(role, "token") > 0;
+
+    json_object_set_new(role, "told_by", json_string(answer->name));
+    json_object_set_new(role, "held", json_boolean(has_holder));
+    json_object_set_new(role, "own", json_boolean(pm_json_flag(role, "holds")));
+    json_array_append_new(rows, role);
+    if (pm_json_flag(role, "unreadable"))
+        pm_report_add_problem(problems,
+                              "duty %s: its holder's value can't be read, nobody takes it", name);
+    else if (!has_holder && pm_json_number(role, "open_intents") > 0)
+        pm_report_add_problem(problems, "duty %s: nobody holds it, and intents are open", name);
+}
+
+static json_t *list_singleton_roles(const struct pm_gathered *gathered, json_t *problems)
+{
+    json_t *rows = json_array();
+
+    for (int i = 0; i < PM_ROLE_COUNT; i++) {
+        const char *name = pm_role_name((enum pm_role)i);
+        const struct pm_answer *answer = find_newest_answer(gathered, name);
+        if (answer)
+            add_singleton_role(rows, problems, name, answer);
+    }
+    return rows;
+}
+
+/* ---- the report ---- */
+
+/* Owners of shards of machines, as the leader lists them. */
+static json_t *list_shard_owners(const struct pm_gathered *gathered)
+{
+    json_t *owners = json_array();
+
+    for (int i = 0; i < gathered->controller_count; i++) {
+        const json_t *body = gathered->controllers[i].body;
+        if (pm_json_flag(body, "leads"))
+            json_array_extend(owners, json_object_get(body, "holders"));
+    }
+    return owners;
+}
+
+struct pm_report pm_report_roles(const struct pm_gathered *gathered)
+{
+    json_t *problems = json_array();
+    json_t *document = pm_report_begin(gathered, problems);
+    json_t *rows = json_array();
+
+    for (int i = 0; i < gathered->controller_count; i++) {
+        const char *source;
+        const json_t *view = pm_find_controller_view(gathered, i, &source);
+        if (view)
+            add_view(rows, problems, view, gathered->controllers[i].name, source);
+    }
+    json_object_set_new(document, "duties", rows);
+    json_object_set_new(document, "single_duties", list_singleton_roles(gathered, problems));
+    json_object_set_new(document, "holders", list_shard_owners(gathered));
+    return pm_report_end(gathered, document, problems);
+}
