--- a/src/roles/internal.h
+++ b/src/roles/internal.h
@@ -25,7 +25,8 @@
     uint64_t token;    /* of the holder that is to release the role; 0: none, or malformed */
 };
 
-/* This controller's own claim on the role. */
+/* This controller's own claim on the role. Written by acquisition.c, but for what names another
+ * file. */
 struct pm_role_claim {
     uint64_t token;          /* its fencing token; 0: this controller does not have the role */
     bool acquire_in_flight;  /* acquisition.c */
@@ -49,7 +50,8 @@
     bool grant_in_flight, keep_alive_in_flight;
 };
 
-/* Open intents of all controllers. Written by intent_log.c and intent_closing.c. */
+/* Open intents of all controllers. Written by intent_log.c and intent_closing.c, and by replica.c
+ * for deletes and snapshots. */
 struct pm_roles_intents {
     GHashTable *open;           /* name to struct pm_intent, owned */
     GHashTable *writes;         /* name to struct intent_write: transactions in flight */
