--- a/src/cmd/pumicectl/render.cpp
+++ b/src/cmd/pumicectl/render.cpp
@@ -1,4 +1,4 @@
-// Text from a document, through the Mustache library (header-only C++).
+// Renders documents with the Mustache library, which is header-only C++.
 #include "render.h"
 
 #include <kainjow/mustache.hpp>
