--- /dev/null
+++ b/src/shards/job_assignment.c
@@ -0,0 +1,188 @@
+/* The leader assigns array jobs to owners. Decisions alone: no I/O, the time is an argument. */
+#include "base/log.h"
+#include "shards/internal.h"
+#include "workers/failures.h"
+
+#define MAX_RESPONSE_AGE_S 1.6 /* how old an owner's response may be to assign anything to it */
+/* Of a team's limits, no assignment uses this share: what an owner has is not available to the
+ * team's services until it is done. */
+#define QUOTA_RESERVE_SHARE 0.25
+
+/* Upper bounds of what the parts of a shard's value count for, in bytes of JSON. */
+enum {
+    VALUE_BASE_BYTES = 100,
+    VALUE_MACHINE_BYTES = 150,
+    VALUE_JOB_BYTES = 44,
+    VALUE_MARGIN_BYTES = 50, /* kept free for one more job */
+    BYTES_PER_KB = 1024
+};
+
+bool pm_shard_is_owner_available(const struct pm_shard *shard, double now)
+{
+    const struct pm_shard_owner *owner = &shard->owner;
+
+    return owner->is_ready && owner->incarnation_id[0] &&
+           now - owner->last_response_at < MAX_RESPONSE_AGE_S && !shard->revocation.in_progress &&
+           !pm_shard_is_owner_replaced(shard);
+}
+
+static double value_size(const struct pm_shard *shard)
+{
+    return VALUE_BASE_BYTES + (double)VALUE_MACHINE_BYTES * shard->target.machines->len +
+           (double)VALUE_JOB_BYTES * shard->target.jobs->len;
+}
+
+bool pm_shard_has_value_space(const struct pm_shards *shards, const struct pm_shard *shard,
+                              unsigned machine_count)
+{
+    double size =
+        value_size(shard) + VALUE_MARGIN_BYTES + (double)VALUE_MACHINE_BYTES * machine_count;
+
+    return size < shards->tables->settings->store_value_kb * BYTES_PER_KB;
+}
+
+/* Work that the owner of a shard can place by itself: an array on spot machines, of ordinary
+ * priority, whose tasks do not depend on one another's zone. */
+static bool has_delegable_spec(const struct pm_job *job)
+{
+    const struct pm_spec *spec = job->spec;
+
+    return spec && spec->kind == PM_WORKLOAD_ARRAY && spec->spot && !spec->same_zone &&
+           !spec->spread_zones && job->priority != PM_PRIORITY_PRODUCTION &&
+           job->priority != PM_PRIORITY_BEST_EFFORT;
+}
+
+/* Whether the job may be assigned: none of it has been placed or done by the leader. */
+static bool is_delegable(const struct pm_job *job)
+{
+    return job->state == PM_JOB_LIVE && has_delegable_spec(job) && !job->dependencies.unmet &&
+           !pm_failures_is_job_failing(job) && !job->delegated && !job->work.placed_count &&
+           !job->work.done_count && !job->write_back.attempted;
+}
+
+/* Processors that the tasks of the shard's jobs ask for. */
+static double assigned_cpus(const struct pm_shard *shard)
+{
+    double cpus = 0;
+
+    for (guint i = 0; i < shard->target.jobs->len; i++) {
+        const struct pm_job *job = g_ptr_array_index(shard->target.jobs, i);
+        if (job->state == PM_JOB_LIVE && job->spec)
+            cpus += job->task_count * job->spec->cpus;
+    }
+    return cpus;
+}
+
+static void raise_parallelism(struct pm_shards *shards, struct pm_shard *shard, struct pm_job *job)
+{
+    uint32_t leasable;
+    uint32_t more;
+
+    if (!job->spec || job->state != PM_JOB_LIVE || job->parallelism >= job->task_count)
+        return;
+    leasable = pm_scheduler_leasable_tasks(shards->scheduler, job->spec, QUOTA_RESERVE_SHARE);
+    more = MIN(leasable, job->task_count - job->parallelism);
+    if (!more)
+        return;
+    job->parallelism += more;
+    pm_scheduler_charge_lease(shards->scheduler, job->spec, more);
+    shard->target.needs_write = true;
+    pm_debug("shard.parallelism_raised", "%s to %u", job->id, job->parallelism);
+}
+
+/* A job that its team's limit kept below its full parallelism gets more as the limit allows. */
+static void raise_all_parallelism(struct pm_shards *shards)
+{
+    for (int i = 0; i < shards->peer_count; i++) {
+        struct pm_shard *shard = &shards->shard[i];
+        for (guint j = 0; j < shard->target.jobs->len; j++)
+            raise_parallelism(shards, shard, g_ptr_array_index(shard->target.jobs, j));
+    }
+}
+
+/* The leader's idle machines, and which of them an earlier job of this plan counts on. */
+struct idle_machines {
+    const GPtrArray *machines; /* of struct pm_machine */
+    bool *is_reserved;
+};
+
+/* Reserves idle machines for as many tasks as the job may run at once. Returns how many of them
+ * fit, and how many machines that takes. */
+static uint32_t reserve_idle_machines(struct pm_shards *shards, const struct pm_job *job,
+                                      struct idle_machines *idle, unsigned *machine_count,
+                                      double now)
+{
+    uint32_t tasks = 0;
+
+    *machine_count = 0;
+    for (guint i = 0; i < idle->machines->len && tasks < job->parallelism; i++) {
+        const struct pm_machine *machine = g_ptr_array_index(idle->machines, i);
+        if (idle->is_reserved[i] ||
+            !pm_scheduler_is_machine_leasable(shards->scheduler, machine, job, now))
+            continue;
+        tasks += pm_shard_tasks_that_fit(&machine->free, job->spec);
+        idle->is_reserved[i] = true;
+        ++*machine_count;
+    }
+    return tasks;
+}
+
+/* The available owner with the least work whose value has space for the job and its machines. */
+static struct pm_shard *pick_shard(struct pm_shards *shards, unsigned machine_count, double now)
+{
+    struct pm_shard *best = NULL;
+
+    for (int i = 0; i < shards->peer_count; i++) {
+        struct pm_shard *shard = &shards->shard[i];
+        if (!pm_shard_is_owner_available(shard, now) ||
+            !pm_shard_has_value_space(shards, shard, machine_count))
+            continue;
+        if (!best || assigned_cpus(shard) < assigned_cpus(best))
+            best = shard;
+    }
+    return best;
+}
+
+/* Assigns the job if idle machines have capacity for all of it that may run at once. One that has
+ * to be squeezed in between others stays with the leader, which sees all capacity. What may run at
+ * once counts against the team's limit as long as the job is assigned. */
+static void assign_job(struct pm_shards *shards, struct pm_job *job, struct idle_machines *idle,
+                       double now)
+{
+    uint32_t leasable =
+        pm_scheduler_leasable_tasks(shards->scheduler, job->spec, QUOTA_RESERVE_SHARE);
+    struct pm_shard *shard = NULL;
+    unsigned machine_count = 0;
+
+    job->parallelism = MIN(leasable, job->task_count);
+    if (job->parallelism &&
+        reserve_idle_machines(shards, job, idle, &machine_count, now) >= job->parallelism)
+        shard = pick_shard(shards, machine_count, now);
+    if (!shard) {
+        job->parallelism = UINT32_MAX;
+        return;
+    }
+    job->delegated = true;
+    pm_scheduler_charge_lease(shards->scheduler, job->spec, job->parallelism);
+    g_ptr_array_add(shard->target.jobs, job);
+    shard->target.needs_write = true;
+    pm_debug("shard.job_assigned", "%s of team %s to %s, up to %u tasks at once", job->id,
+             shards->tables->settings->teams[job->spec->team].name, shard->owner_name,
+             job->parallelism);
+}
+
+void pm_shards_assign_jobs(struct pm_shards *shards, double now)
+{
+    GPtrArray *active = pm_jobs_active(shards->jobs);
+    struct idle_machines idle = {.machines = pm_scheduler_find_idle_machines(
+                                     shards->scheduler, pm_election_epoch(shards->election), now)};
+
+    idle.is_reserved = g_new0(bool, idle.machines->len + 1);
+    raise_all_parallelism(shards);
+    for (guint i = 0; i < active->len; i++) {
+        struct pm_job *job = g_ptr_array_index(active, i);
+        if (is_delegable(job))
+            assign_job(shards, job, &idle, now);
+    }
+    g_free(idle.is_reserved);
+}
--- /dev/null
+++ b/src/shards/machine_assignment.c
@@ -0,0 +1,262 @@
+/* The leader assigns idle machines to the jobs of owners, as far as the machines that these own
+ * already do not suffice. Decisions alone: no I/O, the time is an argument. */
+#include "base/log.h"
+#include "shards/internal.h"
+#include "workers/failures.h"
+
+/* A job of a shard, and how many of its tasks could run now if they had capacity. */
+struct waiting_job {
+    struct pm_job *job;
+    struct pm_shard *shard;
+    uint32_t tasks;
+};
+
+/* One plan's view of the machines; the arrays go by machine index. */
+struct machine_plan {
+    struct pm_shards *shards;
+    double now;
+    struct pm_machine_capacity *free; /* of owned machines: not used, and not counted on yet */
+    uint32_t *task_counts;            /* tasks of owners' jobs, as the replica has them */
+    bool *used;                       /* a waiting task is to run there */
+    struct waiting_job *waiting;      /* in the order of the ranking */
+    guint waiting_count;
+};
+
+static void subtract_tasks(struct pm_machine_capacity *capacity, const struct pm_spec *spec,
+                           uint32_t tasks)
+{
+    capacity->cpus -= tasks * spec->cpus;
+    capacity->gpus -= tasks * spec->gpus;
+    capacity->ram_gb -= tasks * spec->ram_gb;
+}
+
+static void init_free_capacity(struct machine_plan *plan, const GPtrArray *machines)
+{
+    const struct pm_name_tables *tables = plan->shards->tables;
+
+    for (guint i = 0; i < machines->len; i++) {
+        const struct pm_machine *machine = g_ptr_array_index(machines, i);
+        const struct pm_type *type;
+        if (!machine || !machine->shard.owner || machine->type < 0)
+            continue;
+        type = &tables->types[machine->type];
+        plan->free[i] = (struct pm_machine_capacity){type->cpus, type->gpus, type->ram_gb};
+    }
+}
+
+static void subtract_placements(struct machine_plan *plan, const struct pm_job *job,
+                                const GArray *placements, guint machine_count)
+{
+    for (guint i = 0; placements && i < placements->len; i++) {
+        int index = g_array_index(placements, struct pm_stored_placement, i).machine;
+        if (index < 0 || index >= (int)machine_count)
+            continue;
+        subtract_tasks(&plan->free[index], job->spec, 1);
+        plan->task_counts[index]++;
+    }
+}
+
+/* Capacity of the machines that the owners have, less what the replica says is placed there. */
+static void find_free_capacity(struct machine_plan *plan)
+{
+    const GPtrArray *machines = pm_workers_all(plan->shards->workers);
+    const GPtrArray *active = pm_jobs_active(plan->shards->jobs);
+
+    init_free_capacity(plan, machines);
+    for (guint i = 0; i < active->len; i++) {
+        const struct pm_job *job = g_ptr_array_index(active, i);
+        if (!job->delegated || !job->spec)
+            continue;
+        for (int j = 0; j < job->chunk_count; j++)
+            if (job->chunks[j])
+                subtract_placements(plan, job, job->chunks[j]->stored_placements, machines->len);
+    }
+}
+
+/* Live jobs of all owners, ranked; owned by the caller. */
+static GPtrArray *rank_jobs(struct pm_shards *shards)
+{
+    GPtrArray *queue = g_ptr_array_new();
+
+    for (int i = 0; i < shards->peer_count; i++) {
+        const GPtrArray *jobs = shards->shard[i].target.jobs;
+        for (guint j = 0; j < jobs->len; j++) {
+            struct pm_job *job = g_ptr_array_index(jobs, j);
+            if (job->state == PM_JOB_LIVE && job->spec)
+                g_ptr_array_add(queue, job);
+        }
+    }
+    pm_scheduler_rank(shards->scheduler, queue);
+    return queue;
+}
+
+/* The shard that the job is assigned to, which it must have. */
+static struct pm_shard *shard_of_job(struct pm_shards *shards, const struct pm_job *job)
+{
+    for (int i = 0; i < shards->peer_count; i++)
+        if (g_ptr_array_find(shards->shard[i].target.jobs, job, NULL))
+            return &shards->shard[i];
+    g_assert_not_reached();
+}
+
+/* Tasks of the job that are not placed and that its parallelism allows. */
+static uint32_t waiting_tasks(const struct pm_job *job)
+{
+    uint32_t done;
+    uint32_t placed;
+    uint32_t left;
+    uint32_t allowed;
+
+    pm_job_count_tasks(job, &done, &placed);
+    left = job->task_count - MIN(job->task_count, done + placed);
+    allowed = job->parallelism - MIN(job->parallelism, placed);
+    if (pm_failures_is_job_failing(job)) /* its owner tries it with one task at a time */
+        allowed = placed ? 0 : MIN(allowed, 1);
+    return MIN(left, allowed);
+}
+
+/* Reserves capacity on one machine for the job's waiting tasks. */
+static void reserve_capacity(struct machine_plan *plan, struct waiting_job *waiting, int index)
+{
+    struct pm_machine_capacity *free_capacity = &plan->free[index];
+    uint32_t fitting = pm_shard_tasks_that_fit(free_capacity, waiting->job->spec);
+    uint32_t tasks = MIN(fitting, waiting->tasks);
+
+    subtract_tasks(free_capacity, waiting->job->spec, tasks);
+    waiting->tasks -= tasks;
+    plan->used[index] |= tasks > 0;
+}
+
+/* Whether the job's owner may place tasks on this machine of its shard. */
+static bool is_usable(const struct pm_shards *shards, const struct pm_job *job,
+                      const struct pm_shard_machine *entry)
+{
+    const struct pm_machine *machine = pm_workers_at(shards->workers, entry->index);
+
+    return machine && entry->state <= PM_SHARD_MACHINE_OWNED &&
+           pm_scheduler_is_machine_allowed(shards->tables, job, machine->type, machine->zone,
+                                           machine->spot);
+}
+
+static void use_owned_machines(struct machine_plan *plan, struct waiting_job *waiting)
+{
+    const struct pm_shard *shard = waiting->shard;
+
+    for (guint i = 0; i < shard->target.machines->len && waiting->tasks; i++) {
+        const struct pm_shard_machine *entry = pm_shard_machine_at(shard, i);
+        if (is_usable(plan->shards, waiting->job, entry))
+            reserve_capacity(plan, waiting, entry->index);
+    }
+}
+
+static void assign_machine(struct machine_plan *plan, struct waiting_job *waiting,
+                           struct pm_machine *machine)
+{
+    struct pm_shard *shard = waiting->shard;
+    struct pm_shard_machine entry = {.index = machine->index, .state = PM_SHARD_MACHINE_ADDING};
+
+    machine->shard.owner = (int)(shard - plan->shards->shard) + 1;
+    plan->free[machine->index] = machine->free;
+    reserve_capacity(plan, waiting, machine->index);
+    plan->used[machine->index] = true;
+    g_array_append_val(shard->target.machines, entry);
+    shard->target.needs_write = true;
+    pm_debug("shard.machine_assigned", "%s to %s", machine->name, shard->owner_name);
+}
+
+static void assign_idle_machines(struct machine_plan *plan, struct waiting_job *waiting)
+{
+    while (waiting->tasks && pm_shard_is_owner_available(waiting->shard, plan->now) &&
+           pm_shard_has_value_space(plan->shards, waiting->shard, 1)) {
+        struct pm_machine *machine = pm_scheduler_pick_idle_machine(
+            plan->shards->scheduler, waiting->job, waiting->tasks, plan->now);
+        if (!machine)
+            return;
+        assign_machine(plan, waiting, machine);
+    }
+}
+
+static void find_waiting_jobs(struct machine_plan *plan, const GPtrArray *queue)
+{
+    plan->waiting = g_new0(struct waiting_job, queue->len + 1);
+    plan->waiting_count = queue->len;
+    for (guint i = 0; i < queue->len; i++) {
+        struct pm_job *job = g_ptr_array_index(queue, i);
+        plan->waiting[i] =
+            (struct waiting_job){job, shard_of_job(plan->shards, job), waiting_tasks(job)};
+        use_owned_machines(plan, &plan->waiting[i]);
+    }
+}
+
+/* Assigns machines for at most `tasks` of the waiting ones. Returns how many of these still wait.
+ */
+static uint32_t assign_for_tasks(struct machine_plan *plan, struct waiting_job *waiting,
+                                 uint32_t tasks)
+{
+    struct waiting_job part = {waiting->job, waiting->shard, tasks};
+
+    assign_idle_machines(plan, &part);
+    waiting->tasks -= tasks - part.tasks;
+    return part.tasks;
+}
+
+/* First pass, in the order of the ranking: tasks within their team's guarantee. Owned machines are
+ * revoked for them where idle ones do not suffice, unless earlier ones are still on their way. */
+static void assign_within_guarantee(struct machine_plan *plan, bool may_revoke)
+{
+    struct pm_shards *shards = plan->shards;
+
+    for (guint i = 0; i < plan->waiting_count; i++) {
+        struct waiting_job *waiting = &plan->waiting[i];
+        uint32_t guaranteed;
+        uint32_t missing;
+        if (!waiting->tasks)
+            continue;
+        guaranteed = pm_scheduler_tasks_within_guarantee(shards->scheduler, waiting->job);
+        missing = assign_for_tasks(plan, waiting, MIN(waiting->tasks, guaranteed));
+        if (missing && may_revoke)
+            pm_shards_revoke_for_guarantee(shards, waiting->job, missing, plan->used);
+    }
+}
+
+/* Second pass: all others. */
+static void assign_beyond_guarantee(struct machine_plan *plan)
+{
+    for (guint i = 0; i < plan->waiting_count; i++)
+        if (plan->waiting[i].tasks)
+            assign_for_tasks(plan, &plan->waiting[i], plan->waiting[i].tasks);
+}
+
+static void add_unmet_demand(const struct machine_plan *plan)
+{
+    for (guint i = 0; i < plan->waiting_count; i++) {
+        const struct waiting_job *waiting = &plan->waiting[i];
+        if (waiting->tasks && !pm_failures_is_job_failing(waiting->job))
+            pm_scheduler_add_unmet_demand(plan->shards->scheduler, waiting->job, waiting->tasks);
+    }
+}
+
+void pm_shards_assign_machines(struct pm_shards *shards, double now)
+{
+    guint machine_count = pm_workers_all(shards->workers)->len;
+    struct machine_plan plan = {.shards = shards, .now = now};
+    bool may_revoke = !pm_shards_is_preempting(shards);
+    GPtrArray *queue;
+
+    plan.free = g_new0(struct pm_machine_capacity, machine_count + 1);
+    plan.task_counts = g_new0(uint32_t, machine_count + 1);
+    plan.used = g_new0(bool, machine_count + 1);
+    find_free_capacity(&plan);
+    pm_scheduler_find_idle_machines(shards->scheduler, pm_election_epoch(shards->election), now);
+    queue = rank_jobs(shards);
+    find_waiting_jobs(&plan, queue);
+    assign_within_guarantee(&plan, may_revoke);
+    assign_beyond_guarantee(&plan);
+    add_unmet_demand(&plan);
+    pm_shards_revoke_idle_machines(shards, plan.task_counts, plan.used, now);
+    g_ptr_array_free(queue, TRUE);
+    g_free(plan.waiting);
+    g_free(plan.used);
+    g_free(plan.task_counts);
+    g_free(plan.free);
+}
--- /dev/null
+++ b/src/shards/revocation.c
@@ -0,0 +1,122 @@
+/* The leader revokes the shards of lost owners, and reclaims their machines and jobs. */
+#include "base/clock.h"
+#include "base/log.h"
+#include "shards/internal.h"
+
+#define RETRY_S 1.0 /* between two attempts to delete a key */
+
+/* The epoch advances in the same transaction: the commands of the owner are refused with its old
+ * fencing token, and its placements conflict on the shard's key. */
+void pm_shard_revoke(struct pm_shards *shards, struct pm_shard *shard, const char *reason,
+                     double now)
+{
+    struct pm_shard_revocation *revocation = &shard->revocation;
+
+    if (shard->write.in_flight || !pm_shard_revision(shard))
+        return;
+    if (revocation->in_progress && now - revocation->requested_at < RETRY_S)
+        return;
+    if (!revocation->in_progress)
+        pm_info("shard.revoked", "%s: %s", shard->owner_name, reason);
+    revocation->in_progress = true;
+    revocation->requested_at = now;
+    pm_election_advance_epoch(shards->election, shard->key, pm_shard_revision(shard));
+}
+
+/* Whether no write of the shard was applied, nor ever will be. The replica may have no key while a
+ * write of it has an unknown outcome. Applied later, that write would let the owner place jobs that
+ * the leader has begun to place itself. It can't be applied under a later epoch, and what was
+ * applied before that epoch is in the replica once it has the epoch's revision. */
+static bool is_never_written(struct pm_shards *shards, const struct pm_shard *shard)
+{
+    uint64_t unknown_outcome_epoch = shard->write.unknown_outcome_epoch;
+
+    if (shard->write.in_flight || pm_shard_revision(shard))
+        return false;
+    if (!unknown_outcome_epoch)
+        return true;
+    if (pm_election_epoch(shards->election) <= unknown_outcome_epoch) {
+        pm_election_advance_epoch(shards->election, NULL, 0);
+        return false;
+    }
+    return pm_store_revision(shards->store) >= pm_election_epoch_revision(shards->election);
+}
+
+void pm_shard_revoke_unresponsive(struct pm_shards *shards, struct pm_shard *shard, double now)
+{
+    if (pm_shard_revision(shard)) {
+        pm_shard_revoke(shards, shard, "no response from the owner", now);
+        return;
+    }
+    if (!is_never_written(shards, shard))
+        return;
+    shard->revocation.in_progress = true;
+    shard->revocation.deleted = true;
+    pm_shards_reclaim_revoked(shards);
+}
+
+/* Whether the replica has the deletion of the key. It is also told by a snapshot, which does not
+ * name deleted keys. */
+static bool is_deleted(const struct pm_shards *shards, const struct pm_shard *shard)
+{
+    if (shard->revocation.deleted)
+        return true;
+    return shard->revocation.in_progress && !shard->stored.revision &&
+           pm_store_revision(shards->store) >= shard->write.revision;
+}
+
+static void reclaim_machine(struct pm_shards *shards, int index)
+{
+    struct pm_machine *machine = pm_workers_at(shards->workers, index);
+
+    if (!machine)
+        return;
+    machine->shard.owner = 0;
+    machine->heartbeat.is_known = false;
+    machine->heartbeat.last_message_at = pm_clock_monotonic();
+    machine->lease.lower_bound = 0; /* until a majority has acknowledged the new epoch */
+    machine->lease.reclaimed_epoch = pm_election_epoch(shards->election);
+}
+
+static void reclaim_jobs(struct pm_shards *shards, GPtrArray *jobs)
+{
+    for (guint i = 0; i < jobs->len; i++) {
+        struct pm_job *job = g_ptr_array_index(jobs, i);
+        job->delegated = false;
+        job->parallelism = UINT32_MAX;
+        shards->hooks.job_returned(shards->hooks.arg, job);
+    }
+}
+
+/* The owner's last writes are all in the replica: the placements of its jobs are found there. */
+static void reclaim_shard(struct pm_shards *shards, struct pm_shard *shard)
+{
+    GPtrArray *jobs = shard->target.jobs;
+
+    for (guint i = 0; i < shard->target.machines->len; i++)
+        reclaim_machine(shards, pm_shard_machine_at(shard, i)->index);
+    shard->target.jobs = g_ptr_array_new();
+    pm_shard_reset(shard);
+    reclaim_jobs(shards, jobs);
+    g_ptr_array_free(jobs, TRUE);
+    shards->hooks.changed(shards->hooks.arg);
+}
+
+void pm_shards_reclaim_revoked(struct pm_shards *shards)
+{
+    for (int i = 0; shards->is_leading && i < shards->peer_count; i++)
+        if (is_deleted(shards, &shards->shard[i]))
+            reclaim_shard(shards, &shards->shard[i]);
+}
+
+void pm_shard_reset(struct pm_shard *shard)
+{
+    g_array_set_size(shard->target.machines, 0);
+    g_ptr_array_set_size(shard->target.jobs, 0);
+    shard->target.needs_write = false;
+    shard->write.in_flight = false;
+    shard->write.unknown_outcome_epoch = 0;
+    shard->write.sent_at = 0;
+    shard->write.revision = 0;
+    shard->revocation = (struct pm_shard_revocation){0};
+}
