--- a/src/shards/owner_request.c
+++ b/src/shards/owner_request.c
@@ -7,7 +7,7 @@
 #define REQUEST_TIMEOUT_S 0.8         /* a response counts only within this */
 #define ACTIVE_REQUEST_INTERVAL_S 0.4 /* to an owner that has machines or jobs */
 #define IDLE_REQUEST_INTERVAL_S 1.0   /* to one that has none */
-#define SILENCE_GAP_S 2.0 /* a machine not reported for this long was heard of in between */
+#define SILENCE_GAP_S 2.0 /* a machine reported again after longer was reachable in between */
 
 enum { RESPONSE_BYTES_MAX = 64 * 1024 };
 
--- a/src/shards/revocation.c
+++ b/src/shards/revocation.c
@@ -55,8 +55,8 @@
     pm_shards_reclaim_revoked(shards);
 }
 
-/* Whether the replica has the deletion of the key. It is also told by a snapshot, which does not
- * name deleted keys. */
+/* Whether the replica has the deletion of the key. A snapshot, which does not name
+ * deleted keys, shows it as well. */
 static bool is_deleted(const struct pm_shards *shards, const struct pm_shard *shard)
 {
     if (shard->revocation.deleted)
--- a/src/shards/shard_write.c
+++ b/src/shards/shard_write.c
@@ -60,7 +60,7 @@
 }
 
 /* A write that is applied late conflicts with its retry, so that a retry is always safe; the watch
- * tells the revision that it needs. */
+ * delivers the revision that the retry needs. */
 static void apply_failure(struct pm_shards *shards, struct pm_shard *shard,
                           enum pm_store_result result)
 {
