--- a/src/cmd/measure-cuts/main.c
+++ b/src/cmd/measure-cuts/main.c
@@ -11,7 +11,7 @@
 
 #define BEGIN_S 30.0  /* a cluster that does no work by then is given up */
 #define WAIT_S 30.0   /* what has not come about by then counts as this long */
-#define SETTLE_S 11.0 /* a leader of long standing: see pm_fitness_times */
+#define SETTLE_S 11.0 /* a leader of long standing: see pm_fitness_delays */
 #define STEP_S 0.02
 
 enum { REPEATS_MOST = 1000 };
--- /dev/null
+++ b/src/links/evidence.c
@@ -0,0 +1,111 @@
+/* Evidence of links from the traffic of the other slices. */
+#include "links/internal.h"
+
+#include <string.h>
+
+enum { HTTP_SERVICE_UNAVAILABLE = 503 };
+
+/* The zone whose workers may be probed at that address, by any controller's view; -1: none. */
+static int find_probed_zone(const struct pm_links *links, const char *addr)
+{
+    for (int i = 0; i < links->matrix.controllers; i++)
+        for (int zone = 0; zone < links->settings->zone_count; zone++)
+            for (int j = 0; j < PM_VIEW_ENDPOINTS; j++)
+                if (!strcmp(links->matrix.view[i].endpoint[zone][j], addr))
+                    return zone;
+    return -1;
+}
+
+static int find_peer(const struct pm_settings *settings, const char *addr)
+{
+    for (int i = 0; i < settings->peer_count; i++)
+        if (!strcmp(addr, settings->peers[i].addr))
+            return i;
+    return -1;
+}
+
+static void record_call(struct pm_link *link, const struct pm_http_outcome *outcome)
+{
+    if (outcome->status > 0)
+        pm_link_record_success(link, PM_LINK_OUTWARD, outcome->ended);
+    else
+        pm_link_record_failure(link, PM_LINK_OUTWARD, outcome->began, outcome->ended);
+}
+
+static void record_call_or_refusal(struct pm_link *link, const struct pm_http_outcome *outcome)
+{
+    if (outcome->status == HTTP_SERVICE_UNAVAILABLE)
+        pm_link_record_refusal(link, outcome->ended);
+    else
+        record_call(link, outcome);
+}
+
+void pm_links_call_ended(struct pm_links *links, const struct pm_http_outcome *outcome)
+{
+    const struct pm_settings *settings = links->settings;
+    int peer;
+    int zone;
+
+    if (!strcmp(outcome->addr, settings->store_addr)) {
+        record_call_or_refusal(&links->state_service.link, outcome);
+        return;
+    }
+    if (!strcmp(outcome->addr, settings->cloud_addr)) {
+        /* The cloud refuses for want of capacity as well, which says nothing of the link. */
+        record_call(&links->cloud.link, outcome);
+        return;
+    }
+    peer = find_peer(settings, outcome->addr);
+    if (peer >= 0) {
+        record_call_or_refusal(&links->peers[peer].link, outcome);
+        return;
+    }
+    if (strcmp(outcome->target, "/status"))
+        return; /* commands to workers are recorded by pm_links_worker_answered */
+    zone = find_probed_zone(links, outcome->addr);
+    if (zone >= 0)
+        record_call_or_refusal(&links->zones[zone].link, outcome);
+}
+
+void pm_links_peer_heard(struct pm_links *links, int peer, double now)
+{
+    pm_link_record_success(&links->peers[peer].link, PM_LINK_INWARD, now);
+}
+
+static bool is_zone(const struct pm_links *links, int zone)
+{
+    return zone >= 0 && zone < links->settings->zone_count;
+}
+
+void pm_links_worker_heard(struct pm_links *links, int zone, bool has_current_token, double now)
+{
+    if (!is_zone(links, zone))
+        return;
+    pm_link_record_success(&links->zones[zone].link, PM_LINK_INWARD, now);
+    if (has_current_token)
+        pm_link_record_success(&links->zones[zone].link, PM_LINK_OUTWARD, now);
+}
+
+void pm_links_worker_answered(struct pm_links *links, int zone, bool answered, double began,
+                              double now)
+{
+    if (!is_zone(links, zone))
+        return;
+    if (answered)
+        pm_link_record_success(&links->zones[zone].link, PM_LINK_OUTWARD, now);
+    else
+        pm_link_record_failure(&links->zones[zone].link, PM_LINK_OUTWARD, began, now);
+}
+
+void pm_links_count_zone(struct pm_links *links, int zone,
+                         const struct pm_links_zone_census *census, double now)
+{
+    struct pm_link *link = &links->zones[zone].link;
+    bool are_most_unreachable = census->up && 2 * census->unreachable > census->up;
+
+    pm_link_set_expected(link, census->up > 0, now);
+    if (are_most_unreachable)
+        pm_link_record_failure(link, PM_LINK_OUTWARD, link->evidence[PM_LINK_OUTWARD].succeeded_at,
+                               now);
+    memcpy(links->matrix.view[0].endpoint[zone], census->endpoint, sizeof census->endpoint);
+}
--- a/src/links/fitness.c
+++ b/src/links/fitness.c
@@ -1,14 +1,16 @@
 #include "links/fitness.h"
 
+/* What the rank of a leader is the sum of, besides PM_RANK_CLOUD. */
 enum {
-    RANK_RECORDS = 8,
-    RANK_RECORDS_AT_TIMES = 4, /* a link to the state service that flaps */
+    RANK_WRITES = 8,
+    RANK_WRITES_AT_TIMES = 4, /* the link to the state service flaps */
     RANK_ALL_ZONES = 6,
     RANK_MOST_ZONES = 4,
     RANK_SOME_ZONES = 2
 };
 
-static const char *const duty_names[PM_CAPABILITY_COUNT] = {
+/* Their names in the status, which operators' tools read. */
+static const char *const capability_names[PM_CAPABILITY_COUNT] = {
     [PM_CAPABILITY_LEAD] = "lead",
     [PM_CAPABILITY_OWN_SHARD] = "hold-blocks",
     [PM_CAPABILITY_ACCEPT_JOBS] = "accept",
@@ -16,19 +18,27 @@
     [PM_CAPABILITY_RENEW_LEASES] = "renew-by-quorum",
 };
 
-const char *pm_capability_name(enum pm_capability duty)
+const char *pm_capability_name(enum pm_capability capability)
 {
-    return duty_names[duty];
+    return capability_names[capability];
 }
 
 const char *pm_fitness_name(enum pm_fitness fitness)
 {
-    return fitness == PM_FIT ? "fit" : fitness == PM_IMPAIRED ? "impaired" : "unfit";
+    switch (fitness) {
+    case PM_FIT:
+        return "fit";
+    case PM_IMPAIRED:
+        return "impaired";
+    default:
+        return "unfit";
+    }
 }
 
-/* ---- the duties, one by one ---- */
+/* ---- one capability ---- */
 
-static struct pm_fitness_verdict judge_recording(const struct pm_view *view)
+/* Whether decisions can be written to the state service. */
+static struct pm_fitness_verdict evaluate_writing(const struct pm_view *view)
 {
     switch ((enum pm_link_state)view->state) {
     case PM_LINK_UP:
@@ -46,43 +56,48 @@
     }
 }
 
-static void count_zones(const struct pm_matrix *matrix, int controller, int reference, int *reached,
-                        int *known)
+struct zone_counts {
+    int known, reached;
+};
+
+/* Zones that the controller knows of, or else the reference. */
+static struct zone_counts count_zones(const struct pm_matrix *matrix, int controller, int reference)
 {
-    *reached = *known = 0;
+    struct zone_counts counts = {0};
+
     for (int i = 0; i < matrix->settings->zone_count; i++) {
         uint8_t state = matrix->view[controller].zone[i];
         if (state == PM_LINK_UNKNOWN)
             state = matrix->view[reference].zone[i];
         if (state == PM_LINK_UNKNOWN)
             continue;
-        ++*known;
-        *reached += pm_link_usable(state);
+        counts.known++;
+        counts.reached += pm_link_usable(state);
     }
+    return counts;
 }
 
-static struct pm_fitness_verdict judge_lead(const struct pm_matrix *matrix, int controller)
+static struct pm_fitness_verdict evaluate_leading(const struct pm_matrix *matrix, int controller)
 {
     const struct pm_view *view = &matrix->view[controller];
-    struct pm_fitness_verdict verdict = judge_recording(view);
-    int reached;
-    int known;
+    struct pm_fitness_verdict verdict = evaluate_writing(view);
+    struct zone_counts zones;
 
     if (verdict.fitness == PM_UNFIT)
         return verdict;
-    count_zones(matrix, controller, controller, &reached, &known);
-    if (known && !reached)
+    zones = count_zones(matrix, controller, controller);
+    if (zones.known && !zones.reached)
         return (struct pm_fitness_verdict){PM_UNFIT, "no workers are reached"};
-    if (reached < known)
+    if (zones.reached < zones.known)
         return (struct pm_fitness_verdict){PM_IMPAIRED, "workers of a zone are not reached"};
     if (view->cloud != PM_LINK_UNKNOWN && !pm_link_usable(view->cloud))
         return (struct pm_fitness_verdict){PM_IMPAIRED, "the cloud is not reached"};
     return verdict;
 }
 
-static struct pm_fitness_verdict judge_renewing(const struct pm_matrix *matrix, int controller)
+static struct pm_fitness_verdict evaluate_renewing(const struct pm_matrix *matrix, int controller)
 {
-    int reached = 1;
+    int reached = 1; /* itself */
 
     for (int i = 0; i < matrix->controllers; i++)
         reached += i != controller && pm_link_usable(matrix->view[controller].peer[i]);
@@ -91,46 +106,53 @@
     return (struct pm_fitness_verdict){PM_FIT, ""};
 }
 
-struct pm_fitness_verdict pm_fitness_judge(const struct pm_matrix *matrix, int controller,
-                                           enum pm_capability duty)
+struct pm_fitness_verdict pm_fitness_evaluate(const struct pm_matrix *matrix, int controller,
+                                              enum pm_capability capability)
 {
-    if (duty == PM_CAPABILITY_LEAD)
-        return judge_lead(matrix, controller);
-    if (duty == PM_CAPABILITY_RENEW_LEASES)
-        return judge_renewing(matrix, controller);
-    return judge_recording(&matrix->view[controller]);
+    if (capability == PM_CAPABILITY_LEAD)
+        return evaluate_leading(matrix, controller);
+    if (capability == PM_CAPABILITY_RENEW_LEASES)
+        return evaluate_renewing(matrix, controller);
+    return evaluate_writing(&matrix->view[controller]);
 }
 
-/* ---- who leads ---- */
+/* ---- who leads best ---- */
 
 static int rank_zones(const struct pm_matrix *matrix, int controller, int reference)
 {
-    int reached;
-    int known;
+    struct zone_counts zones = count_zones(matrix, controller, reference);
 
-    count_zones(matrix, controller, reference, &reached, &known);
-    if (reached == known)
+    if (zones.reached == zones.known)
         return RANK_ALL_ZONES;
-    if (2 * reached > known)
+    if (2 * zones.reached > zones.known)
         return RANK_MOST_ZONES;
-    return reached ? RANK_SOME_ZONES : 0;
+    return zones.reached ? RANK_SOME_ZONES : 0;
 }
 
-int pm_fitness_lead_rank(const struct pm_matrix *matrix, int controller, int reference)
+static int rank_cloud(const struct pm_matrix *matrix, int controller, int reference)
 {
-    const struct pm_view *view = &matrix->view[controller];
-    bool cloud_unknown = view->cloud == PM_LINK_UNKNOWN;
-    uint8_t cloud = cloud_unknown ? matrix->view[reference].cloud : view->cloud;
-    int rank = 0;
+    uint8_t state = matrix->view[controller].cloud;
+
+    if (state == PM_LINK_UNKNOWN)
+        state = matrix->view[reference].cloud;
+    return state == PM_LINK_UNKNOWN || pm_link_usable(state) ? PM_RANK_CLOUD : 0;
+}
 
+static int rank_writing(const struct pm_view *view)
+{
     if (pm_link_usable(view->state))
-        rank = RANK_RECORDS;
-    else if (view->state == PM_LINK_FLAPPING)
-        rank = RANK_RECORDS_AT_TIMES;
-    else
-        return 0; /* whatever else it reaches: nothing it decides could be recorded */
-    rank += rank_zones(matrix, controller, reference);
-    return rank + (cloud == PM_LINK_UNKNOWN || pm_link_usable(cloud) ? PM_RANK_CLOUD : 0);
+        return RANK_WRITES;
+    return view->state == PM_LINK_FLAPPING ? RANK_WRITES_AT_TIMES : 0;
+}
+
+int pm_fitness_lead_rank(const struct pm_matrix *matrix, int controller, int reference)
+{
+    int writing = rank_writing(&matrix->view[controller]);
+
+    if (!writing) /* whatever else it reaches: nothing that it decides could be written */
+        return 0;
+    return writing + rank_zones(matrix, controller, reference) +
+           rank_cloud(matrix, controller, reference);
 }
 
 int pm_fitness_best_other(const struct pm_matrix *matrix, int self, double now)
@@ -152,7 +174,7 @@
 }
 
 /* By how much the best of the others would lead better than this controller. */
-static int advantage(const struct pm_matrix *matrix, double now)
+static int best_advantage(const struct pm_matrix *matrix, double now)
 {
     int best = pm_fitness_best_other(matrix, 0, now);
 
@@ -161,31 +183,35 @@
     return pm_fitness_lead_rank(matrix, best, 0) - pm_fitness_lead_rank(matrix, 0, 0);
 }
 
-static bool lasts(double *since, bool holds, double for_s, double now)
+/* Updates the time since when the condition has held; true if it has done so for `delay_s`. */
+static bool has_held_for(double *since, bool condition, double delay_s, double now)
 {
-    if (!holds)
+    if (!condition)
         *since = 0;
     else if (*since <= 0)
         *since = now;
-    return holds && now - *since >= for_s;
+    return condition && now - *since >= delay_s;
 }
 
-bool pm_fitness_gives_way(struct pm_fitness_patience *patience, const struct pm_matrix *matrix,
-                          const struct pm_fitness_times *times, double led_for, double now)
+bool pm_fitness_should_yield_lead(struct pm_fitness_yield_timers *timers,
+                                  const struct pm_matrix *matrix,
+                                  const struct pm_fitness_delays *delays, double led_for,
+                                  double now)
 {
-    int difference = advantage(matrix, now);
-    bool slightly = lasts(&patience->better_since, difference > 0, times->slight_s, now);
-    bool urgently =
-        lasts(&patience->urgently_better_since, difference >= PM_RANK_URGENT, times->urgent_s, now);
-
-    /* Workers need a while to come to a new leader; what it can't record it never will. */
-    if (led_for < times->least_s && pm_fitness_lead_rank(matrix, 0, 0) > 0)
+    int advantage = best_advantage(matrix, now);
+    bool is_better = has_held_for(&timers->better_since, advantage > 0, delays->better_s, now);
+    bool is_much_better = has_held_for(&timers->much_better_since, advantage >= PM_RANK_URGENT,
+                                       delays->much_better_s, now);
+
+    /* Workers need a while to come to a new leader, so that it reaches few at first. A leader that
+     * can't write has nothing to wait for. */
+    if (led_for < delays->min_term_s && pm_fitness_lead_rank(matrix, 0, 0) > 0)
         return false;
-    return urgently || slightly;
+    return is_much_better || is_better;
 }
 
 double pm_fitness_candidate_wait_s(const struct pm_matrix *matrix,
-                                   const struct pm_fitness_times *times, double now)
+                                   const struct pm_fitness_delays *delays, double now)
 {
-    return advantage(matrix, now) >= PM_RANK_URGENT ? times->urgent_s : 0;
+    return best_advantage(matrix, now) >= PM_RANK_URGENT ? delays->much_better_s : 0;
 }
--- a/src/links/link.h
+++ b/src/links/link.h
@@ -1,11 +1,13 @@
-/* The state of one link, judged from the traffic that flows over it.
+/* The state of one link, evaluated from the traffic that flows over it.
  *
  * A link has two directions. Outward, calls are answered or fail. Inward, the other side's requests
  * arrive, and are missed when they stay away for longer than the intervals measured before explain.
- * A link that keeps changing between well and failed collects a penalty that decays; while it is
- * high the link is flapping: neither trusted at each recovery nor given up at each failure.
+ * A link that keeps changing between good and failed collects a penalty that decays exponentially;
+ * while it is high the link is flapping: neither trusted at each recovery nor given up at each
+ * failure.
  *
- * Pure state machine: time is an argument, nothing here does I/O. */
+ * A pure state machine, owned by its caller: all times are arguments, in monotonic seconds; nothing
+ * here does I/O, allocates or locks. */
 #ifndef PM_LINKS_LINK_H
 #define PM_LINKS_LINK_H
 
@@ -30,50 +32,54 @@
     double half_life_s; /* of the penalty for changing */
 };
 
-/* Exponentially weighted mean and variance of the time between arrivals. */
+/* Exponentially weighted mean and variance of the time between arrivals, in seconds. */
 struct pm_link_intervals {
     double mean, variance;
     unsigned count;
 };
 
-struct pm_link_path {
-    bool awaited;         /* inward: the other side is known to send regularly */
-    double worked;        /* steady: the latest evidence that it works, 0: none ever */
-    double works_since;   /* steady: the first such evidence after the latest failure */
-    double failing_since; /* steady: begin of the first call that failed since, 0: works */
-    double failed;        /* steady: the latest failure */
-    unsigned failures;    /* in a row */
-    struct pm_link_intervals intervals;
+/* What is known of one direction. Times are monotonic seconds; 0: never, or not so now. */
+struct pm_link_evidence {
+    bool is_expected;        /* inward: the other side is known to send regularly */
+    double succeeded_at;     /* the latest success */
+    double succeeding_since; /* the first success after the latest failure */
+    double failing_since;    /* begin of the first call that failed since the latest success */
+    double failed_at;        /* the latest failure */
+    unsigned consecutive_failures;
+    struct pm_link_intervals intervals; /* between successes */
 };
 
+/* All zero: a link without evidence. */
 struct pm_link {
-    struct pm_link_path path[PM_LINK_DIRECTIONS];
+    struct pm_link_evidence evidence[PM_LINK_DIRECTIONS];
+    bool is_refused; /* the latest answer refused the request */
     enum pm_link_state state;
-    double since; /* steady: of the state */
-    bool refused; /* the latest answer refused the request */
-    double penalty, penalty_at;
-    enum pm_link_state unpenalised;          /* what it would be but for flapping */
-    bool recovering;                         /* was down, and has not been up since */
-    double down_since;                       /* steady: latest begin of being down */
+    double state_since;                      /* monotonic seconds */
     enum pm_link_direction failed_direction; /* of a one-way link */
+    /* Damping of flaps. */
+    enum pm_link_state undamped_state; /* what the state would be but for flapping */
+    double penalty, penalty_updated_at;
+    double down_since;  /* monotonic seconds: the undamped state last became down */
+    bool is_recovering; /* was down, and has not been up since */
 };
 
-/* Evidence that a direction works. */
-void pm_link_worked(struct pm_link *link, enum pm_link_direction direction, double now);
-/* A call that began at `began` got no answer. */
-void pm_link_failed(struct pm_link *link, enum pm_link_direction direction, double began,
-                    double now);
-/* Reached, and refused: the way works, the service does not. */
-void pm_link_was_refused(struct pm_link *link, double now);
-/* The other side sends regularly from now on, so that its silence counts; or no longer does. */
-void pm_link_await(struct pm_link *link, bool awaited, double now);
-/* This process stood still until `now`: silence and failures before count for nothing. */
-void pm_link_excuse(struct pm_link *link, double now);
-/* Judges the link anew; true if its state changed. */
-bool pm_link_judge(struct pm_link *link, const struct pm_link_limits *limits, double now);
+/* The direction works: a call was answered, or a request arrived. */
+void pm_link_record_success(struct pm_link *link, enum pm_link_direction direction, double now);
+/* A call that began at `began` got no answer by `now`. */
+void pm_link_record_failure(struct pm_link *link, enum pm_link_direction direction, double began,
+                            double now);
+/* An answer arrived that refuses the request: the network works, the service does not. */
+void pm_link_record_refusal(struct pm_link *link, double now);
+/* Whether the other side is known to send regularly, so that its silence counts as failure. */
+void pm_link_set_expected(struct pm_link *link, bool is_expected, double now);
+/* This process was paused until `now`: silence and failures before do not count. */
+void pm_link_forgive_pause(struct pm_link *link, double now);
+/* Evaluates the evidence. Returns whether link->state changed. */
+bool pm_link_evaluate(struct pm_link *link, const struct pm_link_limits *limits, double now);
 
-/* Whether what is sent over it can be expected to be answered. */
+/* Whether a request that is sent over such a link can be expected to be answered. */
 bool pm_link_usable(enum pm_link_state state);
+/* The name of the state, for logs, traces and the status; a constant. */
 const char *pm_link_state_name(enum pm_link_state state);
 
 #endif
--- a/src/links/links.h
+++ b/src/links/links.h
@@ -1,11 +1,15 @@
 /* The links of this controller: to the state service, each peer, the workers of each zone and the
- * cloud. Evidence comes in from the traffic that flows anyway; links are judged regularly; the
- * views of all controllers make the reachability matrix, and the fitness for duties follows.
+ * cloud. Evidence comes from the traffic that flows anyway; links are evaluated regularly; the
+ * views of all controllers make the reachability matrix, and fitness for capabilities follows from
+ * it.
  *
- * Does no I/O and reads no clock. Values in the state service:
+ * Key:  p/links/NAME, the view of that controller (view_value.c), for those whom its responses do
+ * not reach. Each controller writes its own, on a change, and again and again while it does not
+ * reach a peer.
  *
- * - p/links/NAME: the view of that controller, for those whom its answers do not reach. Written on
- *   a change, and kept fresh while a peer is not reached */
+ * Threads: guarded by struct pm_controller.lock, called from the event-loop thread, by
+ * cmd/pumicemount/link_monitor.c above all. Does no I/O: the caller sends the probes and the writes
+ * that are due. All times are arguments, in monotonic seconds. */
 #ifndef PM_LINKS_LINKS_H
 #define PM_LINKS_LINKS_H
 
@@ -18,83 +22,95 @@
 #include <stdint.h>
 
 #define PM_LINKS_PREFIX "p/links/"
+#define PM_LINKS_TICK_S 0.5 /* the longest time between two evaluations */
 
 struct pm_links;
 struct pm_links_trace;
 
-/* `trace` may be NULL. */
+/* links.c */
+
+/* A new instance, owned by the caller (pm_links_free); never NULL. Settings and `trace`, which may
+ * be NULL, are borrowed and must outlive it. */
 struct pm_links *pm_links_new(const struct pm_settings *settings,
                               const struct pm_links_setting *setting, struct pm_links_trace *trace);
+/* Frees it, but not what it borrowed. */
 void pm_links_free(struct pm_links *links);
+/* Evaluates all links and capabilities; to be called at least every PM_LINKS_TICK_S. A longer gap
+ * means that the process was paused. */
+void pm_links_tick(struct pm_links *links, bool leads, uint64_t epoch, double now);
+/* Whether this process was paused a moment ago: responses that it missed say nothing. */
+bool pm_links_is_lagging(const struct pm_links *links, double now);
+/* The reachability matrix, borrowed; view 0 is this controller's own. */
+const struct pm_matrix *pm_links_matrix(const struct pm_links *links);
 
-/* ---- evidence ---- */
+/* evidence.c */
 
-/* A call of the HTTP client has ended; it is told apart by its address. */
+/* A call of the HTTP client has ended; its address identifies the link. */
 void pm_links_call_ended(struct pm_links *links, const struct pm_http_outcome *outcome);
 /* A request of that peer of the settings has arrived. */
 void pm_links_peer_heard(struct pm_links *links, int peer, double now);
-/* A report of a worker has arrived; `hears_us`: it has taken our token. */
-void pm_links_worker_heard(struct pm_links *links, int zone, bool hears_us, double now);
-/* A command sent to a worker at `began` was answered, or not. */
+/* A heartbeat of a worker has arrived; `has_current_token`: it shows our fencing token, so that our
+ * answers arrive there. A zone that is not in the settings is ignored. */
+void pm_links_worker_heard(struct pm_links *links, int zone, bool has_current_token, double now);
+/* A command sent to a worker at `began` was answered, or not. A zone that is not in the settings is
+ * ignored. */
 void pm_links_worker_answered(struct pm_links *links, int zone, bool answered, double began,
                               double now);
-/* What the leader or a holder sees of the workers of a zone: how many machines are up, how many of
- * them do not hear us though we hear them, and the addresses of some that are heard. */
+/* What the leader or the owner of a shard knows of the workers of a zone: how many machines are up,
+ * how many of them our answers do not reach though their heartbeats arrive, and the addresses of
+ * some whose heartbeats arrive. */
 struct pm_links_zone_census {
     int up, unreachable;
     char endpoint[PM_VIEW_ENDPOINTS][64];
 };
+/* Records it for a zone of the settings, and publishes the addresses in this controller's view. */
 void pm_links_count_zone(struct pm_links *links, int zone,
                          const struct pm_links_zone_census *census, double now);
 
-/* ---- judging ---- */
-
-/* Judges all links, at least every PM_LINKS_TICK_S. */
-#define PM_LINKS_TICK_S 0.5
-void pm_links_tick(struct pm_links *links, bool leads, uint64_t epoch, double now);
-/* This process lags, or stood still a moment ago: answers that it missed say nothing. */
-bool pm_links_is_lagging(const struct pm_links *links, double now);
-
-/* ---- the others' views ---- */
+/* views.c */
 
-const struct pm_matrix *pm_links_matrix(const struct pm_links *links);
-/* The message for a peer's answer; owned by the caller. */
+/* The message with all fresh views for a response to a peer; owned by the caller (g_free). */
 unsigned char *pm_links_encode_views(const struct pm_links *links, double now, size_t *size);
-/* What the peer's answer, to a call sent at `asked_at`, told. */
+/* Reads the views in a peer's response to a call sent at `asked_at`. */
 void pm_links_decode_views(struct pm_links *links, int peer, const unsigned char *data, size_t size,
                            double asked_at, double now);
-/* The replica's feed, for p/links. */
+/* The replica has a value for `key`, which begins with PM_LINKS_PREFIX. An unknown controller, this
+ * one's own key and a revision that is not newer are ignored. */
 void pm_links_apply_put(struct pm_links *links, const char *key, const cbor_item_t *value,
                         uint64_t revision, double now);
-/* Whether this controller's value ought to be written: it says something new, or has to be kept
- * fresh for a peer that is not reached. */
+/* Whether this controller's value ought to be written: it has changed, or a peer is not reached. */
 bool pm_links_is_write_due(const struct pm_links *links, double now);
-/* The value to be written, and what became of that. */
+/* Writes the value to `out`; pm_links_view_written must follow once the write has ended. */
 void pm_links_encode_view(struct pm_links *links, struct pm_buf *out, double now);
+/* The write has ended; `written`: it is known to be durable. */
 void pm_links_view_written(struct pm_links *links, bool written);
 
-/* ---- probes: which links have no traffic that tells of them ---- */
+/* probes.c: which links have no traffic that shows their state */
 
+/* Whether the state service is to be probed. */
 bool pm_links_probe_state_due(const struct pm_links *links, double now);
-/* The cloud is asked only while the leader says that it does not reach it. */
+/* Whether the cloud is to be probed: only while the leader does not reach it. */
 bool pm_links_probe_cloud_due(const struct pm_links *links, double now);
-/* The address of a worker of the zone to probe now, NULL: none is due or known. */
+/* The address of a worker of the zone to probe now, borrowed until the next call; NULL: no probe is
+ * due, or no address known. Counts the probe as sent. */
 const char *pm_links_probe_zone_due(struct pm_links *links, int zone, double now);
 
-/* ---- what follows ---- */
+/* decisions.c */
 
-/* Whether users' requests that need the state service have to be turned away: it is out of this
- * controller's reach. A refusal by the state service itself is not meant. */
+/* Whether users' requests that need the state service have to be turned away, because this
+ * controller does not reach it. That it refuses requests does not count. */
 bool pm_links_is_cut_off(const struct pm_links *links);
 /* Whether the leader, for `led_for` seconds, is to leave the lead to a controller that can lead
- * better. */
+ * better. To be called regularly. */
 bool pm_links_should_yield_lead(struct pm_links *links, double led_for, double now);
-/* How much longer this controller is to wait than others before it takes a vacant lead. */
+/* How many seconds longer than others this controller is to wait before it campaigns. */
 double pm_links_candidate_wait_s(const struct pm_links *links, double now);
 /* Whether another controller, with a fresh view, could lead at least as well as this one. */
 bool pm_links_has_equal(const struct pm_links *links, double now);
 
-/* Links, matrix and fitness as a CBOR map, for the operators' tool. */
+/* status.c */
+
+/* Writes links, matrix and fitness as a CBOR map, for the operators' tool. */
 void pm_links_encode_status(const struct pm_links *links, struct pm_buf *out, double now);
 
 #endif
--- a/src/links/tests/test_cuts.c
+++ b/src/links/tests/test_cuts.c
@@ -1,6 +1,6 @@
-/* Four real controller processes, the stand-ins, a running workload, and links that are cut. What
- * must hold is checked by the history of what workers did and users heard; times are bounds that a
- * busy machine keeps as well. */
+/* Four controller processes, simulated outside systems, a running workload, and links that are cut.
+ * The history of what workers did and what users were answered shows whether a rule was broken;
+ * deadlines are such that a busy machine keeps them too. */
 #include "testing/cluster.h"
 
 #include <glib.h>
@@ -11,209 +11,211 @@
 #include <string.h>
 #include <cmocka.h>
 
-#define SOON_S 60.0 /* within this what is to come about does, on a busy machine too */
-#define SHORT_S 2.0 /* less than every lease */
-#define LONG_S 6.0  /* longer than every lease */
+#define DEADLINE_S 60.0    /* for what is to happen, on a busy machine too */
+#define BELOW_LEASE_S 2.0  /* less than every lease */
+#define BEYOND_LEASE_S 6.0 /* longer than every lease */
 
 enum { CONTROLLERS = 4 };
 
-static const char deciding[] = "links:\n  observe: true\n  decide: true\n  probe_s: 0.5\n"
-                               "  down_s: 1\n  expire_s: 4\n"
-                               "duties:\n  fence: true\n  ttl_s: 2\n"; /* as in deploy/ */
+static const char operator_settings[] = "links:\n  observe: true\n  decide: true\n  probe_s: 0.5\n"
+                                        "  down_s: 1\n  expire_s: 4\n"
+                                        "duties:\n  fence: true\n  ttl_s: 2\n"; /* as in deploy/ */
 
-static const struct cut black_hole = {.from_controller = true, .to_controller = true};
-static const struct cut refused = {.reset = true};
-static const struct cut deafened = {.from_controller = true}; /* its packets are lost */
-static const struct cut muted = {.to_controller = true};      /* it hears nothing */
+static const struct cut both_ways = {.from_controller = true, .to_controller = true};
+static const struct cut connection_reset = {.reset = true};
+static const struct cut outgoing_lost = {.from_controller = true}; /* its packets are lost */
+static const struct cut incoming_lost = {.to_controller = true};   /* packets to it are lost */
 
-static bool has_begun(struct cluster *c)
+static bool has_begun(struct cluster *cluster)
 {
-    return history_starts(cluster_history(c)) >= 4;
+    return history_starts(cluster_history(cluster)) >= 4;
 }
 
-static bool has_leader(struct cluster *c)
+static bool has_leader(struct cluster *cluster)
 {
-    return cluster_leader(c) >= 0;
+    return cluster_leader(cluster) >= 0;
 }
 
-static struct cluster *begin(void)
+static struct cluster *start_cluster(void)
 {
-    struct cluster *c = cluster_new(&(struct cluster_settings){.controllers = CONTROLLERS,
-                                                               .daemon = PM_DAEMON,
-                                                               .operator= deciding,
-                                                               .quiet = !g_getenv("PM_TEST_LOG")});
+    struct cluster *cluster =
+        cluster_new(&(struct cluster_settings){.controllers = CONTROLLERS,
+                                               .daemon = PM_DAEMON,
+                                               .operator= operator_settings,
+                                               .quiet = !g_getenv("PM_TEST_LOG")});
 
-    cluster_load(c, 0.5);
-    assert_true(cluster_until(c, has_begun, SOON_S));
-    return c;
+    cluster_load(cluster, 0.5);
+    assert_true(cluster_until(cluster, has_begun, DEADLINE_S));
+    return cluster;
 }
 
-/* The workload ends, and with it every job; no rule was broken. */
-static void finish(struct cluster *c)
+/* Ends the workload, waits until every job is over, and checks that no rule was broken. */
+static void finish_cluster(struct cluster *cluster)
 {
-    cluster_load(c, 0);
-    cluster_heal(c);
-    cluster_until(c, cluster_is_idle, SOON_S);
-    history_close(cluster_history(c));
-    cluster_free(c);
-    assert_string_equal(history_violations(cluster_history(c)), "");
-    assert_true(history_starts(cluster_history(c)) > 10);
+    cluster_load(cluster, 0);
+    cluster_heal(cluster);
+    cluster_until(cluster, cluster_is_idle, DEADLINE_S);
+    history_close(cluster_history(cluster));
+    cluster_free(cluster);
+    assert_string_equal(history_violations(cluster_history(cluster)), "");
+    assert_true(history_starts(cluster_history(cluster)) > 10);
 }
 
-static void each_link_of_the_leader_in_turn(const struct cut *cut, double seconds)
+static void cut_each_link_of_the_leader(const struct cut *cut, double seconds)
 {
-    struct cluster *c = begin();
+    struct cluster *cluster = start_cluster();
 
     for (int link = CLUSTER_STATE; link <= CLUSTER_CLOUD; link++) {
-        int leader = cluster_leader(c);
-        int to = link == CLUSTER_PEER ? (leader + 1) % CONTROLLERS : 0;
+        int leader = cluster_leader(cluster);
+        int target = link == CLUSTER_PEER ? (leader + 1) % CONTROLLERS : 0;
         if (leader < 0)
             continue;
-        cluster_cut(c, leader, (enum cluster_link)link, to, *cut);
-        cluster_run(c, seconds);
-        cluster_heal(c);
-        cluster_run(c, SHORT_S);
+        cluster_cut(cluster, leader, (enum cluster_link)link, target, *cut);
+        cluster_run(cluster, seconds);
+        cluster_heal(cluster);
+        cluster_run(cluster, BELOW_LEASE_S);
     }
-    finish(c);
+    finish_cluster(cluster);
 }
 
-static void links_black_holed_for_less_than_a_lease(void **arg)
+static void links_cut_for_less_than_a_lease(void **arg)
 {
     (void)arg;
-    each_link_of_the_leader_in_turn(&black_hole, SHORT_S);
+    cut_each_link_of_the_leader(&both_ways, BELOW_LEASE_S);
 }
 
-static void links_black_holed_for_longer(void **arg)
+static void links_cut_for_longer_than_a_lease(void **arg)
 {
     (void)arg;
-    each_link_of_the_leader_in_turn(&black_hole, LONG_S);
+    cut_each_link_of_the_leader(&both_ways, BEYOND_LEASE_S);
 }
 
-static void links_refused(void **arg)
+static void links_reset_for_longer_than_a_lease(void **arg)
 {
     (void)arg;
-    each_link_of_the_leader_in_turn(&refused, LONG_S);
+    cut_each_link_of_the_leader(&connection_reset, BEYOND_LEASE_S);
 }
 
-static int cut_leader; /* who led when the cut began */
+static int cut_leader; /* the controller that led when the cut began */
 
-static bool another_leads(struct cluster *c)
+static bool has_another_leader(struct cluster *cluster)
 {
-    int leader = cluster_leader(c);
+    int leader = cluster_leader(cluster);
 
     return leader >= 0 && leader != cut_leader;
 }
 
-/* The leader's packets do not arrive, or it hears nothing: the lead passes to another one, and back
- * to nobody while that goes on. */
-static void cut_the_leader_one_way(enum cluster_link link, const struct cut *cut)
+/* A link of the leader is cut, in one direction or both: another controller is elected, and the one
+ * that is cut off is not elected again meanwhile. */
+static void cut_the_leader_until_it_yields(enum cluster_link link, const struct cut *cut)
 {
-    struct cluster *c = begin();
+    struct cluster *cluster = start_cluster();
+    int target_count = link == CLUSTER_ZONE ? CLUSTER_ZONES : 1;
     unsigned starts;
 
-    cut_leader = cluster_leader(c);
-    for (int to = 0; to < (link == CLUSTER_ZONE ? CLUSTER_ZONES : 1); to++)
-        cluster_cut(c, cut_leader, link, to, *cut);
-    assert_true(cluster_until(c, another_leads, SOON_S));
-    starts = history_starts(cluster_history(c));
-    cluster_run(c, LONG_S);
-    assert_int_not_equal(cluster_leader(c), cut_leader);
-    assert_true(history_starts(cluster_history(c)) > starts); /* work goes on */
-    finish(c);
+    cut_leader = cluster_leader(cluster);
+    for (int i = 0; i < target_count; i++)
+        cluster_cut(cluster, cut_leader, link, i, *cut);
+    assert_true(cluster_until(cluster, has_another_leader, DEADLINE_S));
+    starts = history_starts(cluster_history(cluster));
+    cluster_run(cluster, BEYOND_LEASE_S);
+    assert_int_not_equal(cluster_leader(cluster), cut_leader);
+    assert_true(history_starts(cluster_history(cluster)) > starts); /* work goes on */
+    finish_cluster(cluster);
 }
 
-static void leader_is_not_answered_by_the_state_service(void **arg)
+static void leader_without_answers_of_the_state_service(void **arg)
 {
     (void)arg;
-    cut_the_leader_one_way(CLUSTER_STATE, &muted);
+    cut_the_leader_until_it_yields(CLUSTER_STATE, &incoming_lost);
 }
 
-static void leader_is_not_heard_by_its_workers(void **arg)
+static void leader_whose_packets_do_not_reach_its_workers(void **arg)
 {
     (void)arg;
-    cut_the_leader_one_way(CLUSTER_ZONE, &deafened);
+    cut_the_leader_until_it_yields(CLUSTER_ZONE, &outgoing_lost);
 }
 
-/* The cut-off leader reaches the state service and no worker. */
+/* The leader reaches the state service and no worker. */
 static void leader_with_state_service_and_no_worker(void **arg)
 {
     (void)arg;
-    cut_the_leader_one_way(CLUSTER_ZONE, &black_hole);
+    cut_the_leader_until_it_yields(CLUSTER_ZONE, &both_ways);
 }
 
 /* Two links that flap in opposite phase: the leader's to the state service, and its workers'. */
 static void links_flap_in_opposite_phase(void **arg)
 {
     static const double periods[] = {0.5, 2, 4};
-    struct cluster *c = begin();
+    struct cluster *cluster = start_cluster();
 
     (void)arg;
     for (size_t i = 0; i < G_N_ELEMENTS(periods); i++) {
-        int leader = cluster_leader(c);
+        int leader = cluster_leader(cluster);
         for (int turn = 0; leader >= 0 && turn < 4; turn++) {
             bool even = turn % 2 == 0;
-            cluster_cut(c, leader, CLUSTER_STATE, 0, even ? black_hole : (struct cut){0});
-            cluster_cut(c, leader, CLUSTER_ZONE, 0, even ? (struct cut){0} : black_hole);
-            cluster_cut(c, leader, CLUSTER_ZONE, 1, even ? (struct cut){0} : black_hole);
-            cluster_run(c, periods[i]);
+            cluster_cut(cluster, leader, CLUSTER_STATE, 0, even ? both_ways : (struct cut){0});
+            cluster_cut(cluster, leader, CLUSTER_ZONE, 0, even ? (struct cut){0} : both_ways);
+            cluster_cut(cluster, leader, CLUSTER_ZONE, 1, even ? (struct cut){0} : both_ways);
+            cluster_run(cluster, periods[i]);
         }
-        cluster_heal(c);
+        cluster_heal(cluster);
     }
-    finish(c);
+    finish_cluster(cluster);
 }
 
 /* Each controller reaches only the next one; users cancel a job meanwhile. */
 static void peers_in_a_ring(void **arg)
 {
-    struct cluster *c = begin();
+    struct cluster *cluster = start_cluster();
     const char *job;
 
     (void)arg;
     for (int i = 0; i < CONTROLLERS; i++)
-        cluster_cut(c, i, CLUSTER_PEER, (i + 2) % CONTROLLERS, black_hole);
-    job = cluster_submit(c, 4, 9.9);
-    cluster_run(c, SHORT_S);
-    cluster_abort(c, job);
-    cluster_run(c, LONG_S);
-    finish(c);
+        cluster_cut(cluster, i, CLUSTER_PEER, (i + 2) % CONTROLLERS, both_ways);
+    job = cluster_submit(cluster, 4, 9.9);
+    cluster_run(cluster, BELOW_LEASE_S);
+    cluster_abort(cluster, job);
+    cluster_run(cluster, BEYOND_LEASE_S);
+    finish_cluster(cluster);
 }
 
 /* A leader that is cut off, killed, and back at once; and one that stands still for longer than
  * every lease, wakes, and has its links cut as it does. */
-static void cut_killed_and_paused(void **arg)
+static void leader_is_cut_off_killed_and_paused(void **arg)
 {
-    struct cluster *c = begin();
-    int leader = cluster_leader(c);
+    struct cluster *cluster = start_cluster();
+    int leader = cluster_leader(cluster);
 
     (void)arg;
-    cluster_cut(c, leader, CLUSTER_STATE, 0, black_hole);
-    cluster_run(c, SHORT_S);
-    cluster_kill(c, leader);
-    cluster_start(c, leader);
-    cluster_heal(c);
-    cluster_run(c, SHORT_S);
-    assert_true(cluster_until(c, has_leader, SOON_S));
-    leader = cluster_leader(c);
-    cluster_pause(c, leader, true);
-    cluster_run(c, LONG_S);
-    cluster_cut(c, leader, CLUSTER_STATE, 0, refused);
-    cluster_pause(c, leader, false);
-    cluster_run(c, SHORT_S);
-    finish(c);
+    cluster_cut(cluster, leader, CLUSTER_STATE, 0, both_ways);
+    cluster_run(cluster, BELOW_LEASE_S);
+    cluster_kill(cluster, leader);
+    cluster_start(cluster, leader);
+    cluster_heal(cluster);
+    cluster_run(cluster, BELOW_LEASE_S);
+    assert_true(cluster_until(cluster, has_leader, DEADLINE_S));
+    leader = cluster_leader(cluster);
+    cluster_pause(cluster, leader, true);
+    cluster_run(cluster, BEYOND_LEASE_S);
+    cluster_cut(cluster, leader, CLUSTER_STATE, 0, connection_reset);
+    cluster_pause(cluster, leader, false);
+    cluster_run(cluster, BELOW_LEASE_S);
+    finish_cluster(cluster);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(links_black_holed_for_less_than_a_lease),
-        cmocka_unit_test(links_black_holed_for_longer),
-        cmocka_unit_test(links_refused),
-        cmocka_unit_test(leader_is_not_answered_by_the_state_service),
-        cmocka_unit_test(leader_is_not_heard_by_its_workers),
+        cmocka_unit_test(links_cut_for_less_than_a_lease),
+        cmocka_unit_test(links_cut_for_longer_than_a_lease),
+        cmocka_unit_test(links_reset_for_longer_than_a_lease),
+        cmocka_unit_test(leader_without_answers_of_the_state_service),
+        cmocka_unit_test(leader_whose_packets_do_not_reach_its_workers),
         cmocka_unit_test(leader_with_state_service_and_no_worker),
         cmocka_unit_test(links_flap_in_opposite_phase),
         cmocka_unit_test(peers_in_a_ring),
-        cmocka_unit_test(cut_killed_and_paused),
+        cmocka_unit_test(leader_is_cut_off_killed_and_paused),
     };
 
     cmocka_set_test_filter(g_getenv("PM_TEST_FILTER"));
--- a/src/links/tests/test_trace.c
+++ b/src/links/tests/test_trace.c
@@ -1,4 +1,4 @@
-/* The trace: read back by a reader of the format, and bounded on disk. */
+/* The trace: readable by a reader of the format, and bounded on disk. */
 #include "links/trace.h"
 
 #include <glib.h>
@@ -11,9 +11,9 @@
 #include <string.h>
 #include <cmocka.h>
 
-enum { MANY = 20000 };
+enum { EVENT_COUNT = 20000 };
 
-/* The writer's library forgets the path of each trace. */
+/* The library that writes the format leaks the path of each trace. */
 const char *__lsan_default_suppressions(void);
 
 const char *__lsan_default_suppressions(void)
@@ -40,8 +40,8 @@
                : -1;
 }
 
-/* What babeltrace2 prints of the first trace. */
-static char *read_back(void)
+/* What babeltrace2 prints of the first trace; owned by the caller. */
+static char *read_trace(void)
 {
     char *path = g_strdup_printf("%s/node-0-0", dir);
     char *argv[] = {"babeltrace2", path, NULL};
@@ -55,7 +55,7 @@
     return text;
 }
 
-static void is_read_back(void **arg)
+static void trace_is_readable(void **arg)
 {
     char err[256] = "";
     struct pm_links_trace *trace = pm_links_trace_new(dir, "node-0", 1, err, sizeof err);
@@ -67,13 +67,13 @@
     pm_links_trace_change(trace, "duty", "lead", "fit", "unfit",
                           "the state service is not reached");
     pm_links_trace_free(trace);
-    text = read_back();
+    text = read_trace();
     assert_non_null(strstr(text, "name = \"state service\", from = \"up\", to = \"down\""));
     assert_non_null(strstr(text, "reason = \"the state service is not reached\""));
     g_free(text);
 }
 
-static goffset size_of(const char *path)
+static goffset size_of_trace(const char *path)
 {
     GStatBuf status;
     GDir *listing = g_dir_open(path, 0, NULL);
@@ -91,7 +91,7 @@
     return size;
 }
 
-static void is_bounded_on_disk(void **arg)
+static void traces_are_bounded_on_disk(void **arg)
 {
     char err[256] = "";
     struct pm_links_trace *trace = pm_links_trace_new(dir, "node-1", 1, err, sizeof err);
@@ -100,19 +100,19 @@
 
     (void)arg;
     assert_non_null(trace);
-    for (int i = 0; i < MANY; i++) {
+    for (int i = 0; i < EVENT_COUNT; i++) {
         pm_links_trace_change(trace, "link", "controller node-2", "up", "degraded", "");
         if (i % 1000 == 0)
-            g_usleep(20 * 1000); /* the thread writes meanwhile; what it can't is dropped */
+            g_usleep(20 * 1000); /* the thread writes meanwhile; what comes too fast is dropped */
     }
     pm_links_trace_free(trace);
-    assert_true(size_of(first) + size_of(second) <= 1024 * 1024 + 128 * 1024);
-    assert_true(size_of(first) > 0);
+    assert_true(size_of_trace(first) + size_of_trace(second) <= 1024 * 1024 + 128 * 1024);
+    assert_true(size_of_trace(first) > 0);
     g_free(first);
     g_free(second);
 }
 
-static void says_why_it_can_not_be_written(void **arg)
+static void unwritable_directory_is_an_error(void **arg)
 {
     char err[256] = "";
 
@@ -124,9 +124,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(is_read_back),
-        cmocka_unit_test(is_bounded_on_disk),
-        cmocka_unit_test(says_why_it_can_not_be_written),
+        cmocka_unit_test(trace_is_readable),
+        cmocka_unit_test(traces_are_bounded_on_disk),
+        cmocka_unit_test(unwritable_directory_is_an_error),
     };
 
     return cmocka_run_group_tests(tests, set_up, tear_down);
--- /dev/null
+++ b/src/links/view_value.c
@@ -0,0 +1,57 @@
+/* The stored view of a controller's links, at p/links/NAME. Its field names are used here alone:
+ *
+ *   epoch, leads   the epoch as the controller knows it, and whether it leads
+ *   state, cloud   states of its links to the state service and the cloud (enum pm_link_state)
+ *   peers, zones   maps from the names of the other controllers and of the zones to states */
+#include "links/matrix.h"
+
+#include <glib.h>
+#include <string.h>
+
+void pm_view_encode(const struct pm_matrix *matrix, struct pm_buf *out)
+{
+    const struct pm_view *view = &matrix->view[0];
+
+    pm_put_map(out);
+    pm_put_pair_count(out, "epoch", view->epoch);
+    pm_put_pair_flag(out, "leads", view->leads);
+    pm_put_pair_count(out, "state", view->state);
+    pm_put_pair_count(out, "cloud", view->cloud);
+    pm_put_text(out, "peers");
+    pm_put_map(out);
+    for (int i = 1; i < matrix->controllers; i++)
+        pm_put_pair_count(out, pm_matrix_controller_name(matrix, i), view->peer[i]);
+    pm_put_end(out);
+    pm_put_text(out, "zones");
+    pm_put_map(out);
+    for (int i = 0; i < matrix->settings->zone_count; i++)
+        pm_put_pair_count(out, matrix->settings->zone_names[i], view->zone[i]);
+    pm_put_end(out);
+    pm_put_end(out);
+}
+
+/* Reads one state of a map; false, with `out` unchanged, when it has none. */
+static bool decode_state(const cbor_item_t *map, const char *key, uint8_t *out)
+{
+    uint64_t number;
+
+    if (!pm_cbor_read_count(pm_cbor_get(map, key), &number))
+        return false;
+    *out = pm_link_state_from_number(number);
+    return true;
+}
+
+bool pm_view_decode(const struct pm_matrix *matrix, const cbor_item_t *value, struct pm_view *out)
+{
+    memset(out, 0, sizeof *out);
+    if (!decode_state(value, "state", &out->state) || !decode_state(value, "cloud", &out->cloud))
+        return false;
+    pm_cbor_read_flag(pm_cbor_get(value, "leads"), &out->leads);
+    pm_cbor_read_count(pm_cbor_get(value, "epoch"), &out->epoch);
+    for (int i = 0; i < matrix->controllers; i++)
+        decode_state(pm_cbor_get(value, "peers"), pm_matrix_controller_name(matrix, i),
+                     &out->peer[i]);
+    for (int i = 0; i < matrix->settings->zone_count; i++)
+        decode_state(pm_cbor_get(value, "zones"), matrix->settings->zone_names[i], &out->zone[i]);
+    return true;
+}
--- /dev/null
+++ b/src/links/views.c
@@ -0,0 +1,86 @@
+/* The controllers' views of their links: exchanged in responses, and through the state service. */
+#include "base/log.h"
+#include "links/internal.h"
+
+#include <string.h>
+
+#define WRITE_INTERVAL_S 5.0 /* between two writes of this controller's value */
+
+unsigned char *pm_links_encode_views(const struct pm_links *links, double now, size_t *size)
+{
+    return pm_views_encode(&links->matrix, now, size);
+}
+
+void pm_links_decode_views(struct pm_links *links, int peer, const unsigned char *data, size_t size,
+                           double asked_at, double now)
+{
+    struct pm_links_link *from = &links->peers[peer];
+
+    if (!pm_views_decode(&links->matrix, data, size, asked_at, now)) {
+        if (now - from->logged_at >= PM_LINKS_LOG_INTERVAL_S)
+            pm_error("links.message", "%s: malformed views", from->name);
+        from->logged_at = now;
+        return;
+    }
+    /* Whoever sends its views requests ours as regularly. */
+    pm_link_set_expected(&from->link, true, now);
+}
+
+void pm_links_apply_put(struct pm_links *links, const char *key, const cbor_item_t *value,
+                        uint64_t revision, double now)
+{
+    const char *name = key + strlen(PM_LINKS_PREFIX);
+    int controller = pm_matrix_find_controller(&links->matrix, name);
+    struct pm_view view;
+
+    if (controller <= 0 || revision <= links->stored.revision[controller])
+        return;
+    links->stored.revision[controller] = revision;
+    if (!pm_view_decode(&links->matrix, value, &view)) {
+        pm_error("links.value", "%s can't be read", key);
+        return;
+    }
+    view.at = now;
+    memcpy(view.endpoint, links->matrix.view[controller].endpoint, sizeof view.endpoint);
+    pm_matrix_update(&links->matrix, controller, &view);
+}
+
+/* Whether both views have the same states; their age and the epoch do not count. */
+static bool are_equal(const struct pm_view *left, const struct pm_view *right)
+{
+    return left->leads == right->leads && left->state == right->state &&
+           left->cloud == right->cloud && !memcmp(left->peer, right->peer, sizeof left->peer) &&
+           !memcmp(left->zone, right->zone, sizeof left->zone);
+}
+
+static bool is_a_peer_unreached(const struct pm_links *links)
+{
+    for (int i = 1; i < links->matrix.controllers; i++)
+        if (!pm_link_usable(links->matrix.view[0].peer[i]))
+            return true;
+    return false;
+}
+
+bool pm_links_is_write_due(const struct pm_links *links, double now)
+{
+    if (!links->setting->observe || !links->is_ready)
+        return false;
+    if (now - links->stored.written_at < WRITE_INTERVAL_S)
+        return false;
+    return is_a_peer_unreached(links) || !are_equal(&links->matrix.view[0], &links->stored.written);
+}
+
+void pm_links_encode_view(struct pm_links *links, struct pm_buf *out, double now)
+{
+    pm_view_encode(&links->matrix, out);
+    links->stored.writing = links->matrix.view[0];
+    links->stored.written_at = now;
+}
+
+void pm_links_view_written(struct pm_links *links, bool written)
+{
+    if (written)
+        links->stored.written = links->stored.writing;
+    else
+        links->stored.written_at = 0;
+}
