--- a/src/cmd/pumicemount/leadership_events.c
+++ b/src/cmd/pumicemount/leadership_events.c
@@ -254,7 +254,7 @@
         .changed = on_shards_changed,
         .job_returned = on_job_returned,
         .machine_quarantined = on_machine_quarantined,
-        .owned = on_shard_owned,
+        .ownership_changed = on_shard_owned,
         .arg = controller,
     };
 }
