--- a/src/store/leases.c
+++ b/src/store/leases.c
@@ -1,52 +1,63 @@
-/* Leases of the state service. */
+/* Leases of the state service: grant, keep alive, revoke. */
 #include "store/internal.h"
-#include "base/clock.h"
 
 #include <stdio.h>
 
-struct hold {
+enum { MS_PER_S = 1000 };
+
+/* A grant or keep-alive in flight. */
+struct lease_request {
     struct pm_store *store;
     pm_store_lease_done *done;
     void *arg;
-    uint64_t lease_id;
+    uint64_t lease_id; /* 0: to be granted */
 };
 
-static void on_hold(void *arg, int status, const unsigned char *body, size_t size)
+static bool decode_lease_id(const unsigned char *body, size_t size, uint64_t *lease_id)
 {
-    struct hold *hold = arg;
-    cbor_item_t *answer = status == 200 && size ? pm_cbor_parse(body, size) : NULL;
+    cbor_item_t *answer = size ? pm_cbor_parse(body, size) : NULL;
+    bool is_read = pm_cbor_read_count(pm_cbor_get(answer, "tenure"), lease_id);
 
-    pm_store_note_status(hold->store, status);
-    if (status == 200 && !hold->lease_id &&
-        !pm_cbor_read_count(pm_cbor_get(answer, "tenure"), &hold->lease_id))
-        status = PM_HTTP_NO_ANSWER;
     pm_cbor_free(answer);
-    hold->done(hold->arg, pm_store_result_of(status), hold->lease_id);
-    g_free(hold);
+    return is_read;
+}
+
+static void on_lease_answer(void *arg, int status, const unsigned char *body, size_t size)
+{
+    struct lease_request *request = arg;
+    enum pm_store_result result = pm_store_result_of(status);
+    bool is_granted = result == PM_STORE_OK && !request->lease_id;
+
+    pm_store_note_status(request->store, status);
+    if (is_granted && !decode_lease_id(body, size, &request->lease_id))
+        result = PM_STORE_UNKNOWN_OUTCOME;
+    request->done(request->arg, result, request->lease_id);
+    g_free(request);
 }
 
-static void hold_call(struct pm_store *s, const char *target, const struct pm_buf *body,
-                      uint64_t lease_id, pm_store_lease_done *done, void *arg)
+static void send_lease_request(struct pm_store *store, const char *target,
+                               const struct pm_buf *body, struct lease_request request)
 {
-    struct hold *hold = g_new(struct hold, 1);
+    struct lease_request *sent = g_new(struct lease_request, 1);
 
-    *hold = (struct hold){s, done, arg, lease_id};
-    pm_http_call(s->http, s->addr, "POST", target, body->data, body->size,
-                 PM_STORE_REQUEST_TIMEOUT_S, 4096, on_hold, hold);
+    *sent = request;
+    pm_http_call(store->http, store->address, "POST", target, body->data, body->size,
+                 PM_STORE_REQUEST_TIMEOUT_S, PM_STORE_SMALL_ANSWER_MAX, on_lease_answer, sent);
 }
 
-void pm_store_lease_grant(struct pm_store *s, double ttl_s, pm_store_lease_done *done, void *arg)
+void pm_store_lease_grant(struct pm_store *store, double ttl_s, pm_store_lease_done *done,
+                          void *arg)
 {
     struct pm_buf body = {0};
 
     pm_put_map(&body);
-    pm_put_pair_count(&body, "ttl_ms", (uint64_t)(ttl_s * 1000));
+    pm_put_pair_count(&body, "ttl_ms", (uint64_t)(ttl_s * MS_PER_S));
     pm_put_end(&body);
-    hold_call(s, "/holds", &body, 0, done, arg);
+    send_lease_request(store, "/holds", &body, (struct lease_request){store, done, arg, 0});
     pm_buf_free(&body);
 }
 
-void pm_store_lease_keep_alive(struct pm_store *s, uint64_t lease_id, pm_store_lease_done *done,
+void pm_store_lease_keep_alive(struct pm_store *store, uint64_t lease_id, pm_store_lease_done *done,
                                void *arg)
 {
     struct pm_buf body = {0};
@@ -55,22 +66,22 @@
     pm_put_map(&body);
     pm_put_end(&body);
     snprintf(target, sizeof target, "/holds/%llu/renew", (unsigned long long)lease_id);
-    hold_call(s, target, &body, lease_id, done, arg);
+    send_lease_request(store, target, &body, (struct lease_request){store, done, arg, lease_id});
     pm_buf_free(&body);
 }
 
-static void on_unheld(void *arg, int status, const unsigned char *body, size_t size)
+static void on_revoked(void *arg, int status, const unsigned char *body, size_t size)
 {
     (void)body;
     (void)size;
     pm_store_note_status(arg, status);
 }
 
-void pm_store_lease_revoke(struct pm_store *s, uint64_t lease_id)
+void pm_store_lease_revoke(struct pm_store *store, uint64_t lease_id)
 {
     char target[64];
 
     snprintf(target, sizeof target, "/holds/%llu", (unsigned long long)lease_id);
-    pm_http_call(s->http, s->addr, "DELETE", target, NULL, 0, PM_STORE_REQUEST_TIMEOUT_S, 4096,
-                 on_unheld, s);
+    pm_http_call(store->http, store->address, "DELETE", target, NULL, 0, PM_STORE_REQUEST_TIMEOUT_S,
+                 PM_STORE_SMALL_ANSWER_MAX, on_revoked, store);
 }
--- a/src/store/linearizable_read.c
+++ b/src/store/linearizable_read.c
@@ -1,136 +1,180 @@
-/* Freshness: the batched read of the store's revision, and those who wait for the replica. */
+/* Linearizable reads: callers wait until the replica is as new as the state service was when they
+ * asked. One read of the store revision serves all who asked before it was sent. */
 #include "store/internal.h"
 #include "base/clock.h"
 
-#define FRESH_S 1.6 /* users wait 2 s for a poll's answer */
+#define READ_TIMEOUT_S 1.6  /* below the 2 s for which a user waits for a status */
+#define WATCH_STALLED_S 0.8 /* a watch this old may hang on a dead connection ... */
+#define READ_STALLED_S 0.6  /* ... if somebody has waited this long for what it should report */
 
-void pm_store_wake_waiters(struct pm_store *s)
+static struct pm_store_pending_read *pending_read_at(GArray *list, guint index)
 {
-    for (guint i = 0; i < s->waiting->len;) {
-        struct waiter w = g_array_index(s->waiting, struct waiter, i);
-        if (w.store_revision > s->store_revision) {
+    return &g_array_index(list, struct pm_store_pending_read, index);
+}
+
+/* A callback may append to the list: indices are read anew after each. */
+void pm_store_complete_reads(struct pm_store *store)
+{
+    GArray *waiting = store->reads.waiting;
+
+    for (guint i = 0; i < waiting->len;) {
+        struct pm_store_pending_read read = *pending_read_at(waiting, i);
+        if (read.store_revision > store->replica.store_revision) {
             i++;
             continue;
         }
-        g_array_remove_index_fast(s->waiting, i);
-        w.done(w.arg, true);
+        g_array_remove_index_fast(waiting, i);
+        read.done(read.arg, true);
     }
 }
 
 static void fail_all(GArray *list)
 {
     while (list->len) {
-        struct waiter w = g_array_index(list, struct waiter, list->len - 1);
+        struct pm_store_pending_read read = *pending_read_at(list, list->len - 1);
         g_array_set_size(list, list->len - 1);
-        w.done(w.arg, false);
+        read.done(read.arg, false);
     }
 }
 
-static void fresh_start(struct pm_store *s);
+static void fail_expired(GArray *list, double now)
+{
+    for (guint i = 0; i < list->len;) {
+        struct pm_store_pending_read read = *pending_read_at(list, i);
+        if (read.deadline > now) {
+            i++;
+            continue;
+        }
+        g_array_remove_index_fast(list, i);
+        read.done(read.arg, false);
+    }
+}
+
+/* Those whom the read covered wait for the replica to reach what it found. */
+static void wait_for_replica(struct pm_store *store, uint64_t store_revision)
+{
+    struct pm_store_reads *reads = &store->reads;
+
+    for (guint i = 0; i < reads->in_flight->len; i++)
+        pending_read_at(reads->in_flight, i)->store_revision = store_revision;
+    g_array_append_vals(reads->waiting, reads->in_flight->data, reads->in_flight->len);
+    g_array_set_size(reads->in_flight, 0);
+    if (store->replica.is_ready)
+        pm_store_complete_reads(store);
+}
 
-static void on_fresh(void *arg, int status, const unsigned char *body, size_t size)
+static void on_revision_read(void *arg, int status, const unsigned char *body, size_t size)
 {
-    struct pm_store *s = arg;
-    cbor_item_t *answer;
-    uint64_t store_revision = 0;
-    bool ok;
-
-    s->fresh_busy = false;
-    pm_store_note_status(s, status);
-    pm_store_note_latency(s, s->fresh_sent);
-    answer = status == 404 ? pm_cbor_parse(body, size) : NULL;
-    ok = answer && pm_cbor_read_count(pm_cbor_get(answer, "edition"), &store_revision);
+    struct pm_store *store = arg;
+    cbor_item_t *answer = NULL;
+    uint64_t store_revision;
+    bool is_read;
+
+    store->reads.is_read_in_flight = false;
+    pm_store_note_status(store, status);
+    pm_store_note_latency(store, store->reads.read_sent_at);
+    if (status == PM_STORE_NOT_FOUND)
+        answer = pm_cbor_parse(body, size);
+    is_read = pm_store_decode_revision(answer, &store_revision);
     pm_cbor_free(answer);
-    if (ok) {
-        for (guint i = 0; i < s->reading->len; i++)
-            g_array_index(s->reading, struct waiter, i).store_revision = store_revision;
-        g_array_append_vals(s->waiting, s->reading->data, s->reading->len);
-        g_array_set_size(s->reading, 0);
-        if (s->ready)
-            pm_store_wake_waiters(s);
-    } else {
-        fail_all(s->reading);
-    }
+    if (is_read)
+        wait_for_replica(store, store_revision);
+    else
+        fail_all(store->reads.in_flight);
 }
 
-/* One read of `store_revision` serves all who asked before it was sent. */
-static void fresh_start(struct pm_store *s)
+static void send_revision_read(struct pm_store *store, double now)
 {
-    GArray *spare = s->reading;
+    struct pm_store_reads *reads = &store->reads;
+    GArray *empty = reads->in_flight;
 
-    if (s->fresh_busy || !s->next->len)
+    if (reads->is_read_in_flight || !reads->queued->len)
         return;
-    s->fresh_busy = true;
-    s->fresh_sent = pm_clock_monotonic();
-    s->reading = s->next;
-    s->next = spare;
-    /* A key that never exists: its 404 tells the store revision. */
-    pm_http_call(s->http, s->addr, "GET", "/kv/" PM_STORE_ROOT "none", NULL, 0, FRESH_S, 4096,
-                 on_fresh, s);
+    reads->is_read_in_flight = true;
+    reads->read_sent_at = now;
+    reads->in_flight = reads->queued;
+    reads->queued = empty;
+    /* A key that never exists: the 404 carries the store revision. */
+    pm_http_call(store->http, store->address, "GET", "/kv/" PM_STORE_ROOT "none", NULL, 0,
+                 READ_TIMEOUT_S, PM_STORE_SMALL_ANSWER_MAX, on_revision_read, store);
 }
 
-void pm_store_linearizable_read(struct pm_store *s, pm_store_wait_done *done, void *arg)
+static bool may_send_revision_read(const struct pm_store *store, double now)
 {
-    struct waiter w = {0, pm_clock_monotonic() + FRESH_S, done, arg};
+    return now - store->reads.read_sent_at > store->min_request_interval_s;
+}
 
-    g_array_append_val(s->next, w);
-    ev_timer_again(s->loop, &s->tick); /* runs only while somebody waits */
-    if (w.until - FRESH_S - s->fresh_sent > s->pace)
-        fresh_start(s);
+void pm_store_linearizable_read(struct pm_store *store, pm_store_wait_done *done, void *arg)
+{
+    double now = pm_clock_monotonic();
+    struct pm_store_pending_read read = {0, now + READ_TIMEOUT_S, done, arg};
+
+    g_array_append_val(store->reads.queued, read);
+    ev_timer_again(store->loop, &store->reads.tick);
+    if (may_send_revision_read(store, now))
+        send_revision_read(store, now);
 }
 
-void pm_store_wait_for_revision(struct pm_store *s, uint64_t store_revision,
+void pm_store_wait_for_revision(struct pm_store *store, uint64_t store_revision,
                                 pm_store_wait_done *done, void *arg)
 {
-    struct waiter w = {store_revision, pm_clock_monotonic() + FRESH_S, done, arg};
+    double deadline = pm_clock_monotonic() + READ_TIMEOUT_S;
+    struct pm_store_pending_read read = {store_revision, deadline, done, arg};
 
-    g_array_append_val(s->waiting, w);
-    ev_timer_again(s->loop, &s->tick);
-    if (s->ready)
-        pm_store_wake_waiters(s);
+    g_array_append_val(store->reads.waiting, read);
+    ev_timer_again(store->loop, &store->reads.tick);
+    if (store->replica.is_ready)
+        pm_store_complete_reads(store);
 }
 
-static void expire(GArray *list, double now)
+/* Whether somebody waits for a change that the open watch should have reported by now. */
+static bool is_watch_stalled(const struct pm_store *store, double now)
 {
-    for (guint i = 0; i < list->len;) {
-        struct waiter w = g_array_index(list, struct waiter, i);
-        if (w.until > now) {
-            i++;
-            continue;
-        }
-        g_array_remove_index_fast(list, i);
-        w.done(w.arg, false);
-    }
+    GArray *waiting = store->reads.waiting;
+
+    if (store->replica.is_listing || now - store->replica.watch_opened_at <= WATCH_STALLED_S)
+        return false;
+    for (guint i = 0; i < waiting->len; i++)
+        if (pending_read_at(waiting, i)->deadline - now < READ_TIMEOUT_S - READ_STALLED_S)
+            return true;
+    return false;
 }
 
-void pm_store_on_tick(struct ev_loop *loop, ev_timer *w, int events)
+static void on_tick(struct ev_loop *loop, ev_timer *timer, int events)
 {
-    struct pm_store *s = w->data;
+    struct pm_store *store = timer->data;
+    struct pm_store_reads *reads = &store->reads;
     double now = pm_clock_monotonic();
 
     (void)loop;
     (void)events;
-    if (s->next->len && now - s->fresh_sent > s->pace)
-        fresh_start(s);
-    if (s->waiting->len && !s->listing && now - s->watch_opened > 0.8) {
-        /* Somebody waits for a change that the watch should have told: it may hang on a dead
-         * connection. A new one costs one request. */
-        for (guint i = 0; i < s->waiting->len; i++) {
-            if (g_array_index(s->waiting, struct waiter, i).until - now < FRESH_S - 0.6) {
-                s->round++;
-                ev_timer_stop(s->loop, &s->retry);
-                pm_store_open_watch(s);
-                break;
-            }
-        }
-    }
-    expire(s->next, now);
-    expire(s->waiting, now);
-    if (!s->next->len && !s->waiting->len)
-        ev_timer_stop(loop, w);
+    if (may_send_revision_read(store, now))
+        send_revision_read(store, now);
+    if (is_watch_stalled(store, now))
+        pm_store_reopen_watch(store); /* costs one request */
+    fail_expired(reads->queued, now);
+    fail_expired(reads->waiting, now);
+    if (!reads->queued->len && !reads->waiting->len)
+        ev_timer_stop(store->loop, timer);
+}
+
+void pm_store_reads_init(struct pm_store *store)
+{
+    struct pm_store_reads *reads = &store->reads;
+
+    reads->queued = g_array_new(FALSE, FALSE, sizeof(struct pm_store_pending_read));
+    reads->in_flight = g_array_new(FALSE, FALSE, sizeof(struct pm_store_pending_read));
+    reads->waiting = g_array_new(FALSE, FALSE, sizeof(struct pm_store_pending_read));
+    ev_timer_init(&reads->tick, on_tick, 0., PM_STORE_MIN_REQUEST_INTERVAL_S);
+    reads->tick.data = store;
 }
 
-void pm_store_set_request_rate(struct pm_store *s, double requests_per_s)
+void pm_store_reads_clear(struct pm_store *store)
 {
-    s->pace = MAX(PM_STORE_MIN_REQUEST_INTERVAL_S, 1 / MAX(requests_per_s, 0.1));
+    struct pm_store_reads *reads = &store->reads;
+
+    ev_timer_stop(store->loop, &reads->tick);
+    g_array_free(reads->queued, TRUE);
+    g_array_free(reads->in_flight, TRUE);
+    g_array_free(reads->waiting, TRUE);
 }
--- /dev/null
+++ b/src/store/replica.c
@@ -0,0 +1,290 @@
+/* The feed of the replica: a listing of all keys by pages, then watches, each from the store
+ * revision that the one before reached.
+ *
+ * At any time one request of the feed is in flight, or the retry timer runs. A listing or watch is
+ * abandoned by raising the generation: its answer is ignored when it comes. */
+#include "store/internal.h"
+#include "base/clock.h"
+#include "base/log.h"
+
+#include <stdio.h>
+
+#define WATCH_WAIT_MS 5000         /* the service answers a watch without events after this */
+#define LIST_PAGE_KEYS 200         /* keys a page */
+#define MAX_GAP_S 8.0              /* longer than a watch without events stays open */
+#define LIST_RETRY_S 0.2           /* after a page without a readable answer */
+#define WATCH_RETRY_S 0.15         /* after a watch without a readable answer */
+#define NEGLIGIBLE_DELAY_S 0.001   /* not worth a timer */
+#define FEED_ANSWER_MAX (4u << 20) /* bytes */
+
+/* A page of a listing, or a watch, in flight. */
+struct feed_request {
+    struct pm_store *store;
+    uint64_t generation;
+};
+
+static struct feed_request *feed_request_new(struct pm_store *store)
+{
+    struct feed_request *request = g_new(struct feed_request, 1);
+
+    request->store = store;
+    request->generation = store->replica.generation;
+    return request;
+}
+
+/* Frees the request. Returns its store, or NULL if the request was abandoned meanwhile. */
+static struct pm_store *feed_request_end(struct feed_request *request)
+{
+    struct pm_store *store = request->store;
+    bool is_current = request->generation == store->replica.generation;
+
+    g_free(request);
+    return is_current ? store : NULL;
+}
+
+/* The answer, owned by the caller, with its store revision; NULL when it is no success, or can't be
+ * read. */
+static cbor_item_t *parse_feed_answer(struct pm_store *store, int status, const unsigned char *body,
+                                      size_t size, uint64_t *store_revision)
+{
+    cbor_item_t *answer = pm_store_note_status(store, status) ? pm_cbor_parse(body, size) : NULL;
+
+    if (pm_store_decode_revision(answer, store_revision))
+        return answer;
+    pm_cbor_free(answer);
+    return NULL;
+}
+
+static void retry_after(struct pm_store *store, double delay_s)
+{
+    ev_timer *retry = &store->replica.retry;
+
+    ev_timer_stop(store->loop, retry);
+    ev_timer_set(retry, delay_s, 0.);
+    ev_timer_start(store->loop, retry);
+}
+
+static void set_caught_up(struct pm_store *store, uint64_t store_revision)
+{
+    struct pm_store_replica *replica = &store->replica;
+
+    if (store_revision > replica->store_revision)
+        replica->store_revision = store_revision;
+    replica->caught_up_at = pm_clock_monotonic();
+    store->observer.caught_up(store->observer.arg, replica->store_revision);
+    pm_store_complete_reads(store);
+}
+
+/* ---- watching ---- */
+
+static void apply_event(struct pm_store *store, const cbor_item_t *event)
+{
+    const struct pm_store_observer *observer = &store->observer;
+    struct pm_store_change change;
+
+    if (!pm_store_decode_watch_event(event, &change))
+        return;
+    if (change.is_delete)
+        observer->delete (observer->arg, change.key, change.revision);
+    else
+        observer->put(observer->arg, change.key, change.value, change.revision);
+}
+
+static void open_watch(struct pm_store *store);
+
+static void open_watch_after_interval(struct pm_store *store)
+{
+    double next_at = store->replica.watch_opened_at + store->min_request_interval_s;
+    double delay_s = next_at - pm_clock_monotonic();
+
+    if (delay_s > NEGLIGIBLE_DELAY_S)
+        retry_after(store, delay_s);
+    else
+        open_watch(store);
+}
+
+/* After a long time out of reach, all that has changed meanwhile would come in one answer of any
+ * size, whereas a listing comes by pages. While the service refuses, nothing changes. */
+static void recover_watch(struct pm_store *store)
+{
+    const struct pm_store_replica *replica = &store->replica;
+
+    if (!store->health.is_refusing && pm_clock_monotonic() - replica->caught_up_at > MAX_GAP_S) {
+        pm_info("store.resync", "the state service was out of reach since store revision %llu",
+                (unsigned long long)replica->store_revision);
+        pm_store_resync(store);
+    } else {
+        retry_after(store, WATCH_RETRY_S);
+    }
+}
+
+static void on_watch(void *arg, int status, const unsigned char *body, size_t size)
+{
+    struct pm_store *store = feed_request_end(arg);
+    uint64_t generation;
+    uint64_t store_revision;
+    cbor_item_t *answer;
+    const cbor_item_t *events;
+    size_t event_count;
+
+    if (!store)
+        return;
+    generation = store->replica.generation;
+    if (status == PM_STORE_HTTP_GONE) {
+        pm_info("store.resync", "the watch is too old at store revision %llu",
+                (unsigned long long)store->replica.store_revision);
+        pm_store_resync(store);
+        return;
+    }
+    answer = parse_feed_answer(store, status, body, size, &store_revision);
+    if (!answer) {
+        recover_watch(store);
+        return;
+    }
+    events = pm_store_decode_watch_events(answer);
+    event_count = pm_cbor_length(events);
+    pm_store_note_foreign_writes(store, (double)event_count);
+    for (size_t i = 0; i < event_count; i++)
+        apply_event(store, pm_cbor_at(events, i));
+    pm_cbor_free(answer);
+    set_caught_up(store, store_revision);
+    /* An observer may have asked for a resync. */
+    if (generation == store->replica.generation)
+        open_watch_after_interval(store);
+}
+
+static void open_watch(struct pm_store *store)
+{
+    struct pm_store_replica *replica = &store->replica;
+    char target[128];
+
+    replica->watch_opened_at = pm_clock_monotonic();
+    snprintf(target, sizeof target, "/watch?under=" PM_STORE_ROOT "&since=%llu&wait_ms=%d",
+             (unsigned long long)replica->store_revision, WATCH_WAIT_MS);
+    pm_http_call(store->http, store->address, "GET", target, NULL, 0,
+                 WATCH_WAIT_MS / 1000. + PM_STORE_REQUEST_TIMEOUT_S, FEED_ANSWER_MAX, on_watch,
+                 feed_request_new(store));
+}
+
+void pm_store_reopen_watch(struct pm_store *store)
+{
+    store->replica.generation++;
+    ev_timer_stop(store->loop, &store->replica.retry);
+    open_watch(store);
+}
+
+/* ---- listing ---- */
+
+static void list_next_page(struct pm_store *store);
+
+static void begin_snapshot(struct pm_store *store, uint64_t store_revision)
+{
+    store->replica.is_ready = false;
+    store->replica.snapshot_revision = store_revision;
+    store->observer.snapshot_begin(store->observer.arg);
+}
+
+static void end_snapshot(struct pm_store *store)
+{
+    store->replica.is_ready = true;
+    store->replica.is_listing = false;
+    store->observer.snapshot_end(store->observer.arg);
+    /* Later pages may show later changes than the first: the watch starts at the first page's
+     * revision, and reports those changes (again). */
+    set_caught_up(store, store->replica.snapshot_revision);
+    open_watch(store);
+}
+
+static void apply_list_item(struct pm_store *store, const cbor_item_t *item)
+{
+    struct pm_store_change change;
+
+    if (!pm_store_decode_list_item(item, &change))
+        return;
+    store->observer.put(store->observer.arg, change.key, change.value, change.revision);
+    g_strlcpy(store->replica.last_listed_key, change.key, sizeof store->replica.last_listed_key);
+}
+
+static void on_list(void *arg, int status, const unsigned char *body, size_t size)
+{
+    struct pm_store *store = feed_request_end(arg);
+    cbor_item_t *answer;
+    const cbor_item_t *items;
+    uint64_t store_revision;
+    bool has_more;
+
+    if (!store)
+        return;
+    answer = parse_feed_answer(store, status, body, size, &store_revision);
+    if (!answer) {
+        retry_after(store, LIST_RETRY_S);
+        return;
+    }
+    /* The old snapshot is thrown away only now that there is a new one. */
+    if (!store->replica.last_listed_key[0])
+        begin_snapshot(store, store_revision);
+    items = pm_store_decode_list(answer, &has_more);
+    for (size_t i = 0; i < pm_cbor_length(items); i++)
+        apply_list_item(store, pm_cbor_at(items, i));
+    pm_cbor_free(answer);
+    if (has_more)
+        list_next_page(store);
+    else
+        end_snapshot(store);
+}
+
+static void list_next_page(struct pm_store *store)
+{
+    const char *last_key = store->replica.last_listed_key;
+    char target[512];
+
+    snprintf(target, sizeof target, "/kv?under=" PM_STORE_ROOT "%s%s&page=%d",
+             last_key[0] ? "&since=" : "", last_key, LIST_PAGE_KEYS);
+    pm_http_call(store->http, store->address, "GET", target, NULL, 0, PM_STORE_REQUEST_TIMEOUT_S,
+                 FEED_ANSWER_MAX, on_list, feed_request_new(store));
+}
+
+void pm_store_resync(struct pm_store *store)
+{
+    store->replica.generation++;
+    store->replica.is_listing = true;
+    store->replica.last_listed_key[0] = 0;
+    list_next_page(store);
+}
+
+/* ---- life cycle ---- */
+
+static void on_retry(struct ev_loop *loop, ev_timer *timer, int events)
+{
+    struct pm_store *store = timer->data;
+
+    (void)loop;
+    (void)events;
+    if (store->replica.is_listing)
+        list_next_page(store);
+    else
+        open_watch(store);
+}
+
+void pm_store_replica_start(struct pm_store *store)
+{
+    ev_init(&store->replica.retry, on_retry);
+    store->replica.retry.data = store;
+    store->replica.is_listing = true;
+    list_next_page(store);
+}
+
+void pm_store_replica_stop(struct pm_store *store)
+{
+    ev_timer_stop(store->loop, &store->replica.retry);
+}
+
+bool pm_store_is_ready(const struct pm_store *store)
+{
+    return store->replica.is_ready;
+}
+
+uint64_t pm_store_revision(const struct pm_store *store)
+{
+    return store->replica.store_revision;
+}
