--- a/src/api/tests/test_concurrency_limit.c
+++ b/src/api/tests/test_concurrency_limit.c
@@ -1,47 +1,49 @@
 /* The limit on requests in progress follows the times that are measured, within its bounds. */
-#include "api/api.h"
+#include "api/concurrency_limit.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
 #include <cmocka.h>
 
-/* `n` requests at a time, each taking that long. */
-static void load_slow(struct pm_concurrency_limit *limit, unsigned n, double seconds,
-                      double state_s)
+/* Up to so many requests at a time, each of that duration, while the state service takes
+ * `store_latency_s` for an answer. */
+static void run_requests_with_latency(struct pm_concurrency_limit *limit, unsigned request_count,
+                                      double duration_s, double store_latency_s)
 {
-    unsigned inside = 0;
+    unsigned in_progress = 0;
 
-    while (inside < n && pm_concurrency_limit_acquire(limit, false))
-        inside++;
-    while (inside--)
-        pm_concurrency_limit_release(limit, seconds, state_s);
+    while (in_progress < request_count && pm_concurrency_limit_acquire(limit, false))
+        in_progress++;
+    while (in_progress--)
+        pm_concurrency_limit_release(limit, duration_s, store_latency_s);
 }
 
-static void load(struct pm_concurrency_limit *limit, unsigned n, double seconds)
+/* The same, while the state service is quick. */
+static void run_requests(struct pm_concurrency_limit *limit, unsigned request_count,
+                         double duration_s)
 {
-    load_slow(limit, n, seconds, 0.004);
+    run_requests_with_latency(limit, request_count, duration_s, 0.004);
 }
 
-/* Seen on a day when the state service took fifteen times as long: every user was turned away for
- * it, 12,000 times in a minute, though nothing here was busy. */
-static void a_slow_state_service_is_no_reason(void **state)
+/* When the state service alone is slow, refusing users makes nothing faster. */
+static void a_slow_state_service_does_not_lower_the_limit(void **state)
 {
     struct pm_concurrency_limit *limit = pm_concurrency_limit_new(8, 256);
 
     (void)state;
     for (int i = 0; i < 50; i++)
-        load(limit, 1000, 0.01);
+        run_requests(limit, 1000, 0.01);
     for (int i = 0; i < 50; i++)
-        load_slow(limit, 1000, 0.2, 0.07);
+        run_requests_with_latency(limit, 1000, 0.2, 0.07);
     assert_int_equal(pm_concurrency_limit_current(limit), 256);
     for (int i = 0; i < 50; i++)
-        load_slow(limit, 1000, 2.0, 0.07); /* longer than that explains */
+        run_requests_with_latency(limit, 1000, 2.0, 0.07); /* longer than its latency explains */
     assert_int_equal(pm_concurrency_limit_current(limit), 8);
     pm_concurrency_limit_free(limit);
 }
 
-static void submissions_come_before_polls(void **state)
+static void priority_requests_may_exceed_the_limit(void **state)
 {
     struct pm_concurrency_limit *limit = pm_concurrency_limit_new(4, 4);
 
@@ -55,28 +57,28 @@
     pm_concurrency_limit_free(limit);
 }
 
-static void follows_measured_times(void **state)
+static void follows_measured_durations(void **state)
 {
     struct pm_concurrency_limit *limit = pm_concurrency_limit_new(8, 256);
-    unsigned usual;
-    unsigned slow;
+    unsigned limit_when_quick;
+    unsigned limit_when_slow;
 
     (void)state;
     for (int i = 0; i < 50; i++)
-        load(limit, 1000, 0.01);
-    usual = pm_concurrency_limit_current(limit);
-    assert_int_equal(usual, 256); /* quick answers, as many as asked for: up to the bound */
+        run_requests(limit, 1000, 0.01);
+    limit_when_quick = pm_concurrency_limit_current(limit);
+    assert_int_equal(limit_when_quick, 256); /* quick, and all used: up to the bound */
     for (int i = 0; i < 50; i++)
-        load(limit, 1000, 2.0);
-    slow = pm_concurrency_limit_current(limit);
-    assert_int_equal(slow, 8); /* much slower than usual: down to the other bound */
+        run_requests(limit, 1000, 2.0);
+    limit_when_slow = pm_concurrency_limit_current(limit);
+    assert_int_equal(limit_when_slow, 8); /* much slower than usual: down to the other bound */
     for (int i = 0; i < 200; i++)
-        load(limit, 1000, 0.01);
-    assert_true(pm_concurrency_limit_current(limit) > slow);
+        run_requests(limit, 1000, 0.01);
+    assert_true(pm_concurrency_limit_current(limit) > limit_when_slow);
     pm_concurrency_limit_free(limit);
 }
 
-static void turns_away_beyond_it(void **state)
+static void refuses_requests_beyond_the_limit(void **state)
 {
     struct pm_concurrency_limit *limit = pm_concurrency_limit_new(2, 2);
 
@@ -89,14 +91,14 @@
     pm_concurrency_limit_free(limit);
 }
 
-static void does_not_grow_while_hardly_used(void **state)
+static void does_not_grow_while_less_than_half_used(void **state)
 {
     struct pm_concurrency_limit *limit = pm_concurrency_limit_new(8, 256);
     unsigned before = pm_concurrency_limit_current(limit);
 
     (void)state;
     for (int i = 0; i < 100; i++)
-        load(limit, 1, 0.01);
+        run_requests(limit, 1, 0.01);
     assert_int_equal(pm_concurrency_limit_current(limit), before);
     pm_concurrency_limit_free(limit);
 }
@@ -104,11 +106,11 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(follows_measured_times),
-        cmocka_unit_test(a_slow_state_service_is_no_reason),
-        cmocka_unit_test(submissions_come_before_polls),
-        cmocka_unit_test(turns_away_beyond_it),
-        cmocka_unit_test(does_not_grow_while_hardly_used),
+        cmocka_unit_test(follows_measured_durations),
+        cmocka_unit_test(a_slow_state_service_does_not_lower_the_limit),
+        cmocka_unit_test(priority_requests_may_exceed_the_limit),
+        cmocka_unit_test(refuses_requests_beyond_the_limit),
+        cmocka_unit_test(does_not_grow_while_less_than_half_used),
     };
 
     return cmocka_run_group_tests(tests, NULL, NULL);
