--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -79,7 +79,7 @@
     unsigned trace_mb;   /* how much of them is kept */
 };
 
-/* Singleton roles (docs/operators/duties.md). */
+/* Singleton roles (docs/operators/roles.md). */
 struct pm_roles_setting {
     bool enabled;              /* rent and return under a lease, a token and durable intents */
     double ttl_s;              /* of the lease */
--- a/src/roles/tests/test_callers.c
+++ b/src/roles/tests/test_callers.c
@@ -1,6 +1,6 @@
 /* Lists where the machine provider is called, and where keys are deleted. Before a new place is
  * added here, make sure that its action is refused when the caller is a replaced holder
- * (docs/design/duties.md). */
+ * (docs/design/roles.md). */
 #include <glib.h>
 #include <setjmp.h>
 #include <stdarg.h>
