--- a/src/api/api.c
+++ b/src/api/api.c
@@ -485,7 +485,7 @@
         bool known = pm_cbor_read_text(pm_cbor_get(body, "name_id"), id, sizeof id) &&
                      pm_jobs_find(in->jobs, id);
         status = known ? 200 : pm_submission_decode(in->tables, body, id, &spec, &why);
-        if (!known && status == 200 && pm_submission_decode_dependencies(body, &dependencies)) {
+        if (!known && status == 200 && !pm_dependency_ids_decode(body, &dependencies)) {
             status = 400;
             why = "awaits";
         }
--- /dev/null
+++ b/src/jobs/commit_due.c
@@ -0,0 +1,181 @@
+/* What is due to be written, by urgency: final states and the placements of services first, then
+ * other placements, and last what no launch waits for. */
+#include "jobs/commit_internal.h"
+
+#define DEFERRABLE_DELAY_S 0.15 /* deferrable changes are written together with what follows soon  \
+                                 */
+#define DEFERRABLE_BUDGET_SHARE 0.3 /* of the write rate that has to be left for them */
+
+enum urgency { URGENCY_SERVICE, URGENCY_LAUNCH, URGENCY_DEFERRABLE, URGENCY_NOT_DUE };
+
+void pm_commit_note_time(double *next_at, double at)
+{
+    *next_at = *next_at ? MIN(*next_at, at) : at;
+}
+
+double pm_commit_deferred_until(const struct pm_commit *commit)
+{
+    return commit->deferrable_since ? commit->deferrable_since + DEFERRABLE_DELAY_S : 0;
+}
+
+/* Whether the job has come to its end and none of its tasks is left on any machine. */
+static bool is_over(const struct pm_job *job)
+{
+    if (!job->spec || job->work.placed_count)
+        return false;
+    return job->state != PM_JOB_LIVE ||
+           (job->spec->kind != PM_WORKLOAD_SERVICE && job->work.done_count == job->task_count);
+}
+
+/* The final state of a job that is cancelled with one it depends on follows from the other's, so
+ * nothing waits for it: those of a long chain are written when the budget has room to spare. */
+static enum urgency final_state_urgency(const struct pm_job *job)
+{
+    return job->dependencies.cancelled_by_one ? URGENCY_DEFERRABLE : URGENCY_SERVICE;
+}
+
+static bool has_proposed_placement(const struct pm_chunk *chunk)
+{
+    for (int i = 0; i < PM_CHUNK_TASKS; i++) {
+        const struct pm_placement *placement = chunk->task[i].placement;
+        if (placement && placement->state == PM_PLACEMENT_PROPOSED)
+            return true;
+    }
+    return false;
+}
+
+/* How urgent it is to write the chunk. Where it only waits for its retry, `*next_at` says when. */
+static enum urgency chunk_urgency(const struct pm_job *job, const struct pm_chunk *chunk,
+                                  double now, double *next_at)
+{
+    if (!chunk->dirty || chunk->in_flight)
+        return URGENCY_NOT_DUE;
+    if (chunk->retry_at > now) {
+        pm_commit_note_time(next_at, chunk->retry_at);
+        return URGENCY_NOT_DUE;
+    }
+    if (!has_proposed_placement(chunk))
+        return URGENCY_DEFERRABLE;
+    return job->spec->priority == PM_PRIORITY_PRODUCTION ? URGENCY_SERVICE : URGENCY_LAUNCH;
+}
+
+static void add_due_final_state(struct commit_transaction *transaction, struct pm_job *job,
+                                enum urgency urgency, double now, double *next_at)
+{
+    bool is_due = job->write_back.retry_at <= now;
+
+    if (urgency != final_state_urgency(job) || !is_due) {
+        if (!is_due)
+            pm_commit_note_time(next_at, job->write_back.retry_at);
+        return;
+    }
+    if (!pm_commit_transaction_is_full(transaction))
+        pm_commit_transaction_add_final(transaction, job);
+}
+
+/* Whether this very value of the chunk was rejected: it waits until it changes. */
+static bool is_rejected_value(const struct pm_commit *commit, const struct pm_job *job,
+                              int chunk_index)
+{
+    const struct pm_chunk *chunk = job->chunks[chunk_index];
+
+    return chunk->rejected_hash &&
+           chunk->rejected_hash == pm_commit_chunk_hash(commit, job, chunk_index);
+}
+
+static void add_due_chunks(struct commit_transaction *transaction, struct pm_job *job,
+                           enum urgency urgency, double now, double *next_at)
+{
+    for (int k = 0; k < job->chunk_count; k++) {
+        const struct pm_chunk *chunk = job->chunks[k];
+        if (!chunk || chunk_urgency(job, chunk, now, next_at) != urgency)
+            continue;
+        if (is_rejected_value(transaction->commit, job, k))
+            continue;
+        if (pm_commit_transaction_is_full(transaction))
+            continue;
+        if (chunk->write_alone && transaction->values->len)
+            continue;
+        pm_commit_transaction_add_chunk(transaction, job, k);
+        transaction->is_closed = chunk->write_alone;
+    }
+}
+
+static void add_all_of_urgency(struct commit_transaction *transaction, enum urgency urgency,
+                               double now, double *next_at)
+{
+    GPtrArray *active = pm_jobs_active(transaction->commit->jobs);
+
+    for (guint i = 0; i < active->len; i++) {
+        struct pm_job *job = g_ptr_array_index(active, i);
+        if (!job->spec || job->delegated || job->write_back.final_in_flight)
+            continue;
+        if (is_over(job))
+            add_due_final_state(transaction, job, urgency, now, next_at);
+        else
+            add_due_chunks(transaction, job, urgency, now, next_at);
+    }
+}
+
+/* Deferrable changes yield to all others: the ends of tasks are written with the next launch in
+ * their chunk, or with the job's final state, unless the budget has room to spare. */
+static bool has_budget_for_deferrable(const struct pm_commit *commit, double now)
+{
+    return pm_store_write_budget(commit->store, now) >=
+           DEFERRABLE_BUDGET_SHARE * commit->tables->settings->store_write_rps;
+}
+
+static bool has_deferrable_chunk(const struct pm_job *job, double now)
+{
+    double ignored = 0;
+
+    for (int k = 0; k < job->chunk_count; k++)
+        if (job->chunks[k] &&
+            chunk_urgency(job, job->chunks[k], now, &ignored) == URGENCY_DEFERRABLE)
+            return true;
+    return false;
+}
+
+static bool has_deferrable_final_state(const struct pm_job *job, double now)
+{
+    return !job->write_back.final_in_flight && job->write_back.retry_at <= now &&
+           final_state_urgency(job) == URGENCY_DEFERRABLE;
+}
+
+static bool has_deferrable(const struct pm_commit *commit, double now)
+{
+    GPtrArray *active = pm_jobs_active(commit->jobs);
+
+    for (guint i = 0; i < active->len; i++) {
+        const struct pm_job *job = g_ptr_array_index(active, i);
+        if (!job->spec || job->delegated)
+            continue;
+        if (is_over(job) ? has_deferrable_final_state(job, now) : has_deferrable_chunk(job, now))
+            return true;
+    }
+    return false;
+}
+
+/* Adds deferrable changes once they have waited for others to join them and the budget has room to
+ * spare. */
+static void add_deferrable(struct commit_transaction *transaction, double now, double *next_at)
+{
+    struct pm_commit *commit = transaction->commit;
+
+    if (commit->deferrable_since && now - commit->deferrable_since >= DEFERRABLE_DELAY_S &&
+        has_budget_for_deferrable(commit, now)) {
+        add_all_of_urgency(transaction, URGENCY_DEFERRABLE, now, next_at);
+        commit->deferrable_since = 0;
+    } else if (!has_deferrable(commit, now)) {
+        commit->deferrable_since = 0;
+    } else if (!commit->deferrable_since) {
+        commit->deferrable_since = now;
+    }
+}
+
+void pm_commit_add_due(struct commit_transaction *transaction, double now, double *next_at)
+{
+    add_all_of_urgency(transaction, URGENCY_SERVICE, now, next_at);
+    add_all_of_urgency(transaction, URGENCY_LAUNCH, now, next_at);
+    add_deferrable(transaction, now, next_at);
+}
--- /dev/null
+++ b/src/jobs/commit_results.c
@@ -0,0 +1,200 @@
+/* What the results of transactions change in the working state: revisions, retries, and which
+ * placements may be launched. */
+#include "jobs/commit_internal.h"
+#include "jobs/internal.h"
+#include "base/clock.h"
+#include "base/log.h"
+
+#include <string.h>
+
+/* Until a chunk or a final state is written again. */
+#define CONFLICT_RETRY_S 0.06
+#define THROTTLED_RETRY_S 0.15
+#define REJECTED_RETRY_S 3.0
+#define RETRY_S 0.3
+
+enum {
+    FAILURES_PER_DOUBLING = 4, /* of a chunk's retry delay */
+    DOUBLINGS_MAX = 6,
+    HASH_FACTOR = 33,
+    STORE_KEY_MAX = 256 /* of a conflicting key, in bytes */
+};
+
+static double retry_delay_s(enum pm_store_result result)
+{
+    switch (result) {
+    case PM_STORE_CONFLICT:
+        return CONFLICT_RETRY_S;
+    case PM_STORE_THROTTLED:
+        return THROTTLED_RETRY_S;
+    case PM_STORE_REJECTED:
+        return REJECTED_RETRY_S;
+    default:
+        return RETRY_S;
+    }
+}
+
+guint pm_commit_chunk_hash(const struct pm_commit *commit, const struct pm_job *job,
+                           int chunk_index)
+{
+    struct pm_buf buf = {0};
+    guint hash = pm_job_is_chunk_split(commit->tables, job, chunk_index);
+
+    pm_chunk_encode(commit->tables, job, chunk_index, PM_CHUNK_WHOLE, &buf);
+    for (size_t i = 0; i < buf.size; i++)
+        hash = hash * HASH_FACTOR + buf.data[i];
+    pm_buf_free(&buf);
+    return hash ? hash : 1;
+}
+
+static void chunk_succeeded(struct pm_chunk *chunk, const struct written_value *written,
+                            uint64_t store_revision)
+{
+    struct pm_stored_chunk *stored = pm_chunk_stored(chunk, written->half);
+
+    chunk->failures = 0;
+    if (written->is_delete) {
+        stored->revision = stored->written_revision = 0;
+        return;
+    }
+    stored->written_revision = store_revision;
+    chunk->rejected_hash = 0;
+    chunk->write_alone = false;
+    if (written->half != PM_CHUNK_WHOLE && pm_stored_chunk_revision(&chunk->whole) &&
+        pm_stored_chunk_revision(&chunk->half[!written->half]))
+        chunk->dirty |= PM_DIRTY_WHOLE; /* both halves are stored: the whole is to be deleted */
+}
+
+/* The value is too large, most likely. Of several in one transaction it is not known which was the
+ * cause, so each is written alone next time; one that is rejected alone is not sent again
+ * unchanged. */
+static void chunk_rejected(const struct pm_commit *commit, struct pm_chunk *chunk,
+                           const struct written_value *written)
+{
+    pm_error("commit.rejected", "the state service refuses p/t/%s/%d", written->job->id,
+             written->index);
+    if (written->half == PM_CHUNK_WHOLE)
+        chunk->write_in_halves = true;
+    if (chunk->write_alone)
+        chunk->rejected_hash = pm_commit_chunk_hash(commit, written->job, written->index);
+    chunk->write_alone = true;
+}
+
+/* The chunk is written again, on the revision that the watch shows by then. If this transaction is
+ * executed late after all, either its own compares fail or ours do. */
+static void chunk_failed(const struct pm_commit *commit, struct pm_chunk *chunk,
+                         const struct written_value *written, enum pm_store_result result,
+                         double now)
+{
+    chunk->failures++;
+    if (result == PM_STORE_REJECTED)
+        chunk_rejected(commit, chunk, written);
+    if (!written->is_delete)
+        chunk->dirty |= pm_chunk_dirty_bits(written->half);
+    else if (written->half == PM_CHUNK_WHOLE)
+        chunk->dirty |= PM_DIRTY_WHOLE;
+    chunk->retry_at = now + retry_delay_s(result) *
+                                (1 << MIN(chunk->failures / FAILURES_PER_DOUBLING, DOUBLINGS_MAX));
+}
+
+static void apply_to_chunk(const struct pm_commit *commit, const struct written_value *written,
+                           enum pm_store_result result, uint64_t store_revision, double now)
+{
+    struct pm_job *job = written->job;
+    struct pm_chunk *chunk = written->index < job->chunk_count ? job->chunks[written->index] : NULL;
+
+    if (!chunk)
+        return; /* the job's final state has arrived, and its chunks were freed */
+    chunk->in_flight = false;
+    if (result == PM_STORE_OK)
+        chunk_succeeded(chunk, written, store_revision);
+    else
+        chunk_failed(commit, chunk, written, result, now);
+}
+
+static void apply_to_final_state(struct pm_job *job, enum pm_store_result result, double now)
+{
+    job->write_back.final_in_flight = false;
+    if (result != PM_STORE_OK)
+        job->write_back.retry_at = now + retry_delay_s(result);
+}
+
+/* Lists are deleted from the last to the first: those before `list_index` are left. */
+static void apply_to_dependency_list(struct pm_job *job, int list_index,
+                                     enum pm_store_result result)
+{
+    if (result == PM_STORE_OK && job->spec)
+        job->spec->overflow_lists = MIN(job->spec->overflow_lists, (uint32_t)list_index);
+}
+
+static void apply_to_value(const struct pm_commit *commit, const struct written_value *written,
+                           enum pm_store_result result, uint64_t store_revision, double now)
+{
+    switch (written->kind) {
+    case WRITTEN_FINAL_STATE:
+        apply_to_final_state(written->job, result, now);
+        break;
+    case WRITTEN_CHUNK:
+        apply_to_chunk(commit, written, result, store_revision, now);
+        break;
+    case WRITTEN_DEPENDENCY_LIST:
+        apply_to_dependency_list(written->job, written->index, result);
+        break;
+    }
+}
+
+/* The placement is durable, unless it was given up or replaced meanwhile. */
+static void make_durable(const struct pm_commit *commit, const struct proposed_placement *proposed)
+{
+    const struct pm_task *task =
+        proposed->job->chunks ? pm_job_find_task(proposed->job, proposed->task_index) : NULL;
+    struct pm_placement *placement = task ? task->placement : NULL;
+
+    if (!placement || placement->attempt != proposed->attempt ||
+        placement->state != PM_PLACEMENT_PROPOSED)
+        return;
+    placement->state = PM_PLACEMENT_DURABLE;
+    commit->hooks.placement_durable(commit->hooks.arg, placement);
+}
+
+static void apply_result(const struct commit_transaction *transaction, enum pm_store_result result,
+                         uint64_t store_revision)
+{
+    const struct pm_commit *commit = transaction->commit;
+    double now = pm_clock_monotonic();
+
+    for (guint i = 0; i < transaction->values->len; i++)
+        apply_to_value(commit, &g_array_index(transaction->values, struct written_value, i), result,
+                       store_revision, now);
+    for (guint i = 0; result == PM_STORE_OK && i < transaction->placements->len; i++)
+        make_durable(commit, &g_array_index(transaction->placements, struct proposed_placement, i));
+}
+
+static void report_epoch_conflict(const struct pm_commit *commit,
+                                  const cbor_item_t *conflicting_keys)
+{
+    char key[STORE_KEY_MAX];
+
+    for (size_t i = 0; i < pm_cbor_length(conflicting_keys); i++)
+        if (pm_cbor_read_text(pm_cbor_at(conflicting_keys, i), key, sizeof key) &&
+            !strcmp(key, PM_EPOCH_KEY))
+            commit->hooks.epoch_conflict(commit->hooks.arg);
+}
+
+void pm_commit_on_result(void *arg, enum pm_store_result result, uint64_t store_revision,
+                         const cbor_item_t *conflicting_keys)
+{
+    struct commit_transaction *transaction = arg;
+    struct pm_commit *commit = transaction->commit;
+
+    if (transaction->generation == commit->generation) {
+        commit->in_flight--;
+        apply_result(transaction, result, store_revision);
+        if (result == PM_STORE_OK)
+            commit->hooks.epoch_confirmed(commit->hooks.arg, transaction->sent_at, store_revision);
+        else
+            pm_debug("commit.failed", "status %d (%s)", result, pm_store_result_name(result));
+        report_epoch_conflict(commit, conflicting_keys);
+    }
+    pm_commit_transaction_free(transaction);
+}
--- /dev/null
+++ b/src/jobs/commit_transaction.c
@@ -0,0 +1,250 @@
+/* Builds transactions: which keys a change of a job or of a chunk compares and writes. */
+#include "jobs/commit_internal.h"
+#include "jobs/internal.h"
+
+/* The state service's limits: 64 KiB a request, and four compares for each change that one
+ * transaction may have. */
+enum {
+    BODY_SIZE_FULL = 48 * 1024, /* nothing more is added to a body beyond this */
+    COMPARES_PER_WRITE = 4,
+    COMPARES_PER_CHUNK_MAX = 4 /* the job, the whole chunk, and both halves */
+};
+
+struct commit_transaction *pm_commit_transaction_new(struct pm_commit *commit,
+                                                     const struct pm_commit_conditions *conditions,
+                                                     double now, int max_writes)
+{
+    struct commit_transaction *transaction = g_new0(struct commit_transaction, 1);
+
+    transaction->commit = commit;
+    transaction->generation = commit->generation;
+    transaction->sent_at = now;
+    transaction->max_writes = max_writes;
+    transaction->placements = g_array_new(FALSE, FALSE, sizeof(struct proposed_placement));
+    transaction->values = g_array_new(FALSE, FALSE, sizeof(struct written_value));
+    pm_txn_compare(&transaction->txn, PM_EPOCH_KEY, conditions->epoch_revision);
+    if (conditions->shard_key)
+        pm_txn_compare(&transaction->txn, conditions->shard_key, conditions->shard_revision);
+    return transaction;
+}
+
+void pm_commit_transaction_free(struct commit_transaction *transaction)
+{
+    g_array_free(transaction->placements, TRUE);
+    g_array_free(transaction->values, TRUE);
+    pm_txn_free(&transaction->txn);
+    g_free(transaction);
+}
+
+bool pm_commit_transaction_is_full(const struct commit_transaction *transaction)
+{
+    const struct pm_txn *txn = &transaction->txn;
+
+    return transaction->is_closed || txn->write_count >= transaction->max_writes ||
+           txn->writes.size > BODY_SIZE_FULL ||
+           txn->compare_count + COMPARES_PER_CHUNK_MAX >
+               COMPARES_PER_WRITE * transaction->max_writes;
+}
+
+static int writes_left(const struct commit_transaction *transaction)
+{
+    return transaction->max_writes - transaction->txn.write_count;
+}
+
+static void add_value(struct commit_transaction *transaction, struct written_value value)
+{
+    g_array_append_val(transaction->values, value);
+}
+
+static void compare_job(struct commit_transaction *transaction, const struct pm_job *job)
+{
+    char key[PM_JOBS_KEY_MAX];
+
+    for (guint i = 0; i < transaction->values->len; i++)
+        if (g_array_index(transaction->values, struct written_value, i).job == job)
+            return; /* compared already */
+    pm_job_key_write(job, key);
+    pm_txn_compare(&transaction->txn, key, job->revision);
+}
+
+static void compare_chunk(struct commit_transaction *transaction, const struct pm_job *job,
+                          int chunk_index, int half)
+{
+    char key[PM_JOBS_KEY_MAX];
+
+    pm_chunk_key_write(job, chunk_index, half, key);
+    pm_txn_compare(&transaction->txn, key,
+                   pm_stored_chunk_revision(pm_chunk_stored(job->chunks[chunk_index], half)));
+}
+
+/* Remembers which proposed placements the chunk's value makes durable. */
+static void add_proposed_placements(struct commit_transaction *transaction, struct pm_job *job,
+                                    const struct pm_chunk *chunk, int half)
+{
+    for (int i = 0; i < PM_CHUNK_TASKS; i++) {
+        const struct pm_placement *placement = chunk->task[i].placement;
+        struct proposed_placement proposed;
+        if (!placement || placement->state != PM_PLACEMENT_PROPOSED)
+            continue;
+        if (half != PM_CHUNK_WHOLE && i / PM_HALF_CHUNK_TASKS != half)
+            continue;
+        proposed = (struct proposed_placement){job, placement->task_index, placement->attempt};
+        g_array_append_val(transaction->placements, proposed);
+    }
+}
+
+static void put_chunk(struct commit_transaction *transaction, struct pm_job *job, int chunk_index,
+                      int half)
+{
+    struct pm_chunk *chunk = job->chunks[chunk_index];
+    char key[PM_JOBS_KEY_MAX];
+
+    pm_chunk_key_write(job, chunk_index, half, key);
+    pm_txn_put(&transaction->txn, key);
+    pm_chunk_encode(transaction->commit->tables, job, chunk_index, half, &transaction->txn.writes);
+    pm_txn_put_end(&transaction->txn, 0);
+    add_proposed_placements(transaction, job, chunk, half);
+    chunk->dirty &= ~pm_chunk_dirty_bits(half);
+    chunk->in_flight = true;
+    job->write_back.attempted = true;
+    add_value(transaction, (struct written_value){job, WRITTEN_CHUNK, chunk_index, half, false});
+}
+
+static void delete_chunk(struct commit_transaction *transaction, struct pm_job *job,
+                         int chunk_index, int half)
+{
+    char key[PM_JOBS_KEY_MAX];
+
+    pm_chunk_key_write(job, chunk_index, half, key);
+    pm_txn_delete(&transaction->txn, key);
+    job->chunks[chunk_index]->in_flight = true;
+    add_value(transaction, (struct written_value){job, WRITTEN_CHUNK, chunk_index, half, true});
+}
+
+/* Writes the halves. A chunk that is stored whole and has become too large for that is moved to
+ * halves in steps: each half that is written takes precedence over what the whole says of its
+ * tasks, and once both are stored the whole is deleted. Interrupted between any two steps, nothing
+ * is lost. */
+static void add_halves(struct commit_transaction *transaction, struct pm_job *job, int chunk_index)
+{
+    struct pm_chunk *chunk = job->chunks[chunk_index];
+    bool whole_is_stored = pm_stored_chunk_revision(&chunk->whole) != 0;
+
+    for (int half = 0; half < PM_CHUNK_HALVES && writes_left(transaction) > 0; half++) {
+        bool is_dirty = chunk->dirty & pm_chunk_dirty_bits(half);
+        bool is_missing = whole_is_stored && !pm_stored_chunk_revision(&chunk->half[half]);
+        if (!is_dirty && !is_missing)
+            continue;
+        compare_chunk(transaction, job, chunk_index, half);
+        put_chunk(transaction, job, chunk_index, half);
+    }
+    if (chunk->dirty & PM_DIRTY_WHOLE && writes_left(transaction) > 0) {
+        chunk->dirty &= ~(unsigned)PM_DIRTY_WHOLE;
+        if (whole_is_stored)
+            delete_chunk(transaction, job, chunk_index, PM_CHUNK_WHOLE);
+    }
+}
+
+void pm_commit_transaction_add_chunk(struct commit_transaction *transaction, struct pm_job *job,
+                                     int chunk_index)
+{
+    compare_job(transaction, job);
+    compare_chunk(transaction, job, chunk_index, PM_CHUNK_WHOLE);
+    if (pm_job_is_chunk_split(transaction->commit->tables, job, chunk_index))
+        add_halves(transaction, job, chunk_index);
+    else
+        put_chunk(transaction, job, chunk_index, PM_CHUNK_WHOLE);
+}
+
+/* How many values of the job's chunks are stored. */
+static int count_stored_chunks(const struct pm_job *job)
+{
+    int count = 0;
+
+    for (int k = 0; k < job->chunk_count; k++)
+        for (int half = PM_CHUNK_WHOLE; job->chunks[k] && half < PM_CHUNK_HALVES; half++)
+            count += pm_stored_chunk_revision(pm_chunk_stored(job->chunks[k], half)) != 0;
+    return count;
+}
+
+static bool has_chunk_in_flight(const struct pm_job *job)
+{
+    for (int k = 0; k < job->chunk_count; k++)
+        if (job->chunks[k] && job->chunks[k]->in_flight)
+            return true;
+    return false;
+}
+
+static void put_final_state(struct commit_transaction *transaction, struct pm_job *job,
+                            bool keep_description)
+{
+    struct pm_commit *commit = transaction->commit;
+    struct pm_buf *out = &transaction->txn.writes;
+    char key[PM_JOBS_KEY_MAX];
+
+    pm_job_key_write(job, key);
+    pm_txn_put(&transaction->txn, key);
+    if (job->state == PM_JOB_LIVE || job->state == PM_JOB_DONE) {
+        job->ended_wall = job->ended_wall > 0 ? job->ended_wall : commit->wall;
+        pm_job_encode_done(commit->tables, job, keep_description, out);
+    } else {
+        pm_job_encode(commit->tables, job->spec, job->task_count, job->state, keep_description,
+                      out);
+    }
+    pm_txn_put_end(&transaction->txn, 0);
+}
+
+static void delete_dependency_lists(struct commit_transaction *transaction, struct pm_job *job)
+{
+    char key[PM_JOBS_KEY_MAX];
+
+    for (uint32_t count = job->spec->overflow_lists; count > 0 && writes_left(transaction) > 0;
+         count--) {
+        int last = (int)count - 1;
+        pm_dependency_list_key_write(job, last, key);
+        pm_txn_delete(&transaction->txn, key);
+        add_value(transaction,
+                  (struct written_value){job, WRITTEN_DEPENDENCY_LIST, last, PM_CHUNK_WHOLE, true});
+    }
+}
+
+static void delete_chunks(struct commit_transaction *transaction, struct pm_job *job)
+{
+    for (int k = 0; k < job->chunk_count; k++) {
+        struct pm_chunk *chunk = job->chunks[k];
+        for (int half = PM_CHUNK_WHOLE;
+             chunk && half < PM_CHUNK_HALVES && writes_left(transaction) > 0; half++) {
+            if (!pm_stored_chunk_revision(pm_chunk_stored(chunk, half)))
+                continue;
+            compare_chunk(transaction, job, k, half);
+            delete_chunk(transaction, job, k, half);
+            chunk->dirty = 0;
+        }
+    }
+}
+
+/* A job with more values than fit into one transaction ends in steps: first its final state is
+ * written with the description kept, then its lists and chunks are deleted, then the description.
+ */
+void pm_commit_transaction_add_final(struct commit_transaction *transaction, struct pm_job *job)
+{
+    bool final_is_stored = job->state != PM_JOB_LIVE && !job->dependencies.cancelled_by_one;
+    bool fits;
+
+    if (has_chunk_in_flight(job) || writes_left(transaction) < 1)
+        return;
+    fits =
+        count_stored_chunks(job) + (int)job->spec->overflow_lists + 1 <= writes_left(transaction);
+    if (!fits && transaction->values->len)
+        return; /* it waits for a transaction of its own */
+    compare_job(transaction, job);
+    if (fits || !final_is_stored)
+        put_final_state(transaction, job, !fits);
+    add_value(transaction,
+              (struct written_value){job, WRITTEN_FINAL_STATE, 0, PM_CHUNK_WHOLE, false});
+    job->write_back.final_in_flight = true;
+    if (!fits && !final_is_stored)
+        return; /* the rest is deleted once the final state is durable */
+    delete_dependency_lists(transaction, job);
+    delete_chunks(transaction, job);
+}
--- a/src/jobs/dependencies.c
+++ b/src/jobs/dependencies.c
@@ -1,21 +1,22 @@
+/* The dependency graph: its nodes and edges, and the walks along them. */
 #include "jobs/dependencies.h"
 
 #include <math.h>
 
-/* A job in the graph. One that is over stays allocated while others still refer to it, so that
+/* A job in the graph. Once removed it stays allocated while others still refer to it, so that
  * leaving the graph never searches the lists of others. */
 struct node {
     struct pm_job *job; /* NULL: named by others, not known yet */
-    bool added;         /* its own dependencies are linked */
-    bool over;
-    bool queued; /* in the walk under way */
+    bool is_added;      /* its own dependencies are linked */
+    bool is_removed;    /* it has left the graph */
+    bool is_queued;     /* in the walk under way */
     unsigned references;
     GPtrArray *dependencies, *dependents; /* of struct node; each entry is a reference */
 };
 
 struct pm_dependency_graph {
     struct pm_name_tables *tables;
-    GPtrArray *nodes; /* by index of `dependency_ids`; NULL: over, or in no dependency */
+    GPtrArray *nodes; /* by index of `dependency_ids`; NULL: removed, or in no dependency */
     uint64_t steps;
 };
 
@@ -74,14 +75,14 @@
     return node;
 }
 
-/* Takes the node out of the graph. Others may refer to it until they leave as well. */
+/* Removes the node from the graph. Others may refer to it until they leave as well. */
 static void remove_node(struct pm_dependency_graph *graph, int index)
 {
     struct node *node = find_node(graph, index);
 
     graph->steps += node->dependencies->len + node->dependents->len;
     g_ptr_array_index(graph->nodes, index) = NULL;
-    node->over = true;
+    node->is_removed = true;
     node->job = NULL;
     g_ptr_array_set_size(node->dependencies, 0);
     g_ptr_array_set_size(node->dependents, 0);
@@ -99,40 +100,40 @@
 
 /* ---- priority and deadline ---- */
 
-/* A job that another needs is as urgent as that one, and due so much earlier as that one takes.
- * Whether this changed the dependency. */
+/* A dependency gets at least the priority of its dependent, and a deadline that leaves time for the
+ * dependent to run. Whether this changed the dependency. */
 static bool inherit(struct pm_job *dependency, const struct pm_job *dependent)
 {
     double due = dependent->deadline_wall - dependent->spec->estimated_run_s;
-    bool changes = dependency->priority < dependent->priority || dependency->deadline_wall > due;
+    bool is_changed = dependency->priority < dependent->priority || dependency->deadline_wall > due;
 
     dependency->priority = MAX(dependency->priority, dependent->priority);
     dependency->deadline_wall = MIN(dependency->deadline_wall, due);
-    return changes;
+    return is_changed;
 }
 
 /* Whether the edge is in the order of acceptance, as every edge between accepted jobs is. */
-static bool in_order(const struct node *dependency, const struct node *dependent)
+static bool is_in_order(const struct node *dependency, const struct node *dependent)
 {
     return dependency->job && dependency->job->revision < dependent->job->revision;
 }
 
 /* Latest accepted first. */
-static gint by_acceptance(gconstpointer a, gconstpointer b, gpointer data)
+static gint compare_acceptance(gconstpointer left, gconstpointer right, gpointer data)
 {
-    const struct node *x = a;
-    const struct node *y = b;
+    uint64_t left_revision = ((const struct node *)left)->job->revision;
+    uint64_t right_revision = ((const struct node *)right)->job->revision;
 
     (void)data;
-    return (x->job->revision < y->job->revision) - (x->job->revision > y->job->revision);
+    return (left_revision < right_revision) - (left_revision > right_revision);
 }
 
 static void enqueue(GSequence *queue, struct node *node)
 {
-    if (node->queued)
+    if (node->is_queued)
         return;
-    node->queued = true;
-    g_sequence_insert_sorted(queue, node, by_acceptance, NULL);
+    node->is_queued = true;
+    g_sequence_insert_sorted(queue, node, compare_acceptance, NULL);
 }
 
 static struct node *dequeue(GSequence *queue)
@@ -141,12 +142,13 @@
     struct node *node = g_sequence_get(first);
 
     g_sequence_remove(first);
-    node->queued = false;
+    node->is_queued = false;
     return node;
 }
 
-/* Passes the node's priority and deadline on to all that it needs. Whoever is taken from the queue
- * has heard from all of its own dependents by then, so each node is handled once. */
+/* Passes the node's priority and deadline on to all its dependencies, direct and indirect. A node
+ * leaves the queue only after all of its own dependents that the walk reaches, so each is handled
+ * once. */
 static void propagate(struct pm_dependency_graph *graph, struct node *from)
 {
     GSequence *queue = g_sequence_new(NULL);
@@ -157,7 +159,7 @@
         for (guint i = 0; i < dependent->dependencies->len; i++) {
             struct node *dependency = g_ptr_array_index(dependent->dependencies, i);
             graph->steps++;
-            if (!dependency->over && in_order(dependency, dependent) &&
+            if (!dependency->is_removed && is_in_order(dependency, dependent) &&
                 inherit(dependency->job, dependent->job))
                 enqueue(queue, dependency);
         }
@@ -167,10 +169,13 @@
 
 /* ---- adding ---- */
 
-/* The job needed the other one, which is done: whoever waits, waits from the last such end on. */
-static void note_end(struct pm_job *job, double ended)
+/* A dependency of the job is done since that time of day, 0: not known. The wait of the job counts
+ * from the last such end. */
+static void note_dependency_end(struct pm_job *job, double ended_wall)
 {
-    job->dependencies.met_wall = ended > 0 ? MAX(job->dependencies.met_wall, ended) : INFINITY;
+    double *met_wall = &job->dependencies.met_wall;
+
+    *met_wall = ended_wall > 0 ? MAX(*met_wall, ended_wall) : INFINITY;
 }
 
 static void add_edge(struct pm_dependency_graph *graph, struct node *node, int index,
@@ -184,7 +189,14 @@
     node->job->dependencies.unmet++;
 }
 
-/* Links the node to what its job needs. Returns the earliest cancellation among that, 0: none. */
+/* The earlier of two revisions, of which `known` may be 0: none. */
+static uint64_t earlier_revision(uint64_t known, uint64_t other)
+{
+    return known ? MIN(known, other) : other;
+}
+
+/* Links the node to its job's dependencies. Returns the revision of the earliest cancellation among
+ * them, 0: none is cancelled. */
 static uint64_t add_dependencies(struct pm_dependency_graph *graph, struct node *node,
                                  pm_dependency_lookup *lookup, void *arg)
 {
@@ -197,16 +209,26 @@
             lookup(arg, pm_names_text(graph->tables->dependency_ids, index));
         graph->steps++;
         if (outcome.cancellation_revision)
-            cancelled = cancelled ? MIN(cancelled, outcome.cancellation_revision)
-                                  : outcome.cancellation_revision;
+            cancelled = earlier_revision(cancelled, outcome.cancellation_revision);
         else if (outcome.job && outcome.job->state == PM_JOB_DONE)
-            note_end(node->job, outcome.job->ended_wall);
+            note_dependency_end(node->job, outcome.job->ended_wall);
         else
             add_edge(graph, node, index, outcome.job);
     }
     return cancelled;
 }
 
+/* The node that has just been added inherits from the dependents that were known before it. */
+static void inherit_from_dependents(struct pm_dependency_graph *graph, struct node *node)
+{
+    for (guint i = 0; i < node->dependents->len; i++) {
+        const struct node *dependent = g_ptr_array_index(node->dependents, i);
+        graph->steps++;
+        if (!dependent->is_removed && is_in_order(node, dependent))
+            inherit(node->job, dependent->job);
+    }
+}
+
 uint64_t pm_dependencies_add(struct pm_dependency_graph *graph, struct pm_job *job,
                              pm_dependency_lookup *lookup, void *arg)
 {
@@ -216,24 +238,19 @@
     struct node *node = index >= 0 ? make_node(graph, index) : NULL;
     uint64_t cancelled;
 
-    if (!node || node->added)
-        return 0; /* nothing needs it so far, nor does it need anything; or it is there already */
+    if (!node || node->is_added)
+        return 0; /* it has neither dependencies nor dependents so far; or it is added already */
     node->job = job;
-    node->added = true;
+    node->is_added = true;
     cancelled = add_dependencies(graph, node, lookup, arg);
-    for (guint i = 0; i < node->dependents->len; i++) {
-        const struct node *dependent = g_ptr_array_index(node->dependents, i);
-        graph->steps++;
-        if (!dependent->over && in_order(node, dependent))
-            inherit(job, dependent->job);
-    }
+    inherit_from_dependents(graph, node);
     propagate(graph, node);
     return cancelled;
 }
 
 /* ---- ends ---- */
 
-void pm_dependencies_mark_done(struct pm_dependency_graph *graph, const char *id, double ended)
+void pm_dependencies_mark_done(struct pm_dependency_graph *graph, const char *id, double ended_wall)
 {
     int index = pm_names_find(graph->tables->dependency_ids, id);
     const struct node *node = find_node(graph, index);
@@ -242,14 +259,29 @@
         return;
     for (guint i = 0; i < node->dependents->len; i++) {
         const struct node *dependent = g_ptr_array_index(node->dependents, i);
-        if (dependent->over)
+        if (dependent->is_removed)
             continue;
         dependent->job->dependencies.unmet--;
-        note_end(dependent->job, ended);
+        note_dependency_end(dependent->job, ended_wall);
     }
     remove_node(graph, index);
 }
 
+/* Cancels the dependents of the node, and adds their indices to the walk. */
+static void cancel_dependents(struct pm_dependency_graph *graph, const struct node *node,
+                              pm_dependency_cancel *cancel, void *arg, GArray *walk)
+{
+    for (guint i = 0; i < node->dependents->len; i++) {
+        const struct node *dependent = g_ptr_array_index(node->dependents, i);
+        int index;
+        if (dependent->is_removed)
+            continue;
+        index = pm_names_find(graph->tables->dependency_ids, dependent->job->id);
+        cancel(arg, dependent->job);
+        g_array_append_val(walk, index);
+    }
+}
+
 void pm_dependencies_mark_cancelled(struct pm_dependency_graph *graph, const char *id,
                                     pm_dependency_cancel *cancel, void *arg)
 {
@@ -265,15 +297,7 @@
         node = find_node(graph, index);
         if (!node)
             continue; /* reached by another way */
-        for (guint i = 0; i < node->dependents->len; i++) {
-            const struct node *dependent = g_ptr_array_index(node->dependents, i);
-            int next;
-            if (dependent->over)
-                continue;
-            next = pm_names_find(graph->tables->dependency_ids, dependent->job->id);
-            cancel(arg, dependent->job);
-            g_array_append_val(walk, next);
-        }
+        cancel_dependents(graph, node, cancel, arg, walk);
         remove_node(graph, index);
     }
     g_array_free(walk, TRUE);
--- /dev/null
+++ b/src/jobs/feed.c
@@ -0,0 +1,171 @@
+/* Applies the state service's feed to the replica: values of p/j, p/n and p/t. */
+#include "jobs/internal.h"
+#include "base/log.h"
+
+#include <string.h>
+
+/* ---- p/j ---- */
+
+static void set_state(struct pm_jobs *jobs, struct pm_job *job, enum pm_job_state state)
+{
+    if (state == PM_JOB_CANCELLED)
+        job->dependencies.cancelled_by_one = false; /* its own value says so */
+    /* What is known cancelled stays so: this value is an older one then. */
+    job->state = job->cancellation_revision ? PM_JOB_CANCELLED : state;
+    if (job->state == PM_JOB_CANCELLED && !job->cancellation_revision) {
+        job->cancellation_revision = job->revision;
+        pm_jobs_record_cancellation(jobs, job->id, job->revision);
+    }
+}
+
+/* Reads the description from the job's value. False: unreadable. */
+static bool read_description(struct pm_jobs *jobs, struct pm_job *job, const cbor_item_t *value)
+{
+    bool is_new = !job->spec;
+    struct pm_spec *spec = is_new ? g_new0(struct pm_spec, 1) : job->spec;
+
+    if (!pm_stored_spec_decode(jobs->tables, value, spec)) {
+        pm_error("jobs.unreadable_value", "unreadable description of job %s", job->id);
+        if (is_new)
+            pm_spec_free(spec);
+        return false;
+    }
+    if (is_new) {
+        job->spec = spec;
+        pm_jobs_read_dependencies(jobs, job, value);
+    }
+    return true;
+}
+
+/* Takes over what the readable value says beside the job's state. */
+static void apply_job_value(struct pm_jobs *jobs, struct pm_job *job, const cbor_item_t *value,
+                            uint32_t task_count)
+{
+    if (!job->chunks)
+        job->task_count = task_count;
+    if (pm_job_value_has_description(value)) {
+        if (!read_description(jobs, job, value))
+            return;
+        pm_job_allocate_chunks(job);
+        pm_jobs_activate(jobs, job);
+    } else if (!job->work.placed_count) {
+        pm_jobs_keep_final_state_only(jobs, job);
+    }
+    pm_jobs_update_graph(jobs, job);
+    pm_jobs_complete_dependencies(jobs, job);
+}
+
+static struct pm_job *put_job(struct pm_jobs *jobs, const char *id, const cbor_item_t *value,
+                              uint64_t revision)
+{
+    struct pm_job *job = pm_jobs_find(jobs, id);
+    struct pm_job_summary summary = {.state = PM_JOB_LIVE, .task_count = 1};
+    bool is_readable;
+
+    if ((job && job->revision >= revision) || !pm_job_id_is_valid(id))
+        return NULL;
+    is_readable = pm_job_summary_decode(value, &summary);
+    if (!is_readable) {
+        pm_error("jobs.unreadable_value", "unreadable value of job %s", id);
+        if (job)
+            return NULL;
+        /* It was accepted once, so it stays known, whatever became of its value. */
+    }
+    if (!job)
+        job = pm_jobs_add(jobs, id, summary.task_count);
+    job->revision = revision;
+    set_state(jobs, job, summary.state);
+    if (summary.state == PM_JOB_DONE)
+        pm_job_end_time_decode(value, &job->ended_wall);
+    if (is_readable) /* otherwise it is not run, since it may have been cancelled */
+        apply_job_value(jobs, job, value, summary.task_count);
+    return job;
+}
+
+/* ---- p/t ---- */
+
+static struct pm_job *put_chunk(struct pm_jobs *jobs, const char *rest, const cbor_item_t *value,
+                                uint64_t revision)
+{
+    char id[PM_ID_MAX];
+    struct pm_job *job;
+    struct pm_chunk *chunk;
+    struct pm_stored_chunk *stored;
+    int chunk_index;
+    int half;
+
+    if (!pm_chunk_key_parse(rest, id, &chunk_index, &half))
+        return NULL;
+    job = pm_jobs_find(jobs, id);
+    chunk = job ? pm_job_chunk(job, chunk_index) : NULL;
+    stored = chunk ? pm_chunk_stored(chunk, half) : NULL;
+    if (!stored || stored->revision >= revision)
+        return NULL;
+    if (!pm_chunk_decode(jobs->tables, value, stored)) {
+        pm_error("jobs.unreadable_value", "unreadable chunk %s", rest);
+        return NULL;
+    }
+    stored->revision = revision;
+    pm_chunk_merge(chunk);
+    return job;
+}
+
+static struct pm_job *delete_chunk(struct pm_jobs *jobs, const char *rest, uint64_t revision)
+{
+    char id[PM_ID_MAX];
+    struct pm_job *job;
+    struct pm_chunk *chunk;
+    struct pm_stored_chunk *stored;
+    int chunk_index;
+    int half;
+
+    if (!pm_chunk_key_parse(rest, id, &chunk_index, &half))
+        return NULL;
+    job = pm_jobs_find(jobs, id);
+    chunk = job && chunk_index < job->chunk_count ? job->chunks[chunk_index] : NULL;
+    stored = chunk ? pm_chunk_stored(chunk, half) : NULL;
+    if (!stored || stored->revision > revision)
+        return NULL;
+    stored->revision = 0;
+    pm_chunk_merge(chunk);
+    return job;
+}
+
+/* ---- any key ---- */
+
+struct pm_job *pm_jobs_apply_put(struct pm_jobs *jobs, const char *key, const cbor_item_t *value,
+                                 uint64_t revision)
+{
+    const char *rest;
+
+    if ((rest = pm_key_without_prefix(key, PM_JOB_KEY_PREFIX)))
+        return put_job(jobs, rest, value, revision);
+    if ((rest = pm_key_without_prefix(key, PM_DEPENDENCY_LIST_KEY_PREFIX)))
+        return pm_jobs_apply_dependency_list(jobs, rest, value);
+    if ((rest = pm_key_without_prefix(key, PM_CHUNK_KEY_PREFIX)))
+        return put_chunk(jobs, rest, value, revision);
+    return NULL;
+}
+
+struct pm_job *pm_jobs_apply_delete(struct pm_jobs *jobs, const char *key, uint64_t revision)
+{
+    const char *rest = pm_key_without_prefix(key, PM_CHUNK_KEY_PREFIX);
+
+    return rest ? delete_chunk(jobs, rest, revision) : NULL;
+}
+
+void pm_jobs_snapshot_begin(struct pm_jobs *jobs)
+{
+    GHashTableIter iter;
+    gpointer value;
+
+    /* p/j keys are never deleted, so only chunks can have vanished unseen. The listing puts them
+     * again, and after their jobs, since it goes by key. */
+    g_hash_table_iter_init(&iter, jobs->by_id);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
+        const struct pm_job *job = value;
+        for (int k = 0; k < job->chunk_count; k++)
+            if (job->chunks[k])
+                pm_chunk_forget_stored(job->chunks[k]);
+    }
+}
--- /dev/null
+++ b/src/jobs/keys.c
@@ -0,0 +1,60 @@
+/* The keys of jobs, of their chunks and of their dependency lists. */
+#include "jobs/internal.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+const char *pm_key_without_prefix(const char *key, const char *prefix)
+{
+    size_t size = strlen(prefix);
+
+    return strncmp(key, prefix, size) ? NULL : key + size;
+}
+
+void pm_job_key_write(const struct pm_job *job, char *key)
+{
+    snprintf(key, PM_JOBS_KEY_MAX, PM_JOB_KEY_PREFIX "%s", job->id);
+}
+
+void pm_chunk_key_write(const struct pm_job *job, int chunk_index, int half, char *key)
+{
+    if (half == PM_CHUNK_WHOLE)
+        snprintf(key, PM_JOBS_KEY_MAX, PM_CHUNK_KEY_PREFIX "%s/%d", job->id, chunk_index);
+    else
+        snprintf(key, PM_JOBS_KEY_MAX, PM_CHUNK_KEY_PREFIX "%s/%d/%d", job->id, chunk_index, half);
+}
+
+void pm_dependency_list_key_write(const struct pm_job *job, int list_index, char *key)
+{
+    snprintf(key, PM_JOBS_KEY_MAX, PM_DEPENDENCY_LIST_KEY_PREFIX "%s/%d", job->id, list_index);
+}
+
+/* Reads what follows the index: nothing, or the number of a half. */
+static bool parse_half(const char *rest, int *half)
+{
+    *half = PM_CHUNK_WHOLE;
+    if (!*rest)
+        return true;
+    if (*rest != '/' || (rest[1] != '0' && rest[1] != '1') || rest[2])
+        return false;
+    *half = rest[1] - '0';
+    return true;
+}
+
+bool pm_chunk_key_parse(const char *rest, char *id, int *index, int *half)
+{
+    const char *slash = strchr(rest, '/');
+    char *end;
+    unsigned long number;
+
+    if (!slash || (size_t)(slash - rest) >= PM_ID_MAX)
+        return false;
+    memcpy(id, rest, (size_t)(slash - rest));
+    id[slash - rest] = 0;
+    number = strtoul(slash + 1, &end, 10);
+    if (end == slash + 1 || number > PM_JOB_TASKS_MAX / PM_CHUNK_TASKS)
+        return false;
+    *index = (int)number;
+    return parse_half(end, half);
+}
--- a/src/jobs/work.c
+++ b/src/jobs/work.c
@@ -1,38 +1,56 @@
-/* The working state of whoever places a job: its tasks, and what of them is to be written. */
+/* The working state of whoever places a job: its tasks, the counts over them, and which chunks have
+ * to be written. */
 #include "jobs/internal.h"
 
 #include <string.h>
 
-struct pm_task *pm_job_task(struct pm_job *job, uint32_t index)
+enum { WORD_BITS = 64 };
+
+/* ---- tasks ---- */
+
+struct pm_task *pm_job_task(struct pm_job *job, uint32_t task_index)
 {
-    struct pm_chunk *chunk = pm_job_chunk(job, (int)(index / PM_CHUNK_TASKS));
+    struct pm_chunk *chunk = pm_job_chunk(job, (int)(task_index / PM_CHUNK_TASKS));
 
     if (!chunk->task)
         chunk->task = g_new0(struct pm_task, PM_CHUNK_TASKS);
-    return &chunk->task[index % PM_CHUNK_TASKS];
+    return &chunk->task[task_index % PM_CHUNK_TASKS];
 }
 
-const struct pm_task *pm_job_find_task(const struct pm_job *job, uint32_t index)
+const struct pm_task *pm_job_find_task(const struct pm_job *job, uint32_t task_index)
 {
-    const struct pm_chunk *chunk = job->chunks[index / PM_CHUNK_TASKS];
+    const struct pm_chunk *chunk = job->chunks[task_index / PM_CHUNK_TASKS];
 
-    return chunk && chunk->task ? &chunk->task[index % PM_CHUNK_TASKS] : NULL;
+    return chunk && chunk->task ? &chunk->task[task_index % PM_CHUNK_TASKS] : NULL;
 }
 
-void pm_job_mark_dirty(struct pm_job *job, uint32_t index)
+/* Which half of its chunk the task is in. */
+static int half_of(uint32_t task_index)
 {
-    pm_job_task(job, index);
-    job->chunks[index / PM_CHUNK_TASKS]->dirty |= 1u
-                                                  << (index % PM_CHUNK_TASKS / PM_HALF_CHUNK_TASKS);
+    return (int)(task_index % PM_CHUNK_TASKS / PM_HALF_CHUNK_TASKS);
 }
 
-void pm_job_count_placement(struct pm_job *job, uint32_t index, int by)
+void pm_job_mark_dirty(struct pm_job *job, uint32_t task_index)
 {
-    struct pm_chunk *chunk = pm_job_chunk(job, (int)(index / PM_CHUNK_TASKS));
-    uint16_t *placed = &chunk->placement_counts[index % PM_CHUNK_TASKS / PM_HALF_CHUNK_TASKS];
+    pm_job_task(job, task_index);
+    job->chunks[task_index / PM_CHUNK_TASKS]->dirty |= pm_chunk_dirty_bits(half_of(task_index));
+}
 
-    *placed = (uint16_t)(*placed + by);
-    job->work.placed_count += (uint32_t)by;
+void pm_job_back_off(struct pm_job *job, uint32_t task_index, double until)
+{
+    pm_job_task(job, task_index)->backoff_until = until;
+    job->scheduling.backoff_until = MAX(job->scheduling.backoff_until, until);
+}
+
+/* ---- counts ---- */
+
+void pm_job_count_placement(struct pm_job *job, uint32_t task_index, int change)
+{
+    struct pm_chunk *chunk = pm_job_chunk(job, (int)(task_index / PM_CHUNK_TASKS));
+    uint16_t *count = &chunk->placement_counts[half_of(task_index)];
+
+    *count = (uint16_t)(*count + change);
+    job->work.placed_count += (uint32_t)change;
 }
 
 uint32_t pm_job_waiting_tasks(const struct pm_job *job)
@@ -42,84 +60,91 @@
     return job->task_count - job->work.done_count - job->work.placed_count;
 }
 
-void pm_job_back_off(struct pm_job *job, uint32_t index, double until)
+/* How many waiting tasks of the chunk back off. */
+static uint32_t count_backing_off(const struct pm_chunk *chunk, double now)
 {
-    pm_job_task(job, index)->backoff_until = until;
-    job->scheduling.backoff_until = MAX(job->scheduling.backoff_until, until);
-}
+    uint32_t count = 0;
 
-/* Waiting tasks of the chunk that rest. */
-static uint32_t count_resting(const struct pm_chunk *chunk, double now)
-{
-    uint32_t resting = 0;
-
-    for (int t = 0; t < PM_CHUNK_TASKS; t++) {
-        const struct pm_task *task = &chunk->task[t];
-        resting += !task->done && !task->placement && task->backoff_until > now;
+    for (int i = 0; i < PM_CHUNK_TASKS; i++) {
+        const struct pm_task *task = &chunk->task[i];
+        count += !task->done && !task->placement && task->backoff_until > now;
     }
-    return resting;
+    return count;
 }
 
 uint32_t pm_job_startable_tasks(const struct pm_job *job, double now)
 {
     uint32_t waiting = pm_job_waiting_tasks(job);
-    uint32_t resting = 0;
+    uint32_t backing_off = 0;
 
     if (!waiting || job->scheduling.backoff_until <= now)
         return waiting;
     for (int k = 0; k < job->chunk_count; k++)
         if (job->chunks[k] && job->chunks[k]->task)
-            resting += count_resting(job->chunks[k], now);
-    return waiting - MIN(waiting, resting);
+            backing_off += count_backing_off(job->chunks[k], now);
+    return waiting - MIN(waiting, backing_off);
 }
 
-void pm_job_reset_work(struct pm_job *job)
+void pm_job_count_tasks(const struct pm_job *job, uint32_t *done, uint32_t *running)
 {
-    job->work.done_count = job->work.placed_count = job->work.last_attempt =
-        job->work.first_waiting_hint = 0;
-    job->write_back.final_in_flight = job->write_back.attempted =
-        job->scheduling.counted_in_demand = false;
-    job->write_back.retry_at = job->scheduling.backoff_until = job->scheduling.fully_started_at = 0;
+    *done = *running = 0;
+    if (job->state == PM_JOB_DONE) {
+        *done = job->task_count;
+        return;
+    }
     for (int k = 0; k < job->chunk_count; k++) {
-        struct pm_chunk *chunk = job->chunks[k];
+        const struct pm_chunk *chunk = job->chunks[k];
         if (!chunk)
             continue;
-        g_free(chunk->task);
-        chunk->task = NULL;
-        chunk->dirty = 0;
-        memset(chunk->placement_counts, 0, sizeof chunk->placement_counts);
-        chunk->in_flight = false;
-        chunk->retry_at = 0;
-        for (int half = -1; half < 2; half++)
-            pm_chunk_stored(chunk, half)->written_revision = 0;
-        if (!chunk->stored)
-            continue;
-        chunk->task = g_new0(struct pm_task, PM_CHUNK_TASKS);
-        job->write_back.attempted = true;
-        job->work.last_attempt = MAX(job->work.last_attempt, chunk->last_attempt);
-        for (int t = 0; t < PM_CHUNK_TASKS; t++) {
-            if (chunk->done[t / 64] >> (t % 64) & 1) {
-                chunk->task[t].done = true;
-                job->work.done_count++;
-            }
-        }
+        for (int half = 0; half < PM_CHUNK_HALVES; half++)
+            *done += (uint32_t)__builtin_popcountll(chunk->done[half]);
+        if (chunk->stored_placements)
+            *running += chunk->stored_placements->len;
     }
-    job->scheduling.has_fully_started =
-        job->work.last_attempt >= job->task_count; /* as far as the number of attempts tells */
 }
 
-void pm_jobs_reset_work(struct pm_jobs *jobs)
+/* ---- starting over from the replica ---- */
+
+static void clear_chunk_work(struct pm_chunk *chunk)
 {
-    for (guint i = 0; i < jobs->active->len; i++)
-        pm_job_reset_work(g_ptr_array_index(jobs->active, i));
+    g_free(chunk->task);
+    chunk->task = NULL;
+    chunk->dirty = 0;
+    memset(chunk->placement_counts, 0, sizeof chunk->placement_counts);
+    chunk->in_flight = false;
+    chunk->retry_at = 0;
+    for (int half = PM_CHUNK_WHOLE; half < PM_CHUNK_HALVES; half++)
+        pm_chunk_stored(chunk, half)->written_revision = 0;
 }
 
-void pm_jobs_set_delegated(struct pm_jobs *jobs, bool delegated)
+static void restore_chunk_work(struct pm_job *job, struct pm_chunk *chunk)
 {
-    jobs->delegated = delegated;
-    for (guint i = 0; i < jobs->active->len; i++) {
-        struct pm_job *job = g_ptr_array_index(jobs->active, i);
-        job->delegated = delegated;
-        job->parallelism = UINT32_MAX;
+    chunk->task = g_new0(struct pm_task, PM_CHUNK_TASKS);
+    job->write_back.attempted = true;
+    job->work.last_attempt = MAX(job->work.last_attempt, chunk->last_attempt);
+    for (int i = 0; i < PM_CHUNK_TASKS; i++) {
+        if (!(chunk->done[i / WORD_BITS] >> (i % WORD_BITS) & 1))
+            continue;
+        chunk->task[i].done = true;
+        job->work.done_count++;
+    }
+}
+
+void pm_job_reset_work(struct pm_job *job)
+{
+    job->work = (struct pm_job_work){0};
+    job->write_back = (struct pm_job_write_back){0};
+    job->scheduling.counted_in_demand = false;
+    job->scheduling.backoff_until = 0;
+    job->scheduling.fully_started_at = 0;
+    for (int k = 0; k < job->chunk_count; k++) {
+        struct pm_chunk *chunk = job->chunks[k];
+        if (!chunk)
+            continue;
+        clear_chunk_work(chunk);
+        if (chunk->stored)
+            restore_chunk_work(job, chunk);
     }
+    /* As far as the number of attempts shows. */
+    job->scheduling.has_fully_started = job->work.last_attempt >= job->task_count;
 }
