--- /dev/null
+++ b/src/jobs/tests/api_fixture.h
@@ -0,0 +1,272 @@
+/* A state service, and beside it a replica, the write-back and the users' API, all in this process
+ * and on one event loop. Each test begins with a new set. */
+#ifndef PM_JOBS_TESTS_API_FIXTURE_H
+#define PM_JOBS_TESTS_API_FIXTURE_H
+
+#include "testing/fake_state.h"
+#include "base/clock.h"
+#include "job_fixtures.h"
+#include "api/api.h"
+#include "jobs/commit.h"
+#include "workers/workers.h"
+
+#include <ev.h>
+#include <glib.h>
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdio.h>
+#include <string.h>
+#include <cmocka.h>
+
+enum { ADDRESS_MAX = 64, STATE_TEXT_MAX = 16 };
+
+static struct ev_loop *loop;
+static struct fake_state *state_service;
+static struct pm_settings settings;
+static struct pm_operator_settings operator_settings;
+static struct pm_name_tables tables;
+static struct pm_http_client *http;
+static struct pm_http_server *api_server;
+static char api_addr[ADDRESS_MAX];
+static struct pm_store *store;
+static struct pm_jobs *jobs;
+static struct pm_workers *workers;
+static struct pm_commit *commit;
+static struct pm_api *api;
+static struct pm_cancel_quorum *cancel_quorum;
+static int durable_count;   /* placements that became durable */
+static int epoch_conflicts; /* transactions that found another epoch */
+
+/* ---- hooks ---- */
+
+static inline void on_put(void *arg, const char *key, const cbor_item_t *value, uint64_t revision)
+{
+    (void)arg;
+    pm_jobs_apply_put(jobs, key, value, revision);
+}
+
+static inline void on_delete(void *arg, const char *key, uint64_t revision)
+{
+    (void)arg;
+    pm_jobs_apply_delete(jobs, key, revision);
+}
+
+static inline void on_nothing(void *arg)
+{
+    (void)arg;
+}
+
+static inline void on_caught_up(void *arg, uint64_t store_revision)
+{
+    (void)arg;
+    (void)store_revision;
+}
+
+static inline void on_durable(void *arg, struct pm_placement *placement)
+{
+    (void)arg;
+    (void)placement;
+    durable_count++;
+}
+
+static inline void on_epoch_confirmed(void *arg, double sent, uint64_t store_revision)
+{
+    (void)arg;
+    (void)sent;
+    (void)store_revision;
+}
+
+static inline void on_epoch_conflict(void *arg)
+{
+    (void)arg;
+    epoch_conflicts++;
+}
+
+static inline void on_cancelled(void *arg, const char *id, uint64_t revision)
+{
+    (void)arg;
+    pm_jobs_apply_cancellation(jobs, id, revision);
+}
+
+static inline void on_request(void *arg, struct pm_http_request *request)
+{
+    (void)arg;
+    pm_api_handle_job_request(api, request);
+}
+
+/* ---- set-up ---- */
+
+static inline bool is_ready(void *arg)
+{
+    (void)arg;
+    return pm_store_is_ready(store);
+}
+
+/* A server of users' requests at a free port, whose address is written to `addr`. */
+static inline struct pm_http_server *serve_requests(char addr[ADDRESS_MAX], int connections_max)
+{
+    struct pm_http_server *server;
+
+    do {
+        snprintf(addr, ADDRESS_MAX, "127.0.0.1:%d", fake_free_port());
+        server = pm_http_server_new(loop, addr, connections_max, on_request, NULL);
+    } while (!server);
+    return server;
+}
+
+static inline int set_up(void **arg)
+{
+    (void)arg;
+    loop = ev_loop_new(EVFLAG_AUTO);
+    state_service = fake_state_new(loop);
+    memset(&settings, 0, sizeof settings);
+    durable_count = epoch_conflicts = 0;
+    pm_operator_settings_defaults(&operator_settings);
+    fixture_begin(&tables, &settings);
+    http = pm_http_client_new(loop, 64);
+    jobs = pm_jobs_new(&tables);
+    workers = pm_workers_new(&tables, jobs, FIXTURE_HOOKS);
+    store = pm_store_new(
+        loop, http, fake_state_addr(state_service), 1000,
+        &(struct pm_store_observer){on_put, on_delete, on_nothing, on_nothing, on_caught_up, NULL});
+    commit = pm_commit_new(
+        &tables, jobs, store,
+        &(struct pm_commit_hooks){on_durable, on_epoch_confirmed, on_epoch_conflict, NULL});
+    settings.cluster_size = 1;
+    cancel_quorum = pm_cancel_quorum_new(loop, store, http, &settings,
+                                         &(struct pm_cancel_quorum_hooks){on_cancelled, NULL});
+    api = pm_api_new(loop, store, jobs, &tables, cancel_quorum, &operator_settings);
+    api_server = serve_requests(api_addr, 64);
+    assert_true(fake_run_until(loop, is_ready, NULL));
+    return 0;
+}
+
+/* ---- users' requests ---- */
+
+struct answer {
+    int status, calls;
+    char state[STATE_TEXT_MAX]; /* of the job */
+};
+
+static inline void on_answer(void *arg, int status, const unsigned char *body, size_t size)
+{
+    struct answer *answer = arg;
+    cbor_item_t *item = size ? pm_cbor_parse(body, size) : NULL;
+
+    answer->status = status;
+    answer->calls++;
+    answer->state[0] = 0;
+    pm_cbor_read_text(pm_cbor_get(item, "status"), answer->state, sizeof answer->state);
+    pm_cbor_free(item);
+}
+
+static inline bool is_answered(void *arg)
+{
+    return ((struct answer *)arg)->calls > 0;
+}
+
+static inline struct answer request(const char *method, const char *target,
+                                    const struct pm_buf *body)
+{
+    struct answer answer = {0};
+
+    pm_http_call(http, api_addr, method, target, body ? body->data : NULL, body ? body->size : 0,
+                 30, 65536, on_answer, &answer);
+    assert_true(fake_run_until(loop, is_answered, &answer));
+    return answer;
+}
+
+/* A submission of two tasks, but for its end: fields may follow. */
+static inline void begin_submission(struct pm_buf *buf, const char *id, const char *kind)
+{
+    pm_put_map(buf);
+    pm_put_pair_text(buf, "name_id", id);
+    pm_put_pair_text(buf, "ledger", "train");
+    pm_put_pair_text(buf, "desk", "vision");
+    pm_put_pair_text(buf, "bundle", "img");
+    pm_put_pair_text(buf, "form", kind);
+    pm_put_pair_text(buf, "urgency", "normal");
+    pm_put_pair_count(buf, "entries", 2);
+    pm_put_pair_number(buf, "cpus", 4);
+    pm_put_pair_number(buf, "accelerators", 0);
+    pm_put_pair_number(buf, "ram_gb", 4);
+    pm_put_pair_number(buf, "size_gb", 1);
+    pm_put_pair_number(buf, "expected_s", 10);
+    pm_put_pair_number(buf, "bookmark_s", 0);
+    pm_put_pair_number(buf, "filing_s", 0);
+    pm_put_pair_flag(buf, "same_place", false);
+    pm_put_pair_flag(buf, "spread", false);
+    pm_put_pair_flag(buf, "borrowed", false);
+}
+
+static inline struct answer end_submission(struct pm_buf *buf)
+{
+    struct answer answer;
+
+    pm_put_end(buf);
+    answer = request("POST", "/work", buf);
+    pm_buf_free(buf);
+    return answer;
+}
+
+/* `dependencies`: ids with a blank between them, "" for an empty list, NULL for none. */
+static inline struct answer submit_after(const char *id, const char *dependencies)
+{
+    char **ids = g_strsplit(dependencies ? dependencies : "", " ", -1);
+    struct pm_buf buf = {0};
+
+    begin_submission(&buf, id, "array");
+    if (dependencies) {
+        pm_put_text(&buf, "awaits");
+        pm_put_list(&buf);
+        for (char **one = ids; *one; one++)
+            pm_put_text(&buf, *one);
+        pm_put_end(&buf);
+    }
+    g_strfreev(ids);
+    return end_submission(&buf);
+}
+
+static inline struct answer submit(const char *id)
+{
+    return submit_after(id, NULL);
+}
+
+/* ---- the replica and the write-back ---- */
+
+/* The current epoch's. */
+static inline const struct pm_commit_conditions *current_conditions(void)
+{
+    static struct pm_commit_conditions conditions;
+
+    conditions.epoch_revision = fake_state_revision(state_service, "p/epoch");
+    return &conditions;
+}
+
+static inline void run_commit(void)
+{
+    pm_commit_run(commit, current_conditions(), pm_clock_monotonic(), pm_clock_wall());
+}
+
+/* Whether the replica knows the job of that id. */
+static inline bool is_known(void *arg)
+{
+    return pm_jobs_find(jobs, arg) != NULL;
+}
+
+/* Whether the state service has the key. */
+static inline bool is_stored(void *arg)
+{
+    return fake_state_revision(state_service, arg) > 0;
+}
+
+/* The controllers of a test live until the process ends, as those of a daemon do. The sanitizer
+ * looks for a function of this name. */
+const char *__asan_default_options(void);
+const char *__asan_default_options(void)
+{
+    return "detect_leaks=0";
+}
+
+#endif
--- a/src/jobs/tests/job_fixtures.h
+++ b/src/jobs/tests/job_fixtures.h
@@ -17,6 +17,7 @@
     tables->dependency_ids = pm_names_new();
 }
 
+/* Tables and settings of that deployment; ended by fixture_end. */
 static inline void fixture_begin(struct pm_name_tables *tables, struct pm_settings *settings)
 {
     memset(tables, 0, sizeof *tables);
@@ -35,6 +36,7 @@
     tables->type_count = 1;
 }
 
+/* Frees the tables of names. */
 static inline void fixture_end(struct pm_name_tables *tables)
 {
     pm_names_free(tables->class_names);
@@ -44,7 +46,7 @@
     pm_names_free(tables->dependency_ids);
 }
 
-/* Feeds a live job of that description, as the watch would tell it. */
+/* Feeds a live job of that description, as the watch would show it. */
 static inline struct pm_job *fixture_feed(struct pm_name_tables *tables, struct pm_jobs *jobs,
                                           const char *id, struct pm_spec *spec, uint64_t revision)
 {
@@ -63,20 +65,20 @@
     return pm_jobs_find(jobs, id);
 }
 
-static inline void fixture_on_ended(void *arg, struct pm_placement *place, enum pm_task_exit end,
-                                    bool saved, double now)
+static inline void fixture_on_ended(void *arg, struct pm_placement *placement,
+                                    enum pm_task_exit task_exit, bool checkpointed, double now)
 {
     (void)arg;
-    (void)place;
-    (void)end;
-    (void)saved;
+    (void)placement;
+    (void)task_exit;
+    (void)checkpointed;
     (void)now;
 }
 
-static inline void fixture_on_ran(void *arg, struct pm_placement *place, double now)
+static inline void fixture_on_ran(void *arg, struct pm_placement *placement, double now)
 {
     (void)arg;
-    (void)place;
+    (void)placement;
     (void)now;
 }
 
--- a/src/jobs/tests/recorded_values.h
+++ b/src/jobs/tests/recorded_values.h
@@ -1,10 +1,10 @@
-/* Values and messages as earlier versions write them: those named EARLIER as the one before job
- * dependencies does. Recorded
- * from their own encoders, in hexadecimal digits; not to be made anew from later code. */
+/* Values and messages as earlier protocol versions write them (base/protocol.h). Recorded from
+ * their own encoders, in hexadecimal digits; not to be made anew from later code. */
 #ifndef PM_JOBS_TESTS_RECORDED_VALUES_H
 #define PM_JOBS_TESTS_RECORDED_VALUES_H
 
 #include <glib.h>
+#include <string.h>
 
 #define RECORDED_V1_LIVE                                                                           \
     "bf636e6f77646c69766567656e747269657318c8666c656467657265747261696e646465736b6676"             \
@@ -38,8 +38,8 @@
 
 #define RECORDED_V1_CANCEL_CALL "0a026e32109d031a0a0a056a6f622d31109d03"
 
-/* Keys that any version writes; the name of the process ("boot"), which is never the same twice, is
- * all zeros here. */
+/* Keys that any version writes; the incarnation of the process ("boot"), which is never the same
+ * twice, is all zeros here. */
 
 #define RECORDED_V1_EPOCH                                                                          \
     "bf6565706f636801666c6561646572626e3064626f6f747000000000000000000000000000000000"             \
--- a/src/jobs/tests/test_jobs.c
+++ b/src/jobs/tests/test_jobs.c
@@ -1,4 +1,4 @@
-/* Submissions are judged as the protocol says, and what is written is read back the same. */
+/* Submissions are decided as the protocol says, and what is written is read back the same. */
 #include "job_fixtures.h"
 #include "jobs/jobs.h"
 
@@ -32,93 +32,104 @@
     return 0;
 }
 
-struct form {
+/* What differs between the submissions. */
+struct submission {
     const char *id, *team, *kind;
-    uint64_t entries;
-    double cpus, ram;
-    const char *lacks, *room;
+    uint64_t task_count;
+    double cpus, ram_gb;
+    const char *missing_flag; /* NULL: none is missing */
+    const char *zone;         /* NULL: any */
 };
 
-static int judge(struct form f)
+static void put_flag_unless_missing(struct pm_buf *buf, const struct submission *submission,
+                                    const char *key)
+{
+    if (!submission->missing_flag || strcmp(submission->missing_flag, key))
+        pm_put_pair_flag(buf, key, false);
+}
+
+static void encode_submission(const struct submission *submission, struct pm_buf *buf)
+{
+    pm_put_map(buf);
+    pm_put_pair_text(buf, "name_id", submission->id);
+    pm_put_pair_text(buf, "ledger", "train");
+    pm_put_pair_text(buf, "desk", submission->team);
+    pm_put_pair_text(buf, "bundle", "img");
+    pm_put_pair_text(buf, "form", submission->kind);
+    pm_put_pair_text(buf, "urgency", "normal");
+    pm_put_pair_count(buf, "entries", submission->task_count);
+    pm_put_pair_number(buf, "cpus", submission->cpus);
+    pm_put_pair_number(buf, "accelerators", 0);
+    pm_put_pair_number(buf, "ram_gb", submission->ram_gb);
+    pm_put_pair_number(buf, "size_gb", 1);
+    pm_put_pair_number(buf, "expected_s", 10);
+    pm_put_pair_number(buf, "bookmark_s", 0);
+    pm_put_pair_number(buf, "filing_s", 0);
+    put_flag_unless_missing(buf, submission, "same_place");
+    put_flag_unless_missing(buf, submission, "spread");
+    put_flag_unless_missing(buf, submission, "borrowed");
+    if (submission->zone)
+        pm_put_pair_text(buf, "room", submission->zone);
+    pm_put_end(buf);
+}
+
+static int decide(struct submission submission)
 {
     struct pm_buf buf = {0};
     struct pm_spec spec;
     char id[PM_ID_MAX];
     const char *why;
     cbor_item_t *item;
-    int status;
+    enum pm_submission_result result;
 
-    pm_put_map(&buf);
-    pm_put_pair_text(&buf, "name_id", f.id);
-    pm_put_pair_text(&buf, "ledger", "train");
-    pm_put_pair_text(&buf, "desk", f.team);
-    pm_put_pair_text(&buf, "bundle", "img");
-    pm_put_pair_text(&buf, "form", f.kind);
-    pm_put_pair_text(&buf, "urgency", "normal");
-    pm_put_pair_count(&buf, "entries", f.entries);
-    pm_put_pair_number(&buf, "cpus", f.cpus);
-    pm_put_pair_number(&buf, "accelerators", 0);
-    pm_put_pair_number(&buf, "ram_gb", f.ram);
-    pm_put_pair_number(&buf, "size_gb", 1);
-    pm_put_pair_number(&buf, "expected_s", 10);
-    pm_put_pair_number(&buf, "bookmark_s", 0);
-    pm_put_pair_number(&buf, "filing_s", 0);
-    if (!f.lacks || strcmp(f.lacks, "same_place"))
-        pm_put_pair_flag(&buf, "same_place", false);
-    if (!f.lacks || strcmp(f.lacks, "spread"))
-        pm_put_pair_flag(&buf, "spread", false);
-    if (!f.lacks || strcmp(f.lacks, "borrowed"))
-        pm_put_pair_flag(&buf, "borrowed", false);
-    if (f.room)
-        pm_put_pair_text(&buf, "room", f.room);
-    pm_put_end(&buf);
+    encode_submission(&submission, &buf);
     item = pm_cbor_parse(buf.data, buf.size);
-    status = pm_submission_decode(&tables, item, id, &spec, &why);
+    result = pm_submission_decode(&tables, item, id, &spec, &why);
     pm_cbor_free(item);
     pm_buf_free(&buf);
-    return status;
+    return result;
 }
 
-static void judges_submissions(void **state)
+static void submissions_are_decided(void **state)
 {
-    const struct form good = {"job-000412", "vision", "array", 4, 8, 16, NULL, NULL};
+    const struct submission good = {"job-000412", "vision", "array", 4, 8, 16, NULL, NULL};
     static const char *const flags[] = {"same_place", "spread", "borrowed"};
-    struct form f;
+    struct submission changed;
 
     (void)state;
-    assert_int_equal(judge(good), 200);
-    f = good, f.id = "jab-1";
-    assert_int_equal(judge(f), 400);
-    f = good, f.entries = 0;
-    assert_int_equal(judge(f), 400);
-    f = good, f.entries = PM_JOB_TASKS_MAX + 1;
-    assert_int_equal(judge(f), 400);
-    f = good, f.cpus = -1;
-    assert_int_equal(judge(f), 400);
-    f = good, f.kind = "herd";
-    assert_int_equal(judge(f), 400);
-    f = good, f.team = "nobody";
-    assert_int_equal(judge(f), 422);
-    f = good, f.ram = 65; /* fits no type */
-    assert_int_equal(judge(f), 422);
+    assert_int_equal(decide(good), 200);
+    changed = good, changed.id = "jab-1";
+    assert_int_equal(decide(changed), 400);
+    changed = good, changed.task_count = 0;
+    assert_int_equal(decide(changed), 400);
+    changed = good, changed.task_count = PM_JOB_TASKS_MAX + 1;
+    assert_int_equal(decide(changed), 400);
+    changed = good, changed.cpus = -1;
+    assert_int_equal(decide(changed), 400);
+    changed = good, changed.kind = "herd";
+    assert_int_equal(decide(changed), 400);
+    changed = good, changed.team = "nobody";
+    assert_int_equal(decide(changed), 422);
+    changed = good, changed.ram_gb = 65; /* fits no type */
+    assert_int_equal(decide(changed), 422);
     for (int i = 0; i < 3; i++) {
-        f = good, f.lacks = flags[i];
-        assert_int_equal(judge(f), 400);
+        changed = good, changed.missing_flag = flags[i];
+        assert_int_equal(decide(changed), 400);
     }
-    f = good, f.room = "a";
-    assert_int_equal(judge(f), 200);
-    f.room = "b"; /* no machine type is offered there */
-    assert_int_equal(judge(f), 422);
-    f.room = "nowhere";
-    assert_int_equal(judge(f), 422);
-    f = good, f.entries = 100; /* an array waits for its team's limit... */
-    assert_int_equal(judge(f), 200);
-    f.kind = "group"; /* ...a gang above it can never run */
-    assert_int_equal(judge(f), 422);
-    f.kind = "standing";
-    assert_int_equal(judge(f), 422);
+    changed = good, changed.zone = "a";
+    assert_int_equal(decide(changed), 200);
+    changed.zone = "b"; /* no machine type is offered there */
+    assert_int_equal(decide(changed), 422);
+    changed.zone = "nowhere";
+    assert_int_equal(decide(changed), 422);
+    changed = good, changed.task_count = 100; /* an array waits for its team's limit... */
+    assert_int_equal(decide(changed), 200);
+    changed.kind = "group"; /* ...a gang above it can never run */
+    assert_int_equal(decide(changed), 422);
+    changed.kind = "standing";
+    assert_int_equal(decide(changed), 422);
     tables.type_count = 0; /* not yet able to decide */
-    assert_int_equal(judge(good), 503);
+    assert_int_equal(decide(good), 503);
 }
 
 static struct pm_job *put(const char *key, struct pm_buf *buf, uint64_t revision)
@@ -147,15 +158,15 @@
 static void chunks_survive_a_new_leader(void **state)
 {
     struct pm_buf buf = {0};
-    struct pm_placement place = {
+    struct pm_placement placement = {
         .task_index = 130, .attempt = 7, .incarnation = 3, .state = PM_PLACEMENT_RUNNING};
     struct pm_job *job = put_live(5);
-    struct pm_stored_placement *spot;
+    struct pm_stored_placement *stored;
 
     (void)state;
     assert_int_equal(job->chunk_count, 3);
-    place.machine_index = pm_names_intern(tables.machine_names, "i-000001");
-    pm_job_task(job, 130)->placement = &place;
+    placement.machine_index = pm_names_intern(tables.machine_names, "i-000001");
+    pm_job_task(job, 130)->placement = &placement;
     for (uint32_t i = 128; i < 256; i += 2)
         pm_job_task(job, i + (i == 130))->done = true; /* every other one: the longest text */
     job->work.last_attempt = 7;
@@ -168,11 +179,11 @@
     assert_true(pm_job_find_task(job, 131)->done);
     assert_false(pm_job_find_task(job, 130)->done);
     assert_int_equal(job->chunks[1]->stored_placements->len, 1);
-    spot = &g_array_index(job->chunks[1]->stored_placements, struct pm_stored_placement, 0);
-    assert_int_equal(spot->task_in_chunk, 2);
-    assert_int_equal(spot->attempt, 7);
-    assert_int_equal(spot->incarnation, 3);
-    assert_string_equal(pm_names_text(tables.machine_names, spot->machine), "i-000001");
+    stored = &g_array_index(job->chunks[1]->stored_placements, struct pm_stored_placement, 0);
+    assert_int_equal(stored->task_in_chunk, 2);
+    assert_int_equal(stored->attempt, 7);
+    assert_int_equal(stored->incarnation, 3);
+    assert_string_equal(pm_names_text(tables.machine_names, stored->machine), "i-000001");
 }
 
 static void final_states_stay(void **state)
@@ -185,18 +196,18 @@
     assert_ptr_equal(put("p/j/job-1", &buf, 9), job);
     assert_int_equal(job->state, PM_JOB_CANCELLED);
     assert_null(job->spec);
-    assert_null(put_live(5)); /* an older value, told late */
+    assert_null(put_live(5)); /* an older value that arrives late */
     assert_int_equal(job->state, PM_JOB_CANCELLED);
-    pm_jobs_snapshot_begin(jobs); /* a new listing takes nothing back */
+    pm_jobs_snapshot_begin(jobs); /* a new listing reverts nothing */
     assert_int_equal(pm_jobs_find(jobs, "job-1")->state, PM_JOB_CANCELLED);
 }
 
-/* Known cancelled by a peer's word, before the replica tells: cancelled it stays, whatever older
- * value comes, also if the job itself is told only later. */
-static void a_word_of_a_cancellation_stays(void **state)
+/* A cancellation that a peer reports before the feed shows it stays, whatever older value arrives,
+ * also if the job itself becomes known only later. */
+static void a_reported_cancellation_stays(void **state)
 {
     struct pm_job *job = put_live(5);
-    size_t n;
+    size_t count;
     bool more;
 
     (void)state;
@@ -213,19 +224,19 @@
     /* By revision, whatever the order in which they became known; those of one revision together.
      */
     assert_true(pm_jobs_apply_cancellation(jobs, "job-3", 8));
-    assert_string_equal(pm_jobs_list_cancellations(jobs, 0, 1, &n, &more)[0].id, "job-2");
-    assert_int_equal(n, 2);
+    assert_string_equal(pm_jobs_list_cancellations(jobs, 0, 1, &count, &more)[0].id, "job-2");
+    assert_int_equal(count, 2);
     assert_true(more);
-    assert_string_equal(pm_jobs_list_cancellations(jobs, 8, 1, &n, &more)[0].id, "job-1");
-    assert_int_equal(n, 1);
+    assert_string_equal(pm_jobs_list_cancellations(jobs, 8, 1, &count, &more)[0].id, "job-1");
+    assert_int_equal(count, 1);
     assert_false(more);
-    pm_jobs_list_cancellations(jobs, 9, 1, &n, &more);
-    assert_int_equal(n, 0);
+    pm_jobs_list_cancellations(jobs, 9, 1, &count, &more);
+    assert_int_equal(count, 0);
 }
 
-/* Of a value whose state can't be read nothing is run, description or not: it may be a cancelled
- * one. Once it can be read again, it counts as it stands. */
-static void what_cannot_be_read_is_not_run(void **state)
+/* A job whose state can't be read is not run, whether or not its description can: it may have been
+ * cancelled. Once its value can be read, it is run. */
+static void a_job_with_an_unreadable_state_is_not_run(void **state)
 {
     struct pm_spec spec = {
         .zone = -1, .allowed_types = ~(uint64_t)0, .task_count = 300, .deadline_s = -1};
@@ -259,11 +270,12 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(judges_submissions, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(submissions_are_decided, set_up, tear_down),
         cmocka_unit_test_setup_teardown(chunks_survive_a_new_leader, set_up, tear_down),
         cmocka_unit_test_setup_teardown(final_states_stay, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(a_word_of_a_cancellation_stays, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(what_cannot_be_read_is_not_run, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(a_reported_cancellation_stays, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(a_job_with_an_unreadable_state_is_not_run, set_up,
+                                        tear_down),
     };
 
     return cmocka_run_group_tests(tests, NULL, NULL);
