--- a/src/jobs/cancellations.c
+++ b/src/jobs/cancellations.c
@@ -8,7 +8,7 @@
     GArray *list = jobs->cancellations;
 
     g_strlcpy(entry.id, id, sizeof entry.id);
-    /* A listing goes by key, and peers have their own order: it is sorted when next read. */
+    /* A listing is in the order of keys, and peers have their own: it is sorted when next read. */
     if (list->len && g_array_index(list, struct pm_cancellation, list->len - 1).revision > revision)
         jobs->cancellations_unsorted = true;
     g_array_append_val(list, entry);
--- a/src/jobs/chunk.h
+++ b/src/jobs/chunk.h
@@ -2,7 +2,7 @@
  *
  * A chunk's value lists which tasks are done, and where the others are placed. It is stored as one
  * value, p/t/ID/K, or, where the limits are low, as two halves, p/t/ID/K/0 and /1. A half that is
- * stored takes precedence over what the whole says of its tasks.
+ * stored takes precedence over the whole for its tasks.
  *
  * Chunks belong to their job and are guarded by `struct pm_controller.lock`. The replica's feed
  * writes what is stored; whoever places the job (the leader, or a shard's owner) keeps the working
@@ -41,7 +41,7 @@
     GArray *stored_placements; /* of struct pm_stored_placement; owned */
 };
 
-/* Bits of `struct pm_chunk.dirty`. */
+/* Bits of `struct pm_chunk_write_back.dirty`. */
 enum {
     PM_DIRTY_FIRST_HALF = 1, /* has to be written */
     PM_DIRTY_SECOND_HALF = 2,
@@ -49,10 +49,21 @@
     PM_DIRTY_WHOLE = 4 /* both halves are stored: the value of the whole is to be deleted */
 };
 
+/* Writing the chunk's working state back to the state service (commit.h). */
+struct pm_chunk_write_back {
+    unsigned dirty;         /* PM_DIRTY_... */
+    bool in_flight;         /* a write has no result yet */
+    double retry_at;        /* monotonic: not written before */
+    uint32_t failures;      /* of its writes, in a row */
+    bool write_in_halves;   /* rejected as one value */
+    bool write_alone;       /* rejected together with others */
+    unsigned rejected_hash; /* of the value that was rejected alone; 0: none was */
+};
+
 struct pm_chunk {
-    /* The replica. */
+    /* The replica: the stored values, */
     struct pm_stored_chunk whole, half[PM_CHUNK_HALVES];
-    /* What these say together. */
+    /* and their contents together. */
     bool stored; /* any of them is there */
     uint64_t done[PM_CHUNK_HALVES];
     uint32_t last_attempt;
@@ -60,14 +71,7 @@
     /* The working state of whoever places the job. */
     struct pm_task *task; /* PM_CHUNK_TASKS of them, owned; NULL: none was ever touched */
     uint16_t placement_counts[PM_CHUNK_HALVES];
-    /* The write-back. */
-    unsigned dirty;         /* PM_DIRTY_... */
-    bool in_flight;         /* a write has no result yet */
-    double retry_at;        /* monotonic: not written before */
-    uint32_t failures;      /* of its writes, in a row */
-    bool write_in_halves;   /* rejected as one value */
-    bool write_alone;       /* rejected together with others */
-    unsigned rejected_hash; /* of the value that was rejected alone; 0: none was */
+    struct pm_chunk_write_back write_back;
 };
 
 /* The value of that half of the chunk, or, for PM_CHUNK_WHOLE, of the whole. Borrowed from it. */
@@ -86,7 +90,7 @@
 bool pm_job_is_chunk_split(const struct pm_name_tables *tables, const struct pm_job *job,
                            int chunk_index);
 
-/* Whether the value that the task's placement is stored in has room for one more placement. */
+/* Whether the value that the task's placement is stored in may grow by one more placement. */
 bool pm_job_value_has_room(const struct pm_name_tables *tables, const struct pm_job *job,
                            uint32_t task_index);
 
--- a/src/jobs/chunks.c
+++ b/src/jobs/chunks.c
@@ -66,7 +66,7 @@
     return half == PM_CHUNK_WHOLE ? PM_DIRTY_HALVES : (unsigned)PM_DIRTY_FIRST_HALF << half;
 }
 
-/* Takes over what the value that is in force for that half says of its tasks. */
+/* Copies the half's tasks from the value that is in force for them. */
 static void merge_half(struct pm_chunk *chunk, int half)
 {
     const struct pm_stored_chunk *value =
@@ -120,7 +120,7 @@
         return true;
     if (tables->protocol_version < PM_PROTOCOL_DEPENDENCIES)
         return false; /* an earlier version would read a half as the whole */
-    return (chunk && chunk->write_in_halves) ||
+    return (chunk && chunk->write_back.write_in_halves) ||
            tasks * PLACEMENT_SIZE + VALUE_SIZE > tables->settings->store_value_kb * 1024;
 }
 
--- a/src/jobs/codec.h
+++ b/src/jobs/codec.h
@@ -30,8 +30,8 @@
  * no lasting memory before it is known to be a job's. */
 bool pm_dependency_ids_decode(const cbor_item_t *body, GPtrArray **out);
 
-/* How many p/n values the dependencies need; 0 if the job's own value, which takes `size` bytes
- * without them, has room for all. */
+/* How many p/n values are required for the dependencies; 0 if all fit into the job's own value,
+ * which is of `size` bytes without them. */
 uint32_t pm_spec_overflow_lists(const struct pm_name_tables *tables, const struct pm_spec *spec,
                                 size_t size);
 
--- a/src/jobs/commit.h
+++ b/src/jobs/commit.h
@@ -16,7 +16,7 @@
 
 struct pm_commit;
 
-/* What the controller is told of the transactions. Called on the event-loop thread, with the
+/* Called for the results of transactions, on the event-loop thread, with the
  * controller's lock held. */
 struct pm_commit_hooks {
     /* The placement is durable: its task may be launched now. */
--- a/src/jobs/commit_due.c
+++ b/src/jobs/commit_due.c
@@ -2,8 +2,9 @@
  * other placements, and last what no launch waits for. */
 #include "jobs/commit_internal.h"
 
-#define DEFERRABLE_DELAY_S 0.15 /* deferrable changes are written together with what follows soon  \
-                                 */
+#define DEFERRABLE_DELAY_S                                                                         \
+    0.15 /* deferrable changes are written together with what follows soon                         \
+          */
 #define DEFERRABLE_BUDGET_SHARE 0.3 /* of the write rate that has to be left for them */
 
 enum urgency { URGENCY_SERVICE, URGENCY_LAUNCH, URGENCY_DEFERRABLE, URGENCY_NOT_DUE };
@@ -28,7 +29,7 @@
 }
 
 /* The final state of a job that is cancelled with one it depends on follows from the other's, so
- * nothing waits for it: those of a long chain are written when the budget has room to spare. */
+ * nothing waits for it: those of a long chain are written when enough of the budget is left. */
 static enum urgency final_state_urgency(const struct pm_job *job)
 {
     return job->dependencies.cancelled_by_one ? URGENCY_DEFERRABLE : URGENCY_SERVICE;
@@ -44,14 +45,15 @@
     return false;
 }
 
-/* How urgent it is to write the chunk. Where it only waits for its retry, `*next_at` says when. */
+/* How urgent it is to write the chunk. Where it only waits for its retry, `*next_at` becomes the
+ * time of it. */
 static enum urgency chunk_urgency(const struct pm_job *job, const struct pm_chunk *chunk,
                                   double now, double *next_at)
 {
-    if (!chunk->dirty || chunk->in_flight)
+    if (!chunk->write_back.dirty || chunk->write_back.in_flight)
         return URGENCY_NOT_DUE;
-    if (chunk->retry_at > now) {
-        pm_commit_note_time(next_at, chunk->retry_at);
+    if (chunk->write_back.retry_at > now) {
+        pm_commit_note_time(next_at, chunk->write_back.retry_at);
         return URGENCY_NOT_DUE;
     }
     if (!has_proposed_placement(chunk))
@@ -62,14 +64,11 @@
 static void add_due_final_state(struct commit_transaction *transaction, struct pm_job *job,
                                 enum urgency urgency, double now, double *next_at)
 {
-    bool is_due = job->write_back.retry_at <= now;
-
-    if (urgency != final_state_urgency(job) || !is_due) {
-        if (!is_due)
-            pm_commit_note_time(next_at, job->write_back.retry_at);
+    if (job->write_back.retry_at > now) {
+        pm_commit_note_time(next_at, job->write_back.retry_at);
         return;
     }
-    if (!pm_commit_transaction_is_full(transaction))
+    if (urgency == final_state_urgency(job) && !pm_commit_transaction_is_full(transaction))
         pm_commit_transaction_add_final(transaction, job);
 }
 
@@ -79,8 +78,8 @@
 {
     const struct pm_chunk *chunk = job->chunks[chunk_index];
 
-    return chunk->rejected_hash &&
-           chunk->rejected_hash == pm_commit_chunk_hash(commit, job, chunk_index);
+    return chunk->write_back.rejected_hash &&
+           chunk->write_back.rejected_hash == pm_commit_chunk_hash(commit, job, chunk_index);
 }
 
 static void add_due_chunks(struct commit_transaction *transaction, struct pm_job *job,
@@ -94,10 +93,10 @@
             continue;
         if (pm_commit_transaction_is_full(transaction))
             continue;
-        if (chunk->write_alone && transaction->values->len)
+        if (chunk->write_back.write_alone && transaction->values->len)
             continue;
         pm_commit_transaction_add_chunk(transaction, job, k);
-        transaction->is_closed = chunk->write_alone;
+        transaction->is_closed = chunk->write_back.write_alone;
     }
 }
 
@@ -118,7 +117,7 @@
 }
 
 /* Deferrable changes yield to all others: the ends of tasks are written with the next launch in
- * their chunk, or with the job's final state, unless the budget has room to spare. */
+ * their chunk, or with the job's final state, unless enough of the budget is left. */
 static bool has_budget_for_deferrable(const struct pm_commit *commit, double now)
 {
     return pm_store_write_budget(commit->store, now) >=
@@ -156,8 +155,8 @@
     return false;
 }
 
-/* Adds deferrable changes once they have waited for others to join them and the budget has room to
- * spare. */
+/* Adds deferrable changes once they have waited for others to join them and enough of the budget is
+ * left. */
 static void add_deferrable(struct commit_transaction *transaction, double now, double *next_at)
 {
     struct pm_commit *commit = transaction->commit;
--- a/src/jobs/commit_internal.h
+++ b/src/jobs/commit_internal.h
@@ -68,8 +68,8 @@
                                      int chunk_index);
 
 /* Adds the job's final state, and the deletion of its chunks and dependency lists as far as the
- * limits allow. Adds nothing while one of its chunks is in flight, or where this transaction has
- * too little room and a later one would have more. */
+ * limits allow. Adds nothing while one of its chunks is in flight, or if it does not fit beside
+ * what the transaction already has. */
 void pm_commit_transaction_add_final(struct commit_transaction *transaction, struct pm_job *job);
 
 /* ---- commit_due.c ---- */
@@ -91,8 +91,8 @@
 guint pm_commit_chunk_hash(const struct pm_commit *commit, const struct pm_job *job,
                            int chunk_index);
 
-/* The end of a transaction, whose `arg` is a struct commit_transaction: applies the result, tells
- * the controller, frees the transaction. */
+/* The end of a transaction, whose `arg` is a struct commit_transaction: applies the result, calls
+ * the hooks, frees the transaction. */
 void pm_commit_on_result(void *arg, enum pm_store_result result, uint64_t store_revision,
                          const cbor_item_t *conflicting_keys);
 
--- a/src/jobs/commit_results.c
+++ b/src/jobs/commit_results.c
@@ -52,17 +52,18 @@
 {
     struct pm_stored_chunk *stored = pm_chunk_stored(chunk, written->half);
 
-    chunk->failures = 0;
+    chunk->write_back.failures = 0;
     if (written->is_delete) {
         stored->revision = stored->written_revision = 0;
         return;
     }
     stored->written_revision = store_revision;
-    chunk->rejected_hash = 0;
-    chunk->write_alone = false;
+    chunk->write_back.rejected_hash = 0;
+    chunk->write_back.write_alone = false;
     if (written->half != PM_CHUNK_WHOLE && pm_stored_chunk_revision(&chunk->whole) &&
         pm_stored_chunk_revision(&chunk->half[!written->half]))
-        chunk->dirty |= PM_DIRTY_WHOLE; /* both halves are stored: the whole is to be deleted */
+        chunk->write_back.dirty |=
+            PM_DIRTY_WHOLE; /* both halves are stored: the whole is to be deleted */
 }
 
 /* The value is too large, most likely. Of several in one transaction it is not known which was the
@@ -74,10 +75,11 @@
     pm_error("commit.rejected", "the state service refuses p/t/%s/%d", written->job->id,
              written->index);
     if (written->half == PM_CHUNK_WHOLE)
-        chunk->write_in_halves = true;
-    if (chunk->write_alone)
-        chunk->rejected_hash = pm_commit_chunk_hash(commit, written->job, written->index);
-    chunk->write_alone = true;
+        chunk->write_back.write_in_halves = true;
+    if (chunk->write_back.write_alone)
+        chunk->write_back.rejected_hash =
+            pm_commit_chunk_hash(commit, written->job, written->index);
+    chunk->write_back.write_alone = true;
 }
 
 /* The chunk is written again, on the revision that the watch shows by then. If this transaction is
@@ -86,15 +88,16 @@
                          const struct written_value *written, enum pm_store_result result,
                          double now)
 {
-    chunk->failures++;
+    chunk->write_back.failures++;
     if (result == PM_STORE_REJECTED)
         chunk_rejected(commit, chunk, written);
     if (!written->is_delete)
-        chunk->dirty |= pm_chunk_dirty_bits(written->half);
+        chunk->write_back.dirty |= pm_chunk_dirty_bits(written->half);
     else if (written->half == PM_CHUNK_WHOLE)
-        chunk->dirty |= PM_DIRTY_WHOLE;
-    chunk->retry_at = now + retry_delay_s(result) *
-                                (1 << MIN(chunk->failures / FAILURES_PER_DOUBLING, DOUBLINGS_MAX));
+        chunk->write_back.dirty |= PM_DIRTY_WHOLE;
+    chunk->write_back.retry_at =
+        now + retry_delay_s(result) *
+                  (1 << MIN(chunk->write_back.failures / FAILURES_PER_DOUBLING, DOUBLINGS_MAX));
 }
 
 static void apply_to_chunk(const struct pm_commit *commit, const struct written_value *written,
@@ -105,7 +108,7 @@
 
     if (!chunk)
         return; /* the job's final state has arrived, and its chunks were freed */
-    chunk->in_flight = false;
+    chunk->write_back.in_flight = false;
     if (result == PM_STORE_OK)
         chunk_succeeded(chunk, written, store_revision);
     else
--- a/src/jobs/commit_transaction.c
+++ b/src/jobs/commit_transaction.c
@@ -104,8 +104,8 @@
     pm_chunk_encode(transaction->commit->tables, job, chunk_index, half, &transaction->txn.writes);
     pm_txn_put_end(&transaction->txn, 0);
     add_proposed_placements(transaction, job, chunk, half);
-    chunk->dirty &= ~pm_chunk_dirty_bits(half);
-    chunk->in_flight = true;
+    chunk->write_back.dirty &= ~pm_chunk_dirty_bits(half);
+    chunk->write_back.in_flight = true;
     job->write_back.attempted = true;
     add_value(transaction, (struct written_value){job, WRITTEN_CHUNK, chunk_index, half, false});
 }
@@ -117,13 +117,13 @@
 
     pm_chunk_key_write(job, chunk_index, half, key);
     pm_txn_delete(&transaction->txn, key);
-    job->chunks[chunk_index]->in_flight = true;
+    job->chunks[chunk_index]->write_back.in_flight = true;
     add_value(transaction, (struct written_value){job, WRITTEN_CHUNK, chunk_index, half, true});
 }
 
 /* Writes the halves. A chunk that is stored whole and has become too large for that is moved to
- * halves in steps: each half that is written takes precedence over what the whole says of its
- * tasks, and once both are stored the whole is deleted. Interrupted between any two steps, nothing
+ * halves in steps: each half that is written takes precedence over the whole for its tasks,
+ * and once both are stored the whole is deleted. Interrupted between any two steps, nothing
  * is lost. */
 static void add_halves(struct commit_transaction *transaction, struct pm_job *job, int chunk_index)
 {
@@ -131,15 +131,15 @@
     bool whole_is_stored = pm_stored_chunk_revision(&chunk->whole) != 0;
 
     for (int half = 0; half < PM_CHUNK_HALVES && writes_left(transaction) > 0; half++) {
-        bool is_dirty = chunk->dirty & pm_chunk_dirty_bits(half);
+        bool is_dirty = chunk->write_back.dirty & pm_chunk_dirty_bits(half);
         bool is_missing = whole_is_stored && !pm_stored_chunk_revision(&chunk->half[half]);
         if (!is_dirty && !is_missing)
             continue;
         compare_chunk(transaction, job, chunk_index, half);
         put_chunk(transaction, job, chunk_index, half);
     }
-    if (chunk->dirty & PM_DIRTY_WHOLE && writes_left(transaction) > 0) {
-        chunk->dirty &= ~(unsigned)PM_DIRTY_WHOLE;
+    if (chunk->write_back.dirty & PM_DIRTY_WHOLE && writes_left(transaction) > 0) {
+        chunk->write_back.dirty &= ~(unsigned)PM_DIRTY_WHOLE;
         if (whole_is_stored)
             delete_chunk(transaction, job, chunk_index, PM_CHUNK_WHOLE);
     }
@@ -170,7 +170,7 @@
 static bool has_chunk_in_flight(const struct pm_job *job)
 {
     for (int k = 0; k < job->chunk_count; k++)
-        if (job->chunks[k] && job->chunks[k]->in_flight)
+        if (job->chunks[k] && job->chunks[k]->write_back.in_flight)
             return true;
     return false;
 }
@@ -218,7 +218,7 @@
                 continue;
             compare_chunk(transaction, job, k, half);
             delete_chunk(transaction, job, k, half);
-            chunk->dirty = 0;
+            chunk->write_back.dirty = 0;
         }
     }
 }
--- a/src/jobs/feed.c
+++ b/src/jobs/feed.c
@@ -9,7 +9,7 @@
 static void set_state(struct pm_jobs *jobs, struct pm_job *job, enum pm_job_state state)
 {
     if (state == PM_JOB_CANCELLED)
-        job->dependencies.cancelled_by_one = false; /* its own value says so */
+        job->dependencies.cancelled_by_one = false; /* by its own value instead */
     /* What is known cancelled stays so: this value is an older one then. */
     job->state = job->cancellation_revision ? PM_JOB_CANCELLED : state;
     if (job->state == PM_JOB_CANCELLED && !job->cancellation_revision) {
@@ -37,7 +37,7 @@
     return true;
 }
 
-/* Takes over what the readable value says beside the job's state. */
+/* Applies the rest of a readable value, beside the job's state. */
 static void apply_job_value(struct pm_jobs *jobs, struct pm_job *job, const cbor_item_t *value,
                             uint32_t task_count)
 {
@@ -160,7 +160,7 @@
     gpointer value;
 
     /* p/j keys are never deleted, so only chunks can have vanished unseen. The listing puts them
-     * again, and after their jobs, since it goes by key. */
+     * again, and after their jobs, since it is in the order of keys. */
     g_hash_table_iter_init(&iter, jobs->by_id);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct pm_job *job = value;
--- a/src/jobs/internal.h
+++ b/src/jobs/internal.h
@@ -48,7 +48,7 @@
 void pm_jobs_complete_dependencies(struct pm_jobs *jobs, struct pm_job *job);
 
 /* Applies the value of p/n/`rest`. Returns the job that it belongs to, NULL if that is not known,
- * or needs no list. */
+ * or has its dependencies already. */
 struct pm_job *pm_jobs_apply_dependency_list(struct pm_jobs *jobs, const char *rest,
                                              const cbor_item_t *value);
 
@@ -147,7 +147,7 @@
 /* The chunk of that index, made if it is missing; NULL: the job has no such chunk. */
 struct pm_chunk *pm_job_chunk(struct pm_job *job, int chunk_index);
 
-/* Sums up what the chunk's stored values say together. */
+/* Derives the chunk's contents from its stored values. */
 void pm_chunk_merge(struct pm_chunk *chunk);
 
 /* Forgets which values of the chunk are stored. */
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -14,7 +14,7 @@
 
 enum pm_job_state { PM_JOB_LIVE, PM_JOB_CANCELLED, PM_JOB_DONE };
 
-/* What the outcomes of a job's tasks say of it (workers/failures.h). */
+/* The outcomes of a job's tasks (workers/failures.h). */
 struct pm_job_failures {
     int machines[4]; /* distinct ones on which its tasks failed since the last that succeeded */
     unsigned machine_count;
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -1,4 +1,4 @@
-/* The replica of all jobs: what the state service holds of them, and the working state beside it.
+/* The replica of all jobs: what the state service has of them, and the working state beside it.
  *
  * Owned by the controller and guarded by `struct pm_controller.lock`. The event-loop thread applies
  * the state service's feed; the planner thread reads and changes the working state during a plan.
@@ -8,13 +8,12 @@
  *
  * - p/j/ID: the job: its description while it lives, its final state for ever after
  *
- * - p/n/ID/K: more of the job's dependencies than its own value holds; written before that value,
- *   which says how many such lists there are
+ * - p/n/ID/K: more of the job's dependencies than fit into its own value; written before that
+ * value, which has the number of such lists
  *
  * - p/t/ID/K: tasks 128*K to 128*K+127: which are done, and where the others are placed
  *
- * - p/t/ID/K/H: the same of the first (H 0) or second half alone, in place of what p/t/ID/K says of
- *   it
+ * - p/t/ID/K/H: the same of the first (H 0) or second half alone; takes precedence over p/t/ID/K
  *
  * p/j is written by users' submissions and cancellations, and, for the final state, by whoever
  * places the job: the leader, or the owner of a shard. Only the latter writes p/t, on the condition
--- a/src/jobs/spec.c
+++ b/src/jobs/spec.c
@@ -5,7 +5,7 @@
 #include <math.h>
 #include <string.h>
 
-#define TASKS_THAT_FIT_MAX 1e6 /* of a description that needs nothing */
+#define TASKS_THAT_FIT_MAX 1e6 /* of a description that requires no capacity */
 #define JOB_ID_PREFIX "job-"
 
 void pm_spec_free(struct pm_spec *spec)
--- a/src/jobs/spec.h
+++ b/src/jobs/spec.h
@@ -48,7 +48,7 @@
 void pm_spec_set_dependencies(struct pm_name_tables *tables, struct pm_spec *spec,
                               const GPtrArray *ids);
 
-/* How many such tasks fit into that capacity; a large number if a task needs none of it. */
+/* How many such tasks fit into that capacity; a large number if a task requires none of it. */
 uint32_t pm_spec_tasks_that_fit(const struct pm_spec *spec, double cpus, double gpus,
                                 double ram_gb);
 
--- a/src/jobs/tests/test_commit.c
+++ b/src/jobs/tests/test_commit.c
@@ -117,7 +117,7 @@
     const struct pm_job *job = arg;
 
     run_commit();
-    return job->chunks[0]->failures >= 8;
+    return job->chunks[0]->write_back.failures >= 8;
 }
 
 /* A chunk whose writes keep failing is written less and less often: in an outage, or in a conflict
@@ -130,10 +130,10 @@
     propose_placement(job);
     fake_state_outage(state_service, true);
     assert_true(fake_run_until(loop, has_failed_eight_times, job));
-    assert_true(job->chunks[0]->retry_at - pm_clock_monotonic() > 0.9);
+    assert_true(job->chunks[0]->write_back.retry_at - pm_clock_monotonic() > 0.9);
     fake_state_outage(state_service, false);
     assert_true(fake_run_until(loop, is_durable, NULL));
-    assert_int_equal(job->chunks[0]->failures, 0);
+    assert_int_equal(job->chunks[0]->write_back.failures, 0);
 }
 
 static bool is_clean(void *arg)
@@ -141,7 +141,7 @@
     const struct pm_job *job = arg;
 
     run_commit();
-    return !job->chunks[0]->dirty && !job->chunks[0]->in_flight;
+    return !job->chunks[0]->write_back.dirty && !job->chunks[0]->write_back.in_flight;
 }
 
 /* A placement whose write has an unknown outcome is written again; executed late after that, the
@@ -355,7 +355,7 @@
     assert_int_equal(fake_state_revision(state_service, "p/t/job-3/0/1"), 0);
     assert_true(fake_state_revision(state_service, "p/t/job-3/0") > before);
     chunk = job->chunks[0];
-    chunk->write_in_halves = true;
+    chunk->write_back.write_in_halves = true;
     assert_true(pm_job_is_chunk_split(&tables, job, 0));
     tables.protocol_version = PM_PROTOCOL_FIRST; /* an earlier version would misread halves */
     assert_false(pm_job_is_chunk_split(&tables, job, 0));
--- a/src/jobs/work.c
+++ b/src/jobs/work.c
@@ -33,7 +33,8 @@
 void pm_job_mark_dirty(struct pm_job *job, uint32_t task_index)
 {
     pm_job_task(job, task_index);
-    job->chunks[task_index / PM_CHUNK_TASKS]->dirty |= pm_chunk_dirty_bits(half_of(task_index));
+    job->chunks[task_index / PM_CHUNK_TASKS]->write_back.dirty |=
+        pm_chunk_dirty_bits(half_of(task_index));
 }
 
 void pm_job_back_off(struct pm_job *job, uint32_t task_index, double until)
@@ -109,10 +110,10 @@
 {
     g_free(chunk->task);
     chunk->task = NULL;
-    chunk->dirty = 0;
+    chunk->write_back.dirty = 0;
     memset(chunk->placement_counts, 0, sizeof chunk->placement_counts);
-    chunk->in_flight = false;
-    chunk->retry_at = 0;
+    chunk->write_back.in_flight = false;
+    chunk->write_back.retry_at = 0;
     for (int half = PM_CHUNK_WHOLE; half < PM_CHUNK_HALVES; half++)
         pm_chunk_stored(chunk, half)->written_revision = 0;
 }
--- a/src/scheduler/tests/test_traces.c
+++ b/src/scheduler/tests/test_traces.c
@@ -411,7 +411,7 @@
         struct pm_job *job = g_ptr_array_index(active, i);
         for (int k = 0; k < job->chunk_count; k++)
             if (job->chunks[k])
-                job->chunks[k]->dirty = false;
+                job->chunks[k]->write_back.dirty = false;
     }
 }
 
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -57,7 +57,7 @@
     if (!entry->job->chunks)
         return true; /* over, durably */
     chunk = entry->job->chunks[entry->task_index / PM_CHUNK_TASKS];
-    return !chunk || (!chunk->dirty && !chunk->in_flight);
+    return !chunk || (!chunk->write_back.dirty && !chunk->write_back.in_flight);
 }
 
 int pm_workers_encode_commands(struct pm_machine *m, bool direct, uint64_t epoch,
