--- a/src/api/submission.c
+++ b/src/api/submission.c
@@ -18,17 +18,32 @@
            pm_jobs_find(api->jobs, id);
 }
 
+static enum pm_api_status status_of(enum pm_submission_result result)
+{
+    switch (result) {
+    case PM_SUBMISSION_VALID:
+        return PM_API_OK;
+    case PM_SUBMISSION_MALFORMED:
+        return PM_API_BAD_REQUEST;
+    case PM_SUBMISSION_REFUSED:
+        return PM_API_UNPROCESSABLE;
+    case PM_SUBMISSION_UNDECIDED:
+        break;
+    }
+    return PM_API_UNAVAILABLE;
+}
+
 /* PM_API_OK, or the status of the answer and its reason. `*dependency_ids` is owned by the caller
  * for PM_API_OK, and NULL when the job needs no others. */
 static enum pm_api_status decode(const struct pm_api *api, const cbor_item_t *body, char *id,
                                  struct pm_spec *spec, GPtrArray **dependency_ids,
                                  const char **reason)
 {
-    enum pm_api_status status = pm_submission_decode(api->tables, body, id, spec, reason);
+    enum pm_submission_result result = pm_submission_decode(api->tables, body, id, spec, reason);
 
-    if (status != PM_API_OK)
-        return status;
-    if (pm_submission_decode_dependencies(body, dependency_ids)) {
+    if (result != PM_SUBMISSION_VALID)
+        return status_of(result);
+    if (!pm_dependency_ids_decode(body, dependency_ids)) {
         *reason = "awaits";
         return PM_API_BAD_REQUEST;
     }
--- a/src/roles/tests/test_callers.c
+++ b/src/roles/tests/test_callers.c
@@ -106,7 +106,7 @@
 {
     (void)state;
     assert_callers("pm_txn_delete(",
-                   "jobs/commit.c 2, leadership/campaign.c 2, roles/acquisition.c 1, "
+                   "jobs/commit_transaction.c 2, leadership/campaign.c 2, roles/acquisition.c 1, "
                    "roles/drain.c 2, roles/garbage_collector.c 1, roles/intent_closing.c 1, "
                    "store/txn.c 1");
 }
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -103,7 +103,7 @@
     if (!task->job->chunks)
         return true; /* the job is over, durably */
     chunk = task->job->chunks[task->task_index / PM_CHUNK_TASKS];
-    return !chunk || (!chunk->dirty && !chunk->in_flight);
+    return !chunk || (!chunk->write_back.dirty && !chunk->write_back.in_flight);
 }
 
 /* ---- encoding ---- */
