--- a/src/cmd/pumicemount/controller.c
+++ b/src/cmd/pumicemount/controller.c
@@ -124,16 +124,6 @@
     ev_set_loop_release_cb(controller->loop, before_wait, after_wait);
 }
 
-static void init_name_tables(struct pm_name_tables *tables, const struct pm_settings *settings)
-{
-    tables->settings = settings;
-    tables->class_names = pm_names_new();
-    tables->image_names = pm_names_new();
-    tables->type_names = pm_names_new();
-    tables->machine_names = pm_names_new();
-    tables->dependency_ids = pm_names_new();
-}
-
 /* What decides; of its own I/O there are only the autoscaler's calls to the provider. */
 static void init_planning(struct pm_controller *controller)
 {
@@ -218,7 +208,7 @@
     controller->loop = loop;
     controller->settings = settings;
     controller->operator_settings = operator_settings;
-    init_name_tables(&controller->tables, settings);
+    pm_name_tables_init(&controller->tables, settings);
     init_lock(controller);
     controller->http = pm_http_client_new(loop, settings->sockets / CLIENT_SHARE);
     pm_controller_init_links(controller);
--- a/src/jobs/name_tables.h
+++ b/src/jobs/name_tables.h
@@ -31,4 +31,9 @@
     struct pm_type types[PM_TYPES_MAX];
 };
 
+/* Makes empty tables. `settings` is borrowed, and outlives them. */
+void pm_name_tables_init(struct pm_name_tables *tables, const struct pm_settings *settings);
+/* Frees the names; the structure itself is the caller's. */
+void pm_name_tables_clear(struct pm_name_tables *tables);
+
 #endif
--- a/src/jobs/tests/job_fixtures.h
+++ b/src/jobs/tests/job_fixtures.h
@@ -7,20 +7,10 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Empty tables of names. */
-static inline void fixture_make_names(struct pm_name_tables *tables)
-{
-    tables->class_names = pm_names_new();
-    tables->image_names = pm_names_new();
-    tables->type_names = pm_names_new();
-    tables->machine_names = pm_names_new();
-    tables->dependency_ids = pm_names_new();
-}
-
 /* Tables and settings of that deployment; ended by fixture_end. */
 static inline void fixture_begin(struct pm_name_tables *tables, struct pm_settings *settings)
 {
-    memset(tables, 0, sizeof *tables);
+    pm_name_tables_init(tables, settings);
     settings->store_txn_ops = 12;
     settings->store_value_kb = 16;
     settings->heartbeat_s = 2;
@@ -29,8 +19,6 @@
     settings->teams[0].cpus_max = settings->teams[0].gpus_max = 1e12;
     settings->zone_count = 1;
     strcpy(settings->zone_names[0], "a");
-    tables->settings = settings;
-    fixture_make_names(tables);
     pm_names_intern(tables->type_names, "g8");
     tables->types[0] = (struct pm_type){.cpus = 16, .ram_gb = 64, .zones = 1};
     tables->type_count = 1;
@@ -39,11 +27,7 @@
 /* Frees the tables of names. */
 static inline void fixture_end(struct pm_name_tables *tables)
 {
-    pm_names_free(tables->class_names);
-    pm_names_free(tables->image_names);
-    pm_names_free(tables->type_names);
-    pm_names_free(tables->machine_names);
-    pm_names_free(tables->dependency_ids);
+    pm_name_tables_clear(tables);
 }
 
 /* Feeds a live job of that description, as the watch would show it. */
--- a/src/scheduler/tests/test_traces.c
+++ b/src/scheduler/tests/test_traces.c
@@ -58,8 +58,7 @@
     w->settings.zone_count = 2;
     strcpy(w->settings.zone_names[0], "east");
     strcpy(w->settings.zone_names[1], "west");
-    w->tables.settings = &w->settings;
-    fixture_make_names(&w->tables);
+    pm_name_tables_init(&w->tables, &w->settings);
     w->jobs = pm_jobs_new(&w->tables);
     w->workers =
         pm_workers_new(&w->tables, w->jobs, &(struct pm_workers_hooks){on_ended, on_ran, w});
