--- /dev/null
+++ b/src/leadership/replica_acknowledgement.c
@@ -0,0 +1,117 @@
+/* Acknowledging by way of the state service how far this controller's replica has come, and reading
+ * what the peers acknowledge there.
+ *
+ * Stored: p/seen/CONTROLLER is a CBOR map; its field `edition` is the store revision that the
+ * replica of that controller has reached. */
+#include "base/clock.h"
+#include "leadership/cancellation_internal.h"
+
+#include <ev.h>
+#include <glib.h>
+#include <stdio.h>
+#include <string.h>
+
+#define KEY_PREFIX "p/seen/"
+#define STORE_REVISION_FIELD "edition"
+
+/* A message that publishes a cancellation arrives within this of reading it. */
+#define PUBLICATION_GRACE_S 0.6
+#define WRITE_INTERVAL_S 1.5
+
+static bool decode(const cbor_item_t *value, uint64_t *store_revision)
+{
+    return pm_cbor_read_count(pm_cbor_get(value, STORE_REVISION_FIELD), store_revision);
+}
+
+static void put_record(struct pm_txn *txn, const char *controller, uint64_t store_revision)
+{
+    char key[PM_NAME_MAX + sizeof KEY_PREFIX];
+
+    snprintf(key, sizeof key, KEY_PREFIX "%s", controller);
+    pm_txn_put(txn, key);
+    pm_put_map(&txn->writes);
+    pm_put_pair_count(&txn->writes, STORE_REVISION_FIELD, store_revision);
+    pm_put_end(&txn->writes);
+    pm_txn_put_end(txn, 0);
+}
+
+void pm_cancel_quorum_apply_put(struct pm_cancel_quorum *quorum, const char *key,
+                                const cbor_item_t *value)
+{
+    const size_t prefix_size = strlen(KEY_PREFIX);
+    uint64_t store_revision;
+    int peer;
+
+    if (strncmp(key, KEY_PREFIX, prefix_size))
+        return;
+    peer = pm_settings_find_peer(quorum->settings, key + prefix_size);
+    if (peer < 0 || !decode(value, &store_revision))
+        return;
+    pm_cancel_quorum_note_peer_revision(quorum, peer, store_revision);
+    pm_cancel_quorum_end_settled(quorum, pm_clock_monotonic());
+}
+
+void pm_cancel_quorum_note_read(struct pm_cancel_quorum *quorum, uint64_t revision)
+{
+    struct pm_replica_acknowledgement *acknowledgement = &quorum->acknowledgement;
+
+    if (!quorum->settings->peer_count || revision <= acknowledgement->unpublished_revision)
+        return;
+    if (!acknowledgement->unpublished_revision)
+        acknowledgement->unpublished_since = pm_clock_monotonic();
+    acknowledgement->unpublished_revision = revision;
+    ev_timer_again(quorum->loop, &quorum->timer);
+}
+
+void pm_cancel_quorum_note_published(struct pm_cancel_quorum *quorum, uint64_t revision)
+{
+    struct pm_replica_acknowledgement *acknowledgement = &quorum->acknowledgement;
+
+    if (revision >= acknowledgement->unpublished_revision)
+        acknowledgement->unpublished_revision = 0;
+}
+
+static void on_committed(void *arg, enum pm_store_result result, uint64_t store_revision,
+                         const cbor_item_t *conflicting_keys)
+{
+    struct pm_replica_acknowledgement *acknowledgement =
+        &((struct pm_cancel_quorum *)arg)->acknowledgement;
+
+    (void)store_revision;
+    (void)conflicting_keys;
+    acknowledgement->write_in_flight = false;
+    if (result != PM_STORE_OK) /* due again: any revision stands for the replica's present one */
+        acknowledgement->unpublished_revision = MAX(acknowledgement->unpublished_revision, 1);
+}
+
+static bool is_due(const struct pm_replica_acknowledgement *acknowledgement, double now)
+{
+    return acknowledgement->unpublished_revision && !acknowledgement->write_in_flight &&
+           now - acknowledgement->unpublished_since >= PUBLICATION_GRACE_S &&
+           now - acknowledgement->written_at >= WRITE_INTERVAL_S;
+}
+
+static bool may_write(struct pm_store *store, double now)
+{
+    return pm_store_is_ready(store) && !pm_store_is_refusing(store) &&
+           pm_store_write_budget(store, now) >= 1;
+}
+
+void pm_cancel_quorum_acknowledge_if_due(struct pm_cancel_quorum *quorum, double now)
+{
+    struct pm_replica_acknowledgement *acknowledgement = &quorum->acknowledgement;
+    struct pm_txn txn = {0};
+
+    if (!is_due(acknowledgement, now) || !may_write(quorum->store, now))
+        return;
+    acknowledgement->unpublished_revision = 0;
+    acknowledgement->write_in_flight = true;
+    acknowledgement->written_at = now;
+    put_record(&txn, quorum->settings->name, pm_store_revision(quorum->store));
+    pm_store_commit(quorum->store, &txn, on_committed, quorum);
+}
+
+bool pm_cancel_quorum_has_acknowledgement_due(const struct pm_cancel_quorum *quorum)
+{
+    return quorum->acknowledgement.unpublished_revision || quorum->acknowledgement.write_in_flight;
+}
