--- a/src/leadership/campaign.c
+++ b/src/leadership/campaign.c
@@ -1,4 +1,5 @@
-/* Taking the lead, and raising the epoch while leading. */
+/* Becoming the leader: a lease, then p/epoch and p/lead in one transaction, then waiting until the
+ * replica includes that transaction. */
 #include "base/clock.h"
 #include "base/log.h"
 #include "leadership/internal.h"
@@ -6,162 +7,120 @@
 #include <stdio.h>
 #include <string.h>
 
-static void put_epoch(struct pm_election *l, struct pm_txn *txn, uint64_t epoch)
+bool pm_election_is_lock_free(const struct pm_election *election)
 {
-    pm_txn_put(txn, "p/epoch");
-    pm_put_map(&txn->writes);
-    pm_put_pair_count(&txn->writes, "epoch", epoch);
-    pm_put_pair_text(&txn->writes, "leader", l->settings->name);
-    pm_put_pair_text(&txn->writes, "boot", l->boot);
-    pm_put_end(&txn->writes);
-    pm_txn_put_end(txn, 0);
+    const struct pm_election_replica *replica = &election->replica;
+
+    return !replica->lock_revision ||
+           (!strcmp(replica->lock_holder, election->settings->name) &&
+            strcmp(replica->lock_incarnation_id, election->incarnation_id));
 }
 
-static void on_reached(void *arg, bool ok)
+static void on_caught_up(void *arg, bool ok)
 {
-    struct pm_election *l = arg;
+    struct pm_election *election = arg;
+    struct pm_election_term *term = &election->term;
 
-    if (!l->leads || !l->reach)
+    if (!term->is_leader || !term->catch_up_revision)
         return;
     if (!ok) { /* the watch is slow: keep waiting */
-        pm_store_wait_for_revision(l->store, l->reach, on_reached, l);
+        pm_store_wait_for_revision(election->store, term->catch_up_revision, on_caught_up,
+                                   election);
         return;
     }
-    l->reach = 0;
-    l->hooks.elected(l->hooks.arg, l->mine);
+    term->catch_up_revision = 0;
+    election->hooks.elected(election->hooks.arg, term->epoch);
 }
 
-static void on_taken(void *arg, enum pm_store_result result, uint64_t store_revision,
-                     const cbor_item_t *failed)
+static void end_campaign(struct pm_election *election, double now)
 {
-    struct attempt *attempt = arg;
-    struct pm_election *l = attempt->lead;
-    double now = pm_clock_monotonic();
-
-    (void)failed;
-    l->candidate = false;
-    l->vacant_since = now; /* the next try waits its turn again */
-    if (result == PM_STORE_OK) {
-        l->leads = true;
-        l->mine = l->epoch = attempt->epoch;
-        l->mine_revision = l->epoch_revision = store_revision;
-        l->lease_id = attempt->lease_id;
-        l->renewed = l->checked = l->epoch_at = now;
-        l->confirmed = l->sure_since = l->caught_up_at = attempt->sent; /* no say before `reach` */
-        l->ack_at = l->first_ack_at = pm_election_quorum(l) <= 1 ? now : 0;
-        l->ack_epoch = l->mine;
-        l->block_revision = 0;
-        l->asked = 0;
-        memset(l->acked, 0, sizeof l->acked);
-        l->reach = store_revision;
-        pm_info("election.elected", "epoch %llu", (unsigned long long)l->mine);
-        pm_store_wait_for_revision(l->store, store_revision, on_reached, l);
-    } else {
-        pm_debug("election.campaign_failed", "status %d", result);
-    }
-    g_free(attempt);
+    election->candidacy.is_in_flight = false;
+    election->candidacy.lock_free_since = now; /* the next campaign waits its turn again */
 }
 
-/* Whether nobody leads: p/lead is free, or its holder is a dead predecessor of this process. */
-bool pm_election_is_lock_free(const struct pm_election *l)
+/* `revision` is that of the transaction. Confirmed since it was sent; but pm_election_is_confirmed
+ * waits for the replica to catch up. */
+static void begin_term(struct pm_election *election, const struct pm_epoch_txn *epoch_txn,
+                       uint64_t revision, double now)
 {
-    return !l->lead_revision ||
-           (!strcmp(l->holder, l->settings->name) && strcmp(l->holder_boot, l->boot));
+    struct pm_election_term *term = &election->term;
+    struct pm_election_confirmation *confirmation = &election->confirmation;
+
+    term->is_leader = true;
+    term->epoch = election->replica.epoch = epoch_txn->epoch;
+    term->epoch_revision = election->replica.epoch_revision = revision;
+    term->lease_id = epoch_txn->lease_id;
+    term->lease_renewed_at = term->epoch_advanced_at = now;
+    term->catch_up_revision = revision;
+    confirmation->checked_at = now;
+    confirmation->confirmed_at = epoch_txn->sent_at;
+    confirmation->gapless_since = epoch_txn->sent_at;
+    confirmation->fresh_at = epoch_txn->sent_at;
+    election->acks.first_quorum_at = 0;
+    pm_election_reset_epoch_acks(election, term->epoch, now);
+    election->shard.revision = 0;
+    pm_info("election.elected", "epoch %llu", (unsigned long long)term->epoch);
+    pm_store_wait_for_revision(election->store, revision, on_caught_up, election);
 }
 
-static void on_lease_id(void *arg, enum pm_store_result result, uint64_t lease_id)
+static void on_campaign_committed(void *arg, enum pm_store_result result, uint64_t store_revision,
+                                  const cbor_item_t *conflicting_keys)
 {
-    struct pm_election *l = arg;
-    struct pm_txn txn = {0};
-    struct attempt *attempt;
-    char key[PM_NAME_MAX + 8];
-
-    /* Somebody else may have taken it while this was under way, and the replica know it by now: the
-     * transaction below, on what the replica knows, would take it away again. */
-    if (result != PM_STORE_OK || !pm_election_is_lock_free(l)) {
-        l->candidate = false;
-        l->vacant_since = pm_clock_monotonic();
-        if (result == PM_STORE_OK)
-            pm_store_lease_revoke(l->store, lease_id);
-        return;
-    }
-    attempt = g_new0(struct attempt, 1);
-    attempt->lead = l;
-    attempt->epoch = MAX(l->epoch, l->heard) + 1;
-    attempt->lease_id = lease_id;
-    attempt->sent = pm_clock_monotonic();
-    pm_txn_compare(&txn, "p/epoch", l->epoch_revision);
-    pm_txn_compare(&txn, "p/lead", l->lead_revision);
-    put_epoch(l, &txn, attempt->epoch);
-    pm_txn_put(&txn, "p/lead");
-    pm_put_map(&txn.writes);
-    pm_put_pair_text(&txn.writes, "leader", l->settings->name);
-    pm_put_pair_text(&txn.writes, "boot", l->boot);
-    pm_put_end(&txn.writes);
-    pm_txn_put_end(&txn, lease_id);
-    /* A leader holds no block: whatever it held becomes the leader's with the same stroke. */
-    snprintf(key, sizeof key, "p/b/%s", l->settings->name);
-    pm_txn_delete(&txn, key);
-    pm_store_commit(l->store, &txn, on_taken, attempt);
-}
+    struct pm_epoch_txn *epoch_txn = arg;
+    double now = pm_clock_monotonic();
 
-void pm_election_campaign(struct pm_election *l)
-{
-    l->candidate = true;
-    pm_store_lease_grant(l->store, l->op->leader_ttl_s, on_lease_id, l);
+    (void)conflicting_keys;
+    end_campaign(epoch_txn->election, now);
+    if (result == PM_STORE_OK)
+        begin_term(epoch_txn->election, epoch_txn, store_revision, now);
+    else
+        pm_debug("election.campaign_failed", "status %d (%s)", result,
+                 pm_store_result_name(result));
+    g_free(epoch_txn);
 }
 
-/* ---- raising the epoch while leading ---- */
-
-void pm_election_adopt_epoch(struct pm_election *l, uint64_t epoch, uint64_t revision)
+static void commit_campaign(struct pm_election *election, uint64_t lease_id)
 {
-    l->mine = l->epoch = epoch;
-    l->mine_revision = l->epoch_revision = revision;
-    l->epoch_at = pm_clock_monotonic();
-    /* Acknowledged anew: a holder that lost its block with the old epoch may answer its workers
-     * until a majority knows this one. */
-    memset(l->acked, 0, sizeof l->acked);
-    l->ack_at = pm_election_quorum(l) <= 1 ? pm_clock_monotonic() : 0;
-    l->ack_epoch = epoch;
-    l->asked = 0;
-    pm_info("election.epoch_advanced", "epoch %llu", (unsigned long long)epoch);
-    l->hooks.epoch_advanced(l->hooks.arg, epoch);
+    struct pm_txn txn = {0};
+    struct pm_epoch_txn *epoch_txn = g_new0(struct pm_epoch_txn, 1);
+    char shard_key[PM_NAME_MAX + 8];
+
+    epoch_txn->election = election;
+    epoch_txn->epoch = MAX(election->replica.epoch, election->poll.highest_epoch) + 1;
+    epoch_txn->lease_id = lease_id;
+    epoch_txn->sent_at = pm_clock_monotonic();
+    pm_txn_compare(&txn, PM_ELECTION_EPOCH_KEY, election->replica.epoch_revision);
+    pm_txn_compare(&txn, PM_ELECTION_LOCK_KEY, election->replica.lock_revision);
+    pm_election_put_epoch(election, &txn, epoch_txn->epoch);
+    pm_election_put_lock(election, &txn, lease_id);
+    /* A leader owns no shard: the machines of its own return to the leader's in the same
+     * transaction. */
+    snprintf(shard_key, sizeof shard_key, "p/b/%s", election->settings->name);
+    pm_txn_delete(&txn, shard_key);
+    pm_store_commit(election->store, &txn, on_campaign_committed, epoch_txn);
 }
 
-static void on_raised(void *arg, enum pm_store_result result, uint64_t store_revision,
-                      const cbor_item_t *failed)
+static void on_lease_granted(void *arg, enum pm_store_result result, uint64_t lease_id)
 {
-    struct attempt *attempt = arg;
-    struct pm_election *l = attempt->lead;
+    struct pm_election *election = arg;
 
-    (void)failed;
-    l->raising = false;
-    if (l->leads && result == PM_STORE_OK && l->mine < attempt->epoch) {
-        pm_election_adopt_epoch(l, attempt->epoch, store_revision);
-        pm_election_confirm_epoch(l, attempt->sent, store_revision);
-    } else if (l->leads && result == PM_STORE_CONFLICT) {
-        pm_election_recheck_epoch(l);
+    if (result != PM_STORE_OK) {
+        end_campaign(election, pm_clock_monotonic());
+        return;
+    }
+    /* Another controller may have been elected meanwhile, and the replica know it by now: the
+     * transaction compares what the replica knows, so it would take the lock away again. */
+    if (!pm_election_is_lock_free(election)) {
+        end_campaign(election, pm_clock_monotonic());
+        pm_store_lease_revoke(election->store, lease_id);
+        return;
     }
-    g_free(attempt);
+    commit_campaign(election, lease_id);
 }
 
-void pm_election_advance_epoch(struct pm_election *l, const char *key, uint64_t revision)
+void pm_election_campaign(struct pm_election *election)
 {
-    struct pm_txn txn = {0};
-    struct attempt *attempt;
-
-    if (!l->leads || l->raising || l->reach)
-        return;
-    l->raising = true;
-    attempt = g_new0(struct attempt, 1);
-    attempt->lead = l;
-    attempt->epoch = MAX(l->mine, l->heard) + 1;
-    attempt->sent = pm_clock_monotonic();
-    pm_txn_compare(&txn, "p/epoch", l->mine_revision);
-    put_epoch(l, &txn, attempt->epoch);
-    if (key) {
-        pm_txn_compare(&txn, key, revision);
-        pm_txn_delete(&txn, key);
-    }
-    pm_store_commit(l->store, &txn, on_raised, attempt);
+    election->candidacy.is_in_flight = true;
+    pm_store_lease_grant(election->store, election->operator_settings->leader_ttl_s,
+                         on_lease_granted, election);
 }
--- /dev/null
+++ b/src/leadership/records.c
@@ -0,0 +1,78 @@
+/* The stored form of the election's keys. Each is a CBOR map; the field names are fixed by what
+ * earlier versions have stored:
+ *   p/epoch        epoch: the number; leader: name of the controller that advanced it; boot: its
+ *                  incarnation
+ *   p/lead         leader: name of the holder of the lock; boot: its incarnation
+ *   p/speaks/NAME  version: the protocol version that this controller runs
+ *   p/speaks       version: the one that every controller runs at least
+ * Pure functions of their arguments. */
+#include "leadership/internal.h"
+
+#include <string.h>
+
+#define EPOCH_FIELD "epoch"
+#define LEADER_FIELD "leader"
+#define INCARNATION_FIELD "boot"
+#define VERSION_FIELD "version"
+
+enum { NO_LEASE = 0 };
+
+static void put_author(const struct pm_election *election, struct pm_txn *txn)
+{
+    pm_put_pair_text(&txn->writes, LEADER_FIELD, election->settings->name);
+    pm_put_pair_text(&txn->writes, INCARNATION_FIELD, election->incarnation_id);
+}
+
+void pm_election_put_epoch(const struct pm_election *election, struct pm_txn *txn, uint64_t epoch)
+{
+    pm_txn_put(txn, PM_ELECTION_EPOCH_KEY);
+    pm_put_map(&txn->writes);
+    pm_put_pair_count(&txn->writes, EPOCH_FIELD, epoch);
+    put_author(election, txn);
+    pm_put_end(&txn->writes);
+    pm_txn_put_end(txn, NO_LEASE);
+}
+
+void pm_election_put_lock(const struct pm_election *election, struct pm_txn *txn, uint64_t lease_id)
+{
+    pm_txn_put(txn, PM_ELECTION_LOCK_KEY);
+    pm_put_map(&txn->writes);
+    put_author(election, txn);
+    pm_put_end(&txn->writes);
+    pm_txn_put_end(txn, lease_id);
+}
+
+void pm_election_put_version(struct pm_txn *txn, const char *key, unsigned version)
+{
+    pm_txn_put(txn, key);
+    pm_put_map(&txn->writes);
+    pm_put_pair_count(&txn->writes, VERSION_FIELD, version);
+    pm_put_end(&txn->writes);
+    pm_txn_put_end(txn, NO_LEASE);
+}
+
+/* A text that can't be read is "", or the part of it that could be. */
+static void read_text(const cbor_item_t *value, const char *field, char *out, size_t size)
+{
+    memset(out, 0, size);
+    pm_cbor_read_text(pm_cbor_get(value, field), out, size);
+}
+
+bool pm_election_decode_epoch(const cbor_item_t *value, uint64_t *epoch,
+                              char incarnation_id[PM_INCARNATION_ID_SIZE])
+{
+    read_text(value, INCARNATION_FIELD, incarnation_id, PM_INCARNATION_ID_SIZE);
+    return pm_cbor_read_count(pm_cbor_get(value, EPOCH_FIELD), epoch);
+}
+
+void pm_election_decode_lock(const cbor_item_t *value, char holder[PM_NAME_MAX],
+                             char incarnation_id[PM_INCARNATION_ID_SIZE])
+{
+    read_text(value, LEADER_FIELD, holder, PM_NAME_MAX);
+    read_text(value, INCARNATION_FIELD, incarnation_id, PM_INCARNATION_ID_SIZE);
+}
+
+bool pm_election_decode_version(const cbor_item_t *value, uint64_t *version)
+{
+    return pm_cbor_read_count(pm_cbor_get(value, VERSION_FIELD), version);
+}
--- /dev/null
+++ b/src/leadership/replica_feed.c
@@ -0,0 +1,73 @@
+/* What the replica's feed says of the epoch, of the leader's lock and of protocol versions. */
+#include "base/clock.h"
+#include "leadership/internal.h"
+
+#include <string.h>
+
+static void apply_epoch(struct pm_election *election, const cbor_item_t *value, uint64_t revision)
+{
+    struct pm_election_replica *replica = &election->replica;
+    char incarnation_id[PM_INCARNATION_ID_SIZE];
+    uint64_t epoch;
+    bool is_ours;
+
+    if (revision < replica->epoch_revision ||
+        !pm_election_decode_epoch(value, &epoch, incarnation_id))
+        return;
+    is_ours = !strcmp(incarnation_id, election->incarnation_id);
+    replica->epoch = epoch;
+    replica->epoch_revision = revision;
+    if (election->term.is_leader && epoch > election->term.epoch) {
+        if (is_ours) /* by a transaction whose answer was lost */
+            pm_election_adopt_epoch(election, epoch, revision);
+        else
+            pm_election_end_term(election, "another controller has advanced the epoch and leads");
+        return;
+    }
+    if (!election->term.is_leader && election->shard.revision &&
+        !election->confirmation.check_in_flight)
+        pm_election_check_epoch(election, pm_clock_monotonic());
+}
+
+static void apply_lock(struct pm_election *election, const cbor_item_t *value, uint64_t revision)
+{
+    struct pm_election_replica *replica = &election->replica;
+
+    if (revision < replica->lock_revision)
+        return;
+    replica->lock_revision = revision;
+    pm_election_decode_lock(value, replica->lock_holder, replica->lock_incarnation_id);
+}
+
+/* The incarnation is left: it is looked at only while the lock has a holder. */
+static void note_lock_free(struct pm_election *election)
+{
+    election->replica.lock_revision = 0;
+    election->replica.lock_holder[0] = 0;
+}
+
+void pm_election_apply_put(struct pm_election *election, const char *key, const cbor_item_t *value,
+                           uint64_t revision)
+{
+    const size_t prefix_size = strlen(PM_ELECTION_VERSION_KEY_PREFIX);
+
+    if (!strncmp(key, PM_ELECTION_VERSION_KEY_PREFIX, prefix_size))
+        pm_election_apply_version(election, key + prefix_size, value);
+    else if (!strcmp(key, PM_ELECTION_COMMON_VERSION_KEY))
+        pm_election_apply_common_version(election, value);
+    else if (!strcmp(key, PM_ELECTION_EPOCH_KEY))
+        apply_epoch(election, value, revision);
+    else if (!strcmp(key, PM_ELECTION_LOCK_KEY))
+        apply_lock(election, value, revision);
+}
+
+void pm_election_apply_delete(struct pm_election *election, const char *key, uint64_t revision)
+{
+    if (!strcmp(key, PM_ELECTION_LOCK_KEY) && revision >= election->replica.lock_revision)
+        note_lock_free(election);
+}
+
+void pm_election_snapshot_begin(struct pm_election *election)
+{
+    note_lock_free(election);
+}
--- a/src/leadership/versions.c
+++ b/src/leadership/versions.c
@@ -1,69 +1,120 @@
-/* Which protocol version every controller runs. */
-#include "base/clock.h"
+/* Which protocol version every controller runs: each publishes its own, by its messages and under
+ * p/speaks/NAME, and the leader writes p/speaks once it knows all of them. */
 #include "base/log.h"
 #include "base/protocol.h"
 #include "leadership/internal.h"
 
+#include <glib.h>
 #include <stdio.h>
+#include <string.h>
 
-#define ANNOUNCE_PACE_S 0.7 /* between two writes of a version */
+#define WRITE_INTERVAL_S 0.7
 
-static void on_version_written(void *arg, enum pm_store_result result, uint64_t store_revision,
-                               const cbor_item_t *failed)
+/* ---- what is known ---- */
+
+void pm_election_apply_version(struct pm_election *election, const char *controller,
+                               const cbor_item_t *value)
 {
-    (void)result;
-    (void)store_revision;
-    (void)failed;
-    ((struct pm_election *)arg)->version_busy = false;
+    struct pm_election_versions *versions = &election->versions;
+    uint64_t version;
+    int peer;
+
+    if (!pm_election_decode_version(value, &version))
+        return;
+    if (!strcmp(controller, election->settings->name) && version >= PM_PROTOCOL_VERSION)
+        versions->is_published = true;
+    peer = pm_settings_find_peer(election->settings, controller);
+    if (peer >= 0) /* a later one than ours makes no difference here */
+        pm_election_note_peer_version(election, peer, (unsigned)MIN(version, PM_PROTOCOL_VERSION));
+}
+
+void pm_election_apply_common_version(struct pm_election *election, const cbor_item_t *value)
+{
+    struct pm_election_versions *versions = &election->versions;
+    uint64_t version;
+
+    if (!pm_election_decode_version(value, &version) || version <= versions->common)
+        return;
+    versions->common = (unsigned)MIN(version, PM_PROTOCOL_VERSION);
+    pm_info("election.protocol_version", "every controller runs protocol version %u",
+            versions->common);
+}
+
+void pm_election_note_peer_version(struct pm_election *election, int peer, unsigned version)
+{
+    unsigned *known = &election->versions.peer[peer];
+
+    *known = MAX(*known, version);
 }
 
-static void put_version(struct pm_election *l, struct pm_txn *txn, const char *key,
-                        unsigned version, double now)
+unsigned pm_election_protocol_version(const struct pm_election *election)
 {
-    l->version_busy = true;
-    l->announced_at = now;
-    pm_txn_put(txn, key);
-    pm_put_map(&txn->writes);
-    pm_put_pair_count(&txn->writes, "version", version);
-    pm_put_end(&txn->writes);
-    pm_txn_put_end(txn, 0);
-    pm_store_commit(l->store, txn, on_version_written, l);
+    return MAX(election->versions.common, PM_PROTOCOL_FIRST);
 }
 
-/* The lowest version of all controllers. */
-static unsigned lowest_version(const struct pm_election *l)
+/* The lowest version that a controller is known to run; 0 while one has not named its own. */
+static unsigned find_lowest_version(const struct pm_election *election)
 {
     unsigned lowest = PM_PROTOCOL_VERSION;
 
-    for (int i = 0; i < l->settings->peer_count; i++)
-        lowest = MIN(lowest, l->peer_version[i]);
+    for (int i = 0; i < election->settings->peer_count; i++)
+        lowest = MIN(lowest, election->versions.peer[i]);
     return lowest;
 }
 
-/* Writes our own version, for those whom our messages do not reach; and, as the leader, the one
- * that all controllers are known to run, for good. */
-void pm_election_publish_version(struct pm_election *l, double now)
+/* ---- writing it ---- */
+
+static void on_version_committed(void *arg, enum pm_store_result result, uint64_t store_revision,
+                                 const cbor_item_t *conflicting_keys)
+{
+    struct pm_election *election = arg;
+
+    (void)result; /* the watch reports what was written; what was not falls due again */
+    (void)store_revision;
+    (void)conflicting_keys;
+    election->versions.write_in_flight = false;
+}
+
+static void commit_version(struct pm_election *election, struct pm_txn *txn, double now)
+{
+    election->versions.write_in_flight = true;
+    election->versions.written_at = now;
+    pm_store_commit(election->store, txn, on_version_committed, election);
+}
+
+static void publish_own_version(struct pm_election *election, double now)
 {
     struct pm_txn txn = {0};
-    unsigned version;
-    char key[PM_NAME_MAX + 16];
+    char key[PM_NAME_MAX + sizeof PM_ELECTION_VERSION_KEY_PREFIX];
 
-    if (l->version_busy || now - l->announced_at < ANNOUNCE_PACE_S ||
-        !pm_store_is_ready(l->store) || pm_store_is_refusing(l->store))
-        return;
-    if (!l->version_announced) {
-        snprintf(key, sizeof key, "p/speaks/%s", l->settings->name);
-        put_version(l, &txn, key, PM_PROTOCOL_VERSION, now);
-        return;
-    }
-    version = lowest_version(l);
-    if (!l->leads || l->reach || version <= pm_election_protocol_version(l))
+    snprintf(key, sizeof key, PM_ELECTION_VERSION_KEY_PREFIX "%s", election->settings->name);
+    pm_election_put_version(&txn, key, PM_PROTOCOL_VERSION);
+    commit_version(election, &txn, now);
+}
+
+static void publish_common_version(struct pm_election *election, double now)
+{
+    const struct pm_election_term *term = &election->term;
+    struct pm_txn txn = {0};
+    unsigned version = find_lowest_version(election);
+
+    if (!term->is_leader || term->catch_up_revision ||
+        version <= pm_election_protocol_version(election))
         return;
-    pm_txn_compare(&txn, "p/epoch", l->mine_revision);
-    put_version(l, &txn, "p/speaks", version, now);
+    pm_txn_compare(&txn, PM_ELECTION_EPOCH_KEY, term->epoch_revision);
+    pm_election_put_version(&txn, PM_ELECTION_COMMON_VERSION_KEY, version);
+    commit_version(election, &txn, now);
 }
 
-unsigned pm_election_protocol_version(const struct pm_election *l)
+void pm_election_publish_version(struct pm_election *election, double now)
 {
-    return MAX(l->common_version, PM_PROTOCOL_FIRST);
+    const struct pm_election_versions *versions = &election->versions;
+
+    if (versions->write_in_flight || now - versions->written_at < WRITE_INTERVAL_S ||
+        !pm_store_is_ready(election->store) || pm_store_is_refusing(election->store))
+        return;
+    if (versions->is_published)
+        publish_common_version(election, now);
+    else
+        publish_own_version(election, now);
 }
