--- /dev/null
+++ b/src/leadership/tests/controller_fixtures.h
@@ -0,0 +1,259 @@
+/* Fixture of the leadership tests: controllers that know one another, reduced to election,
+ * cancellation quorum, store and jobs, in this process, against a fake state service. Each test
+ * gets a loop and a state service of its own. A controller lives until the process ends. */
+#ifndef PM_LEADERSHIP_TESTS_CONTROLLER_FIXTURES_H
+#define PM_LEADERSHIP_TESTS_CONTROLLER_FIXTURES_H
+
+#include "../../jobs/tests/job_fixtures.h"
+#include "testing/fake_state.h"
+#include "base/clock.h"
+#include "base/protocol.h"
+#include "leadership/cancellation_quorum.h"
+#include "leadership/election.h"
+#include "peer.pb-c.h"
+
+#include <ev.h>
+#include <glib.h>
+#include <math.h>
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdio.h>
+#include <string.h>
+#include <cmocka.h>
+
+static struct ev_loop *loop;
+static struct fake_state *state;
+
+struct controller {
+    struct pm_settings settings;
+    struct pm_operator_settings operator_settings;
+    struct pm_http_client *http;
+    struct pm_http_server *peer_server;
+    struct pm_store *store;
+    struct pm_election *election;
+    struct pm_cancel_quorum *cancel_quorum;
+    struct pm_name_tables tables;
+    struct pm_jobs *jobs;
+    const char *store_addr; /* NULL: the state service's first one */
+    /* As the hooks were called last; 0: not yet. */
+    uint64_t elected_epoch, advanced_epoch;
+    int step_down_count;
+};
+
+/* ---- set-up ---- */
+
+static inline int set_up(void **arg)
+{
+    (void)arg;
+    loop = ev_loop_new(EVFLAG_AUTO);
+    state = fake_state_new(loop);
+    return 0;
+}
+
+static inline void on_key_put(void *arg, const char *key, const cbor_item_t *value,
+                              uint64_t revision)
+{
+    struct controller *controller = arg;
+
+    pm_election_apply_put(controller->election, key, value, revision);
+    pm_cancel_quorum_apply_put(controller->cancel_quorum, key, value);
+    if (pm_jobs_apply_put(controller->jobs, key, value, revision) &&
+        pm_store_is_ready(controller->store))
+        pm_cancel_quorum_note_read(controller->cancel_quorum, revision);
+}
+
+static inline void on_key_deleted(void *arg, const char *key, uint64_t revision)
+{
+    pm_election_apply_delete(((struct controller *)arg)->election, key, revision);
+}
+
+static inline void on_snapshot_begin(void *arg)
+{
+    pm_election_snapshot_begin(((struct controller *)arg)->election);
+}
+
+static inline void on_snapshot_end(void *arg)
+{
+    (void)arg;
+}
+
+static inline void on_caught_up(void *arg, uint64_t store_revision)
+{
+    (void)arg;
+    (void)store_revision;
+}
+
+static inline void on_elected(void *arg, uint64_t epoch)
+{
+    ((struct controller *)arg)->elected_epoch = epoch;
+}
+
+static inline void on_stepped_down(void *arg)
+{
+    ((struct controller *)arg)->step_down_count++;
+}
+
+static inline void on_epoch_advanced(void *arg, uint64_t epoch)
+{
+    ((struct controller *)arg)->advanced_epoch = epoch;
+}
+
+static inline void on_epoch_confirmed(void *arg)
+{
+    (void)arg;
+}
+
+static inline void on_cancelled(void *arg, const char *id, uint64_t revision)
+{
+    pm_jobs_apply_cancellation(((struct controller *)arg)->jobs, id, revision);
+}
+
+static inline const struct pm_cancellation *
+on_list_cancellations(void *arg, uint64_t revision, size_t most, size_t *count, bool *more)
+{
+    return pm_jobs_list_cancellations(((struct controller *)arg)->jobs, revision, most, count,
+                                      more);
+}
+
+static inline void on_peer_reached_revision(void *arg, int peer, uint64_t store_revision)
+{
+    pm_cancel_quorum_note_peer_revision(((struct controller *)arg)->cancel_quorum, peer,
+                                        store_revision);
+}
+
+static inline void on_peer_request(void *arg, struct pm_http_request *request)
+{
+    struct controller *controller = arg;
+
+    if (!strcmp(request->path, "/cancelled"))
+        pm_cancel_quorum_handle_peer_request(controller->cancel_quorum, request);
+    else
+        pm_election_handle_peer_request(controller->election, request);
+}
+
+/* Gives the first `count` controllers names and addresses, and one another as peers. */
+static inline void configure_cluster(struct controller *all, int count)
+{
+    for (int i = 0; i < count; i++) {
+        memset(&all[i], 0, sizeof all[i]);
+        pm_operator_settings_defaults(&all[i].operator_settings);
+        fixture_begin(&all[i].tables, &all[i].settings);
+        all[i].settings.cluster_size = count;
+        snprintf(all[i].settings.name, PM_NAME_MAX, "n%d", i);
+        snprintf(all[i].settings.peer_listen_addr, 64, "127.0.0.1:%d", fake_free_port());
+    }
+    for (int i = 0; i < count; i++)
+        for (int j = 0; j < count; j++) {
+            struct pm_peer_setting *peer;
+            if (i == j)
+                continue;
+            peer = &all[i].settings.peers[all[i].settings.peer_count++];
+            g_strlcpy(peer->name, all[j].settings.name, sizeof peer->name);
+            g_strlcpy(peer->addr, all[j].settings.peer_listen_addr, sizeof peer->addr);
+        }
+}
+
+/* Listens for its peers, for the first time or again. */
+static inline void open_peer_endpoint(struct controller *controller)
+{
+    controller->peer_server = pm_http_server_new(loop, controller->settings.peer_listen_addr, 16,
+                                                 on_peer_request, controller);
+    assert_non_null(controller->peer_server);
+}
+
+static inline void start_controller(struct controller *controller)
+{
+    controller->http = pm_http_client_new(loop, 64);
+    controller->jobs = pm_jobs_new(&controller->tables);
+    controller->store =
+        pm_store_new(loop, controller->http,
+                     controller->store_addr ? controller->store_addr : fake_state_addr(state), 1000,
+                     &(struct pm_store_observer){on_key_put, on_key_deleted, on_snapshot_begin,
+                                                 on_snapshot_end, on_caught_up, controller});
+    controller->election = pm_election_new(
+        loop, controller->store, controller->http, &controller->settings,
+        &controller->operator_settings,
+        &(struct pm_election_hooks){on_elected, on_stepped_down, on_epoch_advanced,
+                                    on_epoch_confirmed, on_cancelled, on_list_cancellations,
+                                    on_peer_reached_revision, controller});
+    controller->cancel_quorum =
+        pm_cancel_quorum_new(loop, controller->store, controller->http, &controller->settings,
+                             &(struct pm_cancel_quorum_hooks){on_cancelled, controller});
+    open_peer_endpoint(controller);
+}
+
+/* ---- conditions for fake_run_until ---- */
+
+static inline bool is_elected(void *arg)
+{
+    return ((struct controller *)arg)->elected_epoch > 0;
+}
+
+static inline bool is_confirmed(void *arg)
+{
+    return pm_election_is_confirmed(((struct controller *)arg)->election, pm_clock_monotonic());
+}
+
+static inline bool is_unconfirmed(void *arg)
+{
+    return !is_confirmed(arg);
+}
+
+static inline bool has_replica(void *arg)
+{
+    return pm_store_is_ready(((struct controller *)arg)->store);
+}
+
+static inline bool is_refused(void *arg)
+{
+    return pm_store_is_refusing(((struct controller *)arg)->store);
+}
+
+static inline bool has_common_version(void *arg)
+{
+    return pm_election_protocol_version(((struct controller *)arg)->election) >=
+           PM_PROTOCOL_DEPENDENCIES;
+}
+
+static inline bool is_past(void *arg)
+{
+    return pm_clock_monotonic() > *(double *)arg;
+}
+
+static inline bool has_lease_lower_bound(void *arg)
+{
+    return isfinite(pm_election_lease_lower_bound(((struct controller *)arg)->election, 0));
+}
+
+/* Runs the loop for that long. */
+static inline void run_for(double seconds)
+{
+    double deadline = pm_clock_monotonic() + seconds;
+
+    assert_true(fake_run_until(loop, is_past, &deadline));
+}
+
+/* ---- requests ---- */
+
+/* For calls whose status alone is of interest. */
+static inline void on_status(void *arg, int status, const unsigned char *body, size_t size)
+{
+    (void)body;
+    (void)size;
+    *(int *)arg = status;
+}
+
+static inline bool has_status(void *arg)
+{
+    return *(int *)arg != 0;
+}
+
+/* The controllers of a test live until the process ends, as those of a daemon do. */
+const char *__asan_default_options(void);
+const char *__asan_default_options(void)
+{
+    return "detect_leaks=0";
+}
+
+#endif
--- a/src/leadership/tests/test_cancellation_quorum.c
+++ b/src/leadership/tests/test_cancellation_quorum.c
@@ -1,438 +1,419 @@
 /* Safety invariant 7: in an outage of the state service nobody renews a lease without knowing every
- * cancellation that was confirmed to a user. The meeting that it is for: the state service refuses
- * the leader alone, another controller confirms cancellations, then the service is down for all. */
-#include "controllers.h"
+ * cancellation that was confirmed to a user. The scenario that it is for: the state service refuses
+ * the leader alone, another controller confirms cancellations, then the service refuses all. */
+#include "controller_fixtures.h"
 #include "../../jobs/tests/recorded_values.h"
 #include "shard.pb-c.h"
-#include "peer.pb-c.h"
 
-static int set_up(void **arg)
+/* Three controllers: the first leads, and uses the second address of the state service. */
+static void begin_cluster(struct controller *all)
 {
-    (void)arg;
-    loop = ev_loop_new(EVFLAG_AUTO);
-    state = fake_state_new(loop);
-    return 0;
-}
-
-/* Three controllers: the first leads, and comes to the state service by the second address. */
-static void begin(struct controller *all)
-{
-    acquaint(all, 3);
-    all[0].state_addr = fake_state_side(state);
+    configure_cluster(all, 3);
+    all[0].store_addr = fake_state_side(state);
     for (int i = 0; i < 3; i++) {
         all[i].settings.lease_s = 12;
         all[i].settings.cancel_deadline_s = 42;
     }
-    start(&all[0]);
-    assert_true(fake_run_until(loop, has_taken, &all[0]));
-    start(&all[1]);
-    start(&all[2]);
-    assert_true(fake_run_until(loop, has_read, &all[1]));
-    assert_true(fake_run_until(loop, has_read, &all[2]));
+    start_controller(&all[0]);
+    assert_true(fake_run_until(loop, is_elected, &all[0]));
+    start_controller(&all[1]);
+    start_controller(&all[2]);
+    assert_true(fake_run_until(loop, has_replica, &all[1]));
+    assert_true(fake_run_until(loop, has_replica, &all[2]));
     assert_true(fake_run_until(loop, is_confirmed, &all[0]));
-    assert_true(fake_run_until(loop, all_are_new, &all[0])); /* it asks nobody without need */
+    assert_true(
+        fake_run_until(loop, has_common_version, &all[0])); /* it polls no peer for that any more */
 }
 
 /* The same, and the state service refuses the leader alone. */
-static void begin_refused(struct controller *all)
+static void begin_with_refused_leader(struct controller *all)
 {
-    begin(all);
+    begin_cluster(all);
     fake_state_set_side(state, FAKE_REFUSES);
     assert_true(fake_run_until(loop, is_refused, &all[0]));
 }
 
-struct written {
+struct commit_result {
     int status;
     uint64_t store_revision;
 };
 
-static void on_written(void *arg, enum pm_store_result result, uint64_t store_revision,
-                       const cbor_item_t *failed)
+static void on_committed(void *arg, enum pm_store_result result, uint64_t store_revision,
+                         const cbor_item_t *conflicting_keys)
 {
-    (void)failed;
-    *(struct written *)arg = (struct written){result, store_revision};
+    (void)conflicting_keys;
+    *(struct commit_result *)arg = (struct commit_result){result, store_revision};
 }
 
-static bool is_written(void *arg)
+static bool has_result(void *arg)
 {
-    return ((struct written *)arg)->status != 0;
+    return ((struct commit_result *)arg)->status != 0;
 }
 
-/* Makes a cancellation durable, as the controller's door would. */
-static uint64_t cancel(struct controller *c, const char *id)
+/* Makes a cancellation durable, as the API would; returns its revision. */
+static uint64_t commit_cancellation(struct controller *controller, const char *id)
 {
     struct pm_txn txn = {0};
-    struct written w = {0};
+    struct commit_result result = {0};
     char key[64];
 
     snprintf(key, sizeof key, "p/j/%s", id);
     pm_txn_put(&txn, key);
-    pm_job_encode(&c->tables, NULL, 4, PM_JOB_CANCELLED, false, &txn.writes);
+    pm_job_encode(&controller->tables, NULL, 4, PM_JOB_CANCELLED, false, &txn.writes);
     pm_txn_put_end(&txn, 0);
-    pm_store_commit(c->store, &txn, on_written, &w);
-    assert_true(fake_run_until(loop, is_written, &w));
-    assert_int_equal(w.status, 200);
-    pm_jobs_apply_cancellation(c->jobs, id, w.store_revision);
-    return w.store_revision;
+    pm_store_commit(controller->store, &txn, on_committed, &result);
+    assert_true(fake_run_until(loop, has_result, &result));
+    assert_int_equal(result.status, 200);
+    pm_jobs_apply_cancellation(controller->jobs, id, result.store_revision);
+    return result.store_revision;
 }
 
-enum verdict { OPEN, YES, NO };
+enum outcome { PENDING, ACKED, NOT_ACKED };
 
-static void on_verdict(void *arg, bool ok)
+static void on_outcome(void *arg, bool ok)
 {
-    *(enum verdict *)arg = ok ? YES : NO;
+    *(enum outcome *)arg = ok ? ACKED : NOT_ACKED;
 }
 
-static bool is_judged(void *arg)
+static bool has_outcome(void *arg)
 {
-    return *(enum verdict *)arg != OPEN;
+    return *(enum outcome *)arg != PENDING;
 }
 
-/* What the user would hear: "cancelled", or 503. */
-static bool confirm_to_user(struct controller *c, const char *id, uint64_t revision)
+/* Whether the user would be answered "cancelled", or else 503. */
+static bool confirm_to_user(struct controller *controller, const char *id, uint64_t revision)
 {
-    enum verdict verdict = OPEN;
+    enum outcome outcome = PENDING;
 
-    pm_cancel_quorum_publish(c->cancels, id, revision, on_verdict, &verdict);
-    assert_true(fake_run_until(loop, is_judged, &verdict));
-    return verdict == YES;
+    pm_cancel_quorum_publish(controller->cancel_quorum, id, revision, on_outcome, &outcome);
+    assert_true(fake_run_until(loop, has_outcome, &outcome));
+    return outcome == ACKED;
 }
 
-static void shut_back(struct controller *c)
+static void close_peer_endpoint(struct controller *controller)
 {
-    pm_http_server_free(c->back);
-    c->back = NULL;
+    pm_http_server_free(controller->peer_server);
+    controller->peer_server = NULL;
 }
 
-static bool knows(void *arg)
+static bool knows_cancellation(void *arg)
 {
     return pm_jobs_cancellation_revision(((struct controller *)arg)->jobs, "job-1") != 0;
 }
 
-/* The leader, refused alone, hears of it at once by the message that makes it known. */
-static void a_refused_leader_hears_at_once(void **arg)
+/* The leader, refused alone, is sent the cancellation before it is confirmed to the user. */
+static void refused_leader_is_sent_the_cancellation(void **arg)
 {
     struct controller *all = g_new0(struct controller, 3);
 
     (void)arg;
-    begin_refused(all);
-    assert_true(confirm_to_user(&all[1], "job-1", cancel(&all[1], "job-1")));
-    assert_true(fake_run_until(loop, knows, &all[0]));
-    assert_true(fake_run_until(loop, is_confirmed, &all[0])); /* and still cares for its workers */
+    begin_with_refused_leader(all);
+    assert_true(confirm_to_user(&all[1], "job-1", commit_cancellation(&all[1], "job-1")));
+    assert_true(fake_run_until(loop, knows_cancellation, &all[0]));
+    assert_true(fake_run_until(loop, is_confirmed, &all[0])); /* and still answers its workers */
 }
 
-static bool blind_and_confirmed(const struct controller *c)
+static bool is_confirmed_without_cancellation(const struct controller *controller)
 {
-    return is_confirmed((void *)c) && !knows((void *)c);
+    return is_confirmed((void *)controller) && !knows_cancellation((void *)controller);
 }
 
-/* The gap. The message does not reach the leader, but a majority knows; then nobody is served. When
- * the confirmation from before has run out, the leader is confirmed only by those who tell it. */
-static void no_lease_is_renewed_blindly_in_an_outage(void **arg)
+/* The message does not reach the leader, but a majority knows the cancellation; then the state
+ * service refuses all. Once its earlier confirmation has expired, the leader is confirmed only by
+ * votes of peers that have sent it the cancellation. */
+static void no_lease_renewal_without_the_cancellation_in_an_outage(void **arg)
 {
     struct controller *all = g_new0(struct controller, 3);
-    double told;
+    double confirmed_at;
 
     (void)arg;
-    begin_refused(all);
-    shut_back(&all[0]);
-    assert_true(confirm_to_user(&all[1], "job-1", cancel(&all[1], "job-1")));
-    told = pm_clock_monotonic();
+    begin_with_refused_leader(all);
+    close_peer_endpoint(&all[0]);
+    assert_true(confirm_to_user(&all[1], "job-1", commit_cancellation(&all[1], "job-1")));
+    confirmed_at = pm_clock_monotonic();
     fake_state_outage(state, true);
-    /* Neither blind nor helpless from then on: it knows, and is confirmed. */
-    while (pm_clock_monotonic() < told + 4) {
-        pass(0.02);
-        if (pm_clock_monotonic() >
-            told + pm_election_staleness_bound_s(&all[0].settings, &all[0].op))
-            assert_false(blind_and_confirmed(&all[0]));
+    /* From then on it is confirmed only with the cancellation; and in the end it is. */
+    while (pm_clock_monotonic() < confirmed_at + 4) {
+        run_for(0.02);
+        if (pm_clock_monotonic() > confirmed_at + pm_election_staleness_bound_s(
+                                                      &all[0].settings, &all[0].operator_settings))
+            assert_false(is_confirmed_without_cancellation(&all[0]));
     }
-    assert_true(knows(&all[0]));
+    assert_true(knows_cancellation(&all[0]));
     assert_true(is_confirmed(&all[0]));
 }
 
-/* The confirming controller dies right after its answer: another one of its majority tells. */
-static void the_confirmer_may_die(void **arg)
+/* The confirming controller is lost right after its answer: another one of its majority sends the
+ * cancellation. */
+static void confirming_controller_may_be_lost(void **arg)
 {
     struct controller *all = g_new0(struct controller, 3);
 
     (void)arg;
-    begin_refused(all);
-    shut_back(&all[0]);
-    assert_true(confirm_to_user(&all[1], "job-1", cancel(&all[1], "job-1")));
-    shut_back(&all[1]);
+    begin_with_refused_leader(all);
+    close_peer_endpoint(&all[0]);
+    assert_true(confirm_to_user(&all[1], "job-1", commit_cancellation(&all[1], "job-1")));
+    close_peer_endpoint(&all[1]);
     fake_state_outage(state, true);
-    assert_true(fake_run_until(loop, knows, &all[0]));
-    pass(2.5);
+    assert_true(fake_run_until(loop, knows_cancellation, &all[0]));
+    run_for(2.5);
     assert_true(is_confirmed(&all[0]));
-    /* Without the one that is left nobody can tell what was cancelled: it answers no worker. */
-    shut_back(&all[2]);
+    /* Without the last peer nobody can send what was cancelled: it answers no worker. */
+    close_peer_endpoint(&all[2]);
     assert_true(fake_run_until(loop, is_unconfirmed, &all[0]));
-    pass(1);
+    run_for(1);
     assert_false(is_confirmed(&all[0]));
 }
 
-/* Without a majority the user is not told, and at once: the state service has it, but a leader
- * could go on without it. The repeat needs the majority alone. */
-static void without_a_majority_nobody_is_told(void **arg)
+/* Without a majority the cancellation is not confirmed to the user, and that is known soon: it is
+ * durable, but a leader could renew leases without knowing it. A repeat needs the majority alone.
+ */
+static void cancellation_without_a_majority_is_not_confirmed(void **arg)
 {
     struct controller *all = g_new0(struct controller, 3);
     uint64_t revision;
-    double asked;
+    double published_at;
 
     (void)arg;
-    begin(all);
+    begin_cluster(all);
     fake_state_set_side(state, FAKE_REFUSES);
-    shut_back(&all[0]);
-    shut_back(&all[2]);
-    revision = cancel(&all[1], "job-1");
-    asked = pm_clock_monotonic();
+    close_peer_endpoint(&all[0]);
+    close_peer_endpoint(&all[2]);
+    revision = commit_cancellation(&all[1], "job-1");
+    published_at = pm_clock_monotonic();
     assert_false(confirm_to_user(&all[1], "job-1", revision));
-    assert_true(pm_clock_monotonic() - asked < 0.9);
-    open_back(&all[2]);
+    assert_true(pm_clock_monotonic() - published_at < 0.9);
+    open_peer_endpoint(&all[2]);
     assert_true(confirm_to_user(&all[1], "job-1", revision));
-    assert_true(knows(&all[2]));
+    assert_true(knows_cancellation(&all[2]));
 }
 
-struct wait_known {
-    struct controller *c;
+struct awaited_ack {
+    struct controller *controller;
     uint64_t revision;
 };
 
-static bool is_known(void *arg)
+static bool is_acked(void *arg)
 {
-    struct wait_known *w = arg;
+    struct awaited_ack *awaited = arg;
 
-    return pm_cancel_quorum_is_acked(w->c->cancels, w->revision);
+    return pm_cancel_quorum_is_acked(awaited->controller->cancel_quorum, awaited->revision);
 }
 
-/* Controllers that refuse one another, while the state service is well, say by way of it how far
- * their replicas go: users are not turned away for as long as that lasts. */
-static void known_by_way_of_the_state_service(void **arg)
+/* Controllers that do not reach one another acknowledge through the state service how far their
+ * replicas have come: cancellations are confirmed to users all the same. */
+static void acknowledgement_through_the_state_service(void **arg)
 {
     struct controller *all = g_new0(struct controller, 3);
-    struct wait_known w = {&all[1], 0};
+    struct awaited_ack awaited = {&all[1], 0};
 
     (void)arg;
-    begin(all);
+    begin_cluster(all);
     for (int i = 0; i < 3; i++)
-        shut_back(&all[i]);
-    w.revision = cancel(&all[1], "job-1");
-    assert_false(confirm_to_user(&all[1], "job-1", w.revision));
-    assert_true(fake_run_until(loop, is_known, &w));
-    assert_true(confirm_to_user(&all[1], "job-1", w.revision));
+        close_peer_endpoint(&all[i]);
+    awaited.revision = commit_cancellation(&all[1], "job-1");
+    assert_false(confirm_to_user(&all[1], "job-1", awaited.revision));
+    assert_true(fake_run_until(loop, is_acked, &awaited));
+    assert_true(confirm_to_user(&all[1], "job-1", awaited.revision));
 }
 
-static bool knows_all(void *arg)
+static bool knows_all_cancellations(void *arg)
 {
-    size_t n;
+    size_t count;
     bool more;
 
-    pm_jobs_list_cancellations(((struct controller *)arg)->jobs, 0, 5000, &n, &more);
-    return n == 1000;
+    pm_jobs_list_cancellations(((struct controller *)arg)->jobs, 0, 5000, &count, &more);
+    return count == 1000;
 }
 
-/* More than one message holds: the vote counts once the last page is there. */
-static void long_lists_come_by_pages(void **arg)
+/* More cancellations than fit in one message: the vote counts once the last page has arrived. */
+static void long_lists_are_paged(void **arg)
 {
     struct controller *all = g_new0(struct controller, 3);
     char id[32];
 
     (void)arg;
-    begin(all);
-    pass(0.2);
+    begin_cluster(all);
+    run_for(0.2);
     fake_state_set_side(state, FAKE_REFUSES);
     assert_true(fake_run_until(loop, is_refused, &all[0]));
-    for (int i = 0; i < 1000;
-         i++) { /* many of one transaction, so of one revision, and out of order */
+    /* Several of one transaction each, so of one revision, and out of order. */
+    for (int i = 0; i < 1000; i++) {
         snprintf(id, sizeof id, "job-%d", i);
         pm_jobs_apply_cancellation(all[1].jobs, id, 100000 + (uint64_t)((i * 7) % 1000) / 12);
         pm_jobs_apply_cancellation(all[2].jobs, id, 100000 + (uint64_t)((i * 7) % 1000) / 12);
     }
     fake_state_outage(state, true);
-    assert_true(fake_run_until(loop, knows_all, &all[0]));
-    pass(2.5);
+    assert_true(fake_run_until(loop, knows_all_cancellations, &all[0]));
+    run_for(2.5);
     assert_true(is_confirmed(&all[0]));
 }
 
-/* Served, but following through a watch that hangs: the epoch is sure, the replica is not. */
-static void who_lags_behind_confirms_nothing(void **arg)
+/* The state service answers the leader, but its watch hangs: the epoch is confirmed, the replica is
+ * not fresh. */
+static void lagging_replica_prevents_confirmation(void **arg)
 {
     struct controller *all = g_new0(struct controller, 3);
-    double told;
+    double confirmed_at;
 
     (void)arg;
-    acquaint(all, 3);
-    all[0].state_addr = fake_state_side(state);
-    all[0].settings.lease_s = 60; /* no token is raised meanwhile, which asks the others */
+    configure_cluster(all, 3);
+    all[0].store_addr = fake_state_side(state);
+    all[0].settings.lease_s =
+        60; /* no advance of the epoch meanwhile, which would poll the peers */
     all[0].settings.cancel_deadline_s = 64;
-    start(&all[0]);
-    assert_true(fake_run_until(loop, has_taken, &all[0]));
-    start(&all[1]);
-    start(&all[2]);
-    assert_true(fake_run_until(loop, has_read, &all[1]));
-    assert_true(fake_run_until(loop, has_read, &all[2]));
+    start_controller(&all[0]);
+    assert_true(fake_run_until(loop, is_elected, &all[0]));
+    start_controller(&all[1]);
+    start_controller(&all[2]);
+    assert_true(fake_run_until(loop, has_replica, &all[1]));
+    assert_true(fake_run_until(loop, has_replica, &all[2]));
     assert_true(fake_run_until(loop, is_confirmed, &all[0]));
-    assert_true(fake_run_until(loop, all_are_new, &all[0]));
+    assert_true(fake_run_until(loop, has_common_version, &all[0]));
     fake_state_set_side(state, FAKE_WATCHES_HANG);
-    shut_back(&all[0]);
-    assert_true(confirm_to_user(&all[1], "job-1", cancel(&all[1], "job-1")));
-    told = pm_clock_monotonic();
-    while (pm_clock_monotonic() < told + 4) {
-        pass(0.02);
-        if (pm_clock_monotonic() >
-            told + pm_election_staleness_bound_s(&all[0].settings, &all[0].op))
-            assert_false(blind_and_confirmed(&all[0]));
+    close_peer_endpoint(&all[0]);
+    assert_true(confirm_to_user(&all[1], "job-1", commit_cancellation(&all[1], "job-1")));
+    confirmed_at = pm_clock_monotonic();
+    while (pm_clock_monotonic() < confirmed_at + 4) {
+        run_for(0.02);
+        if (pm_clock_monotonic() > confirmed_at + pm_election_staleness_bound_s(
+                                                      &all[0].settings, &all[0].operator_settings))
+            assert_false(is_confirmed_without_cancellation(&all[0]));
     }
     fake_state_set_side(state, FAKE_OPEN);
-    assert_true(fake_run_until(loop, knows, &all[0]));
+    assert_true(fake_run_until(loop, knows_cancellation, &all[0]));
     assert_true(fake_run_until(loop, is_confirmed, &all[0]));
 }
 
-/* What is left of `cancel_s` when the last blind answer has been given holds a whole lease, with
- * the clocks' drift, at every proportion of the two. */
-static void a_lease_fits_behind_the_last_blind_answer(void **arg)
+/* After the last renewal by a controller that does not know the cancellation, a whole lease fits
+ * into what is left of the cancellation's deadline, with the clocks' drift, at every ratio of the
+ * two. */
+static void staleness_bound_leaves_time_for_a_lease(void **arg)
 {
     static const double sites[][2] = {{12, 42}, {26.5, 56.5}, {44, 74}, {10, 20}, {60, 66}};
-    struct pm_operator_settings op;
+    struct pm_operator_settings operator_settings;
 
     (void)arg;
-    pm_operator_settings_defaults(&op);
+    pm_operator_settings_defaults(&operator_settings);
     for (size_t i = 0; i < G_N_ELEMENTS(sites); i++) {
-        struct pm_settings *s = g_new0(struct pm_settings, 1);
-        s->lease_s = sites[i][0];
-        s->cancel_deadline_s = sites[i][1];
-        assert_true((pm_election_staleness_bound_s(s, &op) + s->lease_s) *
-                        (1 + 2 * PM_CLOCK_DRIFT_MAX) <
-                    s->cancel_deadline_s);
-        g_free(s);
+        struct pm_settings *settings = g_new0(struct pm_settings, 1);
+        settings->lease_s = sites[i][0];
+        settings->cancel_deadline_s = sites[i][1];
+        assert_true(
+            (pm_election_staleness_bound_s(settings, &operator_settings) + settings->lease_s) *
+                (1 + 2 * PM_CLOCK_DRIFT_MAX) <
+            settings->cancel_deadline_s);
+        g_free(settings);
     }
 }
 
-static void on_status(void *arg, int status, const unsigned char *body, size_t size)
-{
-    (void)body;
-    (void)size;
-    *(int *)arg = status;
-}
-
-static bool has_status(void *arg)
-{
-    return *(int *)arg != 0;
-}
-
-static int post(struct controller *from, struct controller *to, const char *path, const void *body,
-                size_t size)
+static int post(struct controller *sender, struct controller *receiver, const char *path,
+                const void *body, size_t size)
 {
     int status = 0;
 
-    pm_http_call(from->http, to->settings.peer_listen_addr, "POST", path, body, size, 30, 4096,
-                 on_status, &status);
+    pm_http_call(sender->http, receiver->settings.peer_listen_addr, "POST", path, body, size, 30,
+                 4096, on_status, &status);
     assert_true(fake_run_until(loop, has_status, &status));
     return status;
 }
 
-/* Odd messages end no process and change nothing; repeats are news once. */
-static void odd_messages_change_nothing(void **arg)
+/* Malformed messages end no process and change nothing; a repeated one counts once. */
+static void malformed_messages_change_nothing(void **arg)
 {
     struct controller *all = g_new0(struct controller, 3);
-    Pm__CancellationRequest call = PM__CANCELLATION_REQUEST__INIT;
+    Pm__CancellationRequest message = PM__CANCELLATION_REQUEST__INIT;
     Pm__Cancellation entry = PM__CANCELLATION__INIT;
     Pm__Cancellation *list[] = {&entry};
     unsigned char data[256];
     char *large = g_malloc0(100 * 1024);
-    size_t n;
+    size_t count;
     bool more;
 
     (void)arg;
-    begin(all);
+    begin_cluster(all);
     assert_int_equal(post(&all[1], &all[0], "/cancelled", "\xff\xff\xff", 3), 400);
     assert_int_equal(post(&all[1], &all[0], "/peer", "\xff\xff\xff", 3), 400);
     assert_int_equal(post(&all[1], &all[0], "/cancelled", large, 100 * 1024), 413);
     entry.id = "job-1";
     entry.revision = 3;
-    call.cancelled = list;
-    call.n_cancelled = 1;
-    call.from = "nobody";
+    message.cancelled = list;
+    message.n_cancelled = 1;
+    message.from = "nobody";
     assert_int_equal(
-        post(&all[1], &all[0], "/cancelled", data, pm__cancellation_request__pack(&call, data)),
+        post(&all[1], &all[0], "/cancelled", data, pm__cancellation_request__pack(&message, data)),
         400);
-    assert_false(knows(&all[0]));
-    call.from = "n1";
+    assert_false(knows_cancellation(&all[0]));
+    message.from = "n1";
     entry.id = "../../epoch";
     assert_int_equal(
-        post(&all[1], &all[0], "/cancelled", data, pm__cancellation_request__pack(&call, data)),
+        post(&all[1], &all[0], "/cancelled", data, pm__cancellation_request__pack(&message, data)),
         200);
-    pm_jobs_list_cancellations(all[0].jobs, 0, 10, &n, &more);
-    assert_int_equal(n, 0);
+    pm_jobs_list_cancellations(all[0].jobs, 0, 10, &count, &more);
+    assert_int_equal(count, 0);
     entry.id = "job-1";
     for (int i = 0; i < 3; i++)
-        assert_int_equal(
-            post(&all[1], &all[0], "/cancelled", data, pm__cancellation_request__pack(&call, data)),
-            200);
-    pm_jobs_list_cancellations(all[0].jobs, 0, 10, &n, &more);
-    assert_int_equal(n, 1);
+        assert_int_equal(post(&all[1], &all[0], "/cancelled", data,
+                              pm__cancellation_request__pack(&message, data)),
+                         200);
+    pm_jobs_list_cancellations(all[0].jobs, 0, 10, &count, &more);
+    assert_int_equal(count, 1);
     assert_false(more);
     g_free(large);
 }
 
-/* Messages of the version before: what it says counts as it says it, and it is known to be old. */
-static void reads_messages_of_the_version_before(void **arg)
+/* Messages of the previous version are read as they were meant, and name no protocol version. */
+static void reads_messages_of_the_previous_version(void **arg)
 {
     size_t size;
     unsigned char *bytes = recorded_bytes(RECORDED_V1_TELL, &size);
-    Pm__PeerResponse *tell = pm__peer_response__unpack(NULL, size, bytes);
-    Pm__PeerRequest *ask;
-    Pm__CancellationRequest *call;
-    Pm__ShardResponse *block;
+    Pm__PeerResponse *response = pm__peer_response__unpack(NULL, size, bytes);
+    Pm__PeerRequest *request;
+    Pm__CancellationRequest *message;
+    Pm__ShardResponse *shard;
 
     (void)arg;
-    assert_non_null(tell);
-    assert_true(tell->has_state && tell->has_cancellations && !tell->has_more &&
-                !tell->store_serving);
-    assert_int_equal(tell->highest_epoch, 41);
-    assert_int_equal(tell->n_cancelled, 1);
-    assert_string_equal(tell->cancelled[0]->id, "job-1");
-    assert_int_equal(tell->protocol_version, 0);
-    pm__peer_response__free_unpacked(tell, NULL);
+    assert_non_null(response);
+    assert_true(response->has_state && response->has_cancellations && !response->has_more &&
+                !response->store_serving);
+    assert_int_equal(response->highest_epoch, 41);
+    assert_int_equal(response->n_cancelled, 1);
+    assert_string_equal(response->cancelled[0]->id, "job-1");
+    assert_int_equal(response->protocol_version, 0);
+    pm__peer_response__free_unpacked(response, NULL);
     g_free(bytes);
     bytes = recorded_bytes(RECORDED_V1_ASK, &size);
-    ask = pm__peer_request__unpack(NULL, size, bytes);
-    assert_true(ask && ask->epoch == 41 && ask->store_revision == 412 && !ask->protocol_version);
-    pm__peer_request__free_unpacked(ask, NULL);
+    request = pm__peer_request__unpack(NULL, size, bytes);
+    assert_true(request && request->epoch == 41 && request->store_revision == 412 &&
+                !request->protocol_version);
+    pm__peer_request__free_unpacked(request, NULL);
     g_free(bytes);
     bytes = recorded_bytes(RECORDED_V1_CANCEL_CALL, &size);
-    call = pm__cancellation_request__unpack(NULL, size, bytes);
-    assert_true(call && call->n_cancelled == 1 && call->cancelled[0]->revision == 413);
-    pm__cancellation_request__free_unpacked(call, NULL);
+    message = pm__cancellation_request__unpack(NULL, size, bytes);
+    assert_true(message && message->n_cancelled == 1 && message->cancelled[0]->revision == 413);
+    pm__cancellation_request__free_unpacked(message, NULL);
     g_free(bytes);
     bytes = recorded_bytes(RECORDED_V1_BLOCK_TELL, &size);
-    block = pm__shard_response__unpack(NULL, size, bytes);
-    assert_true(block && block->ready && block->n_drained == 1);
-    pm__shard_response__free_unpacked(block, NULL);
+    shard = pm__shard_response__unpack(NULL, size, bytes);
+    assert_true(shard && shard->ready && shard->n_drained == 1);
+    pm__shard_response__free_unpacked(shard, NULL);
     g_free(bytes);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup(a_refused_leader_hears_at_once, set_up),
-        cmocka_unit_test_setup(no_lease_is_renewed_blindly_in_an_outage, set_up),
-        cmocka_unit_test_setup(the_confirmer_may_die, set_up),
-        cmocka_unit_test_setup(without_a_majority_nobody_is_told, set_up),
-        cmocka_unit_test_setup(known_by_way_of_the_state_service, set_up),
-        cmocka_unit_test_setup(long_lists_come_by_pages, set_up),
-        cmocka_unit_test_setup(who_lags_behind_confirms_nothing, set_up),
-        cmocka_unit_test_setup(a_lease_fits_behind_the_last_blind_answer, set_up),
-        cmocka_unit_test_setup(odd_messages_change_nothing, set_up),
-        cmocka_unit_test(reads_messages_of_the_version_before),
+        cmocka_unit_test_setup(refused_leader_is_sent_the_cancellation, set_up),
+        cmocka_unit_test_setup(no_lease_renewal_without_the_cancellation_in_an_outage, set_up),
+        cmocka_unit_test_setup(confirming_controller_may_be_lost, set_up),
+        cmocka_unit_test_setup(cancellation_without_a_majority_is_not_confirmed, set_up),
+        cmocka_unit_test_setup(acknowledgement_through_the_state_service, set_up),
+        cmocka_unit_test_setup(long_lists_are_paged, set_up),
+        cmocka_unit_test_setup(lagging_replica_prevents_confirmation, set_up),
+        cmocka_unit_test_setup(staleness_bound_leaves_time_for_a_lease, set_up),
+        cmocka_unit_test_setup(malformed_messages_change_nothing, set_up),
+        cmocka_unit_test(reads_messages_of_the_previous_version),
     };
 
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
-
-/* The controllers of a test live until the process ends, as those of a daemon do. */
-const char *__asan_default_options(void);
-const char *__asan_default_options(void)
-{
-    return "detect_leaks=0";
-}
