--- a/src/leadership/campaign.c
+++ b/src/leadership/campaign.c
@@ -56,8 +56,7 @@
     confirmation->confirmed_at = epoch_txn->sent_at;
     confirmation->gapless_since = epoch_txn->sent_at;
     confirmation->fresh_at = epoch_txn->sent_at;
-    election->acks.first_quorum_at = 0;
-    pm_election_reset_epoch_acks(election, term->epoch, now);
+    pm_election_reset_term_acks(election, term->epoch, now);
     election->shard.revision = 0;
     pm_info("election.elected", "epoch %llu", (unsigned long long)term->epoch);
     pm_store_wait_for_revision(election->store, revision, on_caught_up, election);
@@ -83,7 +82,7 @@
 {
     struct pm_txn txn = {0};
     struct pm_epoch_txn *epoch_txn = g_new0(struct pm_epoch_txn, 1);
-    char shard_key[PM_NAME_MAX + 8];
+    char shard_key[PM_SHARD_KEY_SIZE];
 
     epoch_txn->election = election;
     epoch_txn->epoch = MAX(election->replica.epoch, election->poll.highest_epoch) + 1;
--- a/src/leadership/cancellation_quorum.h
+++ b/src/leadership/cancellation_quorum.h
@@ -42,7 +42,8 @@
                                               struct pm_http_client *http,
                                               const struct pm_settings *settings,
                                               const struct pm_cancel_quorum_hooks *hooks);
-/* Stops the timer and frees it. No cancellation may be pending and no request in flight. */
+/* Stops the timer and frees it. No request of it may be in flight. Pending cancellations are not
+ * called back. */
 void pm_cancel_quorum_free(struct pm_cancel_quorum *quorum);
 
 /* Whether the replicas of a majority, this controller's included, are known to have reached this
--- a/src/leadership/confirmation.c
+++ b/src/leadership/confirmation.c
@@ -13,7 +13,7 @@
 /* How old, at most, the replica of a controller that answers workers may be. */
 #define STALENESS_MAX_S 6.0
 
-/* What is promised to hold for `duration_s` is used a little shorter, whichever clock is slow. */
+/* What is valid for `duration_s` by any clock, measured by ours, which may be the slower one. */
 static double shortened(double duration_s)
 {
     return duration_s * (1 - PM_CLOCK_DRIFT_MAX);
--- a/src/leadership/epoch_acks.c
+++ b/src/leadership/epoch_acks.c
@@ -25,6 +25,12 @@
     election->poll.sent_at = 0; /* the timer asks at once */
 }
 
+void pm_election_reset_term_acks(struct pm_election *election, uint64_t epoch, double now)
+{
+    election->acks.first_quorum_at = 0;
+    pm_election_reset_epoch_acks(election, epoch, now);
+}
+
 void pm_election_note_epoch_acked(struct pm_election *election, int peer)
 {
     struct pm_election_acks *acks = &election->acks;
--- a/src/leadership/internal.h
+++ b/src/leadership/internal.h
@@ -14,7 +14,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-enum { PM_INCARNATION_ID_SIZE = 24 };
+enum { PM_INCARNATION_ID_SIZE = 24, PM_SHARD_KEY_SIZE = PM_NAME_MAX + 8 };
 
 /* How often the timer runs. */
 #define PM_ELECTION_TICK_S 0.1
@@ -27,7 +27,7 @@
 #define PM_ELECTION_COMMON_VERSION_KEY "p/speaks"
 #define PM_ELECTION_VERSION_KEY_PREFIX "p/speaks/"
 
-/* What the replica says of p/epoch and p/lead. Written by replica_feed.c, and by campaign.c and
+/* p/epoch and p/lead as the replica has them. Written by replica_feed.c, and by campaign.c and
  * epoch.c, whose own writes count before the watch reports them. */
 struct pm_election_replica {
     uint64_t epoch;
@@ -37,14 +37,16 @@
     char lock_incarnation_id[PM_INCARNATION_ID_SIZE];
 };
 
-/* Becoming the leader. Written by campaign.c and timer.c; backoff_until by election.c. */
+/* Becoming the leader. Written by campaign.c and timer.c; `backoff_until`, and `lock_free_since` at
+ * the end of a term, by election.c. */
 struct pm_election_candidacy {
     bool is_in_flight;
     double lock_free_since; /* the replica has shown a free lock since; 0: it does not */
     double backoff_until;   /* after stepping down of one's own accord */
 };
 
-/* Being the leader. Written by campaign.c, epoch.c and timer.c. */
+/* Being the leader. Begun by campaign.c, ended by election.c; what changes during the term is
+ * written by epoch.c and timer.c. */
 struct pm_election_term {
     bool is_leader;
     uint64_t lease_id;           /* of the lock */
@@ -59,9 +61,10 @@
 };
 
 /* Until when the epoch counts as confirmed, and the replica as fresh. Written by confirmation.c, by
- * campaign.c at the start of a term, and by outage.c upon a majority of votes. */
+ * campaign.c at the start of a term, election.c at its end, and by outage.c upon a majority of
+ * votes. */
 struct pm_election_confirmation {
-    double confirmed_at; /* the epoch held then */
+    double confirmed_at; /* the epoch was in force then */
     double checked_at;
     bool check_in_flight;
     double gapless_since; /* confirmed without a gap, and not refused; by outage.c while refused */
@@ -88,7 +91,7 @@
     int votes;                   /* for that epoch, ours included */
     uint64_t highest_epoch;      /* the highest that any peer knew, ever */
     double leader_answered_at;   /* the holder of the lock answered */
-    double store_served_peer_at; /* a peer said that the state service serves it */
+    double store_served_peer_at; /* a peer responded that the state service serves it */
 };
 
 /* Answering workers in the leader's stead while the state service is out. Written by outage.c. */
@@ -110,7 +113,7 @@
 /* The shard that this follower owns; revision 0: none. Written by confirmation.c, and by campaign.c
  * when it is elected. */
 struct pm_election_owned_shard {
-    char key[PM_NAME_MAX + 8];
+    char key[PM_SHARD_KEY_SIZE];
     uint64_t revision;
 };
 
@@ -146,7 +149,7 @@
 
 /* ---- here ---- */
 
-/* Whether this controller has any say over workers: it leads, or owns a shard. */
+/* Whether this controller may have workers to command: it leads, or owns a shard. */
 static inline bool pm_election_may_act(const struct pm_election *election)
 {
     return election->term.is_leader || election->shard.revision;
@@ -179,6 +182,9 @@
 
 /* ---- epoch_acks.c ---- */
 
+/* A new term begins with this epoch: as pm_election_reset_epoch_acks, and no epoch of the term has
+ * been acknowledged by a majority yet. */
+void pm_election_reset_term_acks(struct pm_election *election, uint64_t epoch, double now);
 /* A new epoch of the term: no peer has acknowledged it, and all are asked at once. */
 void pm_election_reset_epoch_acks(struct pm_election *election, uint64_t epoch, double now);
 /* The peer with this index knows the epoch of the term. */
@@ -186,7 +192,7 @@
 
 /* ---- confirmation.c ---- */
 
-/* The epoch held at `sent_at`; says nothing of the replica. */
+/* The epoch was in force at `sent_at`; whether the replica is fresh is another matter. */
 void pm_election_note_confirmed(struct pm_election *election, double sent_at);
 /* Checks at the state service that p/epoch, and an owner's shard, still have the known revisions.
  * None may be in flight. */
--- a/src/leadership/replica_feed.c
+++ b/src/leadership/replica_feed.c
@@ -1,4 +1,4 @@
-/* What the replica's feed says of the epoch, of the leader's lock and of protocol versions. */
+/* Applying the replica's feed: the epoch, the leader's lock, protocol versions. */
 #include "base/clock.h"
 #include "leadership/internal.h"
 
--- a/src/leadership/timer.c
+++ b/src/leadership/timer.c
@@ -15,7 +15,7 @@
  * or is another incarnation. */
 #define LEASES_PER_EPOCH 0.7
 #define ADVANCE_RETRY_S 1.0
-/* A confirmation holds for confirm_s: within it there is time for so many checks, or polls. */
+/* A confirmation is valid for confirm_s: so many checks, or polls, are made within that time. */
 #define CHECKS_PER_CONFIRMATION 3
 #define POLLS_PER_CONFIRMATION 4
 /* Until all are known to run this program's protocol version, they are asked so often. */
@@ -30,7 +30,7 @@
 #define CAMPAIGN_DELAY_STEPS 3
 
 /* A leader that neither the state service nor a majority of peers has confirmed for this long may
- * have a successor, whom it does not hear of. */
+ * have a successor that it does not know of. */
 static bool step_down_if_unconfirmed(struct pm_election *election, double now)
 {
     const struct pm_operator_settings *operator_settings = election->operator_settings;
--- a/src/roles/tests/test_callers.c
+++ b/src/roles/tests/test_callers.c
@@ -96,9 +96,10 @@
 static void keys_are_deleted_from(void **state)
 {
     (void)state;
-    assert_users("pm_txn_delete(", "jobs/commit.c 2, leadership/campaign.c 1, leadership/epoch.c "
-                                   "1, roles/garbage_collector.c 1, "
-                                   "roles/intent_log.c 1, roles/lease.c 3, store/txn.c 1");
+    assert_users("pm_txn_delete(",
+                 "jobs/commit.c 2, leadership/campaign.c 1, leadership/epoch.c 1, "
+                 "roles/garbage_collector.c 1, roles/intent_log.c 1, roles/lease.c 3, "
+                 "store/txn.c 1");
 }
 
 int main(void)
