--- a/src/api/write_batch.c
+++ b/src/api/write_batch.c
@@ -1,5 +1,6 @@
 /* Batched writes: several submissions and cancellations in one transaction, each on the condition
  * of its own job's key, within the write budget. */
+#include "base/keys.h"
 #include "api/internal.h"
 #include "base/clock.h"
 
@@ -35,7 +36,7 @@
 
 static void format_job_key(char *key, const char *id)
 {
-    snprintf(key, JOB_KEY_SIZE, "p/j/%s", id);
+    snprintf(key, JOB_KEY_SIZE, PM_KEY_JOB_PREFIX "%s", id);
 }
 
 /* Has the queue sent in a while, unless that is due already. */
--- a/src/cmd/pumicectl/drain.c
+++ b/src/cmd/pumicectl/drain.c
@@ -1,3 +1,4 @@
+#include "base/keys.h"
 #include "drain.h"
 #include "base/clock.h"
 #include "base/http.h"
@@ -88,9 +89,9 @@
     struct pm_buf body = {0};
     char key[KEY_SIZE];
 
-    snprintf(key, sizeof key, PM_ROLE_KEY_PREFIX "%s", role_name);
+    snprintf(key, sizeof key, PM_KEY_ROLE_PREFIX "%s", role_name);
     pm_txn_compare(&txn, key, token);
-    snprintf(key, sizeof key, PM_ROLE_DRAIN_KEY_PREFIX "%s", role_name);
+    snprintf(key, sizeof key, PM_KEY_DRAIN_PREFIX "%s", role_name);
     pm_txn_compare(&txn, key, request_revision);
     pm_txn_put(&txn, key);
     pm_put_map(&txn.writes);
@@ -129,7 +130,7 @@
     double deadline_at = pm_clock_monotonic() + timeout_s;
 
     while (pm_clock_monotonic() < deadline_at) {
-        struct stored_key next = read_key(client, PM_ROLE_KEY_PREFIX, role_name);
+        struct stored_key next = read_key(client, PM_KEY_ROLE_PREFIX, role_name);
         if (next.revision && next.revision != token)
             return next;
         wait_for(client->loop, POLL_INTERVAL_S);
@@ -160,8 +161,8 @@
 
 static struct pm_report drain(struct state_client *client, const char *role_name, double timeout_s)
 {
-    struct stored_key holder = read_key(client, PM_ROLE_KEY_PREFIX, role_name);
-    struct stored_key request = read_key(client, PM_ROLE_DRAIN_KEY_PREFIX, role_name);
+    struct stored_key holder = read_key(client, PM_KEY_ROLE_PREFIX, role_name);
+    struct stored_key request = read_key(client, PM_KEY_DRAIN_PREFIX, role_name);
     struct stored_key next;
 
     if (!holder.is_reached || !request.is_reached)
--- a/src/cmd/pumicemount/controller.c
+++ b/src/cmd/pumicemount/controller.c
@@ -3,6 +3,7 @@
  * The event-loop thread does all I/O, the planner's thread decides what runs where. The loop holds
  * the controller's lock while it handles the events at hand, and releases it around every wait.
  * Sockets never block, so nobody waits with the lock. */
+#include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
 #include "internal.h"
@@ -170,7 +171,7 @@
 {
     struct pm_shards_hooks hooks = pm_controller_shards_hooks(controller);
 
-    snprintf(controller->own_shard_key, sizeof controller->own_shard_key, "p/b/%s",
+    snprintf(controller->own_shard_key, sizeof controller->own_shard_key, PM_KEY_SHARD_PREFIX "%s",
              controller->settings->name);
     controller->shards = pm_shards_new(&controller->tables, controller->jobs, controller->workers,
                                        controller->scheduler, controller->store, controller->http,
--- a/src/cmd/pumicemount/link_monitor.c
+++ b/src/cmd/pumicemount/link_monitor.c
@@ -1,5 +1,6 @@
 /* Evidence for the links slice from the traffic of the other slices, its probes, and what follows
  * from its judgement. Runs in the event-loop thread. */
+#include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
 #include "base/protocol.h"
@@ -147,7 +148,7 @@
         pm_store_write_budget(controller->store, now) < VIEW_WRITE_BUDGET)
         return;
     controller->view_write_in_flight = true;
-    snprintf(key, sizeof key, PM_LINKS_PREFIX "%s", controller->settings->name);
+    snprintf(key, sizeof key, PM_KEY_VIEW_PREFIX "%s", controller->settings->name);
     pm_txn_put(&txn, key);
     pm_links_encode_view(controller->links, &txn.writes, now);
     pm_txn_put_end(&txn, 0);
--- a/src/cmd/pumicemount/placement_events.c
+++ b/src/cmd/pumicemount/placement_events.c
@@ -1,5 +1,6 @@
 /* What becomes of placements and machines: the hooks of the workers slice, the write-back and the
  * autoscaler. Runs in the event-loop thread; a task's exit also in the planner's, with the lock. */
+#include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
 #include "internal.h"
@@ -143,9 +144,9 @@
     struct pm_txn txn = {0};
 
     controller->machine_types.write_in_flight = true;
-    pm_txn_compare(&txn, "p/epoch", pm_election_epoch_revision(controller->election));
-    pm_txn_compare(&txn, "p/types", 0);
-    pm_txn_put(&txn, "p/types");
+    pm_txn_compare(&txn, PM_KEY_EPOCH, pm_election_epoch_revision(controller->election));
+    pm_txn_compare(&txn, PM_KEY_MACHINE_TYPES, 0);
+    pm_txn_put(&txn, PM_KEY_MACHINE_TYPES);
     pm_put_item(&txn.writes, models);
     pm_txn_put_end(&txn, 0);
     pm_store_commit(controller->store, &txn, on_machine_types_written, controller);
--- a/src/cmd/pumicemount/reconciliation.c
+++ b/src/cmd/pumicemount/reconciliation.c
@@ -1,6 +1,7 @@
 /* What is looked after by the clock: leases of workers, workers that are not heard, the stored
  * ledger (p/ledger), and the log of the state. Runs in the event-loop thread every
  * PM_CONTROLLER_RECONCILE_S. */
+#include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
 #include "internal.h"
@@ -57,11 +58,11 @@
         return;
     controller->ledger.write_in_flight = true;
     controller->ledger.written_at = now;
-    pm_txn_compare(&txn, "p/epoch", pm_election_epoch_revision(controller->election));
+    pm_txn_compare(&txn, PM_KEY_EPOCH, pm_election_epoch_revision(controller->election));
     /* A write that is carried out late must not replace a newer one: it would say of a time long
      * past which zones were silent. */
-    pm_txn_compare(&txn, "p/ledger", controller->ledger.revision);
-    pm_txn_put(&txn, "p/ledger");
+    pm_txn_compare(&txn, PM_KEY_LEDGER, controller->ledger.revision);
+    pm_txn_put(&txn, PM_KEY_LEDGER);
     pm_scheduler_encode_ledger(controller->scheduler, now, pm_clock_wall(), &txn.writes);
     pm_txn_put_end(&txn, 0);
     pm_store_commit(controller->store, &txn, on_ledger_written, controller);
--- a/src/cmd/pumicemount/replica_feed.c
+++ b/src/cmd/pumicemount/replica_feed.c
@@ -1,5 +1,6 @@
 /* Dispatches the replica's changes, as the state service's client tells them, to the slices that
  * own the keys. Runs in the event-loop thread. */
+#include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
 #include "base/protocol.h"
@@ -14,7 +15,8 @@
 
 static bool is_election_key(const char *key)
 {
-    return !strcmp(key, "p/epoch") || !strcmp(key, "p/lead") || has_prefix(key, "p/speaks");
+    return !strcmp(key, PM_KEY_EPOCH) || !strcmp(key, PM_KEY_LEADER_LOCK) ||
+           has_prefix(key, PM_KEY_COMMON_VERSION);
 }
 
 static void apply_election_put(struct pm_controller *controller, const char *key,
@@ -67,18 +69,18 @@
         apply_election_put(controller, key, value, revision);
     } else if (pm_roles_apply_put(controller->roles, key, value, revision)) {
         pm_gc_apply_put(controller->gc, key, value, revision, pm_clock_monotonic());
-    } else if (has_prefix(key, "p/b/")) {
+    } else if (has_prefix(key, PM_KEY_SHARD_PREFIX)) {
         controller->shards_changed |= controller->is_active;
         pm_shards_apply_put(controller->shards, key, value, revision);
-    } else if (has_prefix(key, PM_LINKS_PREFIX)) {
+    } else if (has_prefix(key, PM_KEY_VIEW_PREFIX)) {
         pm_links_apply_put(controller->links, key, value, revision, pm_clock_monotonic());
         pm_gc_apply_put(controller->gc, key, value, revision, pm_clock_monotonic());
-    } else if (has_prefix(key, "p/seen/")) {
+    } else if (has_prefix(key, PM_KEY_ACKED_REVISION_PREFIX)) {
         pm_cancel_quorum_apply_put(controller->cancel_quorum, key, value);
         pm_gc_apply_put(controller->gc, key, value, revision, pm_clock_monotonic());
-    } else if (!strcmp(key, "p/ledger")) {
+    } else if (!strcmp(key, PM_KEY_LEDGER)) {
         apply_ledger_put(controller, value, revision);
-    } else if (!strcmp(key, "p/types")) {
+    } else if (!strcmp(key, PM_KEY_MACHINE_TYPES)) {
         apply_machine_types_put(controller, value, revision);
     } else {
         apply_job_put(controller, key, value, revision);
--- a/src/cmd/pumicemount/singleton_roles.c
+++ b/src/cmd/pumicemount/singleton_roles.c
@@ -1,5 +1,6 @@
 /* Singleton roles: the conditions that the roles slice goes by, what follows from it, and garbage
  * collection of stored keys. Runs in the event-loop thread. */
+#include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
 #include "base/protocol.h"
@@ -54,7 +55,7 @@
         deletes_max < 1 || !pm_roles_holds(controller->roles, PM_ROLE_GARBAGE_COLLECTION, now))
         return;
     controller->gc_run.checked_at = now;
-    pm_txn_compare(&txn, PM_ROLE_KEY_PREFIX "clean", token);
+    pm_txn_compare(&txn, PM_KEY_ROLE_PREFIX "clean", token);
     if (!pm_gc_add_due_deletes(controller->gc, &txn, deletes_max, now)) {
         pm_txn_free(&txn);
         return;
--- a/src/jobs/commit_internal.h
+++ b/src/jobs/commit_internal.h
@@ -6,9 +6,6 @@
 
 #include "jobs/commit.h"
 
-/* The key that holds the epoch; the election writes it (leadership/campaign.c). */
-#define PM_EPOCH_KEY "p/epoch"
-
 struct pm_commit {
     struct pm_name_tables *tables;
     struct pm_jobs *jobs;
--- a/src/jobs/commit_results.c
+++ b/src/jobs/commit_results.c
@@ -1,5 +1,6 @@
 /* What the results of transactions change in the working state: revisions, retries, and which
  * placements may be launched. */
+#include "base/keys.h"
 #include "jobs/commit_internal.h"
 #include "jobs/internal.h"
 #include "base/clock.h"
@@ -180,7 +181,7 @@
 
     for (size_t i = 0; i < pm_cbor_length(conflicting_keys); i++)
         if (pm_cbor_read_text(pm_cbor_at(conflicting_keys, i), key, sizeof key) &&
-            !strcmp(key, PM_EPOCH_KEY))
+            !strcmp(key, PM_KEY_EPOCH))
             commit->hooks.epoch_conflict(commit->hooks.arg);
 }
 
--- a/src/jobs/commit_transaction.c
+++ b/src/jobs/commit_transaction.c
@@ -1,4 +1,5 @@
 /* Builds transactions: which keys a change of a job or of a chunk compares and writes. */
+#include "base/keys.h"
 #include "jobs/commit_internal.h"
 #include "jobs/internal.h"
 
@@ -22,7 +23,7 @@
     transaction->max_writes = max_writes;
     transaction->placements = g_array_new(FALSE, FALSE, sizeof(struct proposed_placement));
     transaction->values = g_array_new(FALSE, FALSE, sizeof(struct written_value));
-    pm_txn_compare(&transaction->txn, PM_EPOCH_KEY, conditions->epoch_revision);
+    pm_txn_compare(&transaction->txn, PM_KEY_EPOCH, conditions->epoch_revision);
     if (conditions->shard_key)
         pm_txn_compare(&transaction->txn, conditions->shard_key, conditions->shard_revision);
     return transaction;
--- a/src/jobs/feed.c
+++ b/src/jobs/feed.c
@@ -1,4 +1,5 @@
 /* Applies the state service's feed to the replica: values of p/j, p/n and p/t. */
+#include "base/keys.h"
 #include "jobs/internal.h"
 #include "base/log.h"
 
@@ -138,18 +139,18 @@
 {
     const char *rest;
 
-    if ((rest = pm_key_without_prefix(key, PM_JOB_KEY_PREFIX)))
+    if ((rest = pm_key_without_prefix(key, PM_KEY_JOB_PREFIX)))
         return put_job(jobs, rest, value, revision);
-    if ((rest = pm_key_without_prefix(key, PM_DEPENDENCY_LIST_KEY_PREFIX)))
+    if ((rest = pm_key_without_prefix(key, PM_KEY_DEPENDENCY_LIST_PREFIX)))
         return pm_jobs_apply_dependency_list(jobs, rest, value);
-    if ((rest = pm_key_without_prefix(key, PM_CHUNK_KEY_PREFIX)))
+    if ((rest = pm_key_without_prefix(key, PM_KEY_CHUNK_PREFIX)))
         return put_chunk(jobs, rest, value, revision);
     return NULL;
 }
 
 struct pm_job *pm_jobs_apply_delete(struct pm_jobs *jobs, const char *key, uint64_t revision)
 {
-    const char *rest = pm_key_without_prefix(key, PM_CHUNK_KEY_PREFIX);
+    const char *rest = pm_key_without_prefix(key, PM_KEY_CHUNK_PREFIX);
 
     return rest ? delete_chunk(jobs, rest, revision) : NULL;
 }
--- a/src/jobs/internal.h
+++ b/src/jobs/internal.h
@@ -64,9 +64,6 @@
 /* ---- keys.c ---- */
 
 enum { PM_JOBS_KEY_MAX = 64 };
-#define PM_JOB_KEY_PREFIX "p/j/"
-#define PM_DEPENDENCY_LIST_KEY_PREFIX "p/n/"
-#define PM_CHUNK_KEY_PREFIX "p/t/"
 
 /* What follows the prefix in the key; NULL if the key does not begin with it. */
 const char *pm_key_without_prefix(const char *key, const char *prefix);
--- a/src/jobs/keys.c
+++ b/src/jobs/keys.c
@@ -1,4 +1,5 @@
 /* The keys of jobs, of their chunks and of their dependency lists. */
+#include "base/keys.h"
 #include "jobs/internal.h"
 
 #include <stdio.h>
@@ -14,20 +15,20 @@
 
 void pm_job_key_write(const struct pm_job *job, char *key)
 {
-    snprintf(key, PM_JOBS_KEY_MAX, PM_JOB_KEY_PREFIX "%s", job->id);
+    snprintf(key, PM_JOBS_KEY_MAX, PM_KEY_JOB_PREFIX "%s", job->id);
 }
 
 void pm_chunk_key_write(const struct pm_job *job, int chunk_index, int half, char *key)
 {
     if (half == PM_CHUNK_WHOLE)
-        snprintf(key, PM_JOBS_KEY_MAX, PM_CHUNK_KEY_PREFIX "%s/%d", job->id, chunk_index);
+        snprintf(key, PM_JOBS_KEY_MAX, PM_KEY_CHUNK_PREFIX "%s/%d", job->id, chunk_index);
     else
-        snprintf(key, PM_JOBS_KEY_MAX, PM_CHUNK_KEY_PREFIX "%s/%d/%d", job->id, chunk_index, half);
+        snprintf(key, PM_JOBS_KEY_MAX, PM_KEY_CHUNK_PREFIX "%s/%d/%d", job->id, chunk_index, half);
 }
 
 void pm_dependency_list_key_write(const struct pm_job *job, int list_index, char *key)
 {
-    snprintf(key, PM_JOBS_KEY_MAX, PM_DEPENDENCY_LIST_KEY_PREFIX "%s/%d", job->id, list_index);
+    snprintf(key, PM_JOBS_KEY_MAX, PM_KEY_DEPENDENCY_LIST_PREFIX "%s/%d", job->id, list_index);
 }
 
 /* Reads what follows the index: nothing, or the number of a half. */
--- a/src/leadership/campaign.c
+++ b/src/leadership/campaign.c
@@ -1,5 +1,6 @@
 /* Becoming the leader: a lease, then p/epoch and p/lead in one transaction, then waiting until the
  * replica includes that transaction. */
+#include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
 #include "leadership/internal.h"
@@ -88,13 +89,13 @@
     epoch_txn->epoch = MAX(election->replica.epoch, election->poll.highest_epoch) + 1;
     epoch_txn->lease_id = lease_id;
     epoch_txn->sent_at = pm_clock_monotonic();
-    pm_txn_compare(&txn, PM_ELECTION_EPOCH_KEY, election->replica.epoch_revision);
-    pm_txn_compare(&txn, PM_ELECTION_LOCK_KEY, election->replica.lock_revision);
+    pm_txn_compare(&txn, PM_KEY_EPOCH, election->replica.epoch_revision);
+    pm_txn_compare(&txn, PM_KEY_LEADER_LOCK, election->replica.lock_revision);
     pm_election_put_epoch(election, &txn, epoch_txn->epoch);
     pm_election_put_lock(election, &txn, lease_id);
     /* A leader owns no shard: the machines of its own return to the leader's in the same
      * transaction. */
-    snprintf(shard_key, sizeof shard_key, "p/b/%s", election->settings->name);
+    snprintf(shard_key, sizeof shard_key, PM_KEY_SHARD_PREFIX "%s", election->settings->name);
     pm_txn_delete(&txn, shard_key);
     pm_store_commit(election->store, &txn, on_campaign_committed, epoch_txn);
 }
--- a/src/leadership/confirmation.c
+++ b/src/leadership/confirmation.c
@@ -5,6 +5,7 @@
  *
  * With a confirmation goes freshness: the state service may serve us while our watch hangs, so the
  * replica, too, has to reach the revision that the service had. */
+#include "base/keys.h"
 #include "base/clock.h"
 #include "leadership/internal.h"
 
@@ -140,7 +141,7 @@
     epoch_txn->epoch = pm_election_epoch(election);
     epoch_txn->as_leader = election->term.is_leader;
     epoch_txn->sent_at = now;
-    pm_txn_compare(&txn, PM_ELECTION_EPOCH_KEY, pm_election_epoch_revision(election));
+    pm_txn_compare(&txn, PM_KEY_EPOCH, pm_election_epoch_revision(election));
     if (!election->term.is_leader)
         pm_txn_compare(&txn, election->shard.key, election->shard.revision);
     pm_store_commit(election->store, &txn, on_checked, epoch_txn);
--- a/src/leadership/epoch.c
+++ b/src/leadership/epoch.c
@@ -1,4 +1,5 @@
 /* Advancing the epoch while leading. */
+#include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
 #include "leadership/internal.h"
@@ -49,7 +50,7 @@
     epoch_txn->election = election;
     epoch_txn->epoch = MAX(term->epoch, election->poll.highest_epoch) + 1;
     epoch_txn->sent_at = pm_clock_monotonic();
-    pm_txn_compare(&txn, PM_ELECTION_EPOCH_KEY, term->epoch_revision);
+    pm_txn_compare(&txn, PM_KEY_EPOCH, term->epoch_revision);
     pm_election_put_epoch(election, &txn, epoch_txn->epoch);
     if (key) {
         pm_txn_compare(&txn, key, revision);
--- a/src/leadership/internal.h
+++ b/src/leadership/internal.h
@@ -21,12 +21,6 @@
 /* A 503 of the state service counts as an outage's only if it is no older. */
 #define PM_ELECTION_REFUSAL_MAX_AGE_S 1.0
 
-/* Keys at the state service; records.c has their values. */
-#define PM_ELECTION_EPOCH_KEY "p/epoch"
-#define PM_ELECTION_LOCK_KEY "p/lead"
-#define PM_ELECTION_COMMON_VERSION_KEY "p/speaks"
-#define PM_ELECTION_VERSION_KEY_PREFIX "p/speaks/"
-
 /* p/epoch and p/lead as the replica has them. Written by replica_feed.c, and by campaign.c and
  * epoch.c, whose own writes count before the watch reports them. */
 struct pm_election_replica {
--- a/src/leadership/records.c
+++ b/src/leadership/records.c
@@ -6,6 +6,7 @@
  *   p/speaks/NAME  version: the protocol version that this controller runs
  *   p/speaks       version: the one that every controller runs at least
  * Pure functions of their arguments. */
+#include "base/keys.h"
 #include "leadership/internal.h"
 
 #include <string.h>
@@ -25,7 +26,7 @@
 
 void pm_election_put_epoch(const struct pm_election *election, struct pm_txn *txn, uint64_t epoch)
 {
-    pm_txn_put(txn, PM_ELECTION_EPOCH_KEY);
+    pm_txn_put(txn, PM_KEY_EPOCH);
     pm_put_map(&txn->writes);
     pm_put_pair_count(&txn->writes, EPOCH_FIELD, epoch);
     put_author(election, txn);
@@ -35,7 +36,7 @@
 
 void pm_election_put_lock(const struct pm_election *election, struct pm_txn *txn, uint64_t lease_id)
 {
-    pm_txn_put(txn, PM_ELECTION_LOCK_KEY);
+    pm_txn_put(txn, PM_KEY_LEADER_LOCK);
     pm_put_map(&txn->writes);
     put_author(election, txn);
     pm_put_end(&txn->writes);
--- a/src/leadership/replica_acknowledgement.c
+++ b/src/leadership/replica_acknowledgement.c
@@ -3,6 +3,7 @@
  *
  * Stored: p/seen/CONTROLLER is a CBOR map; its field `edition` is the store revision that the
  * replica of that controller has reached. */
+#include "base/keys.h"
 #include "base/clock.h"
 #include "leadership/cancellation_internal.h"
 
@@ -11,7 +12,6 @@
 #include <stdio.h>
 #include <string.h>
 
-#define KEY_PREFIX "p/seen/"
 #define STORE_REVISION_FIELD "edition"
 
 /* A message that publishes a cancellation arrives within this of reading it. */
@@ -25,9 +25,9 @@
 
 static void put_record(struct pm_txn *txn, const char *controller, uint64_t store_revision)
 {
-    char key[PM_NAME_MAX + sizeof KEY_PREFIX];
+    char key[PM_NAME_MAX + sizeof PM_KEY_ACKED_REVISION_PREFIX];
 
-    snprintf(key, sizeof key, KEY_PREFIX "%s", controller);
+    snprintf(key, sizeof key, PM_KEY_ACKED_REVISION_PREFIX "%s", controller);
     pm_txn_put(txn, key);
     pm_put_map(&txn->writes);
     pm_put_pair_count(&txn->writes, STORE_REVISION_FIELD, store_revision);
@@ -38,11 +38,11 @@
 void pm_cancel_quorum_apply_put(struct pm_cancel_quorum *quorum, const char *key,
                                 const cbor_item_t *value)
 {
-    const size_t prefix_size = strlen(KEY_PREFIX);
+    const size_t prefix_size = strlen(PM_KEY_ACKED_REVISION_PREFIX);
     uint64_t store_revision;
     int peer;
 
-    if (strncmp(key, KEY_PREFIX, prefix_size))
+    if (strncmp(key, PM_KEY_ACKED_REVISION_PREFIX, prefix_size))
         return;
     peer = pm_settings_find_peer(quorum->settings, key + prefix_size);
     if (peer < 0 || !decode(value, &store_revision))
--- a/src/leadership/replica_feed.c
+++ b/src/leadership/replica_feed.c
@@ -1,4 +1,5 @@
 /* Applying the replica's feed: the epoch, the leader's lock, protocol versions. */
+#include "base/keys.h"
 #include "base/clock.h"
 #include "leadership/internal.h"
 
@@ -49,21 +50,21 @@
 void pm_election_apply_put(struct pm_election *election, const char *key, const cbor_item_t *value,
                            uint64_t revision)
 {
-    const size_t prefix_size = strlen(PM_ELECTION_VERSION_KEY_PREFIX);
+    const size_t prefix_size = strlen(PM_KEY_VERSION_PREFIX);
 
-    if (!strncmp(key, PM_ELECTION_VERSION_KEY_PREFIX, prefix_size))
+    if (!strncmp(key, PM_KEY_VERSION_PREFIX, prefix_size))
         pm_election_apply_version(election, key + prefix_size, value);
-    else if (!strcmp(key, PM_ELECTION_COMMON_VERSION_KEY))
+    else if (!strcmp(key, PM_KEY_COMMON_VERSION))
         pm_election_apply_common_version(election, value);
-    else if (!strcmp(key, PM_ELECTION_EPOCH_KEY))
+    else if (!strcmp(key, PM_KEY_EPOCH))
         apply_epoch(election, value, revision);
-    else if (!strcmp(key, PM_ELECTION_LOCK_KEY))
+    else if (!strcmp(key, PM_KEY_LEADER_LOCK))
         apply_lock(election, value, revision);
 }
 
 void pm_election_apply_delete(struct pm_election *election, const char *key, uint64_t revision)
 {
-    if (!strcmp(key, PM_ELECTION_LOCK_KEY) && revision >= election->replica.lock_revision)
+    if (!strcmp(key, PM_KEY_LEADER_LOCK) && revision >= election->replica.lock_revision)
         note_lock_free(election);
 }
 
--- a/src/leadership/versions.c
+++ b/src/leadership/versions.c
@@ -1,5 +1,6 @@
 /* Which protocol version every controller runs: each publishes its own, by its messages and under
  * p/speaks/NAME, and the leader writes p/speaks once it knows all of them. */
+#include "base/keys.h"
 #include "base/log.h"
 #include "base/protocol.h"
 #include "leadership/internal.h"
@@ -85,9 +86,9 @@
 static void publish_own_version(struct pm_election *election, double now)
 {
     struct pm_txn txn = {0};
-    char key[PM_NAME_MAX + sizeof PM_ELECTION_VERSION_KEY_PREFIX];
+    char key[PM_NAME_MAX + sizeof PM_KEY_VERSION_PREFIX];
 
-    snprintf(key, sizeof key, PM_ELECTION_VERSION_KEY_PREFIX "%s", election->settings->name);
+    snprintf(key, sizeof key, PM_KEY_VERSION_PREFIX "%s", election->settings->name);
     pm_election_put_version(&txn, key, PM_PROTOCOL_VERSION);
     commit_version(election, &txn, now);
 }
@@ -101,8 +102,8 @@
     if (!term->is_leader || term->catch_up_revision ||
         version <= pm_election_protocol_version(election))
         return;
-    pm_txn_compare(&txn, PM_ELECTION_EPOCH_KEY, term->epoch_revision);
-    pm_election_put_version(&txn, PM_ELECTION_COMMON_VERSION_KEY, version);
+    pm_txn_compare(&txn, PM_KEY_EPOCH, term->epoch_revision);
+    pm_election_put_version(&txn, PM_KEY_COMMON_VERSION, version);
     commit_version(election, &txn, now);
 }
 
--- a/src/links/links.h
+++ b/src/links/links.h
@@ -13,6 +13,7 @@
 #ifndef PM_LINKS_LINKS_H
 #define PM_LINKS_LINKS_H
 
+#include "base/keys.h"
 #include "base/http.h"
 #include "base/settings.h"
 #include "links/fitness.h"
@@ -21,7 +22,6 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define PM_LINKS_PREFIX "p/links/"
 #define PM_LINKS_TICK_S 0.5 /* the longest time between two evaluations */
 
 struct pm_links;
@@ -74,8 +74,8 @@
 /* Reads the views in a peer's response to a call sent at `asked_at`. */
 void pm_links_decode_views(struct pm_links *links, int peer, const unsigned char *data, size_t size,
                            double asked_at, double now);
-/* The replica has a value for `key`, which begins with PM_LINKS_PREFIX. An unknown controller, this
- * one's own key and a revision that is not newer are ignored. */
+/* The replica has a value for `key`, which begins with PM_KEY_VIEW_PREFIX. An unknown controller,
+ * this one's own key and a revision that is not newer are ignored. */
 void pm_links_apply_put(struct pm_links *links, const char *key, const cbor_item_t *value,
                         uint64_t revision, double now);
 /* Whether this controller's value ought to be written: it has changed, or a peer is not reached. */
--- a/src/links/views.c
+++ b/src/links/views.c
@@ -1,4 +1,5 @@
 /* The controllers' views of their links: exchanged in responses, and through the state service. */
+#include "base/keys.h"
 #include "base/log.h"
 #include "links/internal.h"
 
@@ -29,7 +30,7 @@
 void pm_links_apply_put(struct pm_links *links, const char *key, const cbor_item_t *value,
                         uint64_t revision, double now)
 {
-    const char *name = key + strlen(PM_LINKS_PREFIX);
+    const char *name = key + strlen(PM_KEY_VIEW_PREFIX);
     int controller = pm_matrix_find_controller(&links->matrix, name);
     struct pm_view view;
 
--- a/src/roles/acquisition.c
+++ b/src/roles/acquisition.c
@@ -1,4 +1,5 @@
 /* Acquiring roles, by one transaction that compares what the replica has, and losing them. */
+#include "base/keys.h"
 #include "base/clock.h"
 #include "roles/internal.h"
 
@@ -120,7 +121,7 @@
     request->lease_id = roles->lease.id;
     request->as_leader = as_leader;
     if (as_leader)
-        pm_txn_compare(&txn, PM_ROLES_EPOCH_KEY, roles->conditions.epoch_revision);
+        pm_txn_compare(&txn, PM_KEY_EPOCH, roles->conditions.epoch_revision);
     for (int i = 0; i < PM_ROLE_COUNT; i++) {
         if (!wanted[i])
             continue;
--- a/src/roles/garbage_collector.c
+++ b/src/roles/garbage_collector.c
@@ -1,12 +1,10 @@
+#include "base/keys.h"
 #include "roles/garbage_collector.h"
 #include "roles/role.h"
 
 #include <glib.h>
 #include <string.h>
 
-#define VIEW_PREFIX "p/links/"
-#define ACKED_REVISION_PREFIX "p/seen/"
-
 /* A key that is of no use, or a request to drain, which becomes so when its holder changes. */
 struct candidate {
     uint64_t revision;
@@ -64,9 +62,9 @@
 /* Why the key is of no use, as its name alone shows; NULL: it may be of use. */
 static const char *find_reason(const struct pm_gc *collector, const char *key)
 {
-    if (is_of_unknown_controller(collector, key, VIEW_PREFIX))
+    if (is_of_unknown_controller(collector, key, PM_KEY_VIEW_PREFIX))
         return "the view of a controller that is not in the settings";
-    if (is_of_unknown_controller(collector, key, ACKED_REVISION_PREFIX))
+    if (is_of_unknown_controller(collector, key, PM_KEY_ACKED_REVISION_PREFIX))
         return "the reading position of a controller that is not in the settings";
     return NULL;
 }
@@ -77,7 +75,7 @@
 {
     enum pm_role role;
 
-    if (!pm_role_from_name(key + strlen(PM_ROLE_DRAIN_KEY_PREFIX), &role))
+    if (!pm_role_from_name(key + strlen(PM_KEY_DRAIN_PREFIX), &role))
         return "a request to drain a duty that does not exist";
     if (collector->holder_tokens[role] != drain_token)
         return "a request to drain a holder that has changed";
@@ -111,7 +109,7 @@
     struct candidate *candidate = value;
     const char *reason;
 
-    if (!g_str_has_prefix(key, PM_ROLE_DRAIN_KEY_PREFIX))
+    if (!g_str_has_prefix(key, PM_KEY_DRAIN_PREFIX))
         return FALSE;
     reason = find_drain_reason(change->collector, key, candidate->drain_token);
     if (reason && !candidate->reason)
@@ -125,7 +123,7 @@
     struct holder_change change = {.collector = collector, .now = now};
     enum pm_role role;
 
-    if (!pm_role_from_name(key + strlen(PM_ROLE_KEY_PREFIX), &role))
+    if (!pm_role_from_name(key + strlen(PM_KEY_ROLE_PREFIX), &role))
         return;
     collector->holder_tokens[role] = token;
     g_tree_foreach(collector->candidates, update_drain_reason, &change);
@@ -149,11 +147,11 @@
 {
     struct candidate candidate = {.revision = revision, .unchanged_since_at = now};
 
-    if (g_str_has_prefix(key, PM_ROLE_KEY_PREFIX)) {
+    if (g_str_has_prefix(key, PM_KEY_ROLE_PREFIX)) {
         put_holder(collector, key, revision, now);
         return;
     }
-    if (g_str_has_prefix(key, PM_ROLE_DRAIN_KEY_PREFIX)) {
+    if (g_str_has_prefix(key, PM_KEY_DRAIN_PREFIX)) {
         put_drain_request(collector, key, value, revision, now);
         return;
     }
--- a/src/roles/intent.c
+++ b/src/roles/intent.c
@@ -1,3 +1,4 @@
+#include "base/keys.h"
 #include "roles/intent.h"
 
 #include <stdio.h>
@@ -113,7 +114,7 @@
  * token, or is too long. */
 static bool decode_name(struct pm_intent *intent, const char *key)
 {
-    const char *name = key + strlen(PM_INTENT_KEY_PREFIX);
+    const char *name = key + strlen(PM_KEY_INTENT_PREFIX);
     char prefix[PM_INTENT_NAME];
 
     snprintf(prefix, sizeof prefix, "%s-%llu-", pm_role_name(intent->duty),
--- a/src/roles/intent.h
+++ b/src/roles/intent.h
@@ -14,6 +14,7 @@
 #ifndef PM_ROLES_INTENT_H
 #define PM_ROLES_INTENT_H
 
+#include "base/keys.h"
 #include "base/cbor.h"
 #include "base/settings.h"
 #include "roles/role.h"
@@ -22,8 +23,6 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define PM_INTENT_KEY_PREFIX "p/intent/"
-
 enum {
     PM_INTENT_NAME = 64,      /* bytes of an intent's name, with the NUL at its end */
     PM_INTENT_MACHINES = 100, /* machines in one request to terminate, at most */
@@ -67,7 +66,7 @@
 /* Appends the intent's stored value to `out`. */
 void pm_intent_encode(const struct pm_intent *intent, struct pm_buf *out);
 /* The intent that is stored under `key` with `value` at `revision`; the caller owns it. `key`
- * starts with PM_INTENT_KEY_PREFIX. NULL: the value is malformed, or the key does not belong to it.
+ * starts with PM_KEY_INTENT_PREFIX. NULL: the value is malformed, or the key does not belong to it.
  */
 struct pm_intent *pm_intent_decode(const char *key, const cbor_item_t *value, uint64_t revision);
 
--- a/src/roles/intent_closing.c
+++ b/src/roles/intent_closing.c
@@ -1,4 +1,5 @@
 /* Deleting the keys of intents for which the provider has answered, several in a transaction. */
+#include "base/keys.h"
 #include "roles/internal.h"
 
 #include <stdio.h>
@@ -63,13 +64,13 @@
                         struct pm_txn *txn, GPtrArray *names)
 {
     GPtrArray *open = pm_roles_open_intents(roles, role);
-    char key[sizeof PM_INTENT_KEY_PREFIX + PM_INTENT_NAME];
+    char key[sizeof PM_KEY_INTENT_PREFIX + PM_INTENT_NAME];
 
     for (guint i = 0; i < open->len && names->len < max_count; i++) {
         const struct pm_intent *intent = g_ptr_array_index(open, i);
         if (!intent->closing)
             continue;
-        snprintf(key, sizeof key, PM_INTENT_KEY_PREFIX "%s", intent->name);
+        snprintf(key, sizeof key, PM_KEY_INTENT_PREFIX "%s", intent->name);
         pm_txn_compare(txn, key, intent->revision);
         pm_txn_delete(txn, key);
         g_ptr_array_add(names, g_strdup(intent->name));
--- a/src/roles/intent_log.c
+++ b/src/roles/intent_log.c
@@ -1,4 +1,5 @@
 /* Writing intents, and which of all controllers' intents are open. */
+#include "base/keys.h"
 #include "base/log.h"
 #include "roles/internal.h"
 
@@ -60,12 +61,12 @@
 static void encode_write(const struct pm_roles *roles, const struct pm_intent *intent,
                          struct pm_txn *txn)
 {
-    char key[sizeof PM_INTENT_KEY_PREFIX + PM_INTENT_NAME];
+    char key[sizeof PM_KEY_INTENT_PREFIX + PM_INTENT_NAME];
 
     pm_role_format_key(intent->duty, key, sizeof key);
     pm_txn_compare(txn, key, intent->token);
-    pm_txn_compare(txn, PM_ROLES_EPOCH_KEY, roles->conditions.epoch_revision);
-    snprintf(key, sizeof key, PM_INTENT_KEY_PREFIX "%s", intent->name);
+    pm_txn_compare(txn, PM_KEY_EPOCH, roles->conditions.epoch_revision);
+    snprintf(key, sizeof key, PM_KEY_INTENT_PREFIX "%s", intent->name);
     pm_txn_compare(txn, key, 0);
     pm_txn_put(txn, key);
     pm_intent_encode(intent, &txn->writes);
@@ -158,7 +159,7 @@
 void pm_roles_apply_intent_put(struct pm_roles *roles, const char *key, const cbor_item_t *value,
                                uint64_t revision)
 {
-    const char *name = key + strlen(PM_INTENT_KEY_PREFIX);
+    const char *name = key + strlen(PM_KEY_INTENT_PREFIX);
     struct intent_write *write = g_hash_table_lookup(roles->intents.writes, name);
     struct pm_intent *intent;
 
--- a/src/roles/internal.h
+++ b/src/roles/internal.h
@@ -4,9 +4,6 @@
 
 #include "roles/roles.h"
 
-/* The leader's epoch (leadership/): compared by what only the leader may do, never written here. */
-#define PM_ROLES_EPOCH_KEY "p/epoch"
-
 enum { PM_ROLES_INCARNATION_ID_SIZE = 24 }; /* bytes, with the NUL at its end */
 
 /* The holder's key, as the replica has it. Written by replica.c, and by acquisition.c when a
--- a/src/roles/replica.c
+++ b/src/roles/replica.c
@@ -1,4 +1,5 @@
 /* Applies the replica's feed: holders, requests to drain, and which intents are open. */
+#include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
 #include "roles/internal.h"
@@ -33,7 +34,7 @@
     if (!holder->is_unreadable)
         return;
     pm_error("role.unreadable",
-             PM_ROLE_KEY_PREFIX "%s: malformed value, kept; nobody acquires "
+             PM_KEY_ROLE_PREFIX "%s: malformed value, kept; nobody acquires "
                                 "the role",
              pm_role_name(role));
     holder->name[0] = 0;
@@ -74,7 +75,7 @@
     if (pm_cbor_read_count(pm_cbor_get(value, "token"), &request->token))
         return;
     request->token = 0;
-    pm_error("role.unreadable", PM_ROLE_DRAIN_KEY_PREFIX "%s: malformed value, not obeyed",
+    pm_error("role.unreadable", PM_KEY_DRAIN_PREFIX "%s: malformed value, not obeyed",
              pm_role_name(role));
 }
 
@@ -84,18 +85,18 @@
     const char *name;
     enum pm_role role;
 
-    if (g_str_has_prefix(key, PM_INTENT_KEY_PREFIX)) {
+    if (g_str_has_prefix(key, PM_KEY_INTENT_PREFIX)) {
         pm_roles_apply_intent_put(roles, key, value, revision);
         return true;
     }
-    if (split_key(key, PM_ROLE_KEY_PREFIX, &name)) {
+    if (split_key(key, PM_KEY_ROLE_PREFIX, &name)) {
         if (pm_role_from_name(name, &role))
             put_holder(roles, role, value, revision);
         else
             pm_error("role.unreadable", "%s: no such role, kept", key);
         return true;
     }
-    if (split_key(key, PM_ROLE_DRAIN_KEY_PREFIX, &name)) {
+    if (split_key(key, PM_KEY_DRAIN_PREFIX, &name)) {
         if (pm_role_from_name(name, &role))
             put_drain_request(roles, role, value, revision);
         return true;
@@ -136,12 +137,12 @@
     const char *name;
     enum pm_role role;
 
-    if (split_key(key, PM_INTENT_KEY_PREFIX, &name)) {
+    if (split_key(key, PM_KEY_INTENT_PREFIX, &name)) {
         g_hash_table_remove(roles->intents.open, name);
-    } else if (split_key(key, PM_ROLE_KEY_PREFIX, &name)) {
+    } else if (split_key(key, PM_KEY_ROLE_PREFIX, &name)) {
         if (pm_role_from_name(name, &role))
             delete_holder(roles, role, revision);
-    } else if (split_key(key, PM_ROLE_DRAIN_KEY_PREFIX, &name)) {
+    } else if (split_key(key, PM_KEY_DRAIN_PREFIX, &name)) {
         if (pm_role_from_name(name, &role))
             clear_drain_request(roles, role);
     }
--- a/src/roles/role.c
+++ b/src/roles/role.c
@@ -1,3 +1,4 @@
+#include "base/keys.h"
 #include "roles/role.h"
 
 #include <stdio.h>
@@ -27,12 +28,12 @@
 
 void pm_role_format_key(enum pm_role role, char *out, size_t size)
 {
-    snprintf(out, size, PM_ROLE_KEY_PREFIX "%s", pm_role_name(role));
+    snprintf(out, size, PM_KEY_ROLE_PREFIX "%s", pm_role_name(role));
 }
 
 void pm_role_format_drain_key(enum pm_role role, char *out, size_t size)
 {
-    snprintf(out, size, PM_ROLE_DRAIN_KEY_PREFIX "%s", pm_role_name(role));
+    snprintf(out, size, PM_KEY_DRAIN_PREFIX "%s", pm_role_name(role));
 }
 
 bool pm_role_is_bound_to_leader(enum pm_role role)
--- a/src/roles/role.h
+++ b/src/roles/role.h
@@ -15,9 +15,6 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-#define PM_ROLE_KEY_PREFIX "p/duty/"
-#define PM_ROLE_DRAIN_KEY_PREFIX "p/drain/"
-
 enum pm_role { PM_ROLE_SCALE_OUT, PM_ROLE_SCALE_IN, PM_ROLE_GARBAGE_COLLECTION, PM_ROLE_COUNT };
 
 /* The role's stored name ("rent", "return" or "clean"); a constant. */
--- a/src/roles/tests/provider_call_checker.c
+++ b/src/roles/tests/provider_call_checker.c
@@ -1,3 +1,4 @@
+#include "base/keys.h"
 #include "provider_call_checker.h"
 #include "roles/roles.h"
 
@@ -112,18 +113,18 @@
 {
     enum pm_role role;
 
-    if (g_str_has_prefix(key, PM_ROLE_KEY_PREFIX)) {
-        if (!pm_role_from_name(key + strlen(PM_ROLE_KEY_PREFIX), &role))
+    if (g_str_has_prefix(key, PM_KEY_ROLE_PREFIX)) {
+        if (!pm_role_from_name(key + strlen(PM_KEY_ROLE_PREFIX), &role))
             return;
         if (value)
             put_holder(checker, role, revision);
         else
             checker->current_tokens[role] = 0;
-    } else if (g_str_has_prefix(key, PM_INTENT_KEY_PREFIX)) {
+    } else if (g_str_has_prefix(key, PM_KEY_INTENT_PREFIX)) {
         if (value)
             put_intent(checker, key, value, revision, now);
         else
-            delete_intent(checker, key + strlen(PM_INTENT_KEY_PREFIX));
+            delete_intent(checker, key + strlen(PM_KEY_INTENT_PREFIX));
     }
 }
 
--- a/src/roles/tests/test_intent.c
+++ b/src/roles/tests/test_intent.c
@@ -1,4 +1,5 @@
 /* The stored form of intents: bytes that every later version can read, and malformed values. */
+#include "base/keys.h"
 #include "../../jobs/tests/recorded_values.h"
 #include "roles/intent.h"
 
@@ -79,7 +80,7 @@
 
 static void recorded_intents_are_decoded(void **state)
 {
-    struct pm_intent *intent = decode_hex(PM_INTENT_KEY_PREFIX "rent-1819-3", STORED_SCALE_OUT);
+    struct pm_intent *intent = decode_hex(PM_KEY_INTENT_PREFIX "rent-1819-3", STORED_SCALE_OUT);
     const struct pm_intent_rental *rental;
     char booking[PM_INTENT_NAME + 8];
 
@@ -96,7 +97,7 @@
     pm_intent_booking(intent, 1, booking, sizeof booking);
     assert_string_equal(booking, "rent-1819-3-1");
     pm_intent_free(intent);
-    intent = decode_hex(PM_INTENT_KEY_PREFIX "return-1820-4", STORED_SCALE_IN);
+    intent = decode_hex(PM_KEY_INTENT_PREFIX "return-1820-4", STORED_SCALE_IN);
     assert_non_null(intent);
     assert_int_equal(intent->machines->len, 2);
     assert_string_equal(g_ptr_array_index(intent->machines, 1), "i-000002");
@@ -107,9 +108,9 @@
 static void malformed_intents_are_rejected(void **state)
 {
     static const char *const keys[] = {
-        PM_INTENT_KEY_PREFIX "rent-1818-3", PM_INTENT_KEY_PREFIX "return-1819-3",
-        PM_INTENT_KEY_PREFIX "",
-        PM_INTENT_KEY_PREFIX "rent-1819-"
+        PM_KEY_INTENT_PREFIX "rent-1818-3", PM_KEY_INTENT_PREFIX "return-1819-3",
+        PM_KEY_INTENT_PREFIX "",
+        PM_KEY_INTENT_PREFIX "rent-1819-"
                              "3333333333333333333333333333333333333333333333333333333333333333"};
 
     (void)state;
@@ -117,7 +118,7 @@
         assert_null(decode_hex(keys[i], STORED_SCALE_OUT));
     for (size_t length = strlen(STORED_SCALE_OUT) - 2; length > 0; length -= 2) {
         char *truncated = g_strndup(STORED_SCALE_OUT, length);
-        assert_null(decode_hex(PM_INTENT_KEY_PREFIX "rent-1819-3", truncated));
+        assert_null(decode_hex(PM_KEY_INTENT_PREFIX "rent-1819-3", truncated));
         g_free(truncated);
     }
 }
@@ -136,16 +137,16 @@
         g_array_index(too_many_rentals->rentals, struct pm_intent_rental, i) =
             g_array_index(too_many_rentals->rentals, struct pm_intent_rental, 0);
     digits = encode_hex(too_many_rentals);
-    assert_null(decode_hex(PM_INTENT_KEY_PREFIX "rent-1819-3", digits));
+    assert_null(decode_hex(PM_KEY_INTENT_PREFIX "rent-1819-3", digits));
     g_free(digits);
     pm_intent_set_name(no_machines, 1820, 4);
     digits = encode_hex(no_machines);
-    assert_null(decode_hex(PM_INTENT_KEY_PREFIX "return-1820-4", digits));
+    assert_null(decode_hex(PM_KEY_INTENT_PREFIX "return-1820-4", digits));
     g_free(digits);
     g_array_index(too_many_instances->rentals, struct pm_intent_rental, 1).count =
         PM_INTENT_RENTED + 1;
     digits = encode_hex(too_many_instances);
-    assert_null(decode_hex(PM_INTENT_KEY_PREFIX "rent-1819-3", digits));
+    assert_null(decode_hex(PM_KEY_INTENT_PREFIX "rent-1819-3", digits));
     g_free(digits);
 }
 
--- a/src/roles/tests/test_provider_call_checker.c
+++ b/src/roles/tests/test_provider_call_checker.c
@@ -1,5 +1,6 @@
 /* The checker of calls to the machine provider finds each kind of violation, and nothing in calls
  * that are allowed. */
+#include "base/keys.h"
 #include "provider_call_checker.h"
 #include "roles/roles.h"
 
@@ -22,7 +23,7 @@
     cbor_item_t *value = cbor_new_indefinite_map();
     char key[64];
 
-    snprintf(key, sizeof key, PM_ROLE_KEY_PREFIX "%s", pm_role_name(role));
+    snprintf(key, sizeof key, PM_KEY_ROLE_PREFIX "%s", pm_role_name(role));
     call_checker_on_state_change(checker, key, value, revision, now);
     cbor_decref(&value);
 }
@@ -42,7 +43,7 @@
         g_ptr_array_add(intent->machines, g_strdup(machine));
     pm_intent_encode(intent, &buf);
     value = pm_cbor_parse(buf.data, buf.size);
-    snprintf(key, sizeof key, PM_INTENT_KEY_PREFIX "%s", intent->name);
+    snprintf(key, sizeof key, PM_KEY_INTENT_PREFIX "%s", intent->name);
     call_checker_on_state_change(checker, key, value, 100 + number, now);
     pm_cbor_free(value);
     pm_buf_free(&buf);
@@ -95,7 +96,7 @@
     (void)state;
     put_intent(PM_ROLE_SCALE_OUT, SCALE_OUT_TOKEN, 1, NULL);
     report_rental("rent-5-1-0", "i-1");
-    delete_key(PM_INTENT_KEY_PREFIX "rent-5-1");
+    delete_key(PM_KEY_INTENT_PREFIX "rent-5-1");
     put_intent(PM_ROLE_SCALE_IN, SCALE_IN_TOKEN, 2, "i-1");
     report_termination("i-1", "job/0", 1, LOST_AFTER_S + 1); /* unreachable for long enough */
     assert_string_equal(call_checker_violations(checker), "");
@@ -130,7 +131,7 @@
 {
     (void)state;
     put_intent(PM_ROLE_SCALE_OUT, SCALE_OUT_TOKEN, 1, NULL);
-    delete_key(PM_INTENT_KEY_PREFIX "rent-5-1");
+    delete_key(PM_KEY_INTENT_PREFIX "rent-5-1");
     report_rental("rent-5-1-0", "i-1");
     assert_found("which is closed");
 }
--- a/src/roles/tests/test_replacements.c
+++ b/src/roles/tests/test_replacements.c
@@ -4,6 +4,7 @@
  * What the machine provider carried out is checked against what the state service contained.
  * PM_REPLACEMENTS and PM_SEED make longer runs, outside CI; PM_FIRST_DAEMON is run in place of
  * controller 0, say with a wall clock that jumps. */
+#include "base/keys.h"
 #include "testing/cluster.h"
 #include "base/clock.h"
 #include "provider_call_checker.h"
@@ -69,9 +70,9 @@
 
 static bool is_intent_of_role(const struct scenario *scenario, const char *key)
 {
-    const char *name = key + strlen(PM_INTENT_KEY_PREFIX);
+    const char *name = key + strlen(PM_KEY_INTENT_PREFIX);
 
-    return g_str_has_prefix(key, PM_INTENT_KEY_PREFIX) &&
+    return g_str_has_prefix(key, PM_KEY_INTENT_PREFIX) &&
            g_str_has_prefix(name, pm_role_name(scenario->role));
 }
 
@@ -89,7 +90,7 @@
     struct scenario *scenario = arg;
 
     call_checker_on_state_change(scenario->checker, key, data, revision, pm_clock_monotonic());
-    if (data && !strcmp(key, PM_ROLE_KEY_PREFIX "rent"))
+    if (data && !strcmp(key, PM_KEY_ROLE_PREFIX "rent"))
         record_vacancy(scenario);
     if (is_intent_of_role(scenario, key) && ((scenario->step == STEP_INTENT_DURABLE && data) ||
                                              (scenario->step == STEP_INTENT_DELETED && !data)))
@@ -170,7 +171,7 @@
     scenario->role = role;
     scenario->is_kill = is_kill;
     scenario->is_armed = true;
-    snprintf(key, sizeof key, PM_INTENT_KEY_PREFIX "%s", pm_role_name(role));
+    snprintf(key, sizeof key, PM_KEY_INTENT_PREFIX "%s", pm_role_name(role));
     if (step == STEP_INTENT_IN_FLIGHT)
         fake_state_put_off(cluster_state(scenario->cluster), key);
     /* The failed machine is terminated, and another one is rented. */
@@ -394,8 +395,8 @@
  * by two requests. */
 static void holder_is_killed_while_drained(void **arg)
 {
-    static const char drain_key[] = PM_ROLE_DRAIN_KEY_PREFIX "return";
-    static const char holder_key[] = PM_ROLE_KEY_PREFIX "return";
+    static const char drain_key[] = PM_KEY_DRAIN_PREFIX "return";
+    static const char holder_key[] = PM_KEY_ROLE_PREFIX "return";
     struct scenario scenario;
     struct fake_state *state;
     uint64_t token;
--- a/src/roles/tests/test_roles.c
+++ b/src/roles/tests/test_roles.c
@@ -1,5 +1,6 @@
 /* Roles of two controllers in one process, over one simulated state service: which has them, until
  * when, and what a replaced holder is refused. */
+#include "base/keys.h"
 #include "testing/fake_state.h"
 #include "base/clock.h"
 #include "roles/roles.h"
@@ -427,7 +428,7 @@
 static void late_intent_conflicts(void **arg)
 {
     (void)arg;
-    fake_state_put_off(state_service, PM_INTENT_KEY_PREFIX);
+    fake_state_put_off(state_service, PM_KEY_INTENT_PREFIX);
     assert_true(write_intent(&first, "i-1"));
     assert_true(fake_run_until(loop, has_write_result, &first));
     assert_int_equal(first.refused_count, 1);
@@ -454,13 +455,13 @@
 static void malformed_intent_is_left_in_place(void **arg)
 {
     (void)arg;
-    put_number(PM_INTENT_KEY_PREFIX "return-1-1", "token", 1);
+    put_number(PM_KEY_INTENT_PREFIX "return-1-1", "token", 1);
     run_for(0.1);
     assert_int_equal(count_open_intents(&first), 0);
     assert_true(write_intent(&first, "i-1"));
     assert_true(fake_run_until(loop, has_write_result, &first));
     assert_int_equal(count_open_intents(&first), 1);
-    assert_int_equal(fake_state_revision(state_service, PM_INTENT_KEY_PREFIX "return-1-1"),
+    assert_int_equal(fake_state_revision(state_service, PM_KEY_INTENT_PREFIX "return-1-1"),
                      put_revision);
 }
 
--- a/src/shards/shard_write.c
+++ b/src/shards/shard_write.c
@@ -1,4 +1,5 @@
 /* The leader's writes of shards to the state service. */
+#include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
 #include "shards/internal.h"
@@ -124,7 +125,7 @@
     shard->write.serial++;
     number_machines(shard);
     remove_ended_jobs(shard->target.jobs);
-    pm_txn_compare(&txn, "p/epoch", pm_election_epoch_revision(shards->election));
+    pm_txn_compare(&txn, PM_KEY_EPOCH, pm_election_epoch_revision(shards->election));
     pm_txn_compare(&txn, shard->key, pm_shard_revision(shard));
     pm_txn_put(&txn, shard->key);
     pm_shard_value_encode(shards, shard, &txn.writes);
--- a/src/shards/shards.c
+++ b/src/shards/shards.c
@@ -1,4 +1,5 @@
 /* The set of shards, and what the replica's feed changes in them. */
+#include "base/keys.h"
 #include "shards/shards.h"
 #include "base/clock.h"
 #include "base/log.h"
@@ -18,7 +19,7 @@
 static void init_shard(struct pm_shard *shard, const char *owner_name)
 {
     shard->owner_name = owner_name;
-    snprintf(shard->key, sizeof shard->key, "p/b/%s", owner_name);
+    snprintf(shard->key, sizeof shard->key, PM_KEY_SHARD_PREFIX "%s", owner_name);
     shard->stored.machines = g_array_new(FALSE, FALSE, sizeof(int));
     shard->stored.jobs = g_array_new(FALSE, FALSE, sizeof(struct pm_shard_stored_job));
     shard->target.machines = g_array_new(FALSE, FALSE, sizeof(struct pm_shard_machine));
--- a/src/store/linearizable_read.c
+++ b/src/store/linearizable_read.c
@@ -1,5 +1,6 @@
 /* Linearizable reads: callers wait until the replica is as new as the state service was when they
  * asked. One read of the store revision serves all who asked before it was sent. */
+#include "base/keys.h"
 #include "store/internal.h"
 #include "base/clock.h"
 
@@ -95,7 +96,7 @@
     reads->in_flight = reads->queued;
     reads->queued = empty;
     /* A key that never exists: the 404 carries the store revision. */
-    pm_http_call(store->http, store->address, "GET", "/kv/" PM_STORE_ROOT "none", NULL, 0,
+    pm_http_call(store->http, store->address, "GET", "/kv/" PM_KEY_ROOT "none", NULL, 0,
                  READ_TIMEOUT_S, PM_STORE_SMALL_ANSWER_MAX, on_revision_read, store);
 }
 
--- a/src/store/replica.c
+++ b/src/store/replica.c
@@ -3,6 +3,7 @@
  *
  * At any time one request of the feed is in flight, or the retry timer runs. A listing or watch is
  * abandoned by raising the generation: its answer is ignored when it comes. */
+#include "base/keys.h"
 #include "store/internal.h"
 #include "base/clock.h"
 #include "base/log.h"
@@ -159,7 +160,7 @@
     char target[128];
 
     replica->watch_opened_at = pm_clock_monotonic();
-    snprintf(target, sizeof target, "/watch?under=" PM_STORE_ROOT "&since=%llu&wait_ms=%d",
+    snprintf(target, sizeof target, "/watch?under=" PM_KEY_ROOT "&since=%llu&wait_ms=%d",
              (unsigned long long)replica->store_revision, WATCH_WAIT_MS);
     pm_http_call(store->http, store->address, "GET", target, NULL, 0,
                  WATCH_WAIT_MS / 1000. + PM_STORE_REQUEST_TIMEOUT_S, FEED_ANSWER_MAX, on_watch,
@@ -238,7 +239,7 @@
     const char *last_key = store->replica.last_listed_key;
     char target[512];
 
-    snprintf(target, sizeof target, "/kv?under=" PM_STORE_ROOT "%s%s&page=%d",
+    snprintf(target, sizeof target, "/kv?under=" PM_KEY_ROOT "%s%s&page=%d",
              last_key[0] ? "&since=" : "", last_key, LIST_PAGE_KEYS);
     pm_http_call(store->http, store->address, "GET", target, NULL, 0, PM_STORE_REQUEST_TIMEOUT_S,
                  FEED_ANSWER_MAX, on_list, feed_request_new(store));
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -20,9 +20,6 @@
 struct ev_loop;
 struct pm_store;
 
-/* All keys of the project start with this. */
-#define PM_STORE_ROOT "p/"
-
 /* Who keeps the replica's values. Keys and values are borrowed for the call. */
 struct pm_store_observer {
     /* A key's value. It may come again after a new listing, also with an older revision. */
