--- a/src/links/links.h
+++ b/src/links/links.h
@@ -13,7 +13,6 @@
 #ifndef PM_LINKS_LINKS_H
 #define PM_LINKS_LINKS_H
 
-#include "base/keys.h"
 #include "base/http.h"
 #include "base/settings.h"
 #include "links/fitness.h"
--- a/src/roles/intent.h
+++ b/src/roles/intent.h
@@ -14,7 +14,6 @@
 #ifndef PM_ROLES_INTENT_H
 #define PM_ROLES_INTENT_H
 
-#include "base/keys.h"
 #include "base/cbor.h"
 #include "base/settings.h"
 #include "roles/role.h"
