--- a/src/autoscaler/boot_tracking.c
+++ b/src/autoscaler/boot_tracking.c
@@ -1,115 +1,131 @@
-/* Machines that come late, or never.
+/* Machines that boot late, or never come up.
  *
- * A machine rented now comes no sooner than one of the same kind that was rented before it and is
- * still booting. So where a whole kind is late, more of it is no replacement: another kind is, or
- * patience. Only a few more are rented, to notice when boots are well again. A single machine that
- * others have overtaken is replaced at once, and soon returned. */
+ * A machine rented now comes up no sooner than one of the same kind that was rented before it and
+ * still boots. So where most of a kind are late, more of that kind are no replacement: another kind
+ * is, or waiting. Only a few more are rented, to find out when boots are on time again. A single
+ * machine that later ones have overtaken is replaced at once, and soon terminated. */
 #include "autoscaler/internal.h"
 
 #include <math.h>
 
-#define PROBE_SHARE 0.15 /* of the overdue ones of a slow kind, rented while a boot takes */
-/* An overtaken machine is returned after so many times the announced boot time, and some seconds;
- * one of a slow kind may still come, and is waited for for longer. */
+/* Of the overdue machines of a late kind: how many more are rented in the time that a boot takes.
+ */
+#define PROBE_SHARE 0.15
+
+/* An overtaken machine is terminated after this many times the announced boot time, and some
+ * seconds, but not before this many times the longest boot that was seen. */
 #define STUCK_BOOTS 3.0
 #define STUCK_S 10.0
-#define STUCK_LONGEST 2.0 /* nor before it has taken so many times the longest boot seen */
+#define STUCK_LONGEST_BOOTS 2.0
+/* A machine of a late kind may still come up, and has more time. */
 #define LATE_BOOTS 15.0
 #define LATE_S 30.0
 
-static bool boots(const struct pm_machine *m)
+enum { FIRST_INCARNATION = 1 }; /* of a worker that has just booted */
+
+static bool is_booting(const struct pm_machine *machine)
 {
-    return m->state == PM_MACHINE_BOOTING && m->type >= 0 && m->zone >= 0;
+    return machine->state == PM_MACHINE_BOOTING && machine->type >= 0 && machine->zone >= 0;
 }
 
-static bool is_up(const struct pm_machine *m)
+/* Of a machine in a shard it is not known here when it was rented. */
+static bool has_known_boot(const struct pm_machine *machine)
 {
-    /* When a holder's machine was rented is not known here. */
-    return m->state == PM_MACHINE_UP && m->type >= 0 && m->zone >= 0 && !m->shard.owner &&
-           m->provider.rented_at > 0;
+    return machine->state == PM_MACHINE_UP && machine->type >= 0 && machine->zone >= 0 &&
+           !machine->shard.owner && machine->provider.rented_at > 0;
 }
 
-static void note_overdue(struct pm_autoscaler *f, const struct pm_machine *m, double now)
+static void note_overdue(struct pm_autoscaler *autoscaler, const struct pm_machine *machine,
+                         double now)
 {
-    struct kind *kind;
+    struct pm_kind_boots *boots;
 
-    if (!boots(m) || pm_scheduler_boots_soon(f->tables, m, now))
+    if (!is_booting(machine) || pm_scheduler_boots_soon(autoscaler->tables, machine, now))
         return;
-    kind = pm_autoscaler_kind_of(f, m);
-    kind->overdue++;
-    kind->oldest_overdue = MIN(kind->oldest_overdue, m->provider.rented_at);
+    boots = &pm_autoscaler_kind_of(autoscaler, machine)->boots;
+    boots->overdue++;
+    boots->oldest_overdue_at = MIN(boots->oldest_overdue_at, machine->provider.rented_at);
 }
 
-static void note_up(struct pm_autoscaler *f, const struct pm_machine *m)
+static void note_up(struct pm_autoscaler *autoscaler, const struct pm_machine *machine)
 {
-    struct kind *kind;
+    double rented_at = machine->provider.rented_at;
+    struct pm_kind_boots *boots;
 
-    if (!is_up(m))
+    if (!has_known_boot(machine))
         return;
-    kind = pm_autoscaler_kind_of(f, m);
-    kind->up_since += m->provider.rented_at >= kind->oldest_overdue;
-    if (m->heartbeat.incarnation == 1 && m->provider.rented_at > f->took_at)
-        kind->longest_boot =
-            MAX(kind->longest_boot, m->lease.incarnation_seen_at - m->provider.rented_at);
+    boots = &pm_autoscaler_kind_of(autoscaler, machine)->boots;
+    boots->up_since += rented_at >= boots->oldest_overdue_at;
+    if (machine->heartbeat.incarnation == FIRST_INCARNATION &&
+        rented_at > autoscaler->handover.elected_at)
+        boots->longest_s = MAX(boots->longest_s, machine->lease.incarnation_seen_at - rented_at);
+}
+
+static void reset_kind(struct pm_machine_kind *kind)
+{
+    kind->boots.overdue = 0;
+    kind->boots.up_since = 0;
+    kind->boots.oldest_overdue_at = INFINITY;
+    kind->boots.longest_s = 0;
+    kind->cpus = 0;
 }
 
-void pm_autoscaler_track_boots(struct pm_autoscaler *f, double now)
+void pm_autoscaler_track_boots(struct pm_autoscaler *autoscaler, double now)
 {
-    GPtrArray *all = pm_workers_all(f->workers);
-
-    for (int type = 0; type < f->tables->type_count; type++)
-        for (int zone = 0; zone < f->tables->settings->zone_count; zone++)
-            for (int spot = 0; spot < 2; spot++) {
-                struct kind *kind = &f->kind[type][zone][spot];
-                kind->overdue = kind->up_since = 0;
-                kind->oldest_overdue = INFINITY;
-                kind->longest_boot = 0;
-                kind->cpus = 0; /* summed by the sizing that follows */
-            }
-    for (guint i = 0; i < all->len; i++)
-        if (g_ptr_array_index(all, i))
-            note_overdue(f, g_ptr_array_index(all, i), now);
-    for (guint i = 0; i < all->len; i++)
-        if (g_ptr_array_index(all, i))
-            note_up(f, g_ptr_array_index(all, i));
+    const struct pm_name_tables *tables = autoscaler->tables;
+    GPtrArray *machines = pm_workers_all(autoscaler->workers);
+
+    for (int type = 0; type < tables->type_count; type++)
+        for (int zone = 0; zone < tables->settings->zone_count; zone++)
+            for (int spot = 0; spot < 2; spot++)
+                reset_kind(&autoscaler->kinds[type][zone][spot]);
+    for (guint i = 0; i < machines->len; i++)
+        if (g_ptr_array_index(machines, i))
+            note_overdue(autoscaler, g_ptr_array_index(machines, i), now);
+    /* After that, because it compares with the oldest overdue machine of the kind. */
+    for (guint i = 0; i < machines->len; i++)
+        if (g_ptr_array_index(machines, i))
+            note_up(autoscaler, g_ptr_array_index(machines, i));
 }
 
-bool pm_autoscaler_is_kind_late(const struct kind *kind)
+bool pm_machine_kind_is_late(const struct pm_machine_kind *kind)
 {
-    return kind->overdue > kind->up_since;
+    return kind->boots.overdue > kind->boots.up_since;
 }
 
-enum boot pm_autoscaler_boot_state(const struct pm_autoscaler *f, const struct pm_machine *m,
-                                   double now)
+enum pm_boot_state pm_autoscaler_boot_state(const struct pm_autoscaler *autoscaler,
+                                            const struct pm_machine *machine, double now)
 {
-    if (pm_scheduler_boots_soon(f->tables, m, now))
-        return BOOT_EXPECTED;
-    return pm_autoscaler_is_kind_late(&f->kind[m->type][m->zone][m->spot]) ? BOOT_LATE : BOOT_STUCK;
+    if (pm_scheduler_boots_soon(autoscaler->tables, machine, now))
+        return PM_BOOT_EXPECTED;
+    if (pm_machine_kind_is_late(&autoscaler->kinds[machine->type][machine->zone][machine->spot]))
+        return PM_BOOT_LATE;
+    return PM_BOOT_STUCK;
 }
 
-bool pm_autoscaler_has_boot_failed(const struct pm_autoscaler *f, const struct pm_machine *m,
-                                   double now)
+bool pm_autoscaler_has_boot_failed(const struct pm_autoscaler *autoscaler,
+                                   const struct pm_machine *machine, double now)
 {
-    /* One that the list calls running has come up; after a change of leader it has yet to report
-     * here. */
-    double age =
-        now - (m->provider.running_since ? m->provider.running_since : m->provider.rented_at);
+    const struct pm_machine_provider *provider = &machine->provider;
+    /* One that the inventory calls running has come up; after an election it has yet to report to
+     * this leader. */
+    double age_s = now - (provider->running_since ? provider->running_since : provider->rented_at);
     double ready_s;
-    double longest;
+    double longest_s;
 
-    if (!boots(m) || m->placements->len)
+    if (!is_booting(machine) || machine->placements->len)
         return false;
-    ready_s = f->tables->types[m->type].ready_s;
-    longest = f->kind[m->type][m->zone][m->spot].longest_boot;
-    if (pm_autoscaler_boot_state(f, m, now) == BOOT_STUCK)
-        return age > MAX(STUCK_BOOTS * ready_s + STUCK_S, STUCK_LONGEST * longest);
-    return age > LATE_BOOTS * ready_s + LATE_S;
+    ready_s = autoscaler->tables->types[machine->type].ready_s;
+    longest_s = autoscaler->kinds[machine->type][machine->zone][machine->spot].boots.longest_s;
+    if (pm_autoscaler_boot_state(autoscaler, machine, now) == PM_BOOT_STUCK)
+        return age_s > MAX(STUCK_BOOTS * ready_s + STUCK_S, STUCK_LONGEST_BOOTS * longest_s);
+    return age_s > LATE_BOOTS * ready_s + LATE_S;
 }
 
-int pm_autoscaler_probe_count(const struct pm_autoscaler *f, int type, const struct kind *kind,
-                              double now)
+int pm_autoscaler_probe_count(const struct pm_autoscaler *autoscaler, int type,
+                              const struct pm_machine_kind *kind, double now)
 {
-    if (now - kind->probed_at < f->tables->types[type].ready_s)
+    if (now - kind->boots.probed_at < autoscaler->tables->types[type].ready_s)
         return 0;
-    return 1 + (int)(PROBE_SHARE * kind->overdue);
+    return 1 + (int)(PROBE_SHARE * kind->boots.overdue);
 }
--- /dev/null
+++ b/src/autoscaler/headroom.c
@@ -0,0 +1,76 @@
+/* Headroom for services on ordinary machines, so that a new replica is placed at once: for services
+ * to come, and for the replicas of any one machine that is lost. */
+#include "autoscaler/sizing.h"
+
+#include <limits.h>
+#include <math.h>
+
+/* Of many services, fewer come at once for their number: as the square root of it, times this. */
+#define FLUCTUATION_FACTOR 2.0
+
+/* What the live services use, or will use once their waiting replicas are placed. On a cold start
+ * nothing runs yet, and what is rented late is up late. */
+struct service_usage {
+    double cpus;
+    int services;
+    const struct pm_job *typical; /* one that may run nearly anywhere; NULL: there is none */
+};
+
+static struct service_usage sum_services(const struct pm_autoscaler *autoscaler)
+{
+    GPtrArray *active = pm_jobs_active(autoscaler->jobs);
+    struct service_usage usage = {0};
+
+    for (guint i = 0; i < active->len; i++) {
+        const struct pm_job *job = g_ptr_array_index(active, i);
+        const struct pm_spec *spec = job->spec;
+        if (!spec || spec->kind != PM_WORKLOAD_SERVICE || job->state != PM_JOB_LIVE)
+            continue;
+        usage.cpus += (job->work.placed_count + pm_job_waiting_tasks(job)) * spec->cpus;
+        usage.services++;
+        if (!usage.typical || (spec->zone < 0 && spec->allowed_types == ~(uint64_t)0))
+            usage.typical = job;
+    }
+    return usage;
+}
+
+/* Processors to keep free. */
+static double wanted_cpus(const struct pm_autoscaler *autoscaler, const struct service_usage *usage,
+                          double now)
+{
+    double share = usage->cpus * autoscaler->operator_settings->warm_share;
+    double fluctuation = FLUCTUATION_FACTOR * usage->cpus / sqrt(MAX(usage->services, 1));
+
+    return MAX(MIN(share, fluctuation),
+               pm_scheduler_largest_service_cpus(autoscaler->scheduler, now));
+}
+
+/* Processors that are free on ordinary machines, or soon will be. What array tasks use there counts
+ * as free, because they are preempted at once. */
+static double free_cpus(const struct pm_sizing *sizing)
+{
+    double free = pm_scheduler_headroom_cpus(sizing->autoscaler->scheduler, sizing->now);
+
+    for (guint i = 0; i < sizing->machines->len; i++) {
+        const struct pm_sizing_machine *machine =
+            &g_array_index(sizing->machines, struct pm_sizing_machine, i);
+        if (!machine->spot && machine->free.cpus > 0)
+            free += machine->free.cpus;
+    }
+    return free;
+}
+
+void pm_sizing_add_headroom(struct pm_sizing *sizing)
+{
+    struct pm_autoscaler *autoscaler = sizing->autoscaler;
+    struct service_usage usage = sum_services(autoscaler);
+    double wanted = wanted_cpus(autoscaler, &usage, sizing->now);
+    double missing;
+
+    autoscaler->headroom.service_cpus = wanted;
+    pm_scheduler_set_reserve(autoscaler->scheduler, wanted);
+    if (!usage.typical || usage.typical->spec->cpus <= 0)
+        return;
+    missing = MAX(0, wanted - free_cpus(sizing));
+    pm_sizing_pack(sizing, usage.typical, (int)ceil(missing / usage.typical->spec->cpus), INT_MAX);
+}
--- /dev/null
+++ b/src/autoscaler/intents.c
@@ -0,0 +1,64 @@
+/* What requests to rent and to terminate have in common when they are written as intents first. */
+#include "autoscaler/internal.h"
+
+#include <stdio.h>
+
+#define RETRY_S 1.0 /* a call that is not settled is repeated after this */
+
+/* Intents have this share of the write budget. There are two roles, and each intent is written and
+ * deleted. */
+#define INTENT_WRITE_SHARE 0.2
+#define WRITES_PER_INTENT_OF_EACH_ROLE 4
+
+bool pm_autoscaler_uses_intents(const struct pm_autoscaler *autoscaler)
+{
+    return autoscaler->roles && pm_roles_are_active(autoscaler->roles);
+}
+
+double pm_autoscaler_intent_interval_s(const struct pm_autoscaler *autoscaler)
+{
+    return WRITES_PER_INTENT_OF_EACH_ROLE /
+           (INTENT_WRITE_SHARE * autoscaler->tables->settings->store_write_rps);
+}
+
+static bool are_rentals_settled(const struct pm_intent *intent)
+{
+    for (guint i = 0; i < intent->rentals->len; i++)
+        if (!g_array_index(intent->rentals, struct pm_intent_rental, i).settled)
+            return false;
+    return true;
+}
+
+static void log_answer(const struct pm_provider_call *call, enum pm_role role, int status)
+{
+    char text[PM_INTENT_NAME + 32];
+
+    snprintf(text, sizeof text, "%s status %d", call->idempotency_key, status);
+    pm_roles_log_action(call->autoscaler->roles, role, "answered", call->intent_name, text);
+}
+
+void pm_autoscaler_record_answer(const struct pm_provider_call *call, enum pm_role role, int status,
+                                 bool is_settled, double now)
+{
+    struct pm_roles *roles = call->autoscaler->roles;
+    struct pm_intent *intent;
+
+    if (!call->intent_name[0])
+        return;
+    log_answer(call, role, status);
+    intent = pm_roles_find_intent(roles, call->intent_name);
+    if (!intent)
+        return;
+    if (!is_settled)
+        intent->retry_at = now + RETRY_S;
+    if (role == PM_ROLE_SCALE_OUT) {
+        struct pm_intent_rental *rental =
+            &g_array_index(intent->rentals, struct pm_intent_rental, call->rental_index);
+        rental->busy = false;
+        rental->settled = is_settled;
+        is_settled = are_rentals_settled(intent);
+    }
+    intent->busy = false;
+    if (is_settled)
+        pm_roles_close_intent(roles, call->intent_name, now);
+}
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -1,188 +1,228 @@
-/* The cloud's list of machines: which are there, and which are gone. */
-#include "base/clock.h"
+/* The provider's inventory, read page by page: which machines there are, and which are gone.
+ *
+ * It lags behind by up to the settings' `inventory_lag_s`. A machine that it names is added to the
+ * table; one that it leaves out gets `absent_since`, which scale_in.c judges. */
 #include "autoscaler/internal.h"
+#include "base/clock.h"
 
 #include <stdio.h>
 #include <string.h>
 
-enum { PAGE = 500, LIST_MAX = 1024 * 1024 };
-#define PAGE_TRIES 5     /* of one page of the list, before it is begun anew */
-#define PAGE_PAUSE_S 0.5 /* after a page that failed, and as much more after each further one */
-
-/* One page of the list, on its way. */
-struct page {
-    struct pm_autoscaler *fleet;
-    uint64_t round;
-    double sent;
+enum {
+    PAGE_MACHINES = 500,
+    PAGE_BYTES_MAX = 1024 * 1024,
+    PAGE_RETRIES_MAX = 5 /* of one page, before the inventory is begun anew */
+};
+#define PAGE_RETRY_S 0.5 /* after a page that failed; as much more after each further failure */
+
+/* How often it is read: more often while a machine with tasks is silent, for it may tell why. */
+#define INTERVAL_LEAST_S 2
+#define INTERVAL_MOST_S 6
+#define INTERVAL_SILENCE_S 1.5
+
+/* One request for a page. */
+struct page_request {
+    struct pm_autoscaler *autoscaler;
+    uint64_t term;
+    double sent_at;
 };
 
-static void list_page(struct pm_autoscaler *f);
+/* ---- what it says ---- */
 
-static void read_listed(struct pm_autoscaler *f, const cbor_item_t *item, double now)
+static void apply_listed(struct pm_autoscaler *autoscaler, const cbor_item_t *item, double now)
 {
-    char name[PM_NAME_MAX];
-    char text[PM_NAME_MAX];
-    char status[32] = "";
-    struct pm_machine *m;
-    double age = 0;
-    int type;
-
-    if (!pm_cbor_read_text(pm_cbor_get(item, "name_id"), name, sizeof name) || !name[0])
+    struct pm_inventory *inventory = &autoscaler->inventory;
+    struct pm_listed_machine listed;
+    struct pm_machine *machine;
+
+    if (!pm_listed_machine_decode(item, &listed))
         return;
-    g_strlcpy(f->since, name, sizeof f->since);
-    g_hash_table_add(f->seen, g_strdup(name));
-    pm_cbor_read_text(pm_cbor_get(item, "status"), status, sizeof status);
-    pm_cbor_read_number(pm_cbor_get(item, "age_s"), &age);
-    m = pm_workers_find(f->workers, name);
-    if ((m && m->state == PM_MACHINE_RELEASING) || g_hash_table_contains(f->gone, name))
+    g_strlcpy(inventory->last_name, listed.name, sizeof inventory->last_name);
+    g_hash_table_add(inventory->listed, g_strdup(listed.name));
+    machine = pm_workers_find(autoscaler->workers, listed.name);
+    if ((machine && machine->state == PM_MACHINE_RELEASING) ||
+        pm_autoscaler_is_terminated(autoscaler, listed.name))
         return;
-    if (!m) {
-        m = pm_workers_add(f->workers, name);
-        m->provider.rented_at = now - age;
-    }
-    if (m->type < 0 && pm_cbor_read_text(pm_cbor_get(item, "model"), text, sizeof text) &&
-        (type = pm_names_find(f->tables->type_names, text)) >= 0 && type < f->tables->type_count) {
-        pm_workers_set_type(f->workers, m, type);
-        if (pm_cbor_read_text(pm_cbor_get(item, "room"), text, sizeof text))
-            m->zone = pm_settings_find_zone(f->tables->settings, text);
-        pm_cbor_read_flag(pm_cbor_get(item, "borrowed"), &m->spot);
+    if (!machine) {
+        machine = pm_workers_add(autoscaler->workers, listed.name);
+        machine->provider.rented_at = now - listed.age_s;
     }
-    if (!m->endpoint[0])
-        pm_cbor_read_text(pm_cbor_get(item, "endpoint"), m->endpoint, sizeof m->endpoint);
-    m->provider.is_listed = true;
-    m->provider.absent_since = 0;
-    if (!strcmp(status, "failed"))
-        m->provider.has_failed = true;
-    if (!strcmp(status, "running") && !m->provider.running_since)
-        m->provider.running_since = now;
+    if (machine->type < 0)
+        pm_listed_machine_apply_kind(autoscaler, &listed, machine);
+    if (!machine->endpoint[0])
+        pm_listed_machine_apply_endpoint(&listed, machine);
+    machine->provider.is_listed = true;
+    machine->provider.absent_since = 0;
+    if (listed.has_failed)
+        machine->provider.has_failed = true;
+    if (listed.is_running && !machine->provider.running_since)
+        machine->provider.running_since = now;
 }
 
-/* Whether `a` was rented before `b`: names go by creation. */
-static bool rented_before(const char *a, const char *b)
+/* Whether the machine named `left` was rented before the one named `right`: the provider's names
+ * are numbered in that order. */
+static bool is_rented_before(const char *left, const char *right)
 {
-    size_t x = strlen(a);
-    size_t y = strlen(b);
+    size_t left_length = strlen(left);
+    size_t right_length = strlen(right);
 
-    return x != y ? x < y : strcmp(a, b) < 0;
+    return left_length != right_length ? left_length < right_length : strcmp(left, right) < 0;
 }
 
-/* A list describes one moment, though a past one. A machine that it leaves out while it has one
- * that was rented later is gone; otherwise only what is older than the list can be is missed. */
-static void read_absent(struct pm_autoscaler *f, double now)
+/* Whether the inventory, which does not name the machine, proves that it is gone. An inventory
+ * describes one moment, though a past one: a machine that it leaves out while it names one that was
+ * rented later is gone. Otherwise the machine must be older than the inventory can be. */
+static bool is_absent(const struct pm_autoscaler *autoscaler, const struct pm_machine *machine,
+                      double lag_s, double now)
 {
-    GPtrArray *all = pm_workers_all(f->workers);
-    double lag = 2 * f->tables->settings->inventory_lag_s + 1;
+    const struct pm_inventory *inventory = &autoscaler->inventory;
+
+    if (inventory->last_name[0] && is_rented_before(machine->name, inventory->last_name))
+        return true;
+    if (inventory->started_at - machine->provider.rented_at <= lag_s)
+        return false;
+    /* The worker of a machine in a shard reports to the shard's owner. */
+    return machine->shard.owner || now - machine->heartbeat.last_message_at > lag_s;
+}
 
-    for (guint i = 0; i < all->len; i++) {
-        struct pm_machine *m = g_ptr_array_index(all, i);
-        bool past;
-        if (!m || m->state == PM_MACHINE_RELEASING || g_hash_table_contains(f->seen, m->name))
-            continue;
-        past = f->since[0] && rented_before(m->name, f->since);
-        /* One that is lent reports elsewhere: the list alone tells. */
-        if (!past && (f->list_sent - m->provider.rented_at <= lag ||
-                      (!m->shard.owner && now - m->heartbeat.last_message_at <= lag)))
+static void note_absent_machines(struct pm_autoscaler *autoscaler, double now)
+{
+    GPtrArray *machines = pm_workers_all(autoscaler->workers);
+    double lag_s = 2 * autoscaler->tables->settings->inventory_lag_s + 1;
+
+    for (guint i = 0; i < machines->len; i++) {
+        struct pm_machine *machine = g_ptr_array_index(machines, i);
+        if (!machine || machine->state == PM_MACHINE_RELEASING ||
+            g_hash_table_contains(autoscaler->inventory.listed, machine->name))
             continue;
-        if (!m->provider.absent_since)
-            m->provider.absent_since = now;
+        if (is_absent(autoscaler, machine, lag_s, now) && !machine->provider.absent_since)
+            machine->provider.absent_since = now;
     }
 }
 
-/* The next page goes as the cloud's limit allows: of a large fleet, all at once would be refused,
- * and a list that began anew with each refusal would never end. */
-void pm_autoscaler_continue_inventory(struct pm_autoscaler *f, double now)
+/* ---- paging ---- */
+
+/* The same page again, after a pause. After too many failures the inventory is read anew, at the
+ * usual interval. */
+static void retry_page(struct pm_inventory *inventory)
 {
-    if (!f->page_due || now < f->page_at || !pm_autoscaler_may_call(f, now))
+    inventory->page_failures++;
+    if (inventory->page_failures > PAGE_RETRIES_MAX) {
+        inventory->in_progress = false;
         return;
-    f->page_due = false;
-    list_page(f);
+    }
+    inventory->page_due = true;
+    inventory->page_at = pm_clock_monotonic() + PAGE_RETRY_S * inventory->page_failures;
 }
 
-/* The same page again, after a pause; a cloud that keeps failing is asked for a new list later. */
-static void retry_page(struct pm_autoscaler *f)
+static void finish_inventory(struct pm_autoscaler *autoscaler, double now)
 {
-    if (++f->page_failures > PAGE_TRIES) {
-        f->list_busy = false;
-        return;
-    }
-    f->page_due = true;
-    f->page_at = pm_clock_monotonic() + PAGE_PAUSE_S * f->page_failures;
+    autoscaler->inventory.in_progress = false;
+    autoscaler->inventory.is_known = true;
+    note_absent_machines(autoscaler, now);
+    autoscaler->hooks.changed(autoscaler->hooks.arg);
 }
 
-static void on_list(void *arg, int status, const unsigned char *body, size_t size)
+static void on_page(void *arg, int status, const unsigned char *body, size_t size)
 {
-    struct page *page = arg;
-    struct pm_autoscaler *f = page->fleet;
-    bool current = page->round == f->round, more = false;
-    double now = page->sent; /* ages are as of the list, near enough */
-    cbor_item_t *answer;
-    cbor_item_t *hosts;
-
-    g_free(page);
-    if (!current)
+    struct page_request *request = arg;
+    struct pm_autoscaler *autoscaler = request->autoscaler;
+    struct pm_inventory *inventory = &autoscaler->inventory;
+    bool is_current = request->term == autoscaler->term;
+    double now = request->sent_at; /* ages are as of the request, near enough */
+    bool has_next;
+    cbor_item_t *page;
+    const cbor_item_t *machines;
+
+    g_free(request);
+    if (!is_current)
         return;
-    answer = status == 200 ? pm_cbor_parse(body, size) : NULL;
-    hosts = pm_cbor_get(answer, "hosts");
-    if (!answer || !hosts || !cbor_isa_array(hosts)) {
-        pm_cbor_free(answer);
-        retry_page(f);
+    page = status == PM_PROVIDER_HTTP_OK ? pm_cbor_parse(body, size) : NULL;
+    machines = pm_provider_answer_machines(page);
+    if (!machines) {
+        pm_cbor_free(page);
+        retry_page(inventory);
         return;
     }
-    f->page_failures = 0;
-    for (size_t i = 0; i < pm_cbor_length(hosts); i++)
-        read_listed(f, pm_cbor_at(hosts, i), now);
-    pm_cbor_read_flag(pm_cbor_get(answer, "has_next"), &more);
-    pm_cbor_free(answer);
-    if (more) {
-        f->page_due = true;
-        pm_autoscaler_continue_inventory(f, pm_clock_monotonic());
+    inventory->page_failures = 0;
+    for (size_t i = 0; i < pm_cbor_length(machines); i++)
+        apply_listed(autoscaler, pm_cbor_at(machines, i), now);
+    has_next = pm_inventory_page_has_next(page);
+    pm_cbor_free(page);
+    if (!has_next) {
+        finish_inventory(autoscaler, now);
         return;
     }
-    f->list_busy = false;
-    f->list_known = true;
-    read_absent(f, now);
-    f->hooks.changed(f->hooks.arg);
+    inventory->page_due = true;
+    pm_autoscaler_continue_inventory(autoscaler, pm_clock_monotonic());
 }
 
-static void list_page(struct pm_autoscaler *f)
+static void request_page(struct pm_autoscaler *autoscaler)
 {
-    struct page *page = g_new(struct page, 1);
+    const char *last_name = autoscaler->inventory.last_name;
+    struct page_request *request = g_new(struct page_request, 1);
     char target[PM_NAME_MAX + 64];
 
-    *page = (struct page){f, f->round, f->filled};
-    snprintf(target, sizeof target, "/machines?%s%s%spage=%d", f->since[0] ? "since=" : "",
-             f->since, f->since[0] ? "&" : "", PAGE);
-    pm_http_call(f->http, f->tables->settings->cloud_addr, "GET", target, NULL, 0,
-                 PM_AUTOSCALER_CALL_TIMEOUT_S, LIST_MAX, on_list, page);
+    *request = (struct page_request){autoscaler, autoscaler->term, autoscaler->budget.refilled_at};
+    snprintf(target, sizeof target, "/machines?%s%s%spage=%d", last_name[0] ? "since=" : "",
+             last_name, last_name[0] ? "&" : "", PAGE_MACHINES);
+    pm_http_call(autoscaler->http, autoscaler->tables->settings->cloud_addr, "GET", target, NULL, 0,
+                 PM_PROVIDER_TIMEOUT_S, PAGE_BYTES_MAX, on_page, request);
 }
 
-static bool some_silent(const struct pm_autoscaler *f, double now)
+/* Pages are requested as the request limit allows. Of a long inventory, all at once would be
+ * refused, and one that began anew with each refusal would never be complete. */
+void pm_autoscaler_continue_inventory(struct pm_autoscaler *autoscaler, double now)
 {
-    GPtrArray *all = pm_workers_all(f->workers);
+    struct pm_inventory *inventory = &autoscaler->inventory;
+
+    if (!inventory->page_due || now < inventory->page_at ||
+        !pm_autoscaler_may_call(autoscaler, now))
+        return;
+    inventory->page_due = false;
+    request_page(autoscaler);
+}
+
+/* ---- when it is read ---- */
 
-    for (guint i = 0; i < all->len; i++) {
-        const struct pm_machine *m = g_ptr_array_index(all, i);
-        if (m && m->state == PM_MACHINE_UP && !m->shard.owner && m->placements->len &&
-            now - m->heartbeat.last_message_at > 1.6 * f->tables->settings->heartbeat_s + 0.5)
+/* Whether a machine with tasks has missed heartbeats. */
+static bool has_silent_machine(const struct pm_autoscaler *autoscaler, double now)
+{
+    GPtrArray *machines = pm_workers_all(autoscaler->workers);
+    double limit_s = 1.6 * autoscaler->tables->settings->heartbeat_s + 0.5;
+
+    for (guint i = 0; i < machines->len; i++) {
+        const struct pm_machine *machine = g_ptr_array_index(machines, i);
+        if (machine && machine->state == PM_MACHINE_UP && !machine->shard.owner &&
+            machine->placements->len && now - machine->heartbeat.last_message_at > limit_s)
             return true;
     }
     return false;
 }
 
-void pm_autoscaler_start_inventory(struct pm_autoscaler *f, double now)
+static double read_interval_s(const struct pm_autoscaler *autoscaler, double now)
+{
+    if (has_silent_machine(autoscaler, now))
+        return INTERVAL_SILENCE_S;
+    return CLAMP(autoscaler->tables->settings->inventory_lag_s / 2, INTERVAL_LEAST_S,
+                 INTERVAL_MOST_S);
+}
+
+void pm_autoscaler_start_inventory(struct pm_autoscaler *autoscaler, double now)
 {
-    /* Somebody silent: the list may tell why. */
-    double every =
-        some_silent(f, now) ? 1.5 : CLAMP(f->tables->settings->inventory_lag_s / 2, 2, 6);
+    struct pm_inventory *inventory = &autoscaler->inventory;
+    double interval_s = read_interval_s(autoscaler, now);
 
-    if (f->list_busy || (f->listed && now - f->listed < every) || !pm_autoscaler_may_call(f, now))
+    if (inventory->in_progress ||
+        (inventory->started_at && now - inventory->started_at < interval_s) ||
+        !pm_autoscaler_may_call(autoscaler, now))
         return;
-    f->list_busy = true;
-    f->listed = f->list_sent = now;
-    f->since[0] = 0;
-    g_hash_table_remove_all(f->seen);
-    f->page_due = false;
-    f->page_failures = 0;
-    f->page_at = 0;
-    list_page(f);
+    inventory->in_progress = true;
+    inventory->started_at = now;
+    inventory->last_name[0] = 0;
+    g_hash_table_remove_all(inventory->listed);
+    inventory->page_due = false;
+    inventory->page_failures = 0;
+    inventory->page_at = 0;
+    request_page(autoscaler);
 }
--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -1,212 +1,196 @@
-/* Which machines are to go back, and why. */
+/* Which machines to terminate, and why. Marks them; termination.c sends the requests. */
 #include "autoscaler/internal.h"
-#include "base/clock.h"
 #include "base/log.h"
 #include "workers/failures.h"
 
 #include <math.h>
 
+/* While the state service takes no writes, idle time does not count, for up to this long. */
 #define OUTAGE_KEEP_S 120
-#define SETTLE_S 3.0     /* after taking the lead: workers come over meanwhile */
-#define SILENT_S 5.0     /* a machine that is silent for longer may be given up */
-#define FLOW_KEEP_S 60.0 /* idle machines that the stream will want again are kept for so long */
-#define FEW 50           /* on a larger fleet, idle machines go back sooner */
-#define IDLE_LEAST 0.28  /* of the operators' time, at least */
-#define LEAST_AGE_S 60   /* a machine costs that much at least */
-
-static void give_back(struct pm_machine *m, const char *why)
-{
-    pm_info("autoscaler.scale_in", "%s: %s", m->name, why);
-    m->state = PM_MACHINE_RELEASING;
-    m->provider.terminate_retry_at = 0;
-}
+#define STEADY_DEMAND_KEEP_S 60.0 /* idle spot machines are kept so long for steady demand */
+#define RENTAL_LEAST_S 60         /* the shortest time that the provider charges */
+#define CONSOLIDATION_INTERVAL_S 1
+
+#define SMALL_FLEET 50          /* machines; with more, idle ones are terminated sooner */
+#define IDLE_TIMEOUT_LEAST 0.28 /* of the operators' setting */
 
-/* A zone that was cut off before this leader came: nothing there ever reported to it, so it knows
- * no lease's begin, and would wait for one from its own. What the leader before heard last tells
- * when the leases there have run out, unless somebody there renewed them; a confirmed release makes
- * sure. */
-static void give_up_zones(struct pm_autoscaler *f, const bool *reported, double now)
+void pm_autoscaler_mark_machine(struct pm_machine *machine, const char *reason)
 {
-    GPtrArray *all = pm_workers_all(f->workers);
-    double over = f->tables->settings->lease_s * (1 + 2 * PM_CLOCK_DRIFT_MAX) + 0.5;
-    bool any = false;
-
-    /* Nobody heard at all, or not yet: that is this controller's trouble, not a zone's. */
-    for (int z = 0; z < f->tables->settings->zone_count; z++)
-        any |= reported[z];
-    if (!any || now - f->took_at < SETTLE_S)
-        return;
-    for (guint i = 0; i < all->len; i++) {
-        struct pm_machine *m = g_ptr_array_index(all, i);
-        if (m && m->state == PM_MACHINE_UP && m->zone >= 0 && !m->shard.owner &&
-            m->placements->len && !reported[m->zone] && f->zone_heard[m->zone] > 0 &&
-            now - f->zone_heard[m->zone] > over)
-            give_back(m, "its zone has been silent for a lease");
-    }
+    pm_info("autoscaler.scale_in", "%s: %s", machine->name, reason);
+    machine->state = PM_MACHINE_RELEASING;
+    machine->provider.terminate_retry_at = 0;
 }
 
-/* Why the machine is of no use though it is heard of; NULL: it is not so. What we heard last of one
- * that is lent says nothing: it reports to its holder. */
-static const char *why_lost(const struct pm_autoscaler *f, const struct pm_machine *m, double now)
+/* The fewer machines share the work, the less certain is what comes next. With many, fluctuations
+ * even out as the square root of their number, and what idles is an excess rather than the gap
+ * between two jobs. */
+double pm_autoscaler_idle_timeout_s(const struct pm_operator_settings *operator_settings,
+                                    int machine_count)
 {
-    if (m->shard.owner)
-        return NULL;
-    if (pm_machine_is_unreachable(m, now))
-        return "does not hear us, while its zone does";
-    if (pm_machine_is_not_reporting(m, f->tables->settings, now))
-        return "reports to nobody, while its zone does";
-    return NULL;
+    double share = sqrt((double)SMALL_FLEET / MAX(machine_count, 1));
+
+    return operator_settings->idle_return_s * CLAMP(share, IDLE_TIMEOUT_LEAST, 1);
 }
 
-/* A machine that is silent, and was asked in vain, while others of its zone are heard has died,
- * hangs or is cut off. Its release, confirmed, proves its tasks gone long before its lease would,
- * and they start elsewhere; of a machine that was only cut off, little more than the blink of a
- * restart is lost. Where most of a zone are silent at once it is the network, and waiting is
- * better. */
-static void give_up_silent(struct pm_autoscaler *f, double now)
+/* ---- machines that are lost, or never came up ---- */
+
+/* Missing from the inventory, and silent. The confirmed termination proves that it is gone sooner
+ * than its lease. */
+static bool is_absent(const struct pm_machine *machine, const struct pm_settings *settings,
+                      double now)
 {
-    GPtrArray *all = pm_workers_all(f->workers);
-    double limit = MAX(SILENT_S, 1.25 * f->tables->settings->heartbeat_s + 2.4);
-    GPtrArray *silent;
-    int heard[PM_ZONES_MAX] = {0};
-    int missed[PM_ZONES_MAX] = {0};
-    bool reported[PM_ZONES_MAX] = {0};
-
-    if (!f->writable)
-        return;
-    silent = g_ptr_array_new();
-    for (guint i = 0; i < all->len; i++) {
-        struct pm_machine *m = g_ptr_array_index(all, i);
-        double since;
-        if (!m || m->state != PM_MACHINE_UP || m->zone < 0)
-            continue;
-        reported[m->zone] |= m->heartbeat.is_known;
-        /* Of one that is lent, its holder tells. */
-        since = m->shard.owner
-                    ? (now - m->shard.reported_silent_at < 2 ? m->shard.silent_since : now)
-                    : m->heartbeat.last_message_at;
-        if (why_lost(f, m, now)) { /* its tasks end with its lease, whatever still comes of it or
-                                      arrives there */
-            missed[m->zone]++;
-            g_ptr_array_add(silent, m);
-            continue;
-        }
-        if (now - since < limit * 0.6) {
-            heard[m->zone]++;
-            continue;
-        }
-        missed[m->zone]++;
-        if ((m->shard.owner ||
-             (m->placements->len &&
-              MAX(m->push.failed_at, m->heartbeat.last_stale_at) > m->heartbeat.last_message_at)) &&
-            now - since > (m->shard.owner ? limit * 0.6 : limit))
-            g_ptr_array_add(silent, m);
-    }
-    /* However many they are: by its zone alone is the network told from deaths. */
-    for (guint i = 0; i < silent->len; i++) {
-        struct pm_machine *m = g_ptr_array_index(silent, i);
-        const char *why = why_lost(f, m, now);
-        if (missed[m->zone] <= heard[m->zone])
-            give_back(m, why ? why : "silent, while its zone is heard");
-    }
-    g_ptr_array_free(silent, TRUE);
-    give_up_zones(f, reported, now);
+    if (!machine->provider.absent_since || machine->state != PM_MACHINE_UP)
+        return false;
+    return machine->shard.owner ||
+           now - machine->heartbeat.last_message_at > 1.3 * settings->heartbeat_s + 1;
 }
 
-/* What comes next is the less certain the fewer machines share it: of many, the swings even out as
- * the root of their number, and what idles is the fleet's excess rather than one job's gap. */
-double pm_autoscaler_idle_timeout_s(const struct pm_operator_settings *op, int machines)
+static bool is_silent_without_tasks(const struct pm_machine *machine,
+                                    const struct pm_settings *settings, double now)
 {
-    return op->idle_return_s * CLAMP(sqrt((double)FEW / MAX(machines, 1)), IDLE_LEAST, 1);
+    return !machine->shard.owner && machine->state == PM_MACHINE_UP &&
+           machine->placements->len == 0 &&
+           now - machine->heartbeat.last_message_at > 2 * settings->lease_s + 20;
 }
 
-/* Why a machine is to be returned that is not there, or never was: NULL, it is to stay. */
-static const char *why_gone(const struct pm_autoscaler *f, const struct pm_machine *m, double now)
+/* Why a machine that is lost, or never came up, is to be terminated; NULL: it is not so. */
+static const char *lost_reason(const struct pm_autoscaler *autoscaler,
+                               const struct pm_machine *machine, double now)
 {
-    if (m->provider.has_failed)
-        return "failed";
-    /* Taken or dead: the confirmed release proves it at once, sooner than its lease. */
-    if (m->provider.absent_since && m->state == PM_MACHINE_UP &&
-        (m->shard.owner ||
-         now - m->heartbeat.last_message_at > 1.3 * f->tables->settings->heartbeat_s + 1))
-        return "no longer listed, and silent";
-    if (pm_autoscaler_has_boot_failed(f, m, now))
-        return "does not come up";
-    if (!m->shard.owner && m->state == PM_MACHINE_UP && m->placements->len == 0 &&
-        now - m->heartbeat.last_message_at > 2 * f->tables->settings->lease_s + 20)
-        return "silent and empty";
+    const struct pm_settings *settings = autoscaler->tables->settings;
+
+    if (machine->provider.has_failed)
+        return "failed: it stopped by itself";
+    if (is_absent(machine, settings, now))
+        return "no longer in the inventory, and silent";
+    if (pm_autoscaler_has_boot_failed(autoscaler, machine, now))
+        return "boot timed out";
+    if (is_silent_without_tasks(machine, settings, now))
+        return "silent, without tasks";
     return NULL;
 }
 
-/* Whether an idle machine is kept all the same: for the stream of array work, or for services.
- * What is returned is taken off both. */
-static bool is_kept(struct pm_autoscaler *f, const struct pm_machine *m, double *spare, double now)
+/* ---- machines that are not needed ---- */
+
+/* Capacity that scale-in may still take away in this pass. */
+struct scale_in_pass {
+    double idle_timeout_s;
+    double headroom_cpus; /* on ordinary machines, less what is marked */
+    double now;
+};
+
+/* Whether an idle machine is kept all the same, for steady array work or as headroom for services.
+ * What is marked is subtracted from both. */
+static bool should_keep_idle(struct pm_autoscaler *autoscaler, const struct pm_machine *machine,
+                             struct scale_in_pass *pass)
 {
-    if (m->spot) {
-        if (now - m->provider.idle_since < FLOW_KEEP_S &&
-            f->spot_cpus - m->free.cpus < pm_autoscaler_steady_demand_cpus(f, now))
+    struct pm_headroom *headroom = &autoscaler->headroom;
+    double cpus = machine->free.cpus;
+
+    if (machine->spot) {
+        if (pass->now - machine->provider.idle_since < STEADY_DEMAND_KEEP_S &&
+            headroom->spot_cpus - cpus < pm_autoscaler_steady_demand_cpus(autoscaler, pass->now))
             return true;
-        f->spot_cpus -= m->free.cpus;
+        headroom->spot_cpus -= cpus;
         return false;
     }
-    if (*spare - m->free.cpus < f->spare_want)
+    if (pass->headroom_cpus - cpus < headroom->service_cpus)
         return true;
-    *spare -= m->free.cpus;
+    pass->headroom_cpus -= cpus;
     return false;
 }
 
-/* Why a machine that is there is to be returned: NULL, it is to stay. */
-static const char *why_unused(struct pm_autoscaler *f, struct pm_machine *m, double idle_s,
-                              double *spare, double now)
+/* A machine that is being drained is needed after all when tasks wait, unless it is empty and
+ * terminating it saves something. */
+static void cancel_drain_if_needed(const struct pm_autoscaler *autoscaler,
+                                   struct pm_machine *machine, double now)
 {
-    bool waits = pm_scheduler_unmet_demand(f->plan)->len > 0;
+    bool has_waiting_tasks = pm_scheduler_unmet_demand(autoscaler->scheduler)->len > 0;
 
-    if (m->reservation.draining && waits &&
-        (m->placements->len || now - m->provider.rented_at < LEAST_AGE_S))
-        m->reservation.draining = false; /* it is needed after all */
-    if (m->state != PM_MACHINE_UP || m->placements->len) {
-        m->provider.idle_since = 0;
-        return NULL;
+    if (machine->reservation.draining && has_waiting_tasks &&
+        (machine->placements->len || now - machine->provider.rented_at < RENTAL_LEAST_S))
+        machine->reservation.draining = false;
+}
+
+/* Updates since when the machine is idle. False: it is not. */
+static bool update_idle(const struct pm_autoscaler *autoscaler, struct pm_machine *machine,
+                        double now)
+{
+    const struct pm_store_outage *outage = &autoscaler->outage;
+
+    if (machine->state != PM_MACHINE_UP || machine->placements->len) {
+        machine->provider.idle_since = 0;
+        return false;
     }
-    /* While nothing can be placed, that a machine idles says nothing about its use: what waits will
-     * want it as soon as the state service is back. Not for ever, though. */
-    if (!m->provider.idle_since || (!f->writable && now - f->wrote_at < OUTAGE_KEEP_S))
-        m->provider.idle_since = now;
-    if (m->reservation.draining)
-        return "emptied";
-    if (pm_failures_is_machine_faulty(m))
-        return "its tasks keep failing";
-    if (now - m->provider.idle_since < idle_s || now - m->provider.rented_at < LEAST_AGE_S)
+    /* While nothing can be placed, an idle machine may still be needed: what waits will use it as
+     * soon as the state service is back. Not for ever, though. */
+    if (!machine->provider.idle_since ||
+        (!outage->is_writable && now - outage->writable_at < OUTAGE_KEEP_S))
+        machine->provider.idle_since = now;
+    return true;
+}
+
+/* Why a machine that is up is to be terminated; NULL: it is not. */
+static const char *unneeded_reason(struct pm_autoscaler *autoscaler, struct pm_machine *machine,
+                                   struct scale_in_pass *pass)
+{
+    double now = pass->now;
+
+    cancel_drain_if_needed(autoscaler, machine, now);
+    if (!update_idle(autoscaler, machine, now))
         return NULL;
-    return is_kept(f, m, spare, now) ? NULL : "idle";
+    if (machine->reservation.draining)
+        return "drained for consolidation";
+    if (pm_failures_is_machine_faulty(machine))
+        return "quarantined: its tasks keep failing";
+    if (now - machine->provider.idle_since < pass->idle_timeout_s ||
+        now - machine->provider.rented_at < RENTAL_LEAST_S)
+        return NULL;
+    return should_keep_idle(autoscaler, machine, pass) ? NULL : "idle";
 }
 
-void pm_autoscaler_mark_scale_in(struct pm_autoscaler *f, double now)
+/* ---- the pass over all machines ---- */
+
+static int count_machines(const GPtrArray *machines)
 {
-    GPtrArray *all = pm_workers_all(f->workers);
-    double idle_s;
-    int machines = 0;
-    double spare = pm_scheduler_headroom_cpus(f->plan, now);
-
-    for (guint i = 0; i < all->len; i++) {
-        const struct pm_machine *m = g_ptr_array_index(all, i);
-        machines += m && m->state != PM_MACHINE_RELEASING;
-    }
-    idle_s = pm_autoscaler_idle_timeout_s(f->op, machines);
-    give_up_silent(f, now);
-    if (!pm_scheduler_unmet_demand(f->plan)->len && now - f->emptied > 1) {
-        f->emptied = now;
-        pm_scheduler_consolidate(f->plan, now);
+    int count = 0;
+
+    for (guint i = 0; i < machines->len; i++) {
+        const struct pm_machine *machine = g_ptr_array_index(machines, i);
+        count += machine && machine->state != PM_MACHINE_RELEASING;
     }
-    for (guint i = 0; i < all->len; i++) {
-        struct pm_machine *m = g_ptr_array_index(all, i);
-        const char *why;
-        if (!m || m->state == PM_MACHINE_RELEASING)
+    return count;
+}
+
+static void consolidate(struct pm_autoscaler *autoscaler, double now)
+{
+    if (pm_scheduler_unmet_demand(autoscaler->scheduler)->len ||
+        now - autoscaler->consolidated_at <= CONSOLIDATION_INTERVAL_S)
+        return;
+    autoscaler->consolidated_at = now;
+    pm_scheduler_consolidate(autoscaler->scheduler, now);
+}
+
+void pm_autoscaler_mark_scale_in(struct pm_autoscaler *autoscaler, double now)
+{
+    GPtrArray *machines = pm_workers_all(autoscaler->workers);
+    struct scale_in_pass pass = {
+        .headroom_cpus = pm_scheduler_headroom_cpus(autoscaler->scheduler, now), .now = now};
+
+    pass.idle_timeout_s =
+        pm_autoscaler_idle_timeout_s(autoscaler->operator_settings, count_machines(machines));
+    pm_autoscaler_mark_silent_machines(autoscaler, now);
+    consolidate(autoscaler, now);
+    for (guint i = 0; i < machines->len; i++) {
+        struct pm_machine *machine = g_ptr_array_index(machines, i);
+        const char *reason;
+        if (!machine || machine->state == PM_MACHINE_RELEASING)
             continue;
-        why = why_gone(f, m, now);
-        if (!why && !m->shard.owner)
-            why = why_unused(f, m, idle_s, &spare, now);
-        if (why)
-            give_back(m, why);
+        reason = lost_reason(autoscaler, machine, now);
+        /* Whether a machine in a shard is needed, its owner knows. */
+        if (!reason && !machine->shard.owner)
+            reason = unneeded_reason(autoscaler, machine, &pass);
+        if (reason)
+            pm_autoscaler_mark_machine(machine, reason);
     }
 }
--- /dev/null
+++ b/src/autoscaler/scale_out.c
@@ -0,0 +1,247 @@
+/* Requests to rent machines, and what the provider answers to them. */
+#include "autoscaler/internal.h"
+#include "base/clock.h"
+#include "base/log.h"
+
+#include <math.h>
+#include <stdio.h>
+
+#define REFUSAL_BACKOFF_S 6.0 /* no capacity of a kind: not requested again within this, then */
+enum { BACKOFF_DOUBLINGS_MAX = 2 }; /* doubled so often at most, */
+#define BACKOFF_JITTER 0.25         /* give or take this share */
+
+enum { ATTEMPTS_MAX = 4 }; /* of a request without an answer, one right after the other */
+
+static void on_answer(void *arg, int status, const unsigned char *body, size_t size);
+
+static void send_request(struct pm_provider_call *call)
+{
+    struct pm_buf body = {0};
+
+    pm_scale_out_encode(call->autoscaler->tables, &call->request, call->idempotency_key, &body);
+    pm_provider_send(call, PM_ROLE_SCALE_OUT, &body, on_answer);
+    pm_buf_free(&body);
+}
+
+/* ---- answers ---- */
+
+/* A kind of which the provider has no more is requested again later and later, and not at the same
+ * moment as the others. */
+static void note_capacity(struct pm_autoscaler *autoscaler,
+                          const struct pm_scale_out_request *request,
+                          enum pm_provider_result result, size_t rented)
+{
+    struct pm_kind_backoff *backoff =
+        &autoscaler->kinds[request->type][request->zone][request->spot].backoff;
+    double now = autoscaler->budget.refilled_at;
+    bool is_partial = result == PM_PROVIDER_OK && rented < (size_t)request->count;
+    double pause;
+
+    if (rented > 0)
+        backoff->refusals = 0;
+    if (result != PM_PROVIDER_NO_CAPACITY && !is_partial)
+        return;
+    if (backoff->until > now)
+        return; /* of several requests that were sent together, one counts */
+    pause = REFUSAL_BACKOFF_S * (1 << MIN(backoff->refusals, BACKOFF_DOUBLINGS_MAX));
+    backoff->refusals++;
+    backoff->until = now + pause * g_random_double_range(1 - BACKOFF_JITTER, 1 + BACKOFF_JITTER);
+}
+
+static void add_machine(const struct pm_provider_call *call, const char *name)
+{
+    const struct pm_autoscaler *autoscaler = call->autoscaler;
+    const struct pm_scale_out_request *request = &call->request;
+    struct pm_machine *machine = pm_workers_add(autoscaler->workers, name);
+
+    if (machine->state == PM_MACHINE_RELEASING)
+        return; /* the answer to a repeated request */
+    machine->provider.rented_at = call->sent_at;
+    if (machine->type >= 0)
+        return; /* its worker has reported already */
+    pm_workers_set_type(autoscaler->workers, machine, request->type);
+    machine->zone = request->zone;
+    machine->spot = request->spot;
+    pm_debug("autoscaler.machine", "%s is a %s%s", machine->name,
+             pm_names_text(autoscaler->tables->type_names, request->type),
+             request->spot ? " spot" : "");
+}
+
+/* Adds the machines that the answer names. Returns how many they are. */
+static size_t add_machines(const struct pm_provider_call *call, const unsigned char *body,
+                           size_t size)
+{
+    cbor_item_t *answer = pm_cbor_parse(body, size);
+    const cbor_item_t *machines = pm_provider_answer_machines(answer);
+    char name[PM_NAME_MAX];
+    size_t rented = 0;
+
+    for (size_t i = 0; i < pm_cbor_length(machines); i++) {
+        if (!pm_cbor_read_text(pm_cbor_at(machines, i), name, sizeof name) || !name[0])
+            continue;
+        rented++;
+        if (!pm_autoscaler_is_terminated(call->autoscaler, name))
+            add_machine(call, name);
+    }
+    pm_cbor_free(answer);
+    return rented;
+}
+
+static void log_answer(const struct pm_provider_call *call, int status, size_t rented)
+{
+    const struct pm_scale_out_request *request = &call->request;
+
+    pm_info("autoscaler.scale_out", "%s: %zu of %d %s%s, status %d (%s)", call->idempotency_key,
+            rented, request->count,
+            pm_names_text(call->autoscaler->tables->type_names, request->type),
+            request->spot ? " spot" : "", status,
+            pm_provider_result_name(pm_provider_result_of(status)));
+}
+
+static void on_answer(void *arg, int status, const unsigned char *body, size_t size)
+{
+    struct pm_provider_call *call = arg;
+    struct pm_autoscaler *autoscaler = call->autoscaler;
+    enum pm_provider_result result = pm_provider_result_of(status);
+    size_t rented;
+
+    if (!pm_provider_call_is_current(call)) {
+        pm_provider_call_free(call);
+        return;
+    }
+    autoscaler->budget.in_flight--;
+    rented = result == PM_PROVIDER_OK ? add_machines(call, body, size) : 0;
+    log_answer(call, status, rented);
+    note_capacity(autoscaler, &call->request, result, rented);
+    /* Without an answer it may have been carried out. The same idempotency key requests the same
+     * machines, and rents nothing twice. */
+    if (result == PM_PROVIDER_NO_ANSWER && ++call->attempts < ATTEMPTS_MAX) {
+        send_request(call);
+    } else {
+        pm_autoscaler_record_answer(call, PM_ROLE_SCALE_OUT, status,
+                                    pm_provider_result_is_answer(result), pm_clock_monotonic());
+        pm_provider_call_free(call);
+    }
+    autoscaler->hooks.changed(autoscaler->hooks.arg);
+}
+
+/* ---- with intents ---- */
+
+/* A call for a rental of an intent; NULL: its machine type or zone is not known here. */
+static struct pm_provider_call *rental_call_new(struct pm_autoscaler *autoscaler,
+                                                const struct pm_intent *intent, guint index,
+                                                double now)
+{
+    const struct pm_name_tables *tables = autoscaler->tables;
+    const struct pm_intent_rental *rental =
+        &g_array_index(intent->rentals, struct pm_intent_rental, index);
+    struct pm_scale_out_request request = {pm_names_find(tables->type_names, rental->type),
+                                           pm_settings_find_zone(tables->settings, rental->zone),
+                                           rental->spot, (int)rental->count};
+    struct pm_provider_call *call;
+
+    if (request.type < 0 || request.type >= tables->type_count || request.zone < 0)
+        return NULL;
+    call = pm_provider_call_new(autoscaler, now);
+    call->request = request;
+    call->rental_index = index;
+    g_strlcpy(call->intent_name, intent->name, sizeof call->intent_name);
+    pm_intent_booking(intent, index, call->idempotency_key, sizeof call->idempotency_key);
+    return call;
+}
+
+void pm_autoscaler_send_rentals(struct pm_autoscaler *autoscaler, struct pm_intent *intent,
+                                int in_flight_max, double now)
+{
+    for (guint i = 0; i < intent->rentals->len && autoscaler->budget.in_flight < in_flight_max;
+         i++) {
+        struct pm_intent_rental *rental =
+            &g_array_index(intent->rentals, struct pm_intent_rental, i);
+        struct pm_provider_call *call;
+        if (rental->busy || rental->settled || !pm_autoscaler_may_call(autoscaler, now))
+            continue;
+        call = rental_call_new(autoscaler, intent, i, now);
+        if (!call) {
+            intent->retry_at = INFINITY; /* logged once */
+            pm_error("autoscaler.bad_intent", "%s: rents %s in %s, which are not known here; kept",
+                     intent->name, rental->type, rental->zone);
+            return;
+        }
+        rental->busy = true;
+        send_request(call);
+    }
+}
+
+static void on_intent_written(void *arg, const char *intent_name)
+{
+    struct pm_provider_call *call = arg;
+    struct pm_autoscaler *autoscaler = call->autoscaler;
+
+    if (pm_provider_call_is_current(call)) {
+        autoscaler->budget.in_flight--;
+        if (intent_name)
+            pm_autoscaler_send_rentals(autoscaler,
+                                       pm_roles_find_intent(autoscaler->roles, intent_name),
+                                       PM_INTENT_RENTALS, call->sent_at);
+    }
+    pm_provider_call_free(call);
+}
+
+static struct pm_intent *intent_of_requests(const struct pm_name_tables *tables,
+                                            const struct pm_scale_out_request *requests, int count)
+{
+    struct pm_intent *intent = pm_intent_new(PM_ROLE_SCALE_OUT);
+
+    for (int i = 0; i < count; i++) {
+        struct pm_intent_rental rental = {.spot = requests[i].spot,
+                                          .count = (uint64_t)requests[i].count};
+        g_strlcpy(rental.type, pm_names_text(tables->type_names, requests[i].type),
+                  sizeof rental.type);
+        g_strlcpy(rental.zone, tables->settings->zone_names[requests[i].zone], sizeof rental.zone);
+        g_array_append_val(intent->rentals, rental);
+    }
+    return intent;
+}
+
+static void write_intent(struct pm_autoscaler *autoscaler,
+                         const struct pm_scale_out_request *requests, int count, double now)
+{
+    struct pm_intent *intent = intent_of_requests(autoscaler->tables, requests, count);
+    struct pm_provider_call *call = pm_provider_call_new(autoscaler, now);
+
+    autoscaler->intent_times.scale_out_at = now;
+    autoscaler->budget.in_flight++;
+    if (pm_roles_write_intent(autoscaler->roles, intent, on_intent_written, call, now))
+        return;
+    autoscaler->budget.in_flight--;
+    pm_provider_call_free(call);
+}
+
+/* ---- what is to be rented ---- */
+
+bool pm_autoscaler_may_scale_out(const struct pm_autoscaler *autoscaler, double now)
+{
+    double since_intent_s = now - autoscaler->intent_times.scale_out_at;
+
+    return !pm_autoscaler_uses_intents(autoscaler) ||
+           (since_intent_s >= pm_autoscaler_intent_interval_s(autoscaler) &&
+            pm_roles_holds(autoscaler->roles, PM_ROLE_SCALE_OUT, now));
+}
+
+void pm_autoscaler_scale_out(struct pm_autoscaler *autoscaler,
+                             const struct pm_scale_out_request *requests, int count, double now)
+{
+    if (pm_autoscaler_uses_intents(autoscaler)) {
+        write_intent(autoscaler, requests, MIN(count, PM_INTENT_RENTALS), now);
+        return;
+    }
+    for (int i = 0; i < count && pm_autoscaler_may_call(autoscaler, now); i++) {
+        struct pm_provider_call *call = pm_provider_call_new(autoscaler, now);
+        call->request = requests[i];
+        /* The epoch belongs to this term alone, so the key is never used again by anybody. */
+        snprintf(call->idempotency_key, sizeof call->idempotency_key, "r-%llu-%llu",
+                 (unsigned long long)autoscaler->epoch,
+                 (unsigned long long)++autoscaler->rental_number);
+        send_request(call);
+    }
+}
--- a/src/roles/tests/test_callers.c
+++ b/src/roles/tests/test_callers.c
@@ -89,7 +89,7 @@
     g_free(callers);
 }
 
-/* Only send_to_cloud rents and terminates; the other calls read. */
+/* Only pm_provider_send rents and terminates; the other calls read. */
 static void provider_is_called_from_known_places(void **state)
 {
     (void)state;
@@ -98,8 +98,9 @@
                    "autoscaler/provider_client.c 1, cmd/pumicemount/link_monitor.c 1");
     assert_callers("\"/machines/release\"", "autoscaler/provider_client.c 1");
     assert_callers("\"/machines\"", "autoscaler/provider_client.c 1");
-    assert_callers("send_to_cloud(",
-                   "autoscaler/provider_client.c 3"); /* its definition, to rent, to terminate */
+    assert_callers("pm_provider_send(",
+                   "autoscaler/provider_client.c 1, autoscaler/scale_out.c 1, "
+                   "autoscaler/termination.c 1"); /* its definition, to rent, to terminate */
 }
 
 static void keys_are_deleted_from_known_places(void **state)
