--- /dev/null
+++ b/src/autoscaler/tests/autoscaler_fixtures.h
@@ -0,0 +1,135 @@
+/* A deployment of one zone and two machine types, with an autoscaler, for the tests of this slice.
+ * Nothing of it does I/O, but for a fake provider where a test starts one. */
+#ifndef PM_AUTOSCALER_TESTS_AUTOSCALER_FIXTURES_H
+#define PM_AUTOSCALER_TESTS_AUTOSCALER_FIXTURES_H
+
+#include "../../jobs/tests/job_fixtures.h"
+#include "autoscaler/autoscaler.h"
+
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdio.h>
+#include <string.h>
+#include <cmocka.h>
+
+enum { NOW = 500 }; /* monotonic, and the time of day too */
+
+/* The machine types of the deployment. */
+enum { SMALL_TYPE, LARGE_TYPE, TYPE_COUNT };
+
+enum { REQUESTS_MAX = 16 };
+
+static struct pm_settings settings;
+static struct pm_operator_settings operator_settings;
+static struct pm_name_tables tables;
+static struct pm_jobs *jobs;
+static struct pm_workers *workers;
+static struct pm_scheduler *scheduler;
+static struct pm_autoscaler *autoscaler;
+static uint64_t revision; /* of the last job that was fed */
+
+static inline int set_up(void **state)
+{
+    (void)state;
+    memset(&settings, 0, sizeof settings);
+    revision = 0;
+    pm_operator_settings_defaults(&operator_settings);
+    fixture_begin(&tables, &settings);
+    pm_names_intern(tables.type_names, "large");
+    tables.types[SMALL_TYPE] = (struct pm_type){
+        .cpus = 8, .ram_gb = 32, .price = 0.4, .spot_price = 0.1, .ready_s = 20, .zones = 1};
+    tables.types[LARGE_TYPE] = (struct pm_type){
+        .cpus = 32, .ram_gb = 128, .price = 2, .spot_price = 0.6, .ready_s = 20, .zones = 1};
+    tables.type_count = TYPE_COUNT;
+    jobs = pm_jobs_new(&tables);
+    workers = pm_workers_new(&tables, jobs, FIXTURE_HOOKS);
+    scheduler = pm_scheduler_new(&tables, jobs, workers, &operator_settings);
+    autoscaler = pm_autoscaler_new(NULL, &tables, jobs, workers, scheduler, &operator_settings,
+                                   &(struct pm_autoscaler_hooks){0});
+    return 0;
+}
+
+static inline int tear_down(void **state)
+{
+    (void)state;
+    pm_autoscaler_free(autoscaler);
+    pm_scheduler_free(scheduler);
+    pm_workers_free(workers);
+    pm_jobs_free(jobs);
+    fixture_end(&tables);
+    return 0;
+}
+
+/* Feeds a job that waits: a service of production priority, or an array job that may run on spot
+ * machines. Each task needs `cpus` processors and 1 GB. */
+static inline void add_waiting_job(const char *id, enum pm_workload_kind kind, uint32_t task_count,
+                                   double cpus, double estimated_run_s, double deadline_s)
+{
+    struct pm_spec spec = {.zone = -1,
+                           .allowed_types = ~(uint64_t)0,
+                           .kind = kind,
+                           .priority = kind == PM_WORKLOAD_SERVICE ? PM_PRIORITY_PRODUCTION
+                                                                   : PM_PRIORITY_NORMAL,
+                           .task_count = task_count,
+                           .cpus = cpus,
+                           .ram_gb = 1,
+                           .spot = kind == PM_WORKLOAD_ARRAY,
+                           .estimated_run_s = estimated_run_s,
+                           .deadline_s = deadline_s,
+                           .submitted_wall = NOW};
+
+    fixture_feed(&tables, jobs, id, &spec, ++revision);
+}
+
+/* Adds a machine that was rented so many seconds ago, and boots. */
+static inline struct pm_machine *add_booting_machine(const char *name, int type, bool spot,
+                                                     double age_s)
+{
+    struct pm_machine *machine = pm_workers_add(workers, name);
+
+    pm_workers_set_type(workers, machine, type);
+    machine->zone = 0;
+    machine->spot = spot;
+    machine->provider.rented_at = NOW - age_s;
+    return machine;
+}
+
+/* Adds machines PREFIX000, PREFIX001 and so on, which were rented so many seconds ago. With `is_up`
+ * they have come up, and will be interrupted at once: no task may be placed there. */
+static inline void add_machines(const char *prefix, int count, int type, bool spot, double age_s,
+                                bool is_up)
+{
+    for (int i = 0; i < count; i++) {
+        char name[32];
+        struct pm_machine *machine;
+        snprintf(name, sizeof name, "%s%03d", prefix, i);
+        machine = add_booting_machine(name, type, spot, age_s);
+        if (is_up) {
+            machine->state = PM_MACHINE_UP;
+            machine->heartbeat.spot_interruption_at = NOW + 1;
+            machine->heartbeat.last_message_at = NOW;
+        }
+    }
+}
+
+/* Runs the scheduler and a sizing. Returns how many machines of that kind are requested, and sets
+ * `total` to how many in all. */
+static inline int count_requested(int type, bool spot, int *total)
+{
+    struct pm_scale_out_request requests[REQUESTS_MAX];
+    int request_count;
+    int of_kind = 0;
+
+    pm_scheduler_run(scheduler, NOW, NOW);
+    request_count = pm_autoscaler_size(autoscaler, NOW, NOW, requests, REQUESTS_MAX);
+    *total = 0;
+    for (int i = 0; i < request_count; i++) {
+        *total += requests[i].count;
+        if (requests[i].type == type && requests[i].spot == spot)
+            of_kind += requests[i].count;
+    }
+    return of_kind;
+}
+
+#endif
