--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -4,10 +4,9 @@
 
 #include <string.h>
 
-#define FIRST_INVENTORY_TIMEOUT_S                                                                  \
-    5.0 /* after the election nothing is rented before, unless the                                 \
-         */
-        /* inventory is known sooner */
+/* After an election nothing is rented before the inventory is known, but for no longer than this.
+ */
+#define FIRST_INVENTORY_TIMEOUT_S 5.0
 #define MACHINE_TYPES_INTERVAL_S 60.0
 #define IN_FLIGHT_SHARE 0.6 /* of the provider's request limit a second */
 
@@ -71,7 +70,7 @@
     autoscaler->demand_rate.jobs = 0;
     autoscaler->demand_rate.started_at = 0;
     memset(autoscaler->kinds, 0, sizeof autoscaler->kinds);
-    memset(autoscaler->handover.zone_heard_at, 0, sizeof autoscaler->handover.zone_heard_at);
+    memset(autoscaler->handover.zone_message_at, 0, sizeof autoscaler->handover.zone_message_at);
 }
 
 void pm_autoscaler_set_writable(struct pm_autoscaler *autoscaler, bool writable, double now)
--- a/src/autoscaler/intents.c
+++ b/src/autoscaler/intents.c
@@ -10,6 +10,8 @@
 #define INTENT_WRITE_SHARE 0.2
 #define WRITES_PER_INTENT_OF_EACH_ROLE 4
 
+enum { AUDIT_DETAIL_BYTES = PM_INTENT_NAME + 32 };
+
 bool pm_autoscaler_uses_intents(const struct pm_autoscaler *autoscaler)
 {
     return autoscaler->roles && pm_roles_are_active(autoscaler->roles);
@@ -31,7 +33,7 @@
 
 static void log_answer(const struct pm_provider_call *call, enum pm_role role, int status)
 {
-    char text[PM_INTENT_NAME + 32];
+    char text[AUDIT_DETAIL_BYTES];
 
     snprintf(text, sizeof text, "%s status %d", call->idempotency_key, status);
     pm_roles_log_action(call->autoscaler->roles, role, "answered", call->intent_name, text);
--- a/src/autoscaler/internal.h
+++ b/src/autoscaler/internal.h
@@ -78,7 +78,7 @@
     double scale_out_at, scale_in_at; /* monotonic: the last intent of each role was begun */
 };
 
-/* Whether the state service takes writes. Written by pm_autoscaler_set_writable. */
+/* Whether the state service accepts writes. Written by pm_autoscaler_set_writable. */
 struct pm_store_outage {
     bool is_writable;
     double writable_at; /* monotonic: it last was */
@@ -89,7 +89,7 @@
     double elected_at; /* monotonic */
     /* Monotonic: the leader before last received a message from the zone; 0: the zone was not
      * silent then, as far as is known. */
-    double zone_heard_at[PM_ZONES_MAX];
+    double zone_message_at[PM_ZONES_MAX];
 };
 
 struct pm_autoscaler {
@@ -187,10 +187,10 @@
  * request to rent the entries are names; in a page of the inventory, see below. */
 const cbor_item_t *pm_provider_answer_machines(const cbor_item_t *answer);
 
-/* What the inventory says of a machine. */
+/* A machine, as the inventory describes it. */
 struct pm_listed_machine {
     char name[PM_NAME_MAX];
-    double age_s; /* since it was rented, 0: not said */
+    double age_s; /* since it was rented, 0: not given */
     bool has_failed, is_running;
     const cbor_item_t *item; /* the entry itself, borrowed */
 };
@@ -298,7 +298,8 @@
 /* ---- silent_machines.c, silent_zones.c ---- */
 
 /* Marks the machines that are lost while others of their zone are not, and those of zones that were
- * silent for a lease. Nothing while the state service takes no writes. */
+ * silent for a lease. Does nothing while the state service accepts
+ * no writes. */
 void pm_autoscaler_mark_silent_machines(struct pm_autoscaler *autoscaler, double now);
 /* Marks the machines with placements in zones that have been silent since before this leader was
  * elected, for longer than a lease. `has_reported`, of PM_ZONES_MAX: a machine of the zone has sent
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -1,4 +1,4 @@
-/* The provider's inventory, read page by page: which machines there are, and which are gone.
+/* The provider's inventory, read page by page: which machines there are, and which are lost.
  *
  * It lags behind by up to the settings' `inventory_lag_s`. A machine that it names is added to the
  * table; one that it leaves out gets `absent_since`, which scale_in.c judges. */
@@ -15,7 +15,17 @@
 };
 #define PAGE_RETRY_S 0.5 /* after a page that failed; as much more after each further failure */
 
-/* How often it is read: more often while a machine with tasks is silent, for it may tell why. */
+enum { TARGET_BYTES = PM_NAME_MAX + 64 };
+
+/* It may be older than the request by so many times the settings' lag, and seconds. */
+#define LAG_FACTOR 2
+#define LAG_MARGIN_S 1
+
+/* A machine is silent if its last message is older than so many heartbeat intervals and seconds. */
+#define SILENT_HEARTBEATS 1.6
+#define SILENT_MARGIN_S 0.5
+
+/* How often it is read: more often while a machine with tasks is silent, for it may show why. */
 #define INTERVAL_LEAST_S 2
 #define INTERVAL_MOST_S 6
 #define INTERVAL_SILENCE_S 1.5
@@ -27,7 +37,7 @@
     double sent_at;
 };
 
-/* ---- what it says ---- */
+/* ---- its entries ---- */
 
 static void apply_listed(struct pm_autoscaler *autoscaler, const cbor_item_t *item, double now)
 {
@@ -69,9 +79,9 @@
     return left_length != right_length ? left_length < right_length : strcmp(left, right) < 0;
 }
 
-/* Whether the inventory, which does not name the machine, proves that it is gone. An inventory
+/* Whether the inventory, which does not name the machine, proves that it is lost. An inventory
  * describes one moment, though a past one: a machine that it leaves out while it names one that was
- * rented later is gone. Otherwise the machine must be older than the inventory can be. */
+ * rented later is lost. Otherwise the machine must be older than the inventory can be. */
 static bool is_absent(const struct pm_autoscaler *autoscaler, const struct pm_machine *machine,
                       double lag_s, double now)
 {
@@ -88,7 +98,8 @@
 static void note_absent_machines(struct pm_autoscaler *autoscaler, double now)
 {
     GPtrArray *machines = pm_workers_all(autoscaler->workers);
-    double lag_s = 2 * autoscaler->tables->settings->inventory_lag_s + 1;
+    const struct pm_settings *settings = autoscaler->tables->settings;
+    double lag_s = LAG_FACTOR * settings->inventory_lag_s + LAG_MARGIN_S;
 
     for (guint i = 0; i < machines->len; i++) {
         struct pm_machine *machine = g_ptr_array_index(machines, i);
@@ -161,7 +172,7 @@
 {
     const char *last_name = autoscaler->inventory.last_name;
     struct page_request *request = g_new(struct page_request, 1);
-    char target[PM_NAME_MAX + 64];
+    char target[TARGET_BYTES];
 
     *request = (struct page_request){autoscaler, autoscaler->term, autoscaler->budget.refilled_at};
     snprintf(target, sizeof target, "/machines?%s%s%spage=%d", last_name[0] ? "since=" : "",
@@ -189,7 +200,8 @@
 static bool has_silent_machine(const struct pm_autoscaler *autoscaler, double now)
 {
     GPtrArray *machines = pm_workers_all(autoscaler->workers);
-    double limit_s = 1.6 * autoscaler->tables->settings->heartbeat_s + 0.5;
+    const struct pm_settings *settings = autoscaler->tables->settings;
+    double limit_s = SILENT_HEARTBEATS * settings->heartbeat_s + SILENT_MARGIN_S;
 
     for (guint i = 0; i < machines->len; i++) {
         const struct pm_machine *machine = g_ptr_array_index(machines, i);
--- a/src/autoscaler/provider_codec.c
+++ b/src/autoscaler/provider_codec.c
@@ -14,6 +14,8 @@
 
 #include <string.h>
 
+enum { STATUS_BYTES = 32 }; /* of the longest status that is read, with its NUL */
+
 void pm_scale_out_encode(const struct pm_name_tables *tables,
                          const struct pm_scale_out_request *request, const char *idempotency_key,
                          struct pm_buf *out)
@@ -55,7 +57,7 @@
 
 bool pm_listed_machine_decode(const cbor_item_t *item, struct pm_listed_machine *out)
 {
-    char status[32] = "";
+    char status[STATUS_BYTES] = "";
 
     *out = (struct pm_listed_machine){.item = item};
     if (!pm_cbor_read_text(pm_cbor_get(item, "name_id"), out->name, sizeof out->name) ||
--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -5,14 +5,25 @@
 
 #include <math.h>
 
-/* While the state service takes no writes, idle time does not count, for up to this long. */
+/* While the state service accepts no writes, idle time does not count, for up to this long. */
 #define OUTAGE_KEEP_S 120
-#define STEADY_DEMAND_KEEP_S 60.0 /* idle spot machines are kept so long for steady demand */
-#define RENTAL_LEAST_S 60         /* the shortest time that the provider charges */
+/* Idle spot machines are kept for so long if the steady demand needs them. */
+#define STEADY_DEMAND_KEEP_S 60.0
+/* The shortest time that the provider charges for a machine. */
+#define RENTAL_LEAST_S 60
 #define CONSOLIDATION_INTERVAL_S 1
 
-#define SMALL_FLEET 50          /* machines; with more, idle ones are terminated sooner */
-#define IDLE_TIMEOUT_LEAST 0.28 /* of the operators' setting */
+/* A machine that the inventory misses is lost after a silence of so many heartbeat intervals and
+ * seconds; one without tasks is given up after a silence of so many leases and seconds. */
+#define ABSENT_HEARTBEATS 1.3
+#define ABSENT_MARGIN_S 1
+#define UNUSED_LEASES 2
+#define UNUSED_MARGIN_S 20
+
+/* With more machines than that, idle ones are terminated sooner, but not before this share of the
+ * operators' setting. */
+#define SMALL_FLEET 50
+#define IDLE_TIMEOUT_LEAST 0.28
 
 void pm_autoscaler_mark_machine(struct pm_machine *machine, const char *reason)
 {
@@ -34,23 +45,27 @@
 
 /* ---- machines that are lost, or never came up ---- */
 
-/* Missing from the inventory, and silent. The confirmed termination proves that it is gone sooner
+/* Missing from the inventory, and silent. The confirmed termination proves the loss sooner
  * than its lease. */
 static bool is_absent(const struct pm_machine *machine, const struct pm_settings *settings,
                       double now)
 {
+    double silence_s = now - machine->heartbeat.last_message_at;
+
     if (!machine->provider.absent_since || machine->state != PM_MACHINE_UP)
         return false;
     return machine->shard.owner ||
-           now - machine->heartbeat.last_message_at > 1.3 * settings->heartbeat_s + 1;
+           silence_s > ABSENT_HEARTBEATS * settings->heartbeat_s + ABSENT_MARGIN_S;
 }
 
 static bool is_silent_without_tasks(const struct pm_machine *machine,
                                     const struct pm_settings *settings, double now)
 {
+    double silence_s = now - machine->heartbeat.last_message_at;
+
     return !machine->shard.owner && machine->state == PM_MACHINE_UP &&
            machine->placements->len == 0 &&
-           now - machine->heartbeat.last_message_at > 2 * settings->lease_s + 20;
+           silence_s > UNUSED_LEASES * settings->lease_s + UNUSED_MARGIN_S;
 }
 
 /* Why a machine that is lost, or never came up, is to be terminated; NULL: it is not so. */
@@ -72,10 +87,10 @@
 
 /* ---- machines that are not needed ---- */
 
-/* Capacity that scale-in may still take away in this pass. */
+/* One pass over all machines. */
 struct scale_in_pass {
     double idle_timeout_s;
-    double headroom_cpus; /* on ordinary machines, less what is marked */
+    double headroom_cpus; /* on ordinary machines, less those that the pass has marked */
     double now;
 };
 
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -6,9 +6,11 @@
 #include <math.h>
 #include <stdio.h>
 
-#define REFUSAL_BACKOFF_S 6.0 /* no capacity of a kind: not requested again within this, then */
-enum { BACKOFF_DOUBLINGS_MAX = 2 }; /* doubled so often at most, */
-#define BACKOFF_JITTER 0.25         /* give or take this share */
+/* A kind that the provider has no capacity of is not requested again within this time, which is
+ * doubled so often at most, give or take that share. */
+#define REFUSAL_BACKOFF_S 6.0
+#define BACKOFF_JITTER 0.25
+enum { BACKOFF_DOUBLINGS_MAX = 2 };
 
 enum { ATTEMPTS_MAX = 4 }; /* of a request without an answer, one right after the other */
 
--- a/src/autoscaler/silent_machines.c
+++ b/src/autoscaler/silent_machines.c
@@ -7,9 +7,15 @@
  * better. */
 #include "autoscaler/internal.h"
 
-#define SILENT_S 5.0           /* a machine that is silent for longer may be given up */
-#define RESPONDING_SHARE 0.6   /* of that time: one that is silent for less is not silent */
-#define OWNER_REPORT_AGE_S 2.0 /* a shard owner's report of a silent machine counts for so long */
+/* A machine may be given up after a silence of so many seconds, and of so many heartbeat intervals
+ * and a margin. */
+#define LOST_LEAST_S 5.0
+#define LOST_HEARTBEATS 1.25
+#define LOST_MARGIN_S 2.4
+/* One that is silent for less than this share of that time is responding. */
+#define RESPONDING_SHARE 0.6
+/* A shard owner's report of a silent machine counts for so long. */
+#define OWNER_REPORT_AGE_S 2.0
 
 struct zone_census {
     int responding, silent; /* machines */
@@ -87,7 +93,8 @@
         g_ptr_array_add(scan->candidates, machine);
 }
 
-/* The number of candidates does not matter: only their zone tells a network fault from deaths. */
+/* However many candidates there are: the rest of their zone shows whether the network is at
+ * fault. */
 static void mark_candidates(const struct pm_autoscaler *autoscaler, const struct silence_scan *scan,
                             double now)
 {
@@ -105,7 +112,8 @@
 {
     GPtrArray *machines = pm_workers_all(autoscaler->workers);
     double heartbeat_s = autoscaler->tables->settings->heartbeat_s;
-    struct silence_scan scan = {.limit_s = MAX(SILENT_S, 1.25 * heartbeat_s + 2.4)};
+    struct silence_scan scan = {
+        .limit_s = MAX(LOST_LEAST_S, LOST_HEARTBEATS * heartbeat_s + LOST_MARGIN_S)};
 
     if (!autoscaler->outage.is_writable)
         return;
--- a/src/autoscaler/sizing.h
+++ b/src/autoscaler/sizing.h
@@ -83,7 +83,8 @@
 
 /* ---- headroom.c ---- */
 
-/* Adds ordinary machines for the headroom that services need, and tells the scheduler how much. */
+/* Adds ordinary machines for the headroom that services need, and sets it as the
+ * scheduler's reserve. */
 void pm_sizing_add_headroom(struct pm_sizing *sizing);
 
 #endif
--- a/src/autoscaler/tests/test_autoscaler_provider.c
+++ b/src/autoscaler/tests/test_autoscaler_provider.c
@@ -1,4 +1,4 @@
-/* What the provider tells: machine types, and the inventory, over HTTP from a fake provider. */
+/* What the provider answers: machine types, and the inventory, over HTTP from a fake provider. */
 #include "autoscaler_fixtures.h"
 #include "base/clock.h"
 #include "testing/fake_state.h"
--- a/src/autoscaler/tests/test_autoscaler_scale_in.c
+++ b/src/autoscaler/tests/test_autoscaler_scale_in.c
@@ -10,7 +10,7 @@
 
 /* What is known of zone "a", which has the machine, and of another zone. */
 struct zone_knowledge {
-    double heard_ago_s;   /* the leader before last received a message from "a" */
+    double message_ago_s; /* the leader before last received a message from "a" */
     double written_ago_s; /* its ledger was written */
     bool has_reported;    /* this leader has had a heartbeat from "a" */
     bool has_other_reported;
@@ -25,7 +25,7 @@
     pm_put_pair_number(&buf, "day", LEDGER_WALL_NOW - knowledge->written_ago_s);
     pm_put_text(&buf, "heard");
     pm_put_map(&buf);
-    pm_put_pair_number(&buf, "a", LEDGER_WALL_NOW - knowledge->heard_ago_s);
+    pm_put_pair_number(&buf, "a", LEDGER_WALL_NOW - knowledge->message_ago_s);
     pm_put_end(&buf);
     pm_put_end(&buf);
     ledger = pm_cbor_parse(buf.data, buf.size);
@@ -93,7 +93,7 @@
     assert_int_equal(mark_silent_zone(&(struct zone_knowledge){46, 20, true, true}), PM_MACHINE_UP);
 }
 
-/* The ledger is old itself: a zone that was not silent then may have been heard from long after. */
+/* The ledger is old itself: a zone that was not silent then may have sent messages long after. */
 static void stale_ledger_is_ignored(void **state)
 {
     (void)state;
