--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -20,7 +20,6 @@
 
 #include "scheduler/scheduler.h"
 
-struct ev_loop;
 struct pm_roles;
 struct pm_autoscaler;
 
