--- a/src/scheduler/bin_packing.c
+++ b/src/scheduler/bin_packing.c
@@ -1,13 +1,24 @@
-/* Where a task may run, and where it runs best. */
+/* Bin packing: where a task may run, and where it runs best. */
 #include "scheduler/internal.h"
 
 #include <math.h>
-#include <string.h>
 
-#define LATE_S 1.0              /* where no objective says how soon a class is to start */
-#define BLAME_WEIGHT 2.0        /* in a machine's score: each failure that speaks against it, */
-#define FAILED_THERE_WEIGHT 4.0 /* and that the job itself failed there */
-#define FETCH_WEIGHT 0.3        /* of a second of fetching in a service's score */
+/* The parts of a machine's score. */
+#define FAILURE_PENALTY 2.0            /* for each failure that counts against the machine */
+#define JOB_FAILED_THERE_PENALTY 4.0   /* when the job itself failed there */
+#define SERVICE_IMAGE_BONUS 10.0       /* the image is cached: a service starts at once */
+#define SERVICE_NEW_IMAGE_BONUS 4.0    /* the image is not cached, and there is time to fetch it */
+#define FETCH_PENALTY_PER_S 0.3        /* of the images that must be fetched first, */
+#define FETCH_PENALTY_MAX 10.0         /* at most */
+#define SERVICE_SHARE_PENALTY 8.0      /* on a cold start, for the last share of a machine */
+#define SAME_JOB_PENALTY 2.0           /* for each replica that the machine has already */
+#define SERVICE_CAPACITY_WEIGHT 3.0    /* of the share of the machine that is free or preemptible */
+#define BATCH_IMAGE_BONUS 3.0          /* the image is cached */
+#define BATCH_MARKET_BONUS 5.0         /* ordinary capacity is dearer, and kept for services */
+#define BATCH_FREE_CAPACITY_WEIGHT 2.0 /* of the share of the machine that stays free */
+
+#define PREEMPT_ELSEWHERE_OBJECTIVES 3.0 /* not for a job that has waited so often its objective   \
+                                          */
 
 bool pm_scheduler_is_machine_allowed(const struct pm_name_tables *tables, const struct pm_job *job,
                                      int type, int zone, bool spot)
@@ -19,350 +30,199 @@
            (!spot || spec->spot);
 }
 
-/* Heard as lately as reports come on a quiet day: a machine that misses one may be dead. */
-bool pm_scheduler_is_machine_usable(const struct pm_scheduler *p, const struct pm_machine *m,
-                                    double now)
+bool pm_scheduler_is_machine_usable(const struct pm_scheduler *scheduler,
+                                    const struct pm_machine *machine, double now)
 {
-    return m->state == PM_MACHINE_UP && m->heartbeat.is_known && !m->shard.owner &&
-           !m->shard.revoking && !m->reservation.draining && !m->heartbeat.spot_interruption_at &&
-           !pm_failures_is_machine_faulty(m) && !m->delivery.failures &&
-           pm_machine_is_verified(m) && m->heartbeat.orphan_tasks->len == 0 &&
-           !pm_machine_missed_heartbeat(m, p->tables->settings, now) &&
-           !pm_machine_is_not_reporting(m, p->tables->settings, now);
+    const struct pm_settings *settings = scheduler->tables->settings;
+
+    return machine->state == PM_MACHINE_UP && machine->heartbeat.is_known &&
+           !machine->shard.owner && !machine->shard.revoking && !machine->reservation.draining &&
+           !machine->heartbeat.spot_interruption_at && !pm_failures_is_machine_faulty(machine) &&
+           !machine->delivery.failures && pm_machine_is_verified(machine) &&
+           machine->heartbeat.orphan_tasks->len == 0 &&
+           !pm_machine_missed_heartbeat(machine, settings, now) &&
+           !pm_machine_is_not_reporting(machine, settings, now);
 }
 
-bool pm_scheduler_has_free_capacity(const struct pm_machine *m, const struct pm_spec *spec)
+bool pm_scheduler_has_free_capacity(const struct pm_machine *machine, const struct pm_spec *spec)
 {
-    return m->free.cpus + EPS >= spec->cpus && m->free.gpus + EPS >= spec->gpus &&
-           m->free.ram_gb + EPS >= spec->ram_gb;
+    return machine->free.cpus + PM_EPSILON >= spec->cpus &&
+           machine->free.gpus + PM_EPSILON >= spec->gpus &&
+           machine->free.ram_gb + PM_EPSILON >= spec->ram_gb;
 }
 
-bool pm_scheduler_has_image(const struct pm_machine *m, int image)
+bool pm_scheduler_has_image(const struct pm_machine *machine, int image)
 {
-    for (int i = 0; i < m->images.count; i++)
-        if (m->images.cached[i].image == image)
+    for (int i = 0; i < machine->images.count; i++)
+        if (machine->images.cached[i].image == image)
             return true;
     return false;
 }
 
-void pm_scheduler_count_zones(const struct pm_job *job, struct spread *out)
-{
-    memset(out, 0, sizeof *out);
-    if (!job->work.placed_count || !(job->spec->spread_zones || job->spec->same_zone))
-        return; /* nobody asks */
-    for (uint32_t i = 0; i < job->task_count; i++) {
-        const struct pm_task *task = pm_job_find_task(job, i);
-        if (!task || !task->placement || task->placement->state == PM_PLACEMENT_ENDED)
-            continue;
-        if (task->placement->machine->zone >= 0)
-            out->zone[task->placement->machine->zone]++;
-        else
-            out->unknown++;
-        out->total++;
-    }
-}
-
-bool pm_scheduler_zone_ok(const struct pm_job *job, const struct spread *at, int zone)
+bool pm_scheduler_is_zone_allowed(const struct pm_job *job, const struct pm_zone_spread *spread,
+                                  int zone)
 {
     const struct pm_spec *spec = job->spec;
 
-    if (spec->same_zone && at->total && at->zone[zone] < at->total)
+    if (spec->same_zone && spread->total && spread->zone[zone] < spread->total)
         return false;
-    return !spec->spread_zones || at->zone[zone] + at->unknown < (spec->task_count + 1) / 2;
-}
-
-struct need pm_scheduler_need_of(const struct pm_scheduler *p, const struct pm_job *job,
-                                 const struct spread *at, int team)
-{
-    const struct pm_spec *spec = job->spec;
-    struct need need = {0};
-
-    need.types = spec->allowed_types;
-    need.team = team;
-    need.priority = job->priority;
-    need.spot = spec->spot;
-    need.cpus = spec->cpus;
-    need.gpus = spec->gpus;
-    need.ram_gb = spec->ram_gb;
-    for (int z = 0; z < p->tables->settings->zone_count; z++)
-        if ((spec->zone < 0 || spec->zone == z) && pm_scheduler_zone_ok(job, at, z))
-            need.zones |= 1u << z;
-    return need;
-}
-
-static bool same_need(const struct need *a, const struct need *b)
-{
-    return a->types == b->types && a->zones == b->zones && a->team == b->team &&
-           a->priority == b->priority && a->spot == b->spot && a->cpus == b->cpus &&
-           a->gpus == b->gpus && a->ram_gb == b->ram_gb;
-}
-
-bool pm_scheduler_is_unschedulable(const struct pm_scheduler *p, const struct need *need)
-{
-    for (guint i = 0; i < p->hopeless->len; i++)
-        if (same_need(&g_array_index(p->hopeless, struct need, i), need))
-            return true;
-    return false;
+    return !spec->spread_zones || spread->zone[zone] + spread->unknown < (spec->task_count + 1) / 2;
 }
 
-uint32_t pm_scheduler_of_job(const struct pm_machine *m, const struct pm_job *job)
+uint32_t pm_scheduler_count_tasks_of(const struct pm_machine *machine, const struct pm_job *job)
 {
-    uint32_t n = 0;
+    uint32_t count = 0;
 
-    for (guint j = 0; j < m->placements->len; j++) {
-        const struct pm_placement *place = g_ptr_array_index(m->placements, j);
-        n += place->job == job && place->state != PM_PLACEMENT_ENDED;
+    for (guint i = 0; i < machine->placements->len; i++) {
+        const struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
+        count += placement->job == job && placement->state != PM_PLACEMENT_ENDED;
     }
-    return n;
+    return count;
 }
 
-/* Processors on the machine that a production task could have at once: free, or yielding. */
-double pm_scheduler_yielding_room(const struct pm_machine *m)
-{
-    double room = m->free.cpus;
-
-    for (guint j = 0; j < m->placements->len; j++) {
-        const struct pm_placement *place = g_ptr_array_index(m->placements, j);
-        if (place->state != PM_PLACEMENT_ENDED && place->job->priority < PM_PRIORITY_PRODUCTION)
-            room += place->job->spec->cpus;
-    }
-    return room;
-}
-
-/* How soon the users want the class to start. */
-static double promise(const struct pm_scheduler *p, const struct pm_job *job)
-{
-    const struct pm_settings *s = p->tables->settings;
-    const char *name = pm_names_text(p->tables->class_names, job->spec->class_index);
-
-    for (int i = 0; i < s->objective_count; i++)
-        if (!strcmp(s->objectives[i].kind, "wait") && !strcmp(s->objectives[i].class_name, name) &&
-            s->objectives[i].within_s > 0)
-            return s->objectives[i].within_s;
-    return LATE_S;
-}
-
-/* Whether the job has waited so long that a fetch more or less is no matter, and yet not so long
- * that its replicas are missed: the time to bring its image to one more machine. */
-static bool may_fetch(const struct pm_scheduler *p, const struct pm_machine *m,
-                      const struct pm_job *job)
-{
-    const struct pm_type *t = &p->tables->types[m->type];
-    double waited = p->day - pm_scheduler_since(job);
-
-    return waited > promise(p, job) &&
-           waited + 1.5 * job->spec->image_gb / MAX(t->pull_gb_per_s, EPS) < p->op->replica_due_s;
-}
-
-/* Whether the task would take of the last part of the machine, which is left for services that can
- * still start in time, and keeps the loss small should the machine end. */
-static bool crowded(const struct pm_scheduler *p, const struct pm_machine *m,
-                    const struct pm_spec *spec)
-{
-    return pm_scheduler_yielding_room(m) - spec->cpus <
-           CROWDED * p->tables->types[m->type].cpus - EPS;
-}
-
-bool pm_scheduler_boots_soon(const struct pm_name_tables *tables, const struct pm_machine *m,
-                             double now)
-{
-    return now - m->provider.rented_at < 1.4 * tables->types[m->type].ready_s + 3;
-}
-
-/* Whether a machine that the job may run on is to come up soon. */
-bool pm_scheduler_boot_expected(const struct pm_scheduler *p, const struct pm_job *job)
-{
-    for (int type = 0; type < p->tables->type_count; type++)
-        for (int zone = 0; zone < p->tables->settings->zone_count; zone++)
-            for (int spot = 0; spot < 2; spot++)
-                if (p->soon[type][zone][spot] &&
-                    pm_scheduler_is_machine_allowed(p->tables, job, type, zone, spot))
-                    return true;
-    return false;
-}
-
-bool pm_scheduler_awaits_boot(const struct pm_scheduler *p, const struct pm_job *job)
-{
-    double waited = p->day - pm_scheduler_since(job);
-
-    return job->spec->kind == PM_WORKLOAD_SERVICE && p->cold && waited < p->op->replica_due_s &&
-           pm_scheduler_boot_expected(p, job);
-}
-
-/* On a cold start a replica, late already, rather waits for a machine that boots than crowds the
- * first ones that are up: they would take all, and most machines would never hold most images. Not
- * for longer than until it is missed. */
-bool pm_scheduler_rather_waits(const struct pm_scheduler *p, const struct pm_machine *m,
-                               const struct pm_job *job)
-{
-    return pm_scheduler_awaits_boot(p, job) && crowded(p, m, job->spec) &&
-           p->day - pm_scheduler_since(job) >= promise(p, job);
-}
-
-/* Seconds that the machine's fetches of other images take, which an image has to wait for there. */
-double pm_scheduler_fetches_before(const struct pm_scheduler *p, const struct pm_machine *m,
-                                   const struct pm_spec *spec)
-{
-    double gb = 0;
-
-    for (guint j = 0; j < m->placements->len; j++) {
-        const struct pm_placement *place = g_ptr_array_index(m->placements, j);
-        const struct pm_spec *other = place->job->spec;
-        if (place->state <= PM_PLACEMENT_FETCHING && other->image != spec->image &&
-            !pm_scheduler_has_image(m, other->image))
-            gb += other->image_gb;
-    }
-    return gb / MAX(p->tables->types[m->type].pull_gb_per_s, EPS);
-}
-
-static double score(struct pm_scheduler *p, const struct pm_machine *m, const struct pm_job *job)
+/* Services are spread: then every machine comes to cache every image, and has some capacity to
+ * start the next service at once. Array tasks use that capacity meanwhile. */
+static double add_service_score(struct pm_scheduler *scheduler, const struct pm_machine *machine,
+                                const struct pm_job *job, double score)
 {
     const struct pm_spec *spec = job->spec;
-    const struct pm_type *t = &p->tables->types[m->type];
-    bool image = pm_scheduler_has_image(m, spec->image);
-    double value = -BLAME_WEIGHT * pm_failures_machine_score(m);
+    bool has_image = pm_scheduler_has_image(machine, spec->image);
 
-    if (pm_failures_has_failed_on(job, m))
-        value -= FAILED_THERE_WEIGHT;
-    if (spec->kind == PM_WORKLOAD_SERVICE) {
-        /* Spread: then every machine comes to hold every image, and has some room to start the next
-         * service at once. Array tasks use that room meanwhile. */
-        if (may_fetch(p, m, job))
-            value += image ? 0 : 4;
-        else
-            value += image ? 10 : -MIN(FETCH_WEIGHT * pm_scheduler_fetches_before(p, m, spec), 10);
-        if (p->cold && crowded(p, m, spec) && p->day - pm_scheduler_since(job) > promise(p, job))
-            value -= 8;
-        return value - 2.0 * pm_scheduler_of_job(m, job) +
-               3 * pm_scheduler_yielding_room(m) / MAX(t->cpus, EPS);
-    }
-    value += image ? 3 : 0;
-    value += m->spot == spec->spot ? 5 : 0; /* ordinary room is dearer, and services' */
-    /* Fill what is fullest, so that others come free and can go back. */
-    return value - 2 * (m->free.cpus - spec->cpus) / MAX(t->cpus, EPS);
+    if (pm_scheduler_may_fetch(scheduler, machine, job))
+        score += has_image ? 0 : SERVICE_NEW_IMAGE_BONUS;
+    else
+        score +=
+            has_image
+                ? SERVICE_IMAGE_BONUS
+                : -MIN(FETCH_PENALTY_PER_S * pm_scheduler_fetch_backlog_s(scheduler, machine, spec),
+                       FETCH_PENALTY_MAX);
+    if (scheduler->cold_start.is_active &&
+        pm_scheduler_uses_service_share(scheduler, machine, spec) &&
+        scheduler->run.wall - pm_scheduler_waiting_since(job) >
+            pm_scheduler_start_objective_s(scheduler, job))
+        score -= SERVICE_SHARE_PENALTY;
+    return score - SAME_JOB_PENALTY * pm_scheduler_count_tasks_of(machine, job) +
+           SERVICE_CAPACITY_WEIGHT * pm_scheduler_preemptible_cpus(machine) /
+               MAX(scheduler->tables->types[machine->type].cpus, PM_EPSILON);
 }
 
-/* One walk over the machines counts them all: whoever sizes the fleet asks for each of them. */
-static const struct totals *count_totals(struct pm_scheduler *p, double now)
+/* Other tasks fill what is fullest, so that other machines become idle and can be terminated. */
+static double add_batch_score(const struct pm_scheduler *scheduler,
+                              const struct pm_machine *machine, const struct pm_spec *spec,
+                              double score)
 {
-    GPtrArray *all = pm_workers_all(p->workers);
-    struct totals *t = &p->totals;
-
-    if (t->at == now)
-        return t;
-    *t = (struct totals){.at = now};
-    for (guint i = 0; i < all->len; i++) {
-        const struct pm_machine *m = g_ptr_array_index(all, i);
-        const struct pm_type *type = m && m->type >= 0 ? &p->tables->types[m->type] : NULL;
-        double room;
-        if (!type || m->state == PM_MACHINE_RELEASING)
-            continue;
-        if (m->shard.owner ||
-            (m->state == PM_MACHINE_BOOTING && pm_scheduler_boots_soon(p->tables, m, now)))
-            t->pool += type->cpus;
-        if (!pm_scheduler_is_machine_usable(p, m, now))
-            continue;
-        room = pm_scheduler_yielding_room(m);
-        t->pool += room;
-        if (m->spot)
-            continue;
-        t->spare += room;
-        t->largest = MAX(t->largest, type->cpus - room);
-    }
-    return t;
+    score += pm_scheduler_has_image(machine, spec->image) ? BATCH_IMAGE_BONUS : 0;
+    score += machine->spot == spec->spot ? BATCH_MARKET_BONUS : 0;
+    return score - BATCH_FREE_CAPACITY_WEIGHT * (machine->free.cpus - spec->cpus) /
+                       MAX(scheduler->tables->types[machine->type].cpus, PM_EPSILON);
 }
 
-double pm_scheduler_headroom_cpus(struct pm_scheduler *p, double now)
+static double score_machine(struct pm_scheduler *scheduler, const struct pm_machine *machine,
+                            const struct pm_job *job)
 {
-    return count_totals(p, now)->spare;
-}
+    double score = -FAILURE_PENALTY * pm_failures_machine_score(machine);
 
-double pm_scheduler_largest_service_cpus(struct pm_scheduler *p, double now)
-{
-    return count_totals(p, now)->largest;
+    if (pm_failures_has_failed_on(job, machine))
+        score -= JOB_FAILED_THERE_PENALTY;
+    if (job->spec->kind == PM_WORKLOAD_SERVICE)
+        return add_service_score(scheduler, machine, job, score);
+    return add_batch_score(scheduler, machine, job->spec, score);
 }
 
-double pm_scheduler_batch_capacity_cpus(struct pm_scheduler *p, double now)
+bool pm_scheduler_is_reserved_for_other_gang(const struct pm_machine *machine,
+                                             const struct pm_job *job, double now)
 {
-    return count_totals(p, now)->pool;
-}
+    const struct pm_job *gang = machine->reservation.gang;
 
-/* Whether the machine's room is being cleared for a gang that comes before the job. */
-bool pm_scheduler_claimed_by_other(const struct pm_machine *m, const struct pm_job *job, double now)
-{
-    return m->reservation.gang && m->reservation.gang != job &&
-           m->reservation.gang->state == PM_JOB_LIVE && m->reservation.gang->spec &&
-           !m->reservation.gang->work.placed_count &&
-           now < m->reservation.gang->scheduling.reservation_until &&
-           job->priority <= m->reservation.gang->priority;
+    return gang && gang != job && gang->state == PM_JOB_LIVE && gang->spec &&
+           !gang->work.placed_count && now < gang->scheduling.reservation_until &&
+           job->priority <= gang->priority;
 }
 
-static bool is_stopping(const struct pm_machine *m)
+static bool is_stopping_tasks(const struct pm_machine *machine)
 {
-    for (guint j = 0; j < m->placements->len; j++) {
-        const struct pm_placement *place = g_ptr_array_index(m->placements, j);
-        if (place->should_stop && place->state != PM_PLACEMENT_ENDED)
+    for (guint i = 0; i < machine->placements->len; i++) {
+        const struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
+        if (placement->should_stop && placement->state != PM_PLACEMENT_ENDED)
             return true;
     }
     return false;
 }
 
 /* Whether the machine is being cleared, task by task, for a job that the task would have to yield
- * to: it would take the part of the room that is free already, only to be stopped again. */
-static bool cleared_for_other(struct pm_scheduler *p, const struct pm_machine *m,
-                              const struct pm_job *job, double now)
+ * to: it would use the part of the capacity that is free already, only to be stopped again. */
+static bool is_being_cleared_for_other(struct pm_scheduler *scheduler,
+                                       const struct pm_machine *machine, const struct pm_job *job,
+                                       double now)
 {
-    const struct pm_job *other = m->reservation.job;
+    const struct pm_job *other = machine->reservation.job;
 
-    if (!other || other == job || now >= m->reservation.until || other->state != PM_JOB_LIVE ||
-        !pm_job_waiting_tasks(other) || !pm_scheduler_yields_to(p, job, other))
+    if (!other || other == job || now >= machine->reservation.until ||
+        other->state != PM_JOB_LIVE || !pm_job_waiting_tasks(other) ||
+        !pm_scheduler_yields_to(scheduler, job, other))
         return false;
-    return is_stopping(m);
+    return is_stopping_tasks(machine);
 }
 
-/* In any zone that the job allows, or in `only_zone` (-1: any). */
-struct pm_machine *pm_scheduler_best_machine(struct pm_scheduler *p, const struct pm_job *job,
-                                             const struct spread *at, int only_zone, double now)
+struct pm_machine *pm_scheduler_best_machine(struct pm_scheduler *scheduler,
+                                             const struct pm_job *job,
+                                             const struct pm_zone_spread *spread, int only_zone,
+                                             double now)
 {
+    const GPtrArray *machines = scheduler->cache.open_machines;
     struct pm_machine *best = NULL;
     double best_score = -INFINITY;
 
-    for (guint i = 0; i < p->room->len; i++) {
-        struct pm_machine *m = g_ptr_array_index(p->room, i);
-        double value;
-        if (!pm_scheduler_has_free_capacity(m, job->spec) ||
-            (only_zone >= 0 && m->zone != only_zone) ||
-            !pm_scheduler_is_machine_allowed(p->tables, job, m->type, m->zone, m->spot) ||
-            !pm_scheduler_zone_ok(job, at, m->zone) || pm_scheduler_claimed_by_other(m, job, now) ||
-            cleared_for_other(p, m, job, now))
+    for (guint i = 0; i < machines->len; i++) {
+        struct pm_machine *machine = g_ptr_array_index(machines, i);
+        double score;
+        if (!pm_scheduler_has_free_capacity(machine, job->spec) ||
+            (only_zone >= 0 && machine->zone != only_zone) ||
+            !pm_scheduler_is_machine_allowed(scheduler->tables, job, machine->type, machine->zone,
+                                             machine->spot) ||
+            !pm_scheduler_is_zone_allowed(job, spread, machine->zone) ||
+            pm_scheduler_is_reserved_for_other_gang(machine, job, now) ||
+            is_being_cleared_for_other(scheduler, machine, job, now))
             continue;
-        value = score(p, m, job);
-        if (value > best_score) {
-            best_score = value;
-            best = m;
+        score = score_machine(scheduler, machine, job);
+        if (score > best_score) {
+            best_score = score;
+            best = machine;
         }
     }
     return best;
 }
 
-/* A production task that would have to fetch its image here, though elsewhere a machine holds it
- * and only lower work has to yield: that one starts it within the second. */
-bool pm_scheduler_better_cleared(struct pm_scheduler *p, const struct pm_machine *m,
-                                 const struct pm_job *job, const struct spread *at, double now)
+/* Whether the job's next task could start on the machine with the image from its cache, once lower
+ * work has yielded. */
+static bool can_start_from_cache(const struct pm_scheduler *scheduler,
+                                 const struct pm_machine *machine, const struct pm_job *job,
+                                 const struct pm_zone_spread *spread, double now)
+{
+    return machine->images.count && pm_scheduler_has_image(machine, job->spec->image) &&
+           pm_scheduler_is_machine_usable(scheduler, machine, now) &&
+           pm_scheduler_is_machine_allowed(scheduler->tables, job, machine->type, machine->zone,
+                                           machine->spot) &&
+           pm_scheduler_is_zone_allowed(job, spread, machine->zone) &&
+           pm_scheduler_preemptible_cpus(machine) + PM_EPSILON >= job->spec->cpus;
+}
+
+bool pm_scheduler_should_preempt_elsewhere(struct pm_scheduler *scheduler,
+                                           const struct pm_machine *machine,
+                                           const struct pm_job *job,
+                                           const struct pm_zone_spread *spread, double now)
 {
-    GPtrArray *all = pm_workers_all(p->workers);
+    GPtrArray *machines = pm_workers_all(scheduler->workers);
 
-    if (job->priority != PM_PRIORITY_PRODUCTION || pm_scheduler_has_image(m, job->spec->image) ||
-        may_fetch(p, m, job) || p->day - pm_scheduler_since(job) > 3 * promise(p, job))
+    if (job->priority != PM_PRIORITY_PRODUCTION ||
+        pm_scheduler_has_image(machine, job->spec->image) ||
+        pm_scheduler_may_fetch(scheduler, machine, job) ||
+        scheduler->run.wall - pm_scheduler_waiting_since(job) >
+            PREEMPT_ELSEWHERE_OBJECTIVES * pm_scheduler_start_objective_s(scheduler, job))
         return false;
-    for (guint i = 0; i < all->len; i++) {
-        const struct pm_machine *other = g_ptr_array_index(all, i);
-        if (other && other->images.count && pm_scheduler_has_image(other, job->spec->image) &&
-            pm_scheduler_is_machine_usable(p, other, now) &&
-            pm_scheduler_is_machine_allowed(p->tables, job, other->type, other->zone,
-                                            other->spot) &&
-            pm_scheduler_zone_ok(job, at, other->zone) &&
-            pm_scheduler_yielding_room(other) + EPS >= job->spec->cpus)
+    for (guint i = 0; i < machines->len; i++) {
+        const struct pm_machine *other = g_ptr_array_index(machines, i);
+        if (other && can_start_from_cache(scheduler, other, job, spread, now))
             return true;
     }
     return false;
--- a/src/scheduler/gang_scheduling.c
+++ b/src/scheduler/gang_scheduling.c
@@ -1,123 +1,147 @@
-/* Gangs: they start whole, and what stands in their way is cleared, or waited for, whole. */
+/* Gang scheduling: a gang starts whole, and its capacity is cleared, or reserved, whole. */
 #include "scheduler/internal.h"
 
-#include <string.h>
+/* Adds `count` times what a task requests to the machine's free capacity. */
+static void adjust_free(struct pm_machine *machine, const struct pm_spec *spec, int count)
+{
+    machine->free.cpus += count * spec->cpus;
+    machine->free.gpus += count * spec->gpus;
+    machine->free.ram_gb += count * spec->ram_gb;
+}
+
+/* Finds a machine for each task. Their capacity is taken for the time of the search, so that the
+ * next task sees it. Returns whether all were found. */
+static bool choose_machines(struct pm_scheduler *scheduler, const struct pm_job *job, int only_zone,
+                            struct pm_machine **chosen, struct pm_zone_spread *spread, double now)
+{
+    uint32_t found;
 
-/* A gang starts whole: every task gets its machine in this run, or none does. */
-bool pm_scheduler_place_gang(struct pm_scheduler *p, struct pm_job *job, int only_zone,
-                             bool guarantee, double now)
+    for (found = 0; found < job->task_count; found++) {
+        chosen[found] = pm_scheduler_best_machine(scheduler, job, spread, only_zone, now);
+        if (!chosen[found])
+            break;
+        adjust_free(chosen[found], job->spec, -1);
+        pm_scheduler_add_to_spread(spread, chosen[found]);
+    }
+    for (uint32_t i = 0; i < found; i++)
+        adjust_free(chosen[i], job->spec, 1);
+    return found == job->task_count;
+}
+
+bool pm_scheduler_place_gang(struct pm_scheduler *scheduler, struct pm_job *job, int only_zone,
+                             bool within_guarantee, double now)
 {
-    struct spread at = {0};
+    struct pm_zone_spread spread = {0};
     struct pm_machine **chosen;
-    bool ok = true;
+    bool is_complete;
 
-    if (!pm_scheduler_within(p, job, job->task_count, guarantee))
+    if (!pm_scheduler_may_start(scheduler, job, job->task_count, within_guarantee))
         return false;
     chosen = g_new0(struct pm_machine *, job->task_count);
-    for (uint32_t i = 0; ok && i < job->task_count; i++) {
-        chosen[i] = pm_scheduler_best_machine(p, job, &at, only_zone, now);
-        ok = chosen[i] != NULL;
-        if (ok) { /* taken for the time being, so that the next task sees it */
-            chosen[i]->free.cpus -= job->spec->cpus;
-            chosen[i]->free.gpus -= job->spec->gpus;
-            chosen[i]->free.ram_gb -= job->spec->ram_gb;
-            at.zone[chosen[i]->zone]++;
-            at.total++;
-        }
-    }
-    for (uint32_t i = 0; i < job->task_count && chosen[i]; i++) {
-        chosen[i]->free.cpus += job->spec->cpus;
-        chosen[i]->free.gpus += job->spec->gpus;
-        chosen[i]->free.ram_gb += job->spec->ram_gb;
-    }
-    if (ok) {
+    is_complete = choose_machines(scheduler, job, only_zone, chosen, &spread, now);
+    if (is_complete) {
         job->work.last_attempt++;
         for (uint32_t i = 0; i < job->task_count; i++)
-            pm_scheduler_place_task(p, job, i, chosen[i], job->work.last_attempt, &at, now);
+            pm_scheduler_place_task(scheduler, job, i, chosen[i], job->work.last_attempt, &spread,
+                                    now);
     }
     g_free(chosen);
-    return ok;
+    return is_complete;
 }
 
-/* How many tasks of the gang the machine has room for once its array tasks have ended, and what is
- * being stopped is gone. */
-static uint32_t room_to_come(struct pm_scheduler *p, const struct pm_machine *m,
-                             const struct pm_job *job, int only_zone, double now)
+/* How many tasks of the gang fit on the machine once its array tasks have ended, and what is being
+ * stopped is gone. */
+static uint32_t count_future_fit(struct pm_scheduler *scheduler, const struct pm_machine *machine,
+                                 const struct pm_job *job, int only_zone, double now)
 {
-    double room[3] = {m->free.cpus, m->free.gpus, m->free.ram_gb};
+    struct pm_machine_capacity future = machine->free;
 
-    if (!pm_scheduler_is_machine_usable(p, m, now) || (only_zone >= 0 && m->zone != only_zone) ||
-        pm_scheduler_claimed_by_other(m, job, now) ||
-        !pm_scheduler_is_machine_allowed(p->tables, job, m->type, m->zone, m->spot))
+    if (!pm_scheduler_is_machine_usable(scheduler, machine, now) ||
+        (only_zone >= 0 && machine->zone != only_zone) ||
+        pm_scheduler_is_reserved_for_other_gang(machine, job, now) ||
+        !pm_scheduler_is_machine_allowed(scheduler->tables, job, machine->type, machine->zone,
+                                         machine->spot))
         return 0;
-    for (guint j = 0; j < m->placements->len; j++) {
-        const struct pm_placement *place = g_ptr_array_index(m->placements, j);
-        const struct pm_spec *spec = place->job->spec;
-        if (place->state == PM_PLACEMENT_ENDED ||
-            (spec->kind != PM_WORKLOAD_ARRAY && !place->should_stop))
+    for (guint i = 0; i < machine->placements->len; i++) {
+        const struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
+        const struct pm_spec *spec = placement->job->spec;
+        if (placement->state == PM_PLACEMENT_ENDED ||
+            (spec->kind != PM_WORKLOAD_ARRAY && !placement->should_stop))
             continue;
-        room[0] += spec->cpus;
-        room[1] += spec->gpus;
-        room[2] += spec->ram_gb;
+        future.cpus += spec->cpus;
+        future.gpus += spec->gpus;
+        future.ram_gb += spec->ram_gb;
     }
-    return pm_spec_tasks_that_fit(job->spec, room[0], room[1], room[2]);
+    return pm_spec_tasks_that_fit(job->spec, future.cpus, future.gpus, future.ram_gb);
 }
 
-/* A gang that waited too long to begin, and may stop nothing: machines where it would fit but for
- * array tasks, which end by themselves, are kept from other work until all of it has its room. */
-bool pm_scheduler_await_room(struct pm_scheduler *p, struct pm_job *job, int only_zone, double now)
+bool pm_scheduler_reserve_for_gang(struct pm_scheduler *scheduler, struct pm_job *job,
+                                   int only_zone, double now)
 {
-    GPtrArray *all = pm_workers_all(p->workers);
-    uint32_t n = 0;
-    uint32_t fit;
+    GPtrArray *machines = pm_workers_all(scheduler->workers);
+    uint32_t fitting = 0;
 
-    for (guint i = 0; i < all->len && n < job->task_count; i++)
-        if (g_ptr_array_index(all, i))
-            n += room_to_come(p, g_ptr_array_index(all, i), job, only_zone, now);
-    if (n < job->task_count)
+    for (guint i = 0; i < machines->len && fitting < job->task_count; i++)
+        if (g_ptr_array_index(machines, i))
+            fitting +=
+                count_future_fit(scheduler, g_ptr_array_index(machines, i), job, only_zone, now);
+    if (fitting < job->task_count)
         return false;
-    n = 0;
-    for (guint i = 0; i < all->len && n < job->task_count; i++) {
-        struct pm_machine *m = g_ptr_array_index(all, i);
-        if (!m || !(fit = room_to_come(p, m, job, only_zone, now)))
+    fitting = 0;
+    for (guint i = 0; i < machines->len && fitting < job->task_count; i++) {
+        struct pm_machine *machine = g_ptr_array_index(machines, i);
+        uint32_t fitting_here =
+            machine ? count_future_fit(scheduler, machine, job, only_zone, now) : 0;
+        if (!fitting_here)
             continue;
-        m->reservation.gang = job;
-        n += fit;
+        machine->reservation.gang = job;
+        fitting += fitting_here;
     }
-    job->scheduling.reservation_until = now + CLAIM_S;
+    job->scheduling.reservation_until = now + PM_GANG_RESERVATION_S;
     return true;
 }
 
-/* A gang of high priority gets room for all of its tasks or for none, and claims it until it is
- * there: a part of a gang's room would be of use to nobody. */
-void pm_scheduler_clear_gang(struct pm_scheduler *p, struct pm_job *job, spoken *spoken_for,
-                             double now)
+/* Whether capacity for all tasks of the gang can be cleared; tried on a copy of `reserved`. */
+static bool can_clear_gang(struct pm_scheduler *scheduler, struct pm_clear_request request,
+                           const struct pm_machine_capacity *reserved, double now)
 {
-    GPtrArray *all = pm_workers_all(p->workers);
-    size_t size = sizeof(spoken) * (all->len + 1);
-    int zones = job->spec->same_zone ? p->tables->settings->zone_count : 1;
+    size_t size =
+        sizeof(struct pm_machine_capacity) * (pm_workers_all(scheduler->workers)->len + 1);
+    struct pm_machine_capacity *trial = g_memdup2(reserved, size);
+    struct pm_zone_spread spread = {0};
+    uint32_t cleared = 0;
+
+    request.dry_run = true;
+    while (cleared < request.job->task_count &&
+           pm_scheduler_clear_machine(scheduler, &request, trial, &spread, now))
+        cleared++;
+    g_free(trial);
+    return cleared == request.job->task_count;
+}
+
+void pm_scheduler_preempt_for_gang(struct pm_scheduler *scheduler, struct pm_job *job,
+                                   struct pm_machine_capacity *reserved, double now)
+{
+    struct pm_clear_request request = {.job = job, .only_zone = -1};
+    struct pm_zone_spread spread = {0};
+    int zones = job->spec->same_zone ? scheduler->tables->settings->zone_count : 1;
+    int zone = 0;
 
     if (job->priority < PM_PRIORITY_URGENT || now < job->scheduling.reservation_until)
         return;
-    for (int zone = 0; zone < zones; zone++) {
-        int only = job->spec->same_zone ? zone : -1;
-        spoken *trial = g_memdup2(spoken_for, size);
-        struct spread at = {0};
-        uint32_t n = 0;
-        while (n < job->task_count && pm_scheduler_clear_one(p, job, trial, &at, only, true, now))
-            n++;
-        g_free(trial);
-        if (n < job->task_count)
-            continue;
-        memset(&at, 0, sizeof at);
-        job->scheduling.reservation_until = now + CLAIM_S;
-        for (n = 0; n < job->task_count; n++) {
-            struct pm_machine *m =
-                pm_scheduler_clear_one(p, job, spoken_for, &at, only, false, now);
-            if (!m)
-                break;
-            m->reservation.gang = job;
-        }
+    for (; zone < zones; zone++) {
+        request.only_zone = job->spec->same_zone ? zone : -1;
+        if (can_clear_gang(scheduler, request, reserved, now))
+            break;
+    }
+    if (zone == zones)
         return;
+    job->scheduling.reservation_until = now + PM_GANG_RESERVATION_S;
+    for (uint32_t i = 0; i < job->task_count; i++) {
+        struct pm_machine *machine =
+            pm_scheduler_clear_machine(scheduler, &request, reserved, &spread, now);
+        if (!machine)
+            break;
+        machine->reservation.gang = job;
     }
 }
--- a/src/scheduler/internal.h
+++ b/src/scheduler/internal.h
@@ -1,74 +1,144 @@
-/* What the parts of the planner share; nobody else includes it. */
+/* What the files of the scheduler slice share; nobody else includes it. */
 #ifndef PM_SCHEDULER_INTERNAL_H
 #define PM_SCHEDULER_INTERNAL_H
 
 #include "scheduler/scheduler.h"
 #include "workers/failures.h"
 
-enum { BUCKETS = 96, CLASSES_MAX = 256, STEPS_MAX = 400 };
-#define EPS 1e-6
-#define CLAIM_S 8.0  /* room cleared for a gang is kept for it so long */
-#define CROWDED 0.25 /* of a machine: see crowded() */
+enum {
+    PM_OCCUPANCY_BUCKETS = 96, /* that the window of occupied time is divided into */
+    PM_CLASSES_MAX = 256,      /* classes whose run times are measured */
+    PM_PLAN_ACTIONS_MAX = 400, /* placements made or stopped by one plan, for the lock's sake */
+    PM_MARKETS = 2,            /* ordinary and spot */
+    PM_PRIORITIES = PM_PRIORITY_PRODUCTION + 1
+};
+#define PM_EPSILON 1e-6           /* amounts that differ by less are equal */
+#define PM_GANG_RESERVATION_S 8.0 /* capacity is kept for a gang for so long */
+#define PM_SERVICE_SHARE 0.25     /* of a machine: see pm_scheduler_uses_service_share() */
+#define PM_REPLICA_SETTLED_S                                                                       \
+    35.0 /* a start counts only if nothing stops it for a while: a replica                         \
+            is not moved sooner */
+
+/* ---- State, grouped by the file that writes it ---- */
 
-struct ledger { /* a team's occupied machine-seconds in a window of buckets */
-    double bucket[BUCKETS];
+/* A team's occupied machine-seconds within the window. */
+struct pm_occupancy_ledger {
+    double bucket[PM_OCCUPANCY_BUCKETS];
     double sum;
 };
 
-/* Of a team's limit. */
-struct pm_quota_usage {
+/* occupancy.c, and ledger_codec.c when a new leader starts. */
+struct pm_occupancy {
+    struct pm_occupancy_ledger ledger[PM_TEAMS_MAX];
+    long current_bucket; /* counted in time of day */
+    double charged_at;   /* monotonic: occupied time is charged up to here, 0: never */
+};
+
+/* Processors per team, for the guarantees. Counted by occupancy.c at the start of a plan; whatever
+ * places, preempts or leases adds to them. */
+struct pm_guarantee_usage {
+    double used_cpus[PM_TEAMS_MAX];     /* of all placements */
+    double stopping_cpus[PM_TEAMS_MAX]; /* of those, the ones that are being stopped */
+    double reserved_cpus[PM_TEAMS_MAX]; /* being made free for the team */
+};
+
+/* An amount of what quota limits. */
+struct pm_quota_amount {
     double cpus, gpus;
 };
 
-struct team_use {
-    struct pm_quota_usage own;      /* places that are not proven gone */
-    struct pm_quota_usage leased;   /* what leases out allow at once */
-    struct pm_quota_usage stray;    /* tasks that a worker reports and no place is known of */
-    struct pm_quota_usage reported; /* of own and stray: what workers say is there now */
+struct pm_team_usage {
+    struct pm_quota_amount placed;   /* placements that are not proven gone */
+    struct pm_quota_amount leased;   /* what leases to shards allow at once */
+    struct pm_quota_amount orphaned; /* tasks that a worker reports without a placement */
+    struct pm_quota_amount reported; /* of placed and orphaned: what workers report right now */
+};
+
+/* quota.c */
+struct pm_quota_usage {
+    struct pm_team_usage team[PM_TEAMS_MAX];
+    double exceeded_logged_at[PM_TEAMS_MAX]; /* monotonic: last logged as over quota, 0: never */
+    bool has_unchecked_starts;               /* something was placed since the last recheck */
+    uint64_t violations;
+};
+
+/* The plan under way. scheduler.c, and whatever places or stops counts its actions. */
+struct pm_plan_run {
+    double wall; /* time of day */
+    int actions; /* placements made or stopped so far */
+    double usage_ratio[PM_TEAMS_MAX];
+    GPtrArray *queue; /* of struct pm_job, borrowed: those with waiting tasks, in rank order */
+};
+
+/* What the plan under way looks up often, found once. scheduler.c (task_placement.c and
+ * preemption.c take machines out and add unschedulable requirements). */
+struct pm_plan_cache {
+    GPtrArray *open_machines; /* borrowed: usable, and not full */
+    GArray *unschedulable;    /* of struct pm_requirements: do not fit, and capacity only shrinks
+                                 within a plan */
+    bool is_boot_expected[PM_TYPES_MAX][PM_ZONES_MAX][PM_MARKETS];
+};
+
+/* capacity.c */
+struct pm_capacity_totals {
+    double counted_at; /* monotonic, below 0: not counted */
+    double headroom_cpus, largest_service_cpus, batch_cpus;
+};
+
+/* cold_start.c */
+struct pm_cold_start {
+    double until; /* monotonic: no service ran a while before this */
+    bool is_active;
+};
+
+/* shard_leasing.c */
+struct pm_machine_leasing {
+    GPtrArray *idle_machines; /* borrowed */
+    double headroom_cpus;     /* that leases may still use, below 0: not counted yet */
+};
+
+/* preemption_search.c: kept between plans so that their memory is reused. */
+struct pm_preemption_scratch {
+    GArray *candidates;  /* machines where something may be preempted */
+    GArray *preemptible; /* placements that may be preempted on the machine looked at */
 };
 
 struct pm_scheduler {
+    /* Set when it is made. */
     struct pm_name_tables *tables;
     struct pm_jobs *jobs;
     struct pm_workers *workers;
-    const struct pm_operator_settings *op;
-    struct ledger ledger[PM_TEAMS_MAX];
-    long bucket; /* the bucket in force, counted in time of day */
-    double charged_at;
-    struct team_use use[PM_TEAMS_MAX]; /* see use.c: for the limits */
-    bool unchecked;                    /* something was placed since starts were last checked */
-    double over_told[PM_TEAMS_MAX];    /* steady: the team was last told to be over its limit */
-    uint64_t violations;               /* of a limit, as seen here */
-    double actual[PM_TEAMS_MAX];       /* processors in use: for the guarantees */
-    double yielding[PM_TEAMS_MAX];     /* processors of tasks that are being stopped */
-    double promised[PM_TEAMS_MAX];     /* processors that are being made free for the team */
-    GArray *wants;
-    GPtrArray *queue;
-    double ratio[PM_TEAMS_MAX];
-    double factor[CLASSES_MAX]; /* measured run time over the owner's estimate, 0: unknown */
-    double reserve;             /* processors on ordinary machines kept for services */
-    int steps;
-    bool sees_all, writable;
-    double day;        /* time of day of the run under way */
-    double cold_until; /* steady: no service ran a while before this */
-    bool cold;
-    /* Of the run under way, so that its work goes with what can change, not with all there is. */
-    GPtrArray *room;  /* machines that may be used and are not full */
-    GArray *hopeless; /* of struct need: found no room, and room only shrinks within a run */
-    bool soon[PM_TYPES_MAX][PM_ZONES_MAX][2]; /* one boots: type, zone, spot */
-    double spare; /* see pm_scheduler_is_machine_leasable, below 0: not counted yet */
-    struct totals {
-        double at, spare, largest,
-            pool; /* as of that time; see pm_scheduler_headroom_cpus and its kin */
-    } totals;
-    GPtrArray *whole;   /* see pm_scheduler_find_idle_machines */
-    GArray *candidates; /* of struct candidate: machines where something may be stopped */
-    GArray *victims;    /* of struct victim: what may be stopped on the machine looked at */
-};
-
-/* What decides whether a task finds room, as far as jobs share it. */
-struct need {
-    uint64_t types;
+    const struct pm_operator_settings *operator_settings;
+
+    /* Set by the controller. */
+    double reserve_cpus; /* on ordinary machines, kept for services */
+    bool has_full_view, is_writable;
+
+    struct pm_occupancy occupancy;
+    struct pm_guarantee_usage guarantee;
+    struct pm_quota_usage quota;
+    double run_time_factor[PM_CLASSES_MAX]; /* run_time.c: measured over estimated, 0: unknown */
+    GArray *unmet_demand;                   /* demand.c: of struct pm_unmet_demand */
+    struct pm_plan_run run;
+    struct pm_plan_cache cache;
+    struct pm_capacity_totals totals;
+    struct pm_cold_start cold_start;
+    struct pm_machine_leasing leasing;
+    struct pm_preemption_scratch preemption;
+};
+
+/* ---- requirements.c ---- */
+
+/* Where the job's tasks are that are not proven gone. */
+struct pm_zone_spread {
+    uint32_t zone[PM_ZONES_MAX];
+    uint32_t unknown; /* on machines whose zone a new leader does not know yet: in any zone */
+    uint32_t total;
+};
+
+/* What decides whether a task fits anywhere, as far as jobs share it. */
+struct pm_requirements {
+    uint64_t types; /* bit i: may run on type i */
     uint32_t zones; /* bit i: may start in zone i */
     int team;       /* -1: whichever */
     enum pm_priority priority;
@@ -76,83 +146,207 @@
     double cpus, gpus, ram_gb;
 };
 
-/* Where the job's tasks are that are not proven gone: per zone, and on one machine. */
-struct spread {
-    uint32_t zone[PM_ZONES_MAX];
-    uint32_t unknown; /* on machines that a new leader has not heard of yet: in any zone */
-    uint32_t total;
-};
+/* Counts the job's placements by zone; all zero for a job without zone constraints. */
+void pm_scheduler_count_zones(const struct pm_job *job, struct pm_zone_spread *out);
+/* Counts one more task in the machine's zone. */
+void pm_scheduler_add_to_spread(struct pm_zone_spread *spread, const struct pm_machine *machine);
+/* The requirements of the job's next task. `team`: whose guarantee matters, -1: none does. */
+struct pm_requirements pm_scheduler_requirements(const struct pm_scheduler *scheduler,
+                                                 const struct pm_job *job,
+                                                 const struct pm_zone_spread *spread, int team);
+/* Whether the plan under way has found already that nothing fits these requirements. */
+bool pm_scheduler_is_unschedulable(const struct pm_scheduler *scheduler,
+                                   const struct pm_requirements *requirements);
+/* Notes that nothing fits these requirements for the rest of the plan. */
+void pm_scheduler_mark_unschedulable(struct pm_scheduler *scheduler,
+                                     const struct pm_requirements *requirements);
+
+/* ---- bin_packing.c ---- */
+
+/* The machine where the job's next task runs best, NULL: it fits nowhere. `only_zone`: -1 for any
+ * zone that the job allows. */
+struct pm_machine *pm_scheduler_best_machine(struct pm_scheduler *scheduler,
+                                             const struct pm_job *job,
+                                             const struct pm_zone_spread *spread, int only_zone,
+                                             double now);
+/* Whether this controller may start tasks on the machine: it is up, its own, trusted, and has sent
+ * heartbeats as lately as on a quiet day. One that misses a heartbeat may be dead. */
+bool pm_scheduler_is_machine_usable(const struct pm_scheduler *scheduler,
+                                    const struct pm_machine *machine, double now);
+/* Whether the job's zone constraints allow one more task in the zone. */
+bool pm_scheduler_is_zone_allowed(const struct pm_job *job, const struct pm_zone_spread *spread,
+                                  int zone);
+/* Whether a task fits into what is free on the machine. */
+bool pm_scheduler_has_free_capacity(const struct pm_machine *machine, const struct pm_spec *spec);
+/* Whether the machine caches the image. */
+bool pm_scheduler_has_image(const struct pm_machine *machine, int image);
+/* How many of the job's tasks the machine has. */
+uint32_t pm_scheduler_count_tasks_of(const struct pm_machine *machine, const struct pm_job *job);
+/* Whether the machine's capacity is reserved for a gang that goes before the job. */
+bool pm_scheduler_is_reserved_for_other_gang(const struct pm_machine *machine,
+                                             const struct pm_job *job, double now);
+/* Whether a production task should rather wait until another machine that caches its image is
+ * cleared of lower work, than fetch the image on this one: that starts it within the second. */
+bool pm_scheduler_should_preempt_elsewhere(struct pm_scheduler *scheduler,
+                                           const struct pm_machine *machine,
+                                           const struct pm_job *job,
+                                           const struct pm_zone_spread *spread, double now);
+
+/* ---- capacity.c ---- */
+
+/* Processors on the machine that a production task could have at once: free or preemptible. */
+double pm_scheduler_preemptible_cpus(const struct pm_machine *machine);
+/* Seconds until the machine has fetched the images that it must fetch before this one. */
+double pm_scheduler_fetch_backlog_s(const struct pm_scheduler *scheduler,
+                                    const struct pm_machine *machine, const struct pm_spec *spec);
 
-/* Room on each machine that is spoken for: processors, accelerators, memory. */
-typedef double spoken[3];
+/* ---- cold_start.c ---- */
 
-/* use.c */
-/* Counts all teams' use anew. */
-void pm_quota_count(struct pm_scheduler *p, double now);
-struct pm_quota_usage pm_quota_total(const struct pm_scheduler *p, int team);
-void pm_quota_add_own(struct pm_scheduler *p, const struct pm_spec *spec, uint32_t tasks);
-/* Whether so many more tasks are within the team's limits. */
-bool pm_quota_allows(const struct pm_scheduler *p, const struct pm_spec *spec, uint32_t tasks);
+/* Decides whether the plan under way belongs to a cold start: no service has run until lately. */
+void pm_scheduler_update_cold_start(struct pm_scheduler *scheduler, double now);
+/* Within how many seconds the job's class should start, by its service-level objective. */
+double pm_scheduler_start_objective_s(const struct pm_scheduler *scheduler,
+                                      const struct pm_job *job);
+/* Whether the job has waited so long that one more image fetch does not matter, and yet not so long
+ * that its replicas are overdue: the time to bring its image to another machine. */
+bool pm_scheduler_may_fetch(const struct pm_scheduler *scheduler, const struct pm_machine *machine,
+                            const struct pm_job *job);
+/* Whether the task would use some of the last share of the machine. That share is left to services
+ * that can still start in time, and limits what is lost when the machine ends. */
+bool pm_scheduler_uses_service_share(const struct pm_scheduler *scheduler,
+                                     const struct pm_machine *machine, const struct pm_spec *spec);
+/* Whether a replica waits, on a cold start, for a machine that boots. */
+bool pm_scheduler_awaits_boot(const struct pm_scheduler *scheduler, const struct pm_job *job);
+/* Whether a replica that is late already should wait, on a cold start, for a machine that boots,
+ * instead of starting on this one: the first machines would take all replicas, and most machines
+ * would never cache most images. */
+bool pm_scheduler_should_await_boot(const struct pm_scheduler *scheduler,
+                                    const struct pm_machine *machine, const struct pm_job *job);
 
-/* ledger.c */
-void pm_scheduler_charge_occupancy(struct pm_scheduler *p, double now, double day);
+/* ---- occupancy.c ---- */
+
+/* Charges what ran since the last plan to the teams' ledgers, and counts what they use now. */
+void pm_scheduler_charge_occupancy(struct pm_scheduler *scheduler, double now, double wall);
+/* Whether the job's time is not charged: best-effort work, until it is overdue to start. */
 bool pm_scheduler_is_unallocated(const struct pm_job *job);
+/* The bucket of a time of day. */
+long pm_occupancy_bucket_at(const struct pm_scheduler *scheduler, double wall);
+
+/* ---- quota.c ---- */
+
+/* Counts the usage of all teams anew, and logs those that are over quota. */
+void pm_quota_count(struct pm_scheduler *scheduler, double now);
+/* All that counts against the team's quota. */
+struct pm_quota_amount pm_quota_total(const struct pm_scheduler *scheduler, int team);
+/* Counts so many new placements. */
+void pm_quota_add_placed(struct pm_scheduler *scheduler, const struct pm_spec *spec,
+                         uint32_t tasks);
+/* Whether so many more tasks are within the team's quota. */
+bool pm_quota_allows(const struct pm_scheduler *scheduler, const struct pm_spec *spec,
+                     uint32_t tasks);
+
+/* ---- gang_scheduling.c ---- */
 
-/* fit.c */
-struct pm_machine *pm_scheduler_best_machine(struct pm_scheduler *p, const struct pm_job *job,
-                                             const struct spread *at, int only_zone, double now);
-bool pm_scheduler_is_machine_usable(const struct pm_scheduler *p, const struct pm_machine *m,
-                                    double now);
-struct need pm_scheduler_need_of(const struct pm_scheduler *p, const struct pm_job *job,
-                                 const struct spread *at, int team);
-void pm_scheduler_count_zones(const struct pm_job *job, struct spread *out);
-/* Whether a replica is to wait for a machine that boots, on a cold start. */
-bool pm_scheduler_awaits_boot(const struct pm_scheduler *p, const struct pm_job *job);
-bool pm_scheduler_rather_waits(const struct pm_scheduler *p, const struct pm_machine *m,
-                               const struct pm_job *job);
-bool pm_scheduler_claimed_by_other(const struct pm_machine *m, const struct pm_job *job,
-                                   double now);
-bool pm_scheduler_boot_expected(const struct pm_scheduler *p, const struct pm_job *job);
-bool pm_scheduler_has_image(const struct pm_machine *m, int image);
-uint32_t pm_scheduler_of_job(const struct pm_machine *m, const struct pm_job *job);
-bool pm_scheduler_is_unschedulable(const struct pm_scheduler *p, const struct need *need);
-bool pm_scheduler_has_free_capacity(const struct pm_machine *m, const struct pm_spec *spec);
-bool pm_scheduler_better_cleared(struct pm_scheduler *p, const struct pm_machine *m,
-                                 const struct pm_job *job, const struct spread *at, double now);
-double pm_scheduler_yielding_room(const struct pm_machine *m);
-double pm_scheduler_fetches_before(const struct pm_scheduler *p, const struct pm_machine *m,
-                                   const struct pm_spec *spec);
-bool pm_scheduler_zone_ok(const struct pm_job *job, const struct spread *at, int zone);
-
-/* gangs.c */
-bool pm_scheduler_await_room(struct pm_scheduler *p, struct pm_job *job, int only_zone, double now);
-void pm_scheduler_clear_gang(struct pm_scheduler *p, struct pm_job *job, spoken *spoken_for,
-                             double now);
-bool pm_scheduler_place_gang(struct pm_scheduler *p, struct pm_job *job, int only_zone,
-                             bool guarantee, double now);
-
-/* preempt.c */
-/* The arrays that preempting uses are made, and freed. */
-void pm_scheduler_preempt_begin(struct pm_scheduler *p);
-void pm_scheduler_preempt_end(struct pm_scheduler *p);
-/* Whether a task of the job, were it placed now, would be one that `other` may have stopped. */
-bool pm_scheduler_yields_to(const struct pm_scheduler *p, const struct pm_job *job,
+/* Places every task of the gang, or none. Returns whether they are placed. `only_zone`: -1 for
+ * any. */
+bool pm_scheduler_place_gang(struct pm_scheduler *scheduler, struct pm_job *job, int only_zone,
+                             bool within_guarantee, double now);
+/* For a gang that may preempt nothing: reserves machines where it fits once their array tasks have
+ * ended. Returns whether there were enough; else nothing is reserved. */
+bool pm_scheduler_reserve_for_gang(struct pm_scheduler *scheduler, struct pm_job *job,
+                                   int only_zone, double now);
+/* Preempts, and reserves machines, for all tasks of an urgent gang, or for none: a part of a gang's
+ * capacity would be of use to nobody. `reserved`: see pm_scheduler_clear_machine(). */
+void pm_scheduler_preempt_for_gang(struct pm_scheduler *scheduler, struct pm_job *job,
+                                   struct pm_machine_capacity *reserved, double now);
+
+/* ---- preemption_rules.c ---- */
+
+/* Whether the team uses more than its guarantee, apart from what is being stopped. */
+bool pm_scheduler_is_beyond_guarantee(const struct pm_scheduler *scheduler, int team);
+/* Whether a task of the job, were it placed now, would be one that `other` may preempt. */
+bool pm_scheduler_yields_to(const struct pm_scheduler *scheduler, const struct pm_job *job,
                             const struct pm_job *other);
-double pm_scheduler_leave_for(const struct pm_placement *place, bool hurry);
-struct pm_machine *pm_scheduler_clear_one(struct pm_scheduler *p, struct pm_job *job,
-                                          spoken *spoken_for, struct spread *at, int only_zone,
-                                          bool dry, double now);
-void pm_scheduler_stop_disallowed_tasks(struct pm_scheduler *p, double now);
-
-/* rank.c */
-double pm_scheduler_since(const struct pm_job *job);
-void pm_scheduler_measure_left(struct pm_scheduler *p);
-void pm_scheduler_mark_starving(struct pm_scheduler *p, double now);
-
-/* plan.c */
-void pm_scheduler_place_task(struct pm_scheduler *p, struct pm_job *job, uint32_t index,
-                             struct pm_machine *m, uint32_t attempt, struct spread *at, double now);
-bool pm_scheduler_within(const struct pm_scheduler *p, const struct pm_job *job, uint32_t tasks,
-                         bool guarantee);
+/* Whether the job may preempt the placement. */
+bool pm_scheduler_may_preempt(const struct pm_scheduler *scheduler, const struct pm_job *job,
+                              const struct pm_placement *placement, double now);
+/* The priority below which the job may preempt work, whatever else has to hold. */
+enum pm_priority pm_scheduler_preemptible_below(const struct pm_scheduler *scheduler,
+                                                const struct pm_job *job);
+/* The grace period of a stop, in seconds: the time to checkpoint, or 0 for a task that cannot, or
+ * when the stop is `urgent`. */
+double pm_scheduler_grace_s(const struct pm_placement *placement, bool urgent);
+
+/* ---- preemption_search.c ---- */
+
+/* Makes the arrays that preemption reuses. */
+void pm_preemption_scratch_init(struct pm_preemption_scratch *scratch);
+/* Frees them. */
+void pm_preemption_scratch_clear(struct pm_preemption_scratch *scratch);
+/* Finds the machines where something may be preempted; once a plan, before clear_machine. */
+void pm_scheduler_find_preemption_candidates(struct pm_scheduler *scheduler, double now);
+/* What a search for capacity is for. */
+struct pm_clear_request {
+    struct pm_job *job;
+    int only_zone; /* -1: any */
+    bool dry_run;  /* reserve in `reserved` and `spread` alone, and preempt nothing */
+};
+/* Makes capacity for one task of the job where that loses least, and reserves it there; a machine
+ * where enough is being stopped already serves without more. `reserved`: by machine index, what
+ * this plan has reserved so far. Returns the machine, NULL: there is none. */
+struct pm_machine *pm_scheduler_clear_machine(struct pm_scheduler *scheduler,
+                                              const struct pm_clear_request *request,
+                                              struct pm_machine_capacity *reserved,
+                                              struct pm_zone_spread *spread, double now);
+
+/* ---- mandatory_stops.c ---- */
+
+/* Stops what must not run on: tasks of jobs that are over, gangs that lost a task, and tasks on a
+ * machine with a spot interruption notice. */
+void pm_scheduler_stop_disallowed_tasks(struct pm_scheduler *scheduler, double now);
+
+/* ---- rebalancing.c ---- */
+
+/* Moves one replica from the machine with most of them to one with much more capacity, so that the
+ * end of one machine does not exceed the reserve. */
+void pm_scheduler_rebalance(struct pm_scheduler *scheduler, double now);
+/* Whether the placement is a replica that runs, and has run for PM_REPLICA_SETTLED_S. */
+bool pm_scheduler_is_settled_replica(const struct pm_placement *placement, double now);
+
+/* ---- ranking.c ---- */
+
+/* Since when the job waits for capacity, time of day in seconds: since it was submitted, or since
+ * its dependencies were met. */
+double pm_scheduler_waiting_since(const struct pm_job *job);
+/* Compares two struct pm_job * by how long they have waited, oldest first. */
+int pm_scheduler_compare_by_age(const void *first, const void *second);
+/* Measures the remaining work of each array job, which ranks it within its team and priority. */
+void pm_scheduler_measure_remaining(struct pm_scheduler *scheduler);
+
+/* ---- starvation.c ---- */
+
+/* Marks the jobs that go first so that they start whole within a bound. */
+void pm_scheduler_mark_starving(struct pm_scheduler *scheduler, double now);
+
+/* ---- task_placement.c ---- */
+
+/* Proposes a placement, and counts it everywhere. */
+void pm_scheduler_place_task(struct pm_scheduler *scheduler, struct pm_job *job, uint32_t index,
+                             struct pm_machine *machine, uint32_t attempt,
+                             struct pm_zone_spread *spread, double now);
+/* Whether so many more tasks of the job may start: within its lease, its team's quota, and, if
+ * asked, its team's guarantee. */
+bool pm_scheduler_may_start(const struct pm_scheduler *scheduler, const struct pm_job *job,
+                            uint32_t tasks, bool within_guarantee);
+/* Places what fits of the job. */
+void pm_scheduler_place_job(struct pm_scheduler *scheduler, struct pm_job *job,
+                            bool within_guarantee, double now);
+
+/* ---- demand.c ---- */
+
+/* Adds the job's waiting tasks to the unmet demand, as far as its team's quota allows them.
+ * `counted_cpus`: per team, processors of the demand that this plan has added so far. */
+void pm_scheduler_note_demand(struct pm_scheduler *scheduler, struct pm_job *job,
+                              double *counted_cpus, double now);
 
 #endif
--- /dev/null
+++ b/src/scheduler/mandatory_stops.c
@@ -0,0 +1,114 @@
+/* Stops that no other job's demand calls for: a job is over, a gang lost a task, or the provider
+ * takes a spot machine. */
+#include "scheduler/internal.h"
+
+#define OVERRUN_MAX_S 10.0 /* a task that ran for so much longer than estimated may run for long   \
+                            */
+#define NOTICE_SHARE                                                                               \
+    0.4 /* of the time until an interruption that is counted on: the notice may                    \
+           be off by half */
+
+static void stop(struct pm_scheduler *scheduler, struct pm_placement *placement, double grace_s)
+{
+    pm_placement_stop(placement, grace_s);
+    scheduler->run.actions++;
+}
+
+static void stop_gang(struct pm_scheduler *scheduler, struct pm_job *job, double grace_s)
+{
+    for (uint32_t i = 0; i < job->task_count; i++) {
+        const struct pm_task *task = pm_job_find_task(job, i);
+        if (task && task->placement && !task->placement->should_stop)
+            stop(scheduler, task->placement, grace_s);
+    }
+}
+
+/* Whether the task will probably end before the machine does. */
+static bool may_end_in_time(const struct pm_scheduler *scheduler,
+                            const struct pm_placement *placement, double left_s, double now)
+{
+    double ran_s = placement->running_since ? now - placement->running_since : 0;
+    double remaining_s = pm_scheduler_estimate_remaining_s(scheduler, placement->job) - ran_s;
+
+    return placement->job->spec->kind != PM_WORKLOAD_SERVICE && placement->running_since &&
+           remaining_s > -OVERRUN_MAX_S && remaining_s < left_s * NOTICE_SHARE;
+}
+
+/* What can checkpoint does so now, gangs stop whole, a replica moves, and a task that cannot
+ * checkpoint runs on only where it may well end in time. */
+static void stop_for_interruption(struct pm_scheduler *scheduler, const struct pm_machine *machine,
+                                  double now)
+{
+    double left_s = machine->heartbeat.spot_interruption_at - now;
+
+    for (guint i = 0; i < machine->placements->len; i++) {
+        struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
+        double grace_s = pm_scheduler_grace_s(placement, false);
+        if (placement->should_stop || placement->state == PM_PLACEMENT_ENDED ||
+            placement->state == PM_PLACEMENT_PROPOSED ||
+            may_end_in_time(scheduler, placement, left_s, now))
+            continue;
+        if (placement->job->spec->kind == PM_WORKLOAD_GANG)
+            stop_gang(scheduler, placement->job, grace_s);
+        else
+            stop(scheduler, placement, grace_s);
+    }
+}
+
+/* A gang whose attempt lost a task stops whole. */
+static void stop_incomplete_gangs(struct pm_scheduler *scheduler)
+{
+    GPtrArray *active = pm_jobs_active(scheduler->jobs);
+
+    for (guint i = 0; i < active->len; i++) {
+        struct pm_job *job = g_ptr_array_index(active, i);
+        if (job->spec && !job->delegated && job->spec->kind == PM_WORKLOAD_GANG &&
+            job->work.placed_count && job->state == PM_JOB_LIVE && !job->work.done_count &&
+            job->work.placed_count < job->task_count)
+            stop_gang(scheduler, job, 0);
+    }
+}
+
+/* Removes a placement that was never launched: no proof is needed that its task is gone. */
+static void withdraw(struct pm_scheduler *scheduler, struct pm_placement *placement)
+{
+    struct pm_job *job = placement->job;
+    uint32_t index = placement->task_index;
+
+    pm_workers_remove_placement(scheduler->workers, placement);
+    pm_job_mark_dirty(job, index);
+    scheduler->run.actions++;
+}
+
+/* Tasks of a job that is over stop at once, without a grace period. */
+static void stop_tasks_of_ended_jobs(struct pm_scheduler *scheduler,
+                                     const struct pm_machine *machine)
+{
+    for (guint i = 0; i < machine->placements->len;) {
+        struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
+        bool is_live = placement->job->state == PM_JOB_LIVE;
+        if (placement->state == PM_PLACEMENT_PROPOSED && (!is_live || placement->should_stop)) {
+            withdraw(scheduler, placement); /* the next one is at this index now */
+            continue;
+        }
+        if (!is_live && placement->state != PM_PLACEMENT_ENDED &&
+            !(placement->should_stop && placement->grace_s <= 0))
+            stop(scheduler, placement, 0);
+        i++;
+    }
+}
+
+void pm_scheduler_stop_disallowed_tasks(struct pm_scheduler *scheduler, double now)
+{
+    GPtrArray *machines = pm_workers_all(scheduler->workers);
+
+    stop_incomplete_gangs(scheduler);
+    for (guint i = 0; i < machines->len; i++) {
+        const struct pm_machine *machine = g_ptr_array_index(machines, i);
+        if (!machine)
+            continue;
+        stop_tasks_of_ended_jobs(scheduler, machine);
+        if (machine->heartbeat.spot_interruption_at && machine->state == PM_MACHINE_UP)
+            stop_for_interruption(scheduler, machine, now);
+    }
+}
--- /dev/null
+++ b/src/scheduler/preemption_rules.c
@@ -0,0 +1,113 @@
+/* Which work may preempt which. */
+#include "scheduler/internal.h"
+
+#define CHECKPOINT_MARGIN_S                                                                        \
+    1.0 /* granted beyond a checkpoint's duration, so that it ends in time */
+
+/* Whether one more task of the job is within its team's guarantee. */
+static bool is_within_guarantee(const struct pm_scheduler *scheduler, const struct pm_job *job)
+{
+    int team = job->spec->team;
+
+    return scheduler->guarantee.used_cpus[team] + scheduler->guarantee.reserved_cpus[team] +
+               job->spec->cpus <=
+           scheduler->tables->settings->teams[team].cpus + PM_EPSILON;
+}
+
+bool pm_scheduler_is_beyond_guarantee(const struct pm_scheduler *scheduler, int team)
+{
+    return scheduler->guarantee.used_cpus[team] - scheduler->guarantee.stopping_cpus[team] >
+           scheduler->tables->settings->teams[team].cpus + PM_EPSILON;
+}
+
+/* Urgent work beyond its team's guarantee leaves alone what another team has within its own: that
+ * could preempt it in turn, and so on without end. */
+static bool may_preempt_as_urgent(const struct pm_scheduler *scheduler, const struct pm_job *job,
+                                  int other_team)
+{
+    return !scheduler->has_full_view || other_team == job->spec->team ||
+           is_within_guarantee(scheduler, job) ||
+           pm_scheduler_is_beyond_guarantee(scheduler, other_team);
+}
+
+/* Work beyond its team's guarantee yields to a team that is within its own. */
+static bool may_preempt_for_guarantee(const struct pm_scheduler *scheduler,
+                                      const struct pm_job *job, const struct pm_job *other)
+{
+    return scheduler->has_full_view && job->spec->team != other->spec->team &&
+           other->priority < PM_PRIORITY_PRODUCTION && is_within_guarantee(scheduler, job) &&
+           pm_scheduler_is_beyond_guarantee(scheduler, other->spec->team);
+}
+
+/* A charged task is protected for its minimum runtime, then yields, if it can resume, to a team of
+ * a lower ratio. */
+static bool may_preempt_by_ratio(const struct pm_scheduler *scheduler, const struct pm_job *job,
+                                 const struct pm_placement *placement, double now)
+{
+    const struct pm_spec *other = placement->job->spec;
+    const double *usage_ratio = scheduler->run.usage_ratio;
+    bool is_protected = now - placement->placed_at < scheduler->operator_settings->min_runtime_s;
+
+    return !is_protected && other->checkpoint_interval_s > 0 &&
+           usage_ratio[job->spec->team] < usage_ratio[other->team];
+}
+
+bool pm_scheduler_yields_to(const struct pm_scheduler *scheduler, const struct pm_job *job,
+                            const struct pm_job *other)
+{
+    int team = job->spec->team;
+
+    if (job->priority == PM_PRIORITY_PRODUCTION)
+        return false;
+    return job->priority < other->priority ||
+           (scheduler->has_full_view && team != other->spec->team &&
+            pm_scheduler_is_beyond_guarantee(scheduler, team));
+}
+
+/* Unallocated work yields at once to work of a higher priority. Beyond that, a guarantee preempts
+ * whatever is below production, and no rule but that one preempts work of equal or higher priority;
+ * so the ratio alone does not decide. */
+bool pm_scheduler_may_preempt(const struct pm_scheduler *scheduler, const struct pm_job *job,
+                              const struct pm_placement *placement, double now)
+{
+    const struct pm_job *other = placement->job;
+
+    if (placement->should_stop || placement->state == PM_PLACEMENT_ENDED || other == job)
+        return false;
+    if (pm_scheduler_is_unallocated(other) && job->priority > other->priority)
+        return true;
+    if (pm_scheduler_is_unallocated(job))
+        return false;
+    if (may_preempt_for_guarantee(scheduler, job, other))
+        return true;
+    if (other->priority >= job->priority)
+        return false;
+    if (job->priority == PM_PRIORITY_PRODUCTION)
+        return true;
+    if (job->priority >= PM_PRIORITY_URGENT)
+        return may_preempt_as_urgent(scheduler, job, other->spec->team);
+    return may_preempt_by_ratio(scheduler, job, placement, now);
+}
+
+enum pm_priority pm_scheduler_preemptible_below(const struct pm_scheduler *scheduler,
+                                                const struct pm_job *job)
+{
+    bool may_use_guarantee = scheduler->has_full_view && !pm_scheduler_is_unallocated(job);
+
+    return may_use_guarantee ? PM_PRIORITY_PRODUCTION : job->priority;
+}
+
+double pm_scheduler_grace_s(const struct pm_placement *placement, bool urgent)
+{
+    const struct pm_spec *spec = placement->job->spec;
+
+    if (spec->checkpoint_interval_s <= 0 || urgent)
+        return 0;
+    return spec->checkpoint_duration_s + CHECKPOINT_MARGIN_S;
+}
+
+void pm_scheduler_preempt_placement(struct pm_placement *placement)
+{
+    if (!placement->should_stop && placement->state != PM_PLACEMENT_ENDED)
+        pm_placement_stop(placement, pm_scheduler_grace_s(placement, false));
+}
--- /dev/null
+++ b/src/scheduler/preemption_search.c
@@ -0,0 +1,232 @@
+/* Finds the machine where capacity for one task is cleared with least loss, and clears it. */
+#include "scheduler/internal.h"
+#include "base/log.h"
+
+#include <math.h>
+
+#define CLEARING_S 4.0       /* what is stopped is gone within this, for the most part */
+#define FETCH_COST_PER_S 1e4 /* a fetch costs more than whatever a preemption loses */
+#define PREEMPTION_COST 1.0  /* of a preemption, besides the work that it loses */
+
+/* A placement that may be preempted. */
+struct preemptible {
+    struct pm_placement *placement;
+    double loss_s; /* of its work */
+};
+
+/* A machine where something may be preempted, and the processors on it that work of a priority
+ * could have at most: what is free, is being stopped, or runs at a lower one. Found once a plan, so
+ * that each task that wants capacity passes over most machines without a look at their placements.
+ */
+struct candidate {
+    struct pm_machine *machine;
+    double cpus_for[PM_PRIORITIES];
+};
+
+/* What it takes to clear a machine for one task. */
+struct clearance {
+    guint preemptions; /* of the first placements in `preemption.preemptible` */
+    double cost;
+};
+
+void pm_preemption_scratch_init(struct pm_preemption_scratch *scratch)
+{
+    scratch->candidates = g_array_new(FALSE, FALSE, sizeof(struct candidate));
+    scratch->preemptible = g_array_new(FALSE, FALSE, sizeof(struct preemptible));
+}
+
+void pm_preemption_scratch_clear(struct pm_preemption_scratch *scratch)
+{
+    g_array_free(scratch->candidates, TRUE);
+    g_array_free(scratch->preemptible, TRUE);
+}
+
+static void add_candidate(struct pm_scheduler *scheduler, struct pm_machine *machine)
+{
+    struct candidate candidate = {.machine = machine};
+    bool is_useful = machine->free.cpus > PM_EPSILON; /* free capacity serves without preemption */
+
+    for (int priority = 0; priority < PM_PRIORITIES; priority++)
+        candidate.cpus_for[priority] = machine->free.cpus;
+    for (guint i = 0; i < machine->placements->len; i++) {
+        const struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
+        int lowest =
+            placement->should_stop ? PM_PRIORITY_BEST_EFFORT : (int)placement->job->priority + 1;
+        if (placement->state == PM_PLACEMENT_ENDED)
+            continue;
+        is_useful |= lowest < PM_PRIORITIES;
+        for (int priority = lowest; priority < PM_PRIORITIES; priority++)
+            candidate.cpus_for[priority] += placement->job->spec->cpus;
+    }
+    if (is_useful)
+        g_array_append_val(scheduler->preemption.candidates, candidate);
+}
+
+void pm_scheduler_find_preemption_candidates(struct pm_scheduler *scheduler, double now)
+{
+    GPtrArray *machines = pm_workers_all(scheduler->workers);
+
+    g_array_set_size(scheduler->preemption.candidates, 0);
+    for (guint i = 0; i < machines->len; i++) {
+        struct pm_machine *machine = g_ptr_array_index(machines, i);
+        if (machine && pm_scheduler_is_machine_usable(scheduler, machine, now))
+            add_candidate(scheduler, machine);
+    }
+}
+
+/* What is lost when the task is stopped now, in seconds of its work. */
+static double loss_s(const struct pm_placement *placement, double now)
+{
+    const struct pm_spec *spec = placement->job->spec;
+    double ran_s = placement->running_since ? now - placement->running_since : 0;
+
+    if (spec->checkpoint_interval_s <= 0)
+        return ran_s;
+    return spec->checkpoint_duration_s + fmod(ran_s, spec->checkpoint_interval_s);
+}
+
+static int compare_by_loss(const void *first, const void *second)
+{
+    const struct preemptible *left = first;
+    const struct preemptible *right = second;
+
+    return left->loss_s < right->loss_s ? -1 : left->loss_s > right->loss_s;
+}
+
+static const struct preemptible *preemptible_at(const struct pm_scheduler *scheduler, guint index)
+{
+    return &g_array_index(scheduler->preemption.preemptible, struct preemptible, index);
+}
+
+static void add_request(struct pm_machine_capacity *capacity, const struct pm_spec *spec)
+{
+    capacity->cpus += spec->cpus;
+    capacity->gpus += spec->gpus;
+    capacity->ram_gb += spec->ram_gb;
+}
+
+static bool fits(const struct pm_spec *spec, const struct pm_machine_capacity *capacity)
+{
+    return capacity->cpus + PM_EPSILON >= spec->cpus && capacity->gpus + PM_EPSILON >= spec->gpus &&
+           capacity->ram_gb + PM_EPSILON >= spec->ram_gb;
+}
+
+/* Collects what the job may preempt on the machine, least loss first, and adds what is being
+ * stopped to `available`. */
+static void find_preemptible(struct pm_scheduler *scheduler, const struct pm_job *job,
+                             const struct pm_machine *machine,
+                             struct pm_machine_capacity *available, double now)
+{
+    GArray *preemptible = scheduler->preemption.preemptible;
+
+    g_array_set_size(preemptible, 0);
+    for (guint i = 0; i < machine->placements->len; i++) {
+        struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
+        if (placement->should_stop && placement->state != PM_PLACEMENT_ENDED)
+            add_request(available, placement->job->spec);
+        else if (pm_scheduler_may_preempt(scheduler, job, placement, now))
+            g_array_append_vals(preemptible,
+                                &(struct preemptible){placement, loss_s(placement, now)}, 1);
+    }
+    g_array_sort(preemptible, compare_by_loss);
+}
+
+/* Whether one more task of the job fits on the machine once some placements are preempted, besides
+ * what is being stopped already. */
+static bool can_clear(struct pm_scheduler *scheduler, const struct pm_job *job,
+                      const struct pm_machine *machine, const struct pm_machine_capacity *reserved,
+                      struct clearance *out, double now)
+{
+    const struct pm_spec *spec = job->spec;
+    const struct pm_machine_capacity *reserved_here = &reserved[machine->index];
+    struct pm_machine_capacity available = machine->free;
+
+    *out = (struct clearance){0};
+    if (!pm_scheduler_has_image(machine, spec->image))
+        out->cost = FETCH_COST_PER_S *
+                    (1 + pm_scheduler_fetch_backlog_s(scheduler, machine, spec) +
+                     spec->image_gb /
+                         MAX(scheduler->tables->types[machine->type].pull_gb_per_s, PM_EPSILON));
+    find_preemptible(scheduler, job, machine, &available, now);
+    available.cpus -= reserved_here->cpus;
+    available.gpus -= reserved_here->gpus;
+    available.ram_gb -= reserved_here->ram_gb;
+    for (; !fits(spec, &available); out->preemptions++) {
+        const struct preemptible *next;
+        if (out->preemptions == scheduler->preemption.preemptible->len)
+            return false;
+        next = preemptible_at(scheduler, out->preemptions);
+        add_request(&available, next->placement->job->spec);
+        out->cost += PREEMPTION_COST + next->loss_s * next->placement->job->spec->cpus;
+    }
+    return true;
+}
+
+static struct pm_machine *find_cheapest(struct pm_scheduler *scheduler,
+                                        const struct pm_clear_request *request,
+                                        const struct pm_machine_capacity *reserved,
+                                        const struct pm_zone_spread *spread, double now)
+{
+    const struct pm_job *job = request->job;
+    const GArray *candidates = scheduler->preemption.candidates;
+    enum pm_priority below = pm_scheduler_preemptible_below(scheduler, job);
+    struct pm_machine *best = NULL;
+    double best_cost = INFINITY;
+
+    for (guint i = 0; i < candidates->len; i++) {
+        const struct candidate *candidate = &g_array_index(candidates, struct candidate, i);
+        struct pm_machine *machine = candidate->machine;
+        struct clearance clearance;
+        if (candidate->cpus_for[below] - reserved[machine->index].cpus + PM_EPSILON <
+                job->spec->cpus ||
+            (request->only_zone >= 0 && machine->zone != request->only_zone) ||
+            !pm_scheduler_is_machine_allowed(scheduler->tables, job, machine->type, machine->zone,
+                                             machine->spot) ||
+            !pm_scheduler_is_zone_allowed(job, spread, machine->zone) ||
+            pm_scheduler_is_reserved_for_other_gang(machine, job, now) ||
+            !can_clear(scheduler, job, machine, reserved, &clearance, now) ||
+            clearance.cost >= best_cost)
+            continue;
+        best = machine;
+        best_cost = clearance.cost;
+    }
+    return best;
+}
+
+static void preempt_on(struct pm_scheduler *scheduler, struct pm_job *job,
+                       struct pm_machine *machine, const struct pm_machine_capacity *reserved,
+                       double now)
+{
+    struct clearance clearance;
+
+    can_clear(scheduler, job, machine, reserved, &clearance, now);
+    for (guint i = 0; i < clearance.preemptions; i++) {
+        struct pm_placement *placement = preemptible_at(scheduler, i)->placement;
+        const struct pm_spec *spec = placement->job->spec;
+        pm_info("scheduler.preempted", "%s/%u on %s for %s", placement->job->id,
+                placement->task_index, machine->name, job->id);
+        pm_placement_stop(placement,
+                          pm_scheduler_grace_s(placement, job->priority == PM_PRIORITY_PRODUCTION));
+        scheduler->guarantee.stopping_cpus[spec->team] += spec->cpus;
+        scheduler->run.actions++;
+    }
+    scheduler->guarantee.reserved_cpus[job->spec->team] += job->spec->cpus;
+    machine->reservation.job = job;
+    machine->reservation.until = now + CLEARING_S;
+}
+
+struct pm_machine *pm_scheduler_clear_machine(struct pm_scheduler *scheduler,
+                                              const struct pm_clear_request *request,
+                                              struct pm_machine_capacity *reserved,
+                                              struct pm_zone_spread *spread, double now)
+{
+    struct pm_machine *best = find_cheapest(scheduler, request, reserved, spread, now);
+
+    if (!best)
+        return NULL;
+    if (!request->dry_run)
+        preempt_on(scheduler, request->job, best, reserved, now);
+    add_request(&reserved[best->index], request->job->spec);
+    pm_scheduler_add_to_spread(spread, best);
+    return best;
+}
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -1,36 +1,35 @@
-/* What each team uses of its limit, in one account: the planner, whoever leases out, the holder of
- * a block and the commit all ask here before work starts.
+/* What each team uses of its quota, in one account: plans, leases to shards, a shard's owner and
+ * the commit of placements all check it before work starts.
  *
- * Counted is whatever may be on a machine: places that are not proven gone, the width of leases
- * that are out, and tasks that a worker reports though no place is known (strays). What is not
- * known yet counts as the most that it can be. */
+ * Counted is whatever may be on a machine: placements that are not proven gone, the parallelism of
+ * leases, and orphan tasks, which a worker reports though no placement is known. What is not known
+ * yet counts as the most that it can be. */
 #include "base/log.h"
 #include "scheduler/internal.h"
 
 #include <math.h>
 #include <string.h>
 
-#define TELL_S 10.0    /* a team over its limit is told of no more often */
-#define NEAR_LIMIT 0.9 /* a team that uses this share of its limit is told of with the state */
-#define UNLIMITED 1e9  /* a limit from here on is none */
+#define EXCEEDED_LOG_INTERVAL_S 10.0 /* a team over quota is logged no more often */
+#define NEAR_QUOTA_SHARE 0.9         /* a team that uses this share of its quota is near it */
+#define UNLIMITED 1e9                /* a quota from here on is none */
 
-#ifdef PM_PLANTED_QUOTA_FAULT /* a test's build, in which the account is off by a task: see        \
-                               * src/soak                                                          \
-                               */
-#define PLANTED_CPUS 2.0
+/* A test's build, in which the account is off by a task; see src/soak. */
+#ifdef PM_PLANTED_QUOTA_FAULT
+#define PLANTED_FAULT_CPUS 2.0
 #else
-#define PLANTED_CPUS 0.0
+#define PLANTED_FAULT_CPUS 0.0
 #endif
 
-static void add(struct pm_quota_usage *use, const struct pm_spec *spec, double tasks)
+static void add_tasks(struct pm_quota_amount *amount, const struct pm_spec *spec, double tasks)
 {
-    use->cpus += tasks * spec->cpus;
-    use->gpus += tasks * spec->gpus;
+    amount->cpus += tasks * spec->cpus;
+    amount->gpus += tasks * spec->gpus;
 }
 
-/* Tasks that the lease of a job at a holder lets run at once. A width that was not read yet bounds
- * nothing: then it is all that are not durably done. */
-static uint32_t leased_tasks(const struct pm_job *job)
+/* Tasks that the lease of a delegated job lets run at once. A parallelism that was not read yet
+ * bounds nothing: then it is all tasks that are not durably done. */
+static uint32_t count_leased_tasks(const struct pm_job *job)
 {
     uint32_t done;
     uint32_t placed;
@@ -39,174 +38,195 @@
     return MAX(MIN(job->parallelism, job->task_count - MIN(done, job->task_count)), placed);
 }
 
-static void count_machine(struct pm_scheduler *p, const struct pm_machine *m)
+static void count_placements(struct pm_scheduler *scheduler, const struct pm_machine *machine)
 {
-    /* An old copy of a report shows tasks that have ended since: they count, but prove nothing. */
-    bool heeds_us =
-        m->delivery.acked_epoch && m->heartbeat.fencing_token >= m->delivery.acked_epoch;
-
-    for (guint i = 0; i < m->placements->len; i++) {
-        const struct pm_placement *place = g_ptr_array_index(m->placements, i);
-        struct team_use *use = &p->use[place->job->spec->team];
-        if (place->state == PM_PLACEMENT_ENDED)
+    for (guint i = 0; i < machine->placements->len; i++) {
+        const struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
+        const struct pm_spec *spec = placement->job->spec;
+        struct pm_team_usage *usage = &scheduler->quota.team[spec->team];
+        if (placement->state == PM_PLACEMENT_ENDED)
             continue;
-        add(&use->own, place->job->spec, 1);
-        if (place->state >= PM_PLACEMENT_WAITING)
-            add(&use->reported, place->job->spec, 1);
+        add_tasks(&usage->placed, spec, 1);
+        if (placement->state >= PM_PLACEMENT_WAITING)
+            add_tasks(&usage->reported, spec, 1);
     }
-    for (guint i = 0; i < m->heartbeat.orphan_tasks->len; i++) {
-        const struct pm_spec *spec =
-            g_array_index(m->heartbeat.orphan_tasks, struct pm_task_ref, i).job->spec;
+}
+
+static void count_orphan_tasks(struct pm_scheduler *scheduler, const struct pm_machine *machine)
+{
+    const GArray *orphans = machine->heartbeat.orphan_tasks;
+    /* A stale copy of a heartbeat shows tasks that have ended since: they count, but prove no
+     * violation. */
+    bool is_current = machine->delivery.acked_epoch &&
+                      machine->heartbeat.fencing_token >= machine->delivery.acked_epoch;
+
+    for (guint i = 0; i < orphans->len; i++) {
+        const struct pm_spec *spec = g_array_index(orphans, struct pm_task_ref, i).job->spec;
         if (!spec)
-            continue; /* its job is over: how much it takes is not known any more */
-        add(&p->use[spec->team].stray, spec, 1);
-        if (heeds_us)
-            add(&p->use[spec->team].reported, spec, 1);
+            continue; /* its job is over: what it requests is not known any more */
+        add_tasks(&scheduler->quota.team[spec->team].orphaned, spec, 1);
+        if (is_current)
+            add_tasks(&scheduler->quota.team[spec->team].reported, spec, 1);
     }
 }
 
-struct pm_quota_usage pm_quota_total(const struct pm_scheduler *p, int team)
+struct pm_quota_amount pm_quota_total(const struct pm_scheduler *scheduler, int team)
 {
-    const struct team_use *use = &p->use[team];
+    const struct pm_team_usage *usage = &scheduler->quota.team[team];
 
-    return (struct pm_quota_usage){use->own.cpus + use->leased.cpus + use->stray.cpus -
-                                       PLANTED_CPUS,
-                                   use->own.gpus + use->leased.gpus + use->stray.gpus};
+    return (struct pm_quota_amount){usage->placed.cpus + usage->leased.cpus + usage->orphaned.cpus -
+                                        PLANTED_FAULT_CPUS,
+                                    usage->placed.gpus + usage->leased.gpus + usage->orphaned.gpus};
 }
 
-static bool is_over(const struct pm_team_setting *team, struct pm_quota_usage use)
+static bool is_over(const struct pm_team_setting *team, struct pm_quota_amount amount)
 {
-    return use.cpus > team->cpus_max + EPS || use.gpus > team->gpus_max + EPS;
+    return amount.cpus > team->cpus_max + PM_EPSILON || amount.gpus > team->gpus_max + PM_EPSILON;
 }
 
-/* The invariant, asserted on what workers report: seen broken, it is told and counted. */
-static void assert_within(struct pm_scheduler *p, double now)
+/* Asserts the invariant on what workers report: a violation is logged and counted. */
+static void check_reported_usage(struct pm_scheduler *scheduler, double now)
 {
-    for (int t = 0; t < p->tables->settings->team_count; t++) {
-        const struct pm_team_setting *team = &p->tables->settings->teams[t];
-        const struct team_use *use = &p->use[t];
-        if (!is_over(team, use->reported) || (p->over_told[t] && now < p->over_told[t] + TELL_S))
+    struct pm_quota_usage *quota = &scheduler->quota;
+
+    for (int i = 0; i < scheduler->tables->settings->team_count; i++) {
+        const struct pm_team_setting *team = &scheduler->tables->settings->teams[i];
+        const struct pm_team_usage *usage = &quota->team[i];
+        if (!is_over(team, usage->reported))
+            continue;
+        if (quota->exceeded_logged_at[i] &&
+            now < quota->exceeded_logged_at[i] + EXCEEDED_LOG_INTERVAL_S)
             continue;
-        p->over_told[t] = now;
-        p->violations++;
+        quota->exceeded_logged_at[i] = now;
+        quota->violations++;
         pm_error("quota.exceeded",
-                 "%s runs %g cpus, %g accelerators of %g, %g; own %g, leased %g, stray %g",
-                 team->name, use->reported.cpus, use->reported.gpus, team->cpus_max, team->gpus_max,
-                 use->own.cpus, use->leased.cpus, use->stray.cpus);
+                 "%s runs %g cpus, %g accelerators of %g, %g; placed %g, leased %g, orphaned %g",
+                 team->name, usage->reported.cpus, usage->reported.gpus, team->cpus_max,
+                 team->gpus_max, usage->placed.cpus, usage->leased.cpus, usage->orphaned.cpus);
     }
 }
 
-void pm_quota_count(struct pm_scheduler *p, double now)
+void pm_quota_count(struct pm_scheduler *scheduler, double now)
 {
-    GPtrArray *all = pm_workers_all(p->workers);
-    GPtrArray *active = pm_jobs_active(p->jobs);
+    GPtrArray *machines = pm_workers_all(scheduler->workers);
+    GPtrArray *active = pm_jobs_active(scheduler->jobs);
+    struct pm_team_usage *usage = scheduler->quota.team;
 
-    memset(p->use, 0, sizeof p->use[0] * (size_t)p->tables->settings->team_count);
-    for (guint i = 0; i < all->len; i++)
-        if (g_ptr_array_index(all, i))
-            count_machine(p, g_ptr_array_index(all, i));
+    memset(usage, 0, sizeof *usage * (size_t)scheduler->tables->settings->team_count);
+    for (guint i = 0; i < machines->len; i++) {
+        const struct pm_machine *machine = g_ptr_array_index(machines, i);
+        if (!machine)
+            continue;
+        count_placements(scheduler, machine);
+        count_orphan_tasks(scheduler, machine);
+    }
     for (guint i = 0; i < active->len; i++) {
         const struct pm_job *job = g_ptr_array_index(active, i);
-        if (job->delegated && job->spec && p->sees_all)
-            add(&p->use[job->spec->team].leased, job->spec, leased_tasks(job));
+        if (job->delegated && job->spec && scheduler->has_full_view)
+            add_tasks(&usage[job->spec->team].leased, job->spec, count_leased_tasks(job));
     }
-    assert_within(p, now);
+    check_reported_usage(scheduler, now);
 }
 
-void pm_quota_add_own(struct pm_scheduler *p, const struct pm_spec *spec, uint32_t tasks)
+void pm_quota_add_placed(struct pm_scheduler *scheduler, const struct pm_spec *spec, uint32_t tasks)
 {
-    add(&p->use[spec->team].own, spec, tasks);
-    p->unchecked = true;
+    add_tasks(&scheduler->quota.team[spec->team].placed, spec, tasks);
+    scheduler->quota.has_unchecked_starts = true;
 }
 
-void pm_scheduler_charge_lease(struct pm_scheduler *p, const struct pm_spec *spec, uint32_t tasks)
+void pm_scheduler_charge_lease(struct pm_scheduler *scheduler, const struct pm_spec *spec,
+                               uint32_t tasks)
 {
-    add(&p->use[spec->team].leased, spec, tasks);
+    add_tasks(&scheduler->quota.team[spec->team].leased, spec, tasks);
 }
 
-bool pm_quota_allows(const struct pm_scheduler *p, const struct pm_spec *spec, uint32_t tasks)
+bool pm_quota_allows(const struct pm_scheduler *scheduler, const struct pm_spec *spec,
+                     uint32_t tasks)
 {
-    struct pm_quota_usage use = pm_quota_total(p, spec->team);
+    struct pm_quota_amount amount = pm_quota_total(scheduler, spec->team);
 
-    add(&use, spec, tasks);
-    return !is_over(&p->tables->settings->teams[spec->team], use);
+    add_tasks(&amount, spec, tasks);
+    return !is_over(&scheduler->tables->settings->teams[spec->team], amount);
 }
 
-/* What is below a limit, less a share of it that is kept; all of it where there is no limit. */
-static double below(double most, double used, double kept)
+/* What is below a quota, less the share of it that is kept; all of it where there is no quota. */
+static double below_quota(double quota, double used, double kept_share)
 {
-    return most < UNLIMITED ? most * (1 - kept) - used : most;
+    return quota < UNLIMITED ? quota * (1 - kept_share) - used : quota;
 }
 
-uint32_t pm_scheduler_leasable_tasks(const struct pm_scheduler *p, const struct pm_spec *spec,
-                                     double kept)
+uint32_t pm_scheduler_leasable_tasks(const struct pm_scheduler *scheduler,
+                                     const struct pm_spec *spec, double kept_share)
 {
-    const struct pm_team_setting *team = &p->tables->settings->teams[spec->team];
-    struct pm_quota_usage use = pm_quota_total(p, spec->team);
+    const struct pm_team_setting *team = &scheduler->tables->settings->teams[spec->team];
+    struct pm_quota_amount used = pm_quota_total(scheduler, spec->team);
 
-    return pm_spec_tasks_that_fit(spec, below(team->cpus_max, use.cpus, kept),
-                                  below(team->gpus_max, use.gpus, kept), INFINITY);
+    return pm_spec_tasks_that_fit(spec, below_quota(team->cpus_max, used.cpus, kept_share),
+                                  below_quota(team->gpus_max, used.gpus, kept_share), INFINITY);
 }
 
-/* Takes back starts of the team that are not durable, until it is within its limit. Never launched,
- * they need no proof. */
-static unsigned withdraw_starts(struct pm_scheduler *p, int team)
+/* Withdraws proposed placements of the team until it is within its quota. Never launched, they need
+ * no proof that they are gone. Returns how many. */
+static unsigned withdraw_proposed(struct pm_scheduler *scheduler, int team)
 {
-    GPtrArray *all = pm_workers_all(p->workers);
+    const struct pm_team_setting *setting = &scheduler->tables->settings->teams[team];
+    GPtrArray *machines = pm_workers_all(scheduler->workers);
     unsigned withdrawn = 0;
 
-    for (guint i = 0; i < all->len; i++) {
-        struct pm_machine *m = g_ptr_array_index(all, i);
-        for (guint j = m ? m->placements->len : 0; j > 0; j--) {
-            struct pm_placement *place = g_ptr_array_index(m->placements, j - 1);
-            struct pm_job *job = place->job;
-            uint32_t index = place->task_index;
-            if (place->state != PM_PLACEMENT_PROPOSED || job->spec->team != team)
+    for (guint i = 0; i < machines->len; i++) {
+        const struct pm_machine *machine = g_ptr_array_index(machines, i);
+        for (guint j = machine ? machine->placements->len : 0; j > 0; j--) {
+            struct pm_placement *placement = g_ptr_array_index(machine->placements, j - 1);
+            struct pm_job *job = placement->job;
+            uint32_t index = placement->task_index;
+            if (placement->state != PM_PLACEMENT_PROPOSED || job->spec->team != team)
                 continue;
-            if (!is_over(&p->tables->settings->teams[team], pm_quota_total(p, team)))
+            if (!is_over(setting, pm_quota_total(scheduler, team)))
                 return withdrawn;
-            pm_workers_remove_placement(p->workers, place);
+            pm_workers_remove_placement(scheduler->workers, placement);
             pm_job_mark_dirty(job, index);
-            add(&p->use[team].own, job->spec, -1);
+            add_tasks(&scheduler->quota.team[team].placed, job->spec, -1);
             withdrawn++;
         }
     }
     return withdrawn;
 }
 
-void pm_scheduler_recheck_quota(struct pm_scheduler *p, double now)
+void pm_scheduler_recheck_quota(struct pm_scheduler *scheduler, double now)
 {
-    if (!p->unchecked)
+    if (!scheduler->quota.has_unchecked_starts)
         return;
-    p->unchecked = false;
-    pm_quota_count(p, now);
-    for (int t = 0; t < p->tables->settings->team_count; t++) {
-        const struct pm_team_setting *team = &p->tables->settings->teams[t];
-        struct pm_quota_usage before = pm_quota_total(p, t);
-        unsigned withdrawn = is_over(team, before) ? withdraw_starts(p, t) : 0;
+    scheduler->quota.has_unchecked_starts = false;
+    pm_quota_count(scheduler, now);
+    for (int i = 0; i < scheduler->tables->settings->team_count; i++) {
+        const struct pm_team_setting *team = &scheduler->tables->settings->teams[i];
+        struct pm_quota_amount before = pm_quota_total(scheduler, i);
+        unsigned withdrawn = is_over(team, before) ? withdraw_proposed(scheduler, i) : 0;
         if (!withdrawn)
             continue;
-        p->violations++;
+        scheduler->quota.violations++;
         pm_error("quota.start_rejected", "%s: %u starts, with %g of %g cpus, %g of %g accelerators",
                  team->name, withdrawn, before.cpus, team->cpus_max, before.gpus, team->gpus_max);
     }
 }
 
-uint64_t pm_scheduler_quota_violations(const struct pm_scheduler *p)
+uint64_t pm_scheduler_quota_violations(const struct pm_scheduler *scheduler)
 {
-    return p->violations;
+    return scheduler->quota.violations;
 }
 
-void pm_scheduler_log_quota_usage(const struct pm_scheduler *p)
+void pm_scheduler_log_quota_usage(const struct pm_scheduler *scheduler)
 {
-    for (int t = 0; t < p->tables->settings->team_count; t++) {
-        const struct pm_team_setting *team = &p->tables->settings->teams[t];
-        const struct team_use *use = &p->use[t];
-        struct pm_quota_usage total = pm_quota_total(p, t);
-        if (total.cpus >= NEAR_LIMIT * team->cpus_max || total.gpus >= NEAR_LIMIT * team->gpus_max)
-            pm_info("quota.usage",
-                    "%s: own %g, leased %g, stray %g of %g cpus; %g of %g accelerators", team->name,
-                    use->own.cpus, use->leased.cpus, use->stray.cpus, team->cpus_max, total.gpus,
-                    team->gpus_max);
+    for (int i = 0; i < scheduler->tables->settings->team_count; i++) {
+        const struct pm_team_setting *team = &scheduler->tables->settings->teams[i];
+        const struct pm_team_usage *usage = &scheduler->quota.team[i];
+        struct pm_quota_amount total = pm_quota_total(scheduler, i);
+        if (total.cpus < NEAR_QUOTA_SHARE * team->cpus_max &&
+            total.gpus < NEAR_QUOTA_SHARE * team->gpus_max)
+            continue;
+        pm_info("quota.usage",
+                "%s: placed %g, leased %g, orphaned %g of %g cpus; %g of %g accelerators",
+                team->name, usage->placed.cpus, usage->leased.cpus, usage->orphaned.cpus,
+                team->cpus_max, total.gpus, team->gpus_max);
     }
 }
--- a/src/scheduler/shard_leasing.c
+++ b/src/scheduler/shard_leasing.c
@@ -1,114 +1,130 @@
-/* For the leasing of blocks. */
+/* What may be leased to shards: idle machines, and tasks within a guarantee; and which leased
+ * machine may be revoked. Called by the shards slice on the leader, after pm_scheduler_begin(). */
 #include "scheduler/internal.h"
 
 #include <math.h>
 
-void pm_scheduler_add_unmet_demand(struct pm_scheduler *p, struct pm_job *job, uint32_t tasks)
-{
-    g_array_append_vals(p->wants, &(struct pm_unmet_demand){job, tasks}, 1);
-}
+/* The parts of an idle machine's score. */
+#define IMAGE_BONUS 3.0            /* the image is cached */
+#define SPOT_BONUS 5.0             /* ordinary machines are kept for services */
+#define UNUSED_CAPACITY_WEIGHT 2.0 /* of the share of the machine that the job would not use */
 
-uint32_t pm_scheduler_tasks_within_guarantee(struct pm_scheduler *p, const struct pm_job *job)
+uint32_t pm_scheduler_tasks_within_guarantee(struct pm_scheduler *scheduler,
+                                             const struct pm_job *job)
 {
     const struct pm_spec *spec = job->spec;
-    double left = p->tables->settings->teams[spec->team].cpus - p->actual[spec->team];
+    double *used_cpus = &scheduler->guarantee.used_cpus[spec->team];
+    double left_cpus = scheduler->tables->settings->teams[spec->team].cpus - *used_cpus;
     uint32_t done;
     uint32_t placed;
-    uint32_t n;
+    uint32_t tasks;
 
     pm_job_count_tasks(job, &done, &placed);
-    if (left <= 0 || spec->cpus <= 0)
+    if (left_cpus <= 0 || spec->cpus <= 0)
         return 0;
-    n = (uint32_t)MIN(floor((left + EPS) / spec->cpus),
-                      job->task_count - MIN(done + placed, job->task_count));
-    p->actual[spec->team] += n * spec->cpus;
-    return n;
+    tasks = (uint32_t)MIN(floor((left_cpus + PM_EPSILON) / spec->cpus),
+                          job->task_count - MIN(done + placed, job->task_count));
+    *used_cpus += tasks * spec->cpus;
+    return tasks;
 }
 
-GPtrArray *pm_scheduler_find_idle_machines(struct pm_scheduler *p, uint64_t epoch, double now)
+GPtrArray *pm_scheduler_find_idle_machines(struct pm_scheduler *scheduler, uint64_t epoch,
+                                           double now)
 {
-    GPtrArray *all = pm_workers_all(p->workers);
+    GPtrArray *machines = pm_workers_all(scheduler->workers);
+    GPtrArray *idle = scheduler->leasing.idle_machines;
 
-    g_ptr_array_set_size(p->whole, 0);
-    p->spare = -1;
-    for (guint i = 0; i < all->len; i++) {
-        struct pm_machine *m = g_ptr_array_index(all, i);
-        if (m && m->type >= 0 && m->zone >= 0 && !m->placements->len &&
-            pm_scheduler_is_machine_usable(p, m, now) && pm_machine_is_drained(m, epoch))
-            g_ptr_array_add(p->whole, m);
+    g_ptr_array_set_size(idle, 0);
+    scheduler->leasing.headroom_cpus = -1;
+    for (guint i = 0; i < machines->len; i++) {
+        struct pm_machine *machine = g_ptr_array_index(machines, i);
+        if (machine && machine->type >= 0 && machine->zone >= 0 && !machine->placements->len &&
+            pm_scheduler_is_machine_usable(scheduler, machine, now) &&
+            pm_machine_is_drained(machine, epoch))
+            g_ptr_array_add(idle, machine);
     }
-    return p->whole;
+    return idle;
 }
 
-bool pm_scheduler_is_machine_leasable(struct pm_scheduler *p, const struct pm_machine *m,
-                                      const struct pm_job *job, double now)
+bool pm_scheduler_is_machine_leasable(struct pm_scheduler *scheduler,
+                                      const struct pm_machine *machine, const struct pm_job *job,
+                                      double now)
 {
-    if (m->shard.owner ||
-        !pm_scheduler_is_machine_allowed(p->tables, job, m->type, m->zone, m->spot) ||
-        !pm_scheduler_has_free_capacity(m, job->spec))
+    struct pm_machine_leasing *leasing = &scheduler->leasing;
+
+    if (machine->shard.owner ||
+        !pm_scheduler_is_machine_allowed(scheduler->tables, job, machine->type, machine->zone,
+                                         machine->spot) ||
+        !pm_scheduler_has_free_capacity(machine, job->spec))
         return false;
-    if (m->spot)
+    if (machine->spot)
         return true;
-    if (p->spare < 0) {
-        p->totals.at = -1; /* counted anew: this run has placed since */
-        p->spare = pm_scheduler_headroom_cpus(p, now);
+    if (leasing->headroom_cpus < 0) {
+        scheduler->totals.counted_at = -1; /* this plan has placed tasks since they were counted */
+        leasing->headroom_cpus = pm_scheduler_headroom_cpus(scheduler, now);
     }
-    return p->spare - m->free.cpus >= p->reserve;
+    return leasing->headroom_cpus - machine->free.cpus >= scheduler->reserve_cpus;
+}
+
+static double score_idle_machine(const struct pm_machine *machine, const struct pm_spec *spec,
+                                 uint32_t tasks)
+{
+    double unused_cpus = MAX(0, machine->free.cpus - tasks * spec->cpus);
+
+    return (pm_scheduler_has_image(machine, spec->image) ? IMAGE_BONUS : 0) +
+           (machine->spot ? SPOT_BONUS : 0) -
+           UNUSED_CAPACITY_WEIGHT * unused_cpus / MAX(machine->free.cpus, PM_EPSILON);
 }
 
-struct pm_machine *pm_scheduler_pick_idle_machine(struct pm_scheduler *p, const struct pm_job *job,
-                                                  uint32_t tasks, double now)
+struct pm_machine *pm_scheduler_pick_idle_machine(struct pm_scheduler *scheduler,
+                                                  const struct pm_job *job, uint32_t tasks,
+                                                  double now)
 {
+    const GPtrArray *idle = scheduler->leasing.idle_machines;
     struct pm_machine *best = NULL;
     double best_score = -INFINITY;
 
-    for (guint i = 0; i < p->whole->len; i++) {
-        struct pm_machine *m = g_ptr_array_index(p->whole, i);
-        double value;
-        if (!pm_scheduler_is_machine_leasable(p, m, job, now))
+    for (guint i = 0; i < idle->len; i++) {
+        struct pm_machine *machine = g_ptr_array_index(idle, i);
+        double score;
+        if (!pm_scheduler_is_machine_leasable(scheduler, machine, job, now))
             continue;
-        value = (pm_scheduler_has_image(m, job->spec->image) ? 3 : 0) + (m->spot ? 5 : 0) -
-                2 * MAX(0, m->free.cpus - tasks * job->spec->cpus) / MAX(m->free.cpus, EPS);
-        if (value > best_score) {
-            best_score = value;
-            best = m;
+        score = score_idle_machine(machine, job->spec, tasks);
+        if (score > best_score) {
+            best_score = score;
+            best = machine;
         }
     }
     if (best && !best->spot)
-        p->spare -= best->free.cpus; /* leased from now on */
+        scheduler->leasing.headroom_cpus -= best->free.cpus;
     return best;
 }
 
-bool pm_scheduler_may_preempt_machine(struct pm_scheduler *p, const struct pm_job *job, int machine)
+/* Whether the job has a stored placement on the machine. */
+static bool has_stored_placement_on(const struct pm_job *job, int machine)
+{
+    for (int i = 0; i < job->chunk_count; i++) {
+        const GArray *stored = job->chunks[i] ? job->chunks[i]->stored_placements : NULL;
+        for (guint k = 0; stored && k < stored->len; k++)
+            if (g_array_index(stored, struct pm_stored_placement, k).machine == machine)
+                return true;
+    }
+    return false;
+}
+
+bool pm_scheduler_may_preempt_machine(struct pm_scheduler *scheduler, const struct pm_job *job,
+                                      int machine)
 {
-    GPtrArray *active = pm_jobs_active(p->jobs);
+    GPtrArray *active = pm_jobs_active(scheduler->jobs);
 
     for (guint i = 0; i < active->len; i++) {
         const struct pm_job *other = g_ptr_array_index(active, i);
-        const struct pm_team_setting *team;
-        bool there = false;
-        if (!other->delegated || !other->spec)
-            continue;
-        for (int k = 0; k < other->chunk_count && !there; k++) {
-            const GArray *stored_places =
-                other->chunks[k] ? other->chunks[k]->stored_placements : NULL;
-            for (guint s = 0; stored_places && s < stored_places->len && !there; s++)
-                there =
-                    g_array_index(stored_places, struct pm_stored_placement, s).machine == machine;
-        }
-        if (!there)
+        if (!other->delegated || !other->spec || !has_stored_placement_on(other, machine))
             continue;
-        team = &p->tables->settings->teams[other->spec->team];
         if (other->spec->team == job->spec->team || other->priority == PM_PRIORITY_PRODUCTION ||
-            p->actual[other->spec->team] - p->yielding[other->spec->team] <= team->cpus + EPS)
+            !pm_scheduler_is_beyond_guarantee(scheduler, other->spec->team))
             return false;
-        p->yielding[other->spec->team] += other->spec->cpus;
+        scheduler->guarantee.stopping_cpus[other->spec->team] += other->spec->cpus;
     }
     return true;
 }
-
-void pm_scheduler_preempt_placement(struct pm_placement *place)
-{
-    if (!place->should_stop && place->state != PM_PLACEMENT_ENDED)
-        pm_placement_stop(place, pm_scheduler_leave_for(place, false));
-}
