--- /dev/null
+++ b/src/scheduler/tests/trace_checks.h
@@ -0,0 +1,157 @@
+/* The commands of a trace that print what the controller decides or knows. Each is described by the
+ * form of its line. */
+#ifndef PM_SCHEDULER_TESTS_TRACE_CHECKS_H
+#define PM_SCHEDULER_TESTS_TRACE_CHECKS_H
+
+#include "trace_parser.h"
+#include "workers/failures.h"
+
+/* Prints a list of commands to a worker; frees the buffer. */
+static void print_commands(struct trace_world *world, struct pm_buf *buf)
+{
+    cbor_item_t *commands = pm_cbor_parse(buf->data, buf->size);
+
+    for (size_t i = 0; i < pm_cbor_length(commands); i++) {
+        const cbor_item_t *command = pm_cbor_at(commands, i);
+        char verb[16];
+        char task[64];
+        uint64_t attempt;
+        double grace_s;
+        pm_cbor_read_text(pm_cbor_get(command, "verb"), verb, sizeof verb);
+        pm_cbor_read_text(pm_cbor_get(command, "entry"), task, sizeof task);
+        pm_cbor_read_count(pm_cbor_get(command, "try"), &attempt);
+        g_string_append_printf(world->output, "> %s %s attempt %llu", verb, task,
+                               (unsigned long long)attempt);
+        if (pm_cbor_read_number(pm_cbor_get(command, "leave_s"), &grace_s))
+            g_string_append_printf(world->output, " grace %g", grace_s);
+        g_string_append(world->output, "\n");
+    }
+    pm_cbor_free(commands);
+    pm_buf_free(buf);
+}
+
+/* commands MACHINE [push]: in the answer to a heartbeat, or in a push that begins */
+static void run_commands(struct trace_world *world, char **words)
+{
+    struct pm_machine *machine = trace_machine(world, words);
+    bool is_push = words[2] && !strcmp(words[2], "push");
+    struct pm_buf buf = {0};
+
+    if (is_push)
+        pm_worker_push_begin(world->workers, machine);
+    pm_workers_encode_commands(machine, is_push, world->epoch, &buf);
+    print_commands(world, &buf);
+}
+
+/* cancel_kills MACHINE ...: what a controller that is not active answers to this heartbeat */
+static void run_cancel_kills(struct trace_world *world, char **words)
+{
+    struct pm_buf buf = {0};
+    cbor_item_t *message = trace_read_message(world, words);
+
+    pm_workers_encode_cancel_kills(world->workers, message, &buf);
+    print_commands(world, &buf);
+    pm_cbor_free(message);
+}
+
+static void print_placement(struct trace_world *world, struct pm_placement *placement)
+{
+    static const char *const state_names[] = {"proposed", "durable",       "fetching", "waiting",
+                                              "running",  "checkpointing", "ended"};
+
+    g_string_append_printf(world->output, "> %s/%u attempt %u on %s %s%s\n", placement->job->id,
+                           placement->task_index, placement->attempt, placement->machine->name,
+                           state_names[placement->state], placement->should_stop ? " stop" : "");
+}
+
+/* placements */
+static void run_placements(struct trace_world *world, char **words)
+{
+    (void)words;
+    trace_for_each_placement(world, print_placement);
+}
+
+/* unmet_demand: what the last plan found no capacity for, which is what others are preempted and
+ * machines are rented for */
+static void run_unmet_demand(struct trace_world *world, char **words)
+{
+    const GArray *unmet = pm_scheduler_unmet_demand(world->scheduler);
+
+    (void)words;
+    for (guint i = 0; i < unmet->len; i++) {
+        const struct pm_unmet_demand *demand = &g_array_index(unmet, struct pm_unmet_demand, i);
+        g_string_append_printf(world->output, "> %s %u\n", demand->job->id, demand->tasks);
+    }
+}
+
+/* recheck_quota: what precedes the write of placements; prints how many violations were seen so far
+ */
+static void run_recheck_quota(struct trace_world *world, char **words)
+{
+    uint64_t violations;
+
+    (void)words;
+    pm_scheduler_recheck_quota(world->scheduler, world->now);
+    violations = pm_scheduler_quota_violations(world->scheduler);
+    if (violations)
+        g_string_append_printf(world->output, "> %llu violations\n",
+                               (unsigned long long)violations);
+}
+
+/* leasable_tasks JOB KEPT_SHARE */
+static void run_leasable_tasks(struct trace_world *world, char **words)
+{
+    const struct pm_job *job = pm_jobs_find(world->jobs, words[1]);
+
+    g_string_append_printf(
+        world->output, "> %u\n",
+        pm_scheduler_leasable_tasks(world->scheduler, job->spec, strtod(words[2], NULL)));
+}
+
+/* lease MACHINE: its worker's, with no other controller since time 0 */
+static void run_lease(struct trace_world *world, char **words)
+{
+    bool is_expired = pm_workers_is_lease_expired(trace_machine(world, words), 0,
+                                                  world->settings.lease_s, world->now);
+
+    g_string_append(world->output, is_expired ? "> expired\n" : "> valid\n");
+}
+
+/* is_reporting MACHINE: do its heartbeats arrive here? */
+static void run_is_reporting(struct trace_world *world, char **words)
+{
+    bool is_silent =
+        pm_machine_is_not_reporting(trace_machine(world, words), &world->settings, world->now);
+
+    g_string_append(world->output, is_silent ? "> not reporting\n" : "> reporting\n");
+}
+
+/* is_reachable MACHINE: does what is sent arrive there? */
+static void run_is_reachable(struct trace_world *world, char **words)
+{
+    const struct pm_machine *machine = trace_machine(world, words);
+
+    if (pm_machine_is_unreachable(machine, world->now))
+        g_string_append(world->output, "> unreachable\n");
+    else
+        g_string_append(world->output,
+                        machine->delivery.failures ? "> delivery failing\n" : "> reachable\n");
+}
+
+/* machine_health MACHINE: is it faulty, and to be replaced? */
+static void run_machine_health(struct trace_world *world, char **words)
+{
+    bool is_faulty = pm_failures_is_machine_faulty(trace_machine(world, words));
+
+    g_string_append(world->output, is_faulty ? "> faulty\n" : "> healthy\n");
+}
+
+/* job_health JOB: does it fail wherever it runs? */
+static void run_job_health(struct trace_world *world, char **words)
+{
+    bool is_failing = pm_failures_is_job_failing(pm_jobs_find(world->jobs, words[1]));
+
+    g_string_append(world->output, is_failing ? "> failing\n" : "> healthy\n");
+}
+
+#endif
--- /dev/null
+++ b/src/scheduler/tests/trace_inputs.h
@@ -0,0 +1,271 @@
+/* The commands of a trace that something arrives by, or that time passes by. Each is described by
+ * the form of its line. */
+#ifndef PM_SCHEDULER_TESTS_TRACE_INPUTS_H
+#define PM_SCHEDULER_TESTS_TRACE_INPUTS_H
+
+#include "base/protocol.h"
+#include "trace_parser.h"
+
+/* ---- The deployment ---- */
+
+/* machine_type NAME cpus=N ram=N gpus=N price=N */
+static void run_machine_type(struct trace_world *world, char **words)
+{
+    int index = pm_names_intern(world->tables.type_names, words[1]);
+    double price = trace_number(words, "price", 1);
+
+    world->tables.types[index] = (struct pm_type){.cpus = trace_number(words, "cpus", 16),
+                                                  .ram_gb = trace_number(words, "ram", 64),
+                                                  .gpus = trace_number(words, "gpus", 0),
+                                                  .local_gb = 40,
+                                                  .price = price,
+                                                  .spot_price = price / 3,
+                                                  .ready_s = 20,
+                                                  .zones = 3};
+    world->tables.type_count = pm_names_count(world->tables.type_names);
+}
+
+/* team NAME guarantee=N quota=N quota_gpus=N */
+static void run_team(struct trace_world *world, char **words)
+{
+    struct pm_team_setting *team = &world->settings.teams[world->settings.team_count++];
+
+    g_strlcpy(team->name, words[1], sizeof team->name);
+    team->cpus = trace_number(words, "guarantee", 0);
+    team->cpus_max = trace_number(words, "quota", 1e12);
+    team->gpus_max = trace_number(words, "quota_gpus", 1e12);
+}
+
+/* booting MACHINE type=T zone=Z */
+static void run_booting(struct trace_world *world, char **words)
+{
+    struct pm_machine *machine = pm_workers_add(world->workers, words[1]);
+    const char *type = trace_text(words, "type", "small");
+
+    pm_workers_set_type(world->workers, machine, pm_names_find(world->tables.type_names, type));
+    machine->zone = !strcmp(trace_text(words, "zone", "east"), "west");
+    machine->provider.rented_at = world->now;
+}
+
+/* terminated MACHINE: its termination is confirmed */
+static void run_terminated(struct trace_world *world, char **words)
+{
+    struct pm_machine *machine = trace_machine(world, words);
+
+    pm_workers_mark_lost(world->workers, machine, world->now);
+    pm_workers_remove(world->workers, machine);
+}
+
+/* ---- The store's watch ---- */
+
+/* Applies a value of the job, as the watch would; frees the buffer. */
+static void feed_value(struct trace_world *world, const char *id, struct pm_buf *buf)
+{
+    cbor_item_t *value = pm_cbor_parse(buf->data, buf->size);
+    char key[64];
+
+    assert_non_null(value);
+    snprintf(key, sizeof key, "p/j/%s", id);
+    pm_jobs_apply_put(world->jobs, key, value, ++world->revision);
+    pm_cbor_free(value);
+    pm_buf_free(buf);
+}
+
+static void feed_job(struct trace_world *world, const char *id, const struct pm_spec *spec,
+                     enum pm_job_state state)
+{
+    struct pm_buf buf = {0};
+
+    pm_job_encode(&world->tables, spec, spec->task_count, state, true, &buf);
+    feed_value(world, id, &buf);
+}
+
+/* job ID team=T kind=array|gang|service priority=P tasks=N cpus=N ram=N depends_on=ID ... */
+static void run_job(struct trace_world *world, char **words)
+{
+    struct pm_spec spec = trace_read_spec(world, words);
+
+    feed_job(world, words[1], &spec, PM_JOB_LIVE);
+    g_free(spec.dependencies);
+}
+
+/* job_done JOB: it is done, since now */
+static void run_job_done(struct trace_world *world, char **words)
+{
+    const struct pm_job done = {.task_count = 1, .ended_wall = trace_wall(world)};
+    struct pm_buf buf = {0};
+
+    world->tables.protocol_version = PM_PROTOCOL_END_TIMES;
+    pm_job_encode_done(&world->tables, &done, false, &buf);
+    feed_value(world, words[1], &buf);
+}
+
+/* cancel JOB */
+static void run_cancel(struct trace_world *world, char **words)
+{
+    const struct pm_job *job = pm_jobs_find(world->jobs, words[1]);
+    struct pm_spec spec = *job->spec;
+
+    feed_job(world, words[1], &spec, PM_JOB_CANCELLED);
+}
+
+/* stored_placement JOB/INDEX:ATTEMPT MACHINE incarnation=N: as a new leader reads it */
+static void run_stored_placement(struct trace_world *world, char **words)
+{
+    char **part = g_strsplit_set(words[1], "/:", 3);
+    struct pm_machine *machine = pm_workers_add(world->workers, words[2]);
+
+    pm_workers_add_placement(
+        world->workers, pm_jobs_find(world->jobs, part[0]), (uint32_t)strtoul(part[1], NULL, 10),
+        machine, (uint32_t)strtoul(part[2], NULL, 10),
+        (uint64_t)trace_number(words, "incarnation", 1), PM_PLACEMENT_DURABLE, world->now);
+    machine->state = PM_MACHINE_UP;
+    machine->heartbeat.last_message_at = world->now;
+    g_strfreev(part);
+}
+
+/* ---- Controllers ---- */
+
+/* new_leader: it has the jobs as the watch gave them, and no working state */
+static void run_new_leader(struct trace_world *world, char **words)
+{
+    GPtrArray *active = pm_jobs_active(world->jobs);
+
+    (void)words;
+    for (guint i = 0; i < active->len; i++) {
+        struct pm_job *job = g_ptr_array_index(active, i);
+        job->scheduling.waiting_since_wall = 0;
+        job->scheduling.is_overdue_start = job->scheduling.is_starving = false;
+    }
+    pm_workers_reset(world->workers);
+    pm_jobs_reset_work(world->jobs);
+    pm_scheduler_reset(world->scheduler);
+}
+
+/* epoch N */
+static void run_epoch(struct trace_world *world, char **words)
+{
+    world->epoch = strtoul(words[1], NULL, 10);
+}
+
+/* peer_cancellation JOB: another controller says that it is cancelled */
+static void run_peer_cancellation(struct trace_world *world, char **words)
+{
+    if (!pm_jobs_apply_cancellation(world->jobs, words[1], ++world->revision))
+        g_string_append(world->output, "> known\n");
+}
+
+/* delegate JOB PARALLELISM: leased to another controller */
+static void run_delegate(struct trace_world *world, char **words)
+{
+    struct pm_job *job = pm_jobs_find(world->jobs, words[1]);
+
+    job->delegated = true;
+    job->parallelism = (uint32_t)strtoul(words[2], NULL, 10);
+}
+
+/* ---- Workers ---- */
+
+static void apply_message(struct trace_world *world, char **words, enum pm_task_list_source source)
+{
+    cbor_item_t *message = trace_read_message(world, words);
+    struct pm_machine *machine;
+    bool is_fresh;
+
+    machine = pm_workers_apply_heartbeat(world->workers, message, source, world->epoch, world->now,
+                                         &is_fresh);
+    if (machine && !trace_number(words, "unlisted", 0))
+        machine->provider.is_listed = true; /* the provider's inventory has it */
+    if (!machine)
+        g_string_append(world->output, "> malformed\n");
+    else if (!is_fresh)
+        g_string_append(world->output, "> stale\n");
+    pm_cbor_free(message);
+}
+
+/* heartbeat MACHINE ... [unlisted=1]: see trace_read_message() */
+static void run_heartbeat(struct trace_world *world, char **words)
+{
+    apply_message(world, words, PM_SOURCE_HEARTBEAT);
+}
+
+/* push_reply MACHINE ... [unlisted=1]: the task list in a reply to a push */
+static void run_push_reply(struct trace_world *world, char **words)
+{
+    apply_message(world, words, PM_SOURCE_PUSH);
+}
+
+/* ack MACHINE: its heartbeat is answered with 200 */
+static void run_ack(struct trace_world *world, char **words)
+{
+    pm_machine_note_ack(trace_machine(world, words), world->epoch, world->now);
+}
+
+/* The push in flight ends, or, with push=N, the one of that number. */
+static void end_push(struct trace_world *world, char **words, int status)
+{
+    struct pm_machine *machine = trace_machine(world, words);
+    uint64_t push = (uint64_t)trace_number(words, "push", (double)machine->push.in_flight);
+
+    if (!pm_worker_push_done(machine, push, world->epoch, status))
+        g_string_append(world->output, "> not in flight\n");
+    else if (status == PM_HTTP_NO_ANSWER)
+        pm_machine_note_delivery_failure(machine, "a /do has no answer", world->now);
+}
+
+/* push_unanswered MACHINE [push=N] */
+static void run_push_unanswered(struct trace_world *world, char **words)
+{
+    end_push(world, words, PM_HTTP_NO_ANSWER);
+}
+
+/* push_answered MACHINE [push=N] */
+static void run_push_answered(struct trace_world *world, char **words)
+{
+    end_push(world, words, 200);
+}
+
+/* lost MACHINE: its lease has expired */
+static void run_lost(struct trace_world *world, char **words)
+{
+    pm_workers_mark_lost(world->workers, trace_machine(world, words), world->now);
+}
+
+/* ---- Time and plans ---- */
+
+/* wait SECONDS */
+static void run_wait(struct trace_world *world, char **words)
+{
+    world->now += strtod(words[1], NULL);
+}
+
+/* plan */
+static void run_plan(struct trace_world *world, char **words)
+{
+    (void)words;
+    pm_scheduler_run(world->scheduler, world->now, trace_wall(world));
+}
+
+static void make_durable(struct trace_world *world, struct pm_placement *placement)
+{
+    (void)world;
+    if (placement->state == PM_PLACEMENT_PROPOSED)
+        placement->state = PM_PLACEMENT_DURABLE;
+}
+
+/* durable: all proposed placements are written */
+static void run_durable(struct trace_world *world, char **words)
+{
+    GPtrArray *active = pm_jobs_active(world->jobs);
+
+    (void)words;
+    trace_for_each_placement(world, make_durable);
+    for (guint i = 0; i < active->len; i++) {
+        const struct pm_job *job = g_ptr_array_index(active, i);
+        for (int k = 0; k < job->chunk_count; k++)
+            if (job->chunks[k])
+                job->chunks[k]->dirty = false;
+    }
+}
+
+#endif
--- /dev/null
+++ b/src/scheduler/tests/trace_world.h
@@ -0,0 +1,98 @@
+/* The controller that a trace is replayed against: jobs, workers and a scheduler, without I/O. */
+#ifndef PM_SCHEDULER_TESTS_TRACE_WORLD_H
+#define PM_SCHEDULER_TESTS_TRACE_WORLD_H
+
+#include "../../jobs/tests/job_fixtures.h"
+#include "scheduler/scheduler.h"
+
+/* The time of day at the trace's time 0. */
+#define TRACE_WALL_START 1000.0
+
+struct trace_world {
+    struct pm_settings settings;
+    struct pm_operator_settings operator_settings;
+    struct pm_name_tables tables;
+    struct pm_jobs *jobs;
+    struct pm_workers *workers;
+    struct pm_scheduler *scheduler;
+    double now;
+    uint64_t epoch, revision;
+    GString *output; /* of the command under way: lines that begin with "> " */
+};
+
+static void trace_on_ended(void *arg, struct pm_placement *placement, enum pm_task_exit end,
+                           bool saved, double now)
+{
+    static const char *const exit_names[] = {"",        "done", "stopped", "error",
+                                             "refused", "gang", "lost"};
+    struct trace_world *world = arg;
+
+    (void)now;
+    g_string_append_printf(world->output, "> ended %s/%u attempt %u on %s: %s%s\n",
+                           placement->job->id, placement->task_index, placement->attempt,
+                           placement->machine->name, exit_names[end], saved ? " checkpointed" : "");
+}
+
+static void trace_on_ran(void *arg, struct pm_placement *placement, double now)
+{
+    (void)arg;
+    (void)placement;
+    (void)now;
+}
+
+static inline double trace_wall(const struct trace_world *world)
+{
+    return TRACE_WALL_START + world->now;
+}
+
+static inline void trace_world_begin(struct trace_world *world)
+{
+    struct pm_settings *settings = &world->settings;
+
+    memset(world, 0, sizeof *world);
+    pm_operator_settings_defaults(&world->operator_settings);
+    settings->store_txn_ops = 12;
+    settings->store_value_kb = 16;
+    settings->lease_s = 12;
+    settings->heartbeat_s = 2;
+    settings->zone_count = 2;
+    strcpy(settings->zone_names[0], "east");
+    strcpy(settings->zone_names[1], "west");
+    world->tables.settings = settings;
+    fixture_make_names(&world->tables);
+    world->jobs = pm_jobs_new(&world->tables);
+    world->workers =
+        pm_workers_new(&world->tables, world->jobs,
+                       &(struct pm_workers_hooks){trace_on_ended, trace_on_ran, world});
+    world->scheduler =
+        pm_scheduler_new(&world->tables, world->jobs, world->workers, &world->operator_settings);
+    world->epoch = 1;
+    world->revision = 1;
+    world->now = 100;
+    world->output = g_string_new("");
+}
+
+static inline void trace_world_end(struct trace_world *world)
+{
+    pm_scheduler_free(world->scheduler);
+    pm_workers_free(world->workers);
+    pm_jobs_free(world->jobs);
+    fixture_end(&world->tables);
+    g_string_free(world->output, TRUE);
+}
+
+/* Calls `visit` for each placement of each machine. */
+static inline void trace_for_each_placement(struct trace_world *world,
+                                            void (*visit)(struct trace_world *,
+                                                          struct pm_placement *))
+{
+    GPtrArray *machines = pm_workers_all(world->workers);
+
+    for (guint i = 0; i < machines->len; i++) {
+        const struct pm_machine *machine = g_ptr_array_index(machines, i);
+        for (guint j = 0; machine && j < machine->placements->len; j++)
+            visit(world, g_ptr_array_index(machine->placements, j));
+    }
+}
+
+#endif
