--- a/src/scheduler/gang_scheduling.c
+++ b/src/scheduler/gang_scheduling.c
@@ -50,7 +50,7 @@
 }
 
 /* How many tasks of the gang fit on the machine once its array tasks have ended, and what is being
- * stopped is gone. */
+ * stopped has ended. */
 static uint32_t count_future_fit(struct pm_scheduler *scheduler, const struct pm_machine *machine,
                                  const struct pm_job *job, int only_zone, double now)
 {
--- a/src/scheduler/ledger_codec.c
+++ b/src/scheduler/ledger_codec.c
@@ -4,8 +4,8 @@
  * Its fields:
  *   day      time of day when it was written, in seconds
  *   teams    map: team -> occupied machine-seconds within the window
- *   heard    map: zone -> time of day of the last message from a machine there. A new leader that
- *            gets no message from a zone tells from it when the leases there expired
+ *   heard    map: zone -> time of day of the last message from a machine there. When a new
+ *            leader gets no message from a zone, it shows when the leases there expired
  *   failing  list of the ids of failing jobs; absent when there are none
  *   table    flat list of image, size in GB, image, size in GB, ...
  *   images   map: machine -> list of the positions in `table` of the images that it caches
--- a/src/scheduler/mandatory_stops.c
+++ b/src/scheduler/mandatory_stops.c
@@ -1,9 +1,10 @@
 /* Stops that no other job's demand calls for: a job is over, a gang lost a task, or the provider
- * takes a spot machine. */
+ * reclaims a spot machine. */
 #include "scheduler/internal.h"
 
-#define OVERRUN_MAX_S 10.0 /* a task that ran for so much longer than estimated may run for long   \
-                            */
+#define OVERRUN_MAX_S                                                                              \
+    10.0 /* a task that ran for so much longer than estimated may run for long                     \
+          */
 #define NOTICE_SHARE                                                                               \
     0.4 /* of the time until an interruption that is counted on: the notice may                    \
            be off by half */
@@ -69,7 +70,7 @@
     }
 }
 
-/* Removes a placement that was never launched: no proof is needed that its task is gone. */
+/* Removes a placement that was never launched: no proof is needed that its task is over. */
 static void withdraw(struct pm_scheduler *scheduler, struct pm_placement *placement)
 {
     struct pm_job *job = placement->job;
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -61,7 +61,7 @@
     struct pm_job *job = demand->job;
 
     /* A replica that rather waits for a boot would not use the capacity: what was preempted would
-     * take it again, and so on without end. */
+     * be placed there again, and so on without end. */
     if (pm_scheduler_awaits_boot(scheduler, job))
         return;
     if (job->delegated)
--- a/src/scheduler/preemption_search.c
+++ b/src/scheduler/preemption_search.c
@@ -4,7 +4,7 @@
 
 #include <math.h>
 
-#define CLEARING_S 4.0       /* what is stopped is gone within this, for the most part */
+#define CLEARING_S 4.0       /* most tasks that are stopped have ended within this */
 #define FETCH_COST_PER_S 1e4 /* a fetch costs more than whatever a preemption loses */
 #define PREEMPTION_COST 1.0  /* of a preemption, besides the work that it loses */
 
@@ -23,7 +23,7 @@
     double cpus_for[PM_PRIORITIES];
 };
 
-/* What it takes to clear a machine for one task. */
+/* The preemptions that clear a machine for one task. */
 struct clearance {
     guint preemptions; /* of the first placements in `preemption.preemptible` */
     double cost;
@@ -169,6 +169,7 @@
 {
     const struct pm_job *job = request->job;
     const GArray *candidates = scheduler->preemption.candidates;
+    const int only_zone = request->only_zone;
     enum pm_priority below = pm_scheduler_preemptible_below(scheduler, job);
     struct pm_machine *best = NULL;
     double best_cost = INFINITY;
@@ -179,7 +180,7 @@
         struct clearance clearance;
         if (candidate->cpus_for[below] - reserved[machine->index].cpus + PM_EPSILON <
                 job->spec->cpus ||
-            (request->only_zone >= 0 && machine->zone != request->only_zone) ||
+            (only_zone >= 0 && machine->zone != only_zone) ||
             !pm_scheduler_is_machine_allowed(scheduler->tables, job, machine->type, machine->zone,
                                              machine->spot) ||
             !pm_scheduler_is_zone_allowed(job, spread, machine->zone) ||
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -1,9 +1,9 @@
 /* What each team uses of its quota, in one account: plans, leases to shards, a shard's owner and
  * the commit of placements all check it before work starts.
  *
- * Counted is whatever may be on a machine: placements that are not proven gone, the parallelism of
- * leases, and orphan tasks, which a worker reports though no placement is known. What is not known
- * yet counts as the most that it can be. */
+ * Counted is whatever may be on a machine: placements that are not proven to be over, the
+ * parallelism of leases, and orphan tasks, which a worker reports though no placement is known.
+ * What is not known yet counts as the most that it can be. */
 #include "base/log.h"
 #include "scheduler/internal.h"
 
@@ -166,7 +166,7 @@
 }
 
 /* Withdraws proposed placements of the team until it is within its quota. Never launched, they need
- * no proof that they are gone. Returns how many. */
+ * no proof that they are over. Returns how many. */
 static unsigned withdraw_proposed(struct pm_scheduler *scheduler, int team)
 {
     const struct pm_team_setting *setting = &scheduler->tables->settings->teams[team];
--- a/src/scheduler/starvation.c
+++ b/src/scheduler/starvation.c
@@ -77,7 +77,7 @@
         const struct pm_job *job = g_ptr_array_index(old, i);
         double left_s = START_BOUND_S - (scheduler->run.wall - pm_scheduler_waiting_since(job));
         if (job->spec->kind == PM_WORKLOAD_GANG)
-            left_s -= GANG_CLEARING_S; /* needs its capacity at one time, or waits on */
+            left_s -= GANG_CLEARING_S; /* needs its capacity at one time, or keeps waiting */
         else if (job->spec->kind == PM_WORKLOAD_ARRAY)
             work_cpu_s += pm_job_waiting_tasks(job) *
                           (pm_scheduler_estimate_remaining_s(scheduler, job) + 1) * job->spec->cpus;
--- a/src/scheduler/task_placement.c
+++ b/src/scheduler/task_placement.c
@@ -123,8 +123,8 @@
     }
 }
 
-/* Whether a whole gang may start: the tasks of its last attempt, which have their machines and
- * their zones until they are lost or ended, are gone, and none backs off. */
+/* Whether a whole gang may start: none of its tasks backs off, and those of its last attempt are
+ * over. Until then these occupy their machines, and bind the gang to their zone. */
 static bool is_gang_ready(const struct pm_scheduler *scheduler, struct pm_job *job, double now)
 {
     if (job->work.placed_count || job->work.done_count ||
--- a/src/scheduler/tests/test_scale.c
+++ b/src/scheduler/tests/test_scale.c
@@ -16,7 +16,7 @@
     CACHED_IMAGES = 12,       /* on each machine */
     VALUE_BYTES = 4096,       /* limit of a stored value */
     ANSWER_BYTES = 64 * 1024, /* limit of an answer to a heartbeat */
-    PLAN_ACTIONS = 400,       /* limit of a plan: it holds the lock all the time */
+    PLAN_ACTIONS = 400,       /* limit of a plan: the lock is held for all of it */
     NOW = 500
 };
 
--- a/src/scheduler/tests/trace_inputs.h
+++ b/src/scheduler/tests/trace_inputs.h
@@ -148,7 +148,7 @@
     world->epoch = strtoul(words[1], NULL, 10);
 }
 
-/* peer_cancellation JOB: another controller says that it is cancelled */
+/* peer_cancellation JOB: another controller reports that it is cancelled */
 static void run_peer_cancellation(struct trace_world *world, char **words)
 {
     if (!pm_jobs_apply_cancellation(world->jobs, words[1], ++world->revision))
