--- a/src/scheduler/tests/trace_checks.h
+++ b/src/scheduler/tests/trace_checks.h
@@ -43,7 +43,7 @@
     print_commands(world, &buf);
 }
 
-/* cancel_kills MACHINE ...: what a controller that is not active answers to this heartbeat */
+/* cancel_kills MACHINE ...: the kills that any controller may answer this heartbeat with */
 static void run_cancel_kills(struct trace_world *world, char **words)
 {
     struct pm_buf buf = {0};
