--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -81,8 +81,8 @@
 /* The team's occupied machine-seconds within the window, over its share of all budgets. `team`: an
  * index into the settings' teams. */
 double pm_scheduler_usage_ratio(struct pm_scheduler *scheduler, int team);
-/* How long a task of the job probably runs from here, in seconds, from its own measured times and
- * its class's. */
+/* How long a task of the job probably runs from start to end, in seconds: its owner's estimate,
+ * corrected by its class's measured times, averaged with the job's own. */
 double pm_scheduler_estimate_remaining_s(const struct pm_scheduler *scheduler,
                                          const struct pm_job *job);
 /* Notes that a task of the job ran for so many seconds from start to end. */
