--- a/src/scheduler/tests/trace_world.h
+++ b/src/scheduler/tests/trace_world.h
@@ -58,7 +58,6 @@
     settings->zone_count = 2;
     strcpy(settings->zone_names[0], "east");
     strcpy(settings->zone_names[1], "west");
-    world->tables.settings = settings;
     pm_name_tables_init(&world->tables, &world->settings);
     world->jobs = pm_jobs_new(&world->tables);
     world->workers =
