--- a/src/cmd/measure-cuts/main.c
+++ b/src/cmd/measure-cuts/main.c
@@ -1,6 +1,6 @@
-/* Measures what follows when the leader's links are cut: real controller processes over loopback,
- * the stand-ins, a running workload. Prints one line a kind of cut, times in seconds. Not part of
- * CI: a kind takes minutes. */
+/* Measures what follows a network fault at the leader: real controller processes over loopback, the
+ * stand-ins, a running workload. Prints one line for each kind of fault, times in seconds. Not part
+ * of CI: a kind takes minutes. */
 #include "testing/cluster.h"
 #include "base/clock.h"
 
@@ -9,21 +9,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BEGIN_S 30.0  /* a cluster that does no work by then is given up */
-#define WAIT_S 30.0   /* what has not come about by then counts as this long */
-#define SETTLE_S 11.0 /* a leader of long standing: see pm_fitness_delays */
+#define START_TIMEOUT_S 30.0 /* a cluster that does no work by then is given up */
+#define WAIT_S 30.0          /* what has not come about by then counts as this long */
+#define SETTLE_S 11.0        /* makes the leader one of long standing: see pm_fitness_delays */
 #define STEP_S 0.02
+#define LOAD_EVERY_S 0.4
 
-enum { REPEATS_MOST = 1000 };
+enum { REPEATS_MAX = 1000, MIN_STARTS = 4, EXIT_USAGE = 2 };
 
-struct kind {
+/* A fault of all the leader's links of one sort. */
+struct fault_kind {
     const char *name;
-    enum cluster_link link; /* all links of that sort are cut */
-    struct relay_fault cut;
-    double flap_s; /* cut and well for that long in turn, 0: cut for good */
+    enum cluster_link link;
+    struct relay_fault fault;
+    double flap_s; /* the fault is there and gone for that long in turn; 0: it stays */
 };
 
-static const struct kind kinds[] = {
+static const struct fault_kind fault_kinds[] = {
     {"state-black-holed", CLUSTER_LINK_STORE, {true, true, false}, 0},
     {"state-reset", CLUSTER_LINK_STORE, {false, false, true}, 0},
     {"state-answers-lost", CLUSTER_LINK_STORE, {false, true, false}, 0},
@@ -39,171 +41,214 @@
     double flap_for_s;
 };
 
+/* What followed a fault. */
 struct outcome {
-    double stops, leads, works; /* seconds after the cut */
-    unsigned changes;           /* of lead, while it flapped */
+    double last_answer_s;        /* after the fault, the leader last answered a heartbeat */
+    double new_leader_s;         /* another controller led */
+    double work_resumed_s;       /* a task was started under the new leader */
+    unsigned leadership_changes; /* while the fault came and went */
 };
 
-static bool has_begun(struct cluster *c)
+/* ---- one repeat ---- */
+
+static bool is_working(struct cluster *cluster)
 {
-    return history_start_count(cluster_history(c)) >= 4 && cluster_leader(c) >= 0;
+    return history_start_count(cluster_history(cluster)) >= MIN_STARTS &&
+           cluster_leader(cluster) >= 0;
 }
 
-static void cut_all(struct cluster *c, const struct kind *kind, int controller,
-                    struct relay_fault cut)
+static void set_faults(struct cluster *cluster, const struct fault_kind *kind, int controller,
+                       struct relay_fault fault)
 {
-    int ends = kind->link == CLUSTER_LINK_ZONE ? CLUSTER_ZONES : 1;
+    int targets = kind->link == CLUSTER_LINK_ZONE ? CLUSTER_ZONES : 1;
 
-    for (int to = 0; to < ends; to++)
-        cluster_set_link_fault(c, controller, kind->link, to, cut);
+    for (int target = 0; target < targets; target++)
+        cluster_set_link_fault(cluster, controller, kind->link, target, fault);
 }
 
-/* Follows what becomes of a cut for good. */
-static void follow_cut(struct cluster *c, int cut_one, struct outcome *out)
+static struct outcome follow_permanent_fault(struct cluster *cluster, int old_leader)
 {
-    double began = pm_clock_monotonic();
-    unsigned answered = fake_provider_answered_heartbeats(cluster_provider(c), cut_one);
+    const struct fake_provider *provider = cluster_provider(cluster);
+    const struct history *history = cluster_history(cluster);
+    struct outcome outcome = {.new_leader_s = WAIT_S, .work_resumed_s = WAIT_S};
+    unsigned answered = fake_provider_answered_heartbeats(provider, old_leader);
+    double started_at = pm_clock_monotonic();
     unsigned starts = 0;
 
-    *out = (struct outcome){0, WAIT_S, WAIT_S, 0};
-    while (pm_clock_monotonic() - began < WAIT_S && out->works >= WAIT_S) {
-        int leader = cluster_leader(c);
-        double at = pm_clock_monotonic() - began;
-        cluster_run(c, STEP_S);
-        if (fake_provider_answered_heartbeats(cluster_provider(c), cut_one) > answered) {
-            answered = fake_provider_answered_heartbeats(cluster_provider(c), cut_one);
-            out->stops = at;
+    while (pm_clock_monotonic() - started_at < WAIT_S && outcome.work_resumed_s >= WAIT_S) {
+        int leader = cluster_leader(cluster);
+        double elapsed_s = pm_clock_monotonic() - started_at;
+        cluster_run(cluster, STEP_S);
+        if (fake_provider_answered_heartbeats(provider, old_leader) > answered) {
+            answered = fake_provider_answered_heartbeats(provider, old_leader);
+            outcome.last_answer_s = elapsed_s;
         }
-        if (out->leads >= WAIT_S && leader >= 0 && leader != cut_one) {
-            out->leads = at;
-            starts = history_start_count(cluster_history(c));
+        if (outcome.new_leader_s >= WAIT_S && leader >= 0 && leader != old_leader) {
+            outcome.new_leader_s = elapsed_s;
+            starts = history_start_count(history);
         }
-        if (out->leads < WAIT_S && history_start_count(cluster_history(c)) > starts)
-            out->works = at;
+        if (outcome.new_leader_s < WAIT_S && history_start_count(history) > starts)
+            outcome.work_resumed_s = elapsed_s;
     }
+    return outcome;
 }
 
-static void follow_flaps(struct cluster *c, const struct options *options, const struct kind *kind,
-                         int cut_one, struct outcome *out)
+static struct outcome follow_flapping_fault(struct cluster *cluster, const struct options *options,
+                                            const struct fault_kind *kind, int old_leader)
 {
-    double began = pm_clock_monotonic();
-    int leader = cut_one;
-
-    *out = (struct outcome){0};
-    for (int turn = 0; pm_clock_monotonic() - began < options->flap_for_s; turn++) {
-        double until = pm_clock_monotonic() + kind->flap_s;
-        cut_all(c, kind, cut_one, turn % 2 ? (struct relay_fault){0} : kind->cut);
-        while (pm_clock_monotonic() < until) {
-            int now = cluster_leader(c);
-            cluster_run(c, STEP_S);
-            out->changes += now >= 0 && now != leader;
-            leader = now >= 0 ? now : leader;
+    const struct relay_fault none = {0};
+    struct outcome outcome = {0};
+    double started_at = pm_clock_monotonic();
+    int last_leader = old_leader;
+
+    for (int turn = 0; pm_clock_monotonic() - started_at < options->flap_for_s; turn++) {
+        double turn_ends_at = pm_clock_monotonic() + kind->flap_s;
+        set_faults(cluster, kind, old_leader, turn % 2 ? none : kind->fault);
+        while (pm_clock_monotonic() < turn_ends_at) {
+            int leader = cluster_leader(cluster);
+            cluster_run(cluster, STEP_S);
+            if (leader < 0)
+                continue;
+            outcome.leadership_changes += leader != last_leader;
+            last_leader = leader;
         }
     }
+    return outcome;
+}
+
+static struct outcome follow_fault(struct cluster *cluster, const struct options *options,
+                                   const struct fault_kind *kind, int leader)
+{
+    if (kind->flap_s > 0)
+        return follow_flapping_fault(cluster, options, kind, leader);
+    set_faults(cluster, kind, leader, kind->fault);
+    return follow_permanent_fault(cluster, leader);
 }
 
-static bool repeat(const struct options *options, const struct kind *kind, GRand *chance,
-                   struct outcome *out)
+/* False: the cluster did no work, or had no leader; `outcome` is unset. */
+static bool measure_once(const struct options *options, const struct fault_kind *kind,
+                         GRand *random, struct outcome *outcome)
 {
-    gchar *operators = NULL;
-    struct cluster *c;
-    bool begun;
+    struct cluster_settings settings = {
+        .controller_count = options->controllers, .daemon = options->daemon, .quiet = true};
+    gchar *operator_yaml = NULL;
+    struct cluster *cluster;
+    bool is_ready;
     int leader;
 
     if (options->operator_file)
-        g_file_get_contents(options->operator_file, &operators, NULL, NULL);
-    c = cluster_new(&(struct cluster_settings){.controller_count = options->controllers,
-                                               .daemon = options->daemon,
-                                               .operator_yaml = operators,
-                                               .quiet = true});
-    cluster_set_load(c, 0.4);
-    begun = cluster_run_until(c, has_begun, BEGIN_S);
-    cluster_run(c, SETTLE_S + g_rand_double(chance));
-    leader = cluster_leader(c);
-    if (begun && leader >= 0 && kind->flap_s > 0) {
-        follow_flaps(c, options, kind, leader, out);
-    } else if (begun && leader >= 0) {
-        cut_all(c, kind, leader, kind->cut);
-        follow_cut(c, leader, out);
-    }
-    cluster_free(c);
-    if (*history_violations(cluster_history(c)))
-        printf("BROKEN RULE %s: %s", kind->name, history_violations(cluster_history(c)));
-    g_free(operators);
-    return begun && leader >= 0;
+        g_file_get_contents(options->operator_file, &operator_yaml, NULL, NULL);
+    settings.operator_yaml = operator_yaml;
+    cluster = cluster_new(&settings);
+    cluster_set_load(cluster, LOAD_EVERY_S);
+    is_ready = cluster_run_until(cluster, is_working, START_TIMEOUT_S);
+    cluster_run(cluster, SETTLE_S + g_rand_double(random));
+    leader = cluster_leader(cluster);
+    is_ready = is_ready && leader >= 0;
+    if (is_ready)
+        *outcome = follow_fault(cluster, options, kind, leader);
+    cluster_free(cluster);
+    if (*history_violations(cluster_history(cluster)))
+        printf("BROKEN RULE %s: %s", kind->name, history_violations(cluster_history(cluster)));
+    g_free(operator_yaml);
+    return is_ready;
 }
 
-static int by_size(const void *a, const void *b)
+/* ---- all repeats ---- */
+
+static int compare_times(const void *left, const void *right)
 {
-    double x = *(const double *)a;
-    double y = *(const double *)b;
+    double left_s = *(const double *)left;
+    double right_s = *(const double *)right;
 
-    return (x > y) - (x < y);
+    return (left_s > right_s) - (left_s < right_s);
 }
 
-static void print_times(const char *what, double *times, int n)
+static void print_times(const char *label, double *times, int count)
 {
-    qsort(times, (size_t)n, sizeof *times, by_size);
-    printf("  %s median %.2f, most %.2f;", what, times[n / 2], times[n - 1]);
+    qsort(times, (size_t)count, sizeof *times, compare_times);
+    printf("  %s median %.2f, most %.2f;", label, times[count / 2], times[count - 1]);
 }
 
-static void measure(const struct options *options, const struct kind *kind)
+static void print_outcomes(const struct outcome *outcomes, int count)
 {
-    static double stops[REPEATS_MOST];
-    static double leads[REPEATS_MOST];
-    static double works[REPEATS_MOST];
-    GRand *chance = g_rand_new_with_seed((guint32)options->seed);
-    unsigned changes = 0;
-    int n = 0;
-
-    for (int i = 0; i < options->repeats; i++) {
-        struct outcome outcome;
-        if (!repeat(options, kind, chance, &outcome))
-            continue;
-        stops[n] = outcome.stops;
-        leads[n] = outcome.leads;
-        works[n++] = outcome.works;
-        changes += outcome.changes;
+    static double last_answer_s[REPEATS_MAX];
+    static double new_leader_s[REPEATS_MAX];
+    static double work_resumed_s[REPEATS_MAX];
+
+    for (int i = 0; i < count; i++) {
+        last_answer_s[i] = outcomes[i].last_answer_s;
+        new_leader_s[i] = outcomes[i].new_leader_s;
+        work_resumed_s[i] = outcomes[i].work_resumed_s;
     }
-    g_rand_free(chance);
-    printf("%s: %d of %d repeats, %d controllers;", kind->name, n, options->repeats,
+    print_times("stops", last_answer_s, count);
+    print_times("another leads", new_leader_s, count);
+    print_times("work starts", work_resumed_s, count);
+    printf("\n");
+}
+
+static void print_changes(const struct outcome *outcomes, int count, double flap_for_s)
+{
+    unsigned changes = 0;
+
+    for (int i = 0; i < count; i++)
+        changes += outcomes[i].leadership_changes;
+    printf("  %.2f changes of lead in %.0f s\n", (double)changes / count, flap_for_s);
+}
+
+static void measure(const struct options *options, const struct fault_kind *kind)
+{
+    static struct outcome outcomes[REPEATS_MAX];
+    GRand *random = g_rand_new_with_seed((guint32)options->seed);
+    int count = 0;
+
+    for (int i = 0; i < options->repeats; i++)
+        count += measure_once(options, kind, random, &outcomes[count]);
+    g_rand_free(random);
+    printf("%s: %d of %d repeats, %d controllers;", kind->name, count, options->repeats,
            options->controllers);
-    if (n && kind->flap_s > 0) {
-        printf("  %.2f changes of lead in %.0f s\n", (double)changes / n, options->flap_for_s);
-    } else if (n) {
-        print_times("stops", stops, n);
-        print_times("another leads", leads, n);
-        print_times("work starts", works, n);
-        printf("\n");
-    }
+    if (count && kind->flap_s > 0)
+        print_changes(outcomes, count, options->flap_for_s);
+    else if (count)
+        print_outcomes(outcomes, count);
     fflush(stdout);
 }
 
-int main(int argc, char **argv)
+/* ---- options ---- */
+
+static bool read_options(struct options *options, int argc, char **argv)
 {
-    struct options options = {.controllers = 4, .repeats = 20, .seed = 1, .flap_for_s = 60};
-    GOptionEntry entries[] = {
-        {"daemon", 0, 0, G_OPTION_ARG_FILENAME, &options.daemon, "the program measured", "FILE"},
-        {"operator", 0, 0, G_OPTION_ARG_FILENAME, &options.operator_file, "its operators' settings",
-         "FILE"},
-        {"kind", 0, 0, G_OPTION_ARG_STRING, &options.kind, "this kind of cut alone", "KIND"},
-        {"controllers", 0, 0, G_OPTION_ARG_INT, &options.controllers, "4 by default", "N"},
-        {"repeats", 0, 0, G_OPTION_ARG_INT, &options.repeats, "20 by default", "N"},
-        {"seed", 0, 0, G_OPTION_ARG_INT, &options.seed, "1 by default", "N"},
-        {"flap-for", 0, 0, G_OPTION_ARG_DOUBLE, &options.flap_for_s, "60 by default", "SECONDS"},
+    const GOptionEntry entries[] = {
+        {"daemon", 0, 0, G_OPTION_ARG_FILENAME, &options->daemon, "the program measured", "FILE"},
+        {"operator", 0, 0, G_OPTION_ARG_FILENAME, &options->operator_file,
+         "its operators' settings", "FILE"},
+        {"kind", 0, 0, G_OPTION_ARG_STRING, &options->kind, "this kind of cut alone", "KIND"},
+        {"controllers", 0, 0, G_OPTION_ARG_INT, &options->controllers, "4 by default", "N"},
+        {"repeats", 0, 0, G_OPTION_ARG_INT, &options->repeats, "20 by default", "N"},
+        {"seed", 0, 0, G_OPTION_ARG_INT, &options->seed, "1 by default", "N"},
+        {"flap-for", 0, 0, G_OPTION_ARG_DOUBLE, &options->flap_for_s, "60 by default", "SECONDS"},
         {0}};
     GOptionContext *context = g_option_context_new("- measure what follows a cut link");
+    bool is_parsed;
 
     g_option_context_add_main_entries(context, entries, NULL);
-    if (!g_option_context_parse(context, &argc, &argv, NULL) || !options.daemon ||
-        options.repeats < 1 || options.repeats > REPEATS_MOST || options.controllers < 1 ||
-        options.controllers > CLUSTER_CONTROLLERS_MAX) {
+    is_parsed = g_option_context_parse(context, &argc, &argv, NULL);
+    g_option_context_free(context);
+    return is_parsed && options->daemon && options->repeats >= 1 &&
+           options->repeats <= REPEATS_MAX && options->controllers >= 1 &&
+           options->controllers <= CLUSTER_CONTROLLERS_MAX;
+}
+
+int main(int argc, char **argv)
+{
+    struct options options = {.controllers = 4, .repeats = 20, .seed = 1, .flap_for_s = 60};
+
+    if (!read_options(&options, argc, argv)) {
         fprintf(stderr, "measure-cuts: wrong use (see --help)\n");
-        return 2;
+        return EXIT_USAGE;
     }
-    g_option_context_free(context);
-    for (size_t i = 0; i < G_N_ELEMENTS(kinds); i++)
-        if (!options.kind || !strcmp(options.kind, kinds[i].name))
-            measure(&options, &kinds[i]);
+    for (size_t i = 0; i < G_N_ELEMENTS(fault_kinds); i++)
+        if (!options.kind || !strcmp(options.kind, fault_kinds[i].name))
+            measure(&options, &fault_kinds[i]);
     return 0;
 }
--- a/src/cmd/plan-bench/main.c
+++ b/src/cmd/plan-bench/main.c
@@ -1,308 +1,410 @@
-/* Measures the planner and the report path on synthetic jobs and machines: plan-bench [MACHINES
- * [JOBS]].
+/* Measures the scheduler and the handling of heartbeats on synthetic jobs and machines: plan-bench
+ * [MACHINES [JOBS]].
  *
- * Every round a share of the running tasks ends, told by their workers' reports, and one plan
- * places what waits. Times are of this machine; compare them with those of an earlier version. */
+ * Every round a share of the running tasks ends, reported by their workers' heartbeats, and one run
+ * of the scheduler places what waits. Times are of this machine; compare them with those of an
+ * earlier version. */
+#include "base/clock.h"
 #include "base/log.h"
 #include "scheduler/scheduler.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include <time.h>
 
-enum { FIRST_ARRAY = 500000 }; /* numbers of the jobs with dependencies begin here */
+enum { DEFAULT_MACHINES = 2000, DEFAULT_JOBS = 250 };
 enum {
     ROUNDS = 200,
-    ENTRIES = 110,
-    SHARE = 40 /* one of so many machines ends its tasks a round */
+    ARRAY_TASKS = 110,
+    HEARTBEAT_SHARE = 40,    /* one of so many machines ends its tasks in a round */
+    SERVICE_EVERY = 4,       /* one of so many jobs is a service */
+    DEPENDENT_EVERY = 4,     /* one of so many jobs depends on the one before */
+    FIRST_DEPENDENT = 500000 /* numbers of the jobs that measure dependencies begin here */
 };
+#define ROUND_S 0.2
+#define FIRST_ROUND_AT 100
+#define MICROSECONDS 1e6
 
-static struct pm_settings settings;
-static struct pm_name_tables tables;
-static struct pm_jobs *jobs;
-static struct pm_workers *workers;
-static uint64_t revision;
+/* What is measured, and what it needs. */
+static struct bench {
+    struct pm_settings settings;
+    struct pm_operator_settings operator_settings;
+    struct pm_name_tables tables;
+    struct pm_jobs *jobs;
+    struct pm_workers *workers;
+    struct pm_scheduler *scheduler;
+    uint64_t revision;
+    double now;
+} bench;
 
-static void on_ended(void *arg, struct pm_placement *place, enum pm_task_exit end, bool saved,
-                     double now)
+/* ---- workers' hooks: nothing follows from them here ---- */
+
+static void on_task_ended(void *arg, struct pm_placement *placement, enum pm_task_exit task_exit,
+                          bool checkpointed, double now)
 {
     (void)arg;
-    (void)place;
-    (void)end;
-    (void)saved;
+    (void)placement;
+    (void)task_exit;
+    (void)checkpointed;
     (void)now;
 }
 
-static void on_ran(void *arg, struct pm_placement *place, double now)
+static void on_task_running(void *arg, struct pm_placement *placement, double now)
 {
     (void)arg;
-    (void)place;
+    (void)placement;
     (void)now;
 }
 
-static double seconds(void)
+/* ---- jobs ---- */
+
+static struct pm_spec service_spec(void)
 {
-    struct timespec t;
+    return (struct pm_spec){.zone = -1,
+                            .allowed_types = ~(uint64_t)0,
+                            .kind = PM_WORKLOAD_SERVICE,
+                            .priority = PM_PRIORITY_PRODUCTION,
+                            .task_count = 5,
+                            .cpus = 2,
+                            .ram_gb = 13,
+                            .image_gb = 1,
+                            .spread_zones = true,
+                            .deadline_s = -1,
+                            .submitted_wall = bench.now};
+}
 
-    clock_gettime(CLOCK_MONOTONIC, &t);
-    return (double)t.tv_sec + (double)t.tv_nsec * 1e-9;
+static struct pm_spec array_spec(void)
+{
+    return (struct pm_spec){.zone = -1,
+                            .allowed_types = ~(uint64_t)0,
+                            .kind = PM_WORKLOAD_ARRAY,
+                            .priority = PM_PRIORITY_NORMAL,
+                            .task_count = ARRAY_TASKS,
+                            .cpus = 4,
+                            .ram_gb = 29,
+                            .image_gb = 1,
+                            .spot = true,
+                            .estimated_run_s = 15,
+                            .deadline_s = 60,
+                            .submitted_wall = bench.now};
 }
 
-/* `needs`: the numbers of the jobs that it needs. */
-static void add_job(int n, const int *needs, int nneeds, double now)
+/* The dependencies' list is owned by the spec. */
+static void set_dependencies(struct pm_spec *spec, const int *dependencies, int count)
 {
-    bool service = n % 4 == 0;
-    struct pm_spec spec = {.zone = -1,
-                           .allowed_types = ~(uint64_t)0,
-                           .kind = service ? PM_WORKLOAD_SERVICE : PM_WORKLOAD_ARRAY,
-                           .priority = service ? PM_PRIORITY_PRODUCTION : PM_PRIORITY_NORMAL,
-                           .task_count = service ? 5 : ENTRIES,
-                           .cpus = service ? 2 : 4,
-                           .ram_gb = service ? 13 : 29,
-                           .image_gb = 1,
-                           .spot = !service,
-                           .spread_zones = service,
-                           .estimated_run_s = service ? 0 : 15,
-                           .deadline_s = service ? -1 : 60,
-                           .submitted_wall = now};
+    GPtrArray *ids;
+
+    if (!count)
+        return;
+    ids = g_ptr_array_new_with_free_func(g_free);
+    for (int i = 0; i < count; i++)
+        g_ptr_array_add(ids, g_strdup_printf("job-%06d", dependencies[i]));
+    pm_spec_set_dependencies(&bench.tables, spec, ids);
+    g_ptr_array_free(ids, TRUE);
+}
+
+/* Adds the job to the replica. `dependencies`: the numbers of the jobs that it depends on. */
+static void add_job(int number, const int *dependencies, int dependency_count)
+{
+    bool is_service = number % SERVICE_EVERY == 0;
+    struct pm_spec spec = is_service ? service_spec() : array_spec();
     struct pm_buf buf = {0};
     cbor_item_t *value;
     char text[64];
 
-    snprintf(text, sizeof text, "img-%02d", n % 26);
-    spec.class_index = pm_names_intern(tables.class_names, service ? "search" : "render");
-    spec.image = pm_names_intern(tables.image_names, text);
-    if (nneeds) {
-        GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
-        for (int i = 0; i < nneeds; i++)
-            g_ptr_array_add(ids, g_strdup_printf("job-%06d", needs[i]));
-        pm_spec_set_dependencies(&tables, &spec, ids);
-        g_ptr_array_free(ids, TRUE);
-    }
-    pm_job_encode(&tables, &spec, spec.task_count, PM_JOB_LIVE, true, &buf);
+    snprintf(text, sizeof text, "img-%02d", number % 26);
+    spec.class_index = pm_names_intern(bench.tables.class_names, is_service ? "search" : "render");
+    spec.image = pm_names_intern(bench.tables.image_names, text);
+    set_dependencies(&spec, dependencies, dependency_count);
+    pm_job_encode(&bench.tables, &spec, spec.task_count, PM_JOB_LIVE, true, &buf);
     g_free(spec.dependencies);
     value = pm_cbor_parse(buf.data, buf.size);
-    snprintf(text, sizeof text, "p/j/job-%06d", n);
-    pm_jobs_apply_put(jobs, text, value, ++revision);
+    snprintf(text, sizeof text, "p/j/job-%06d", number);
+    pm_jobs_apply_put(bench.jobs, text, value, ++bench.revision);
     pm_cbor_free(value);
     pm_buf_free(&buf);
 }
 
-/* A report of all that the replica has on the machine: running, or ended. */
-static void report(struct pm_machine *m, bool ended, double now)
+static void add_usual_job(int number)
+{
+    int previous = number - 1;
+    bool is_dependent = number % DEPENDENT_EVERY == DEPENDENT_EVERY - 1;
+
+    add_job(number, &previous, is_dependent);
+}
+
+/* ---- heartbeats ---- */
+
+static void put_task(const struct pm_placement *placement, struct pm_buf *out)
+{
+    bool has_ended = placement->job->spec->kind == PM_WORKLOAD_ARRAY;
+    char name[64];
+
+    snprintf(name, sizeof name, "%s/%u", placement->job->id, placement->task_index);
+    pm_put_map(out);
+    pm_put_pair_text(out, "entry", name);
+    pm_put_pair_count(out, "try", placement->attempt);
+    pm_put_pair_text(out, "status", has_ended ? "ended" : "running");
+    if (has_ended)
+        pm_put_pair_text(out, "cause", "done");
+    pm_put_end(out);
+}
+
+/* A heartbeat with all that the replica has on the machine: array tasks have ended, services run.
+ */
+static void put_heartbeat(const struct pm_machine *machine, struct pm_buf *out)
+{
+    pm_put_map(out);
+    pm_put_pair_text(out, "host", machine->name);
+    pm_put_pair_text(out, "endpoint", "127.0.0.1:9");
+    pm_put_pair_text(out, "model", pm_names_text(bench.tables.type_names, machine->type));
+    pm_put_pair_text(out, "room", bench.settings.zone_names[machine->zone]);
+    pm_put_pair_flag(out, "borrowed", machine->spot);
+    pm_put_pair_count(out, "shift", 1);
+    pm_put_pair_count(out, "tally", machine->heartbeat.sequence + 1);
+    pm_put_pair_count(out, "mandate", 1);
+    pm_put_text(out, "entries");
+    pm_put_list(out);
+    for (guint i = 0; i < machine->placements->len; i++)
+        put_task(g_ptr_array_index(machine->placements, i), out);
+    pm_put_end(out);
+    pm_put_end(out);
+}
+
+static void apply_heartbeat(const struct pm_machine *machine)
 {
     struct pm_buf buf = {0};
     cbor_item_t *item;
-    bool fresh;
-
-    pm_put_map(&buf);
-    pm_put_pair_text(&buf, "host", m->name);
-    pm_put_pair_text(&buf, "endpoint", "127.0.0.1:9");
-    pm_put_pair_text(&buf, "model", pm_names_text(tables.type_names, m->type));
-    pm_put_pair_text(&buf, "room", settings.zone_names[m->zone]);
-    pm_put_pair_flag(&buf, "borrowed", m->spot);
-    pm_put_pair_count(&buf, "shift", 1);
-    pm_put_pair_count(&buf, "tally", m->heartbeat.sequence + 1);
-    pm_put_pair_count(&buf, "mandate", 1);
-    pm_put_text(&buf, "entries");
-    pm_put_list(&buf);
-    for (guint i = 0; i < m->placements->len; i++) {
-        const struct pm_placement *place = g_ptr_array_index(m->placements, i);
-        char entry[64];
-        bool over = ended && place->job->spec->kind == PM_WORKLOAD_ARRAY;
-        snprintf(entry, sizeof entry, "%s/%u", place->job->id, place->task_index);
-        pm_put_map(&buf);
-        pm_put_pair_text(&buf, "entry", entry);
-        pm_put_pair_count(&buf, "try", place->attempt);
-        pm_put_pair_text(&buf, "status", over ? "ended" : "running");
-        if (over)
-            pm_put_pair_text(&buf, "cause", "done");
-        pm_put_end(&buf);
-    }
-    pm_put_end(&buf);
-    pm_put_end(&buf);
+    bool is_new;
+
+    put_heartbeat(machine, &buf);
     item = pm_cbor_parse(buf.data, buf.size);
-    pm_workers_apply_heartbeat(workers, item, PM_SOURCE_HEARTBEAT, 1, now, &fresh);
+    pm_workers_apply_heartbeat(bench.workers, item, PM_SOURCE_HEARTBEAT, 1, bench.now, &is_new);
     pm_cbor_free(item);
     pm_buf_free(&buf);
 }
 
-static void begin(int machines)
+/* ---- set-up ---- */
+
+static void init_settings(struct pm_settings *settings)
 {
-    strcpy(settings.zone_names[0], "a");
-    strcpy(settings.zone_names[1], "b");
-    settings.zone_count = 2;
-    settings.team_count = 1;
-    strcpy(settings.teams[0].name, "team");
-    settings.teams[0].cpus_max = settings.teams[0].gpus_max = 1e12;
-    settings.heartbeat_s = 8;
-    settings.lease_s = 44;
-    settings.store_txn_ops = 8;
-    tables.settings = &settings;
-    tables.class_names = pm_names_new();
-    tables.image_names = pm_names_new();
-    tables.type_names = pm_names_new();
-    tables.machine_names = pm_names_new();
-    tables.dependency_ids = pm_names_new();
-    pm_names_intern(tables.type_names, "small");
-    pm_names_intern(tables.type_names, "large");
-    tables.types[0] =
+    strcpy(settings->zone_names[0], "a");
+    strcpy(settings->zone_names[1], "b");
+    settings->zone_count = 2;
+    settings->team_count = 1;
+    strcpy(settings->teams[0].name, "team");
+    settings->teams[0].cpus_max = settings->teams[0].gpus_max = 1e12;
+    settings->heartbeat_s = 8;
+    settings->lease_s = 44;
+    settings->store_txn_ops = 8;
+}
+
+static void init_tables(struct pm_name_tables *tables, const struct pm_settings *settings)
+{
+    tables->settings = settings;
+    tables->class_names = pm_names_new();
+    tables->image_names = pm_names_new();
+    tables->type_names = pm_names_new();
+    tables->machine_names = pm_names_new();
+    tables->dependency_ids = pm_names_new();
+    pm_names_intern(tables->type_names, "small");
+    pm_names_intern(tables->type_names, "large");
+    tables->types[0] =
         (struct pm_type){.cpus = 4, .ram_gb = 32, .local_gb = 35, .pull_gb_per_s = 0.2};
-    tables.types[1] =
+    tables->types[1] =
         (struct pm_type){.cpus = 16, .ram_gb = 128, .local_gb = 40, .pull_gb_per_s = 0.4};
-    tables.type_count = 2;
-    jobs = pm_jobs_new(&tables);
-    workers = pm_workers_new(&tables, jobs, &(struct pm_workers_hooks){on_ended, on_ran, NULL});
-    for (int i = 0; i < machines; i++) {
-        char name[32];
-        struct pm_machine *m;
-        snprintf(name, sizeof name, "i-%06d", i);
-        m = pm_workers_add(workers, name);
-        pm_workers_set_type(workers, m, i % 4 == 0);
-        m->zone = i / 2 % 2;
-        m->spot = i % 3 > 0;
-        m->provider.is_listed = true;
+    tables->type_count = 2;
+}
+
+/* Every fourth is large, half are in each zone, two of three are spot machines. */
+static void add_machine(int index)
+{
+    struct pm_machine *machine;
+    char name[32];
+
+    snprintf(name, sizeof name, "i-%06d", index);
+    machine = pm_workers_add(bench.workers, name);
+    pm_workers_set_type(bench.workers, machine, index % 4 == 0);
+    machine->zone = index / 2 % 2;
+    machine->spot = index % 3 > 0;
+    machine->provider.is_listed = true;
+}
+
+static void init_bench(int machine_count)
+{
+    init_settings(&bench.settings);
+    pm_operator_settings_defaults(&bench.operator_settings);
+    init_tables(&bench.tables, &bench.settings);
+    bench.now = FIRST_ROUND_AT;
+    bench.jobs = pm_jobs_new(&bench.tables);
+    bench.workers =
+        pm_workers_new(&bench.tables, bench.jobs,
+                       &(struct pm_workers_hooks){on_task_ended, on_task_running, NULL});
+    for (int i = 0; i < machine_count; i++)
+        add_machine(i);
+    bench.scheduler =
+        pm_scheduler_new(&bench.tables, bench.jobs, bench.workers, &bench.operator_settings);
+}
+
+/* ---- rounds ---- */
+
+/* Totals over all rounds. */
+struct round_times {
+    double scheduling_s, longest_scheduling_s, heartbeats_s;
+    long placed, heartbeats;
+};
+
+/* In the first round every machine sends a heartbeat. */
+static void send_heartbeats(const GPtrArray *machines, int round, struct round_times *times)
+{
+    double started_at = pm_clock_monotonic();
+
+    for (int i = 0; i < (int)machines->len; i++) {
+        if (round && (i + round) % HEARTBEAT_SHARE)
+            continue;
+        apply_heartbeat(g_ptr_array_index(machines, i));
+        times->heartbeats++;
+    }
+    times->heartbeats_s += pm_clock_monotonic() - started_at;
+}
+
+static void run_scheduler(struct round_times *times)
+{
+    double started_at = pm_clock_monotonic();
+    double elapsed_s;
+
+    times->placed += pm_scheduler_run(bench.scheduler, bench.now, bench.now);
+    elapsed_s = pm_clock_monotonic() - started_at;
+    times->scheduling_s += elapsed_s;
+    times->longest_scheduling_s = MAX(times->longest_scheduling_s, elapsed_s);
+}
+
+/* What was placed runs at once. */
+static void start_placed_tasks(const GPtrArray *machines)
+{
+    for (guint i = 0; i < machines->len; i++) {
+        const struct pm_machine *machine = g_ptr_array_index(machines, i);
+        for (guint k = 0; k < machine->placements->len; k++) {
+            struct pm_placement *placement = g_ptr_array_index(machine->placements, k);
+            if (placement->state == PM_PLACEMENT_PROPOSED)
+                placement->state = PM_PLACEMENT_RUNNING;
+        }
     }
 }
 
+static void time_rounds(int machine_count, int job_count)
+{
+    struct round_times times = {0};
+    int next_job = 0;
+
+    for (int round = 0; round < ROUNDS; round++) {
+        GPtrArray *machines = pm_workers_all(bench.workers);
+        for (; next_job < job_count + round; next_job++)
+            add_usual_job(next_job);
+        send_heartbeats(machines, round, &times);
+        run_scheduler(&times);
+        start_placed_tasks(machines);
+        bench.now += ROUND_S;
+    }
+    printf("%d machines, %d jobs: plan %.0f us (longest %.0f us), %ld placed; report %.1f us\n",
+           machine_count, next_job, times.scheduling_s / ROUNDS * MICROSECONDS,
+           times.longest_scheduling_s * MICROSECONDS, times.placed,
+           times.heartbeats_s / (double)times.heartbeats * MICROSECONDS);
+}
+
+/* ---- dependencies ---- */
+
 /* An odd number: an array, never a service. */
 static int array_number(int index)
 {
-    return FIRST_ARRAY + 2 * index + 1;
+    return FIRST_DEPENDENT + 2 * index + 1;
 }
 
-/* Jobs that were told between `from` and `to`, and that depend on the first: cancels them with it.
- */
-static void time_cancel(const char *what, int from, int to, double told)
+/* Cancels the first of the jobs `from` to `until` (exclusive), and with it all others, which depend
+ * on it; they were added within `adding_s`. */
+static void time_cancellation(const char *label, int from, int until, double adding_s)
 {
-    double at = seconds();
+    double started_at = pm_clock_monotonic();
+    int count = until - from;
     char id[32];
 
     snprintf(id, sizeof id, "job-%06d", array_number(from));
-    pm_jobs_apply_cancellation(jobs, id, ++revision);
-    printf("%s, %d jobs: %.1f us a job told, %.1f us a job cancelled\n", what, to - from,
-           told / (to - from) * 1e6, (seconds() - at) / (to - from) * 1e6);
+    pm_jobs_apply_cancellation(bench.jobs, id, ++bench.revision);
+    printf("%s, %d jobs: %.1f us a job told, %.1f us a job cancelled\n", label, count,
+           adding_s / count * MICROSECONDS,
+           (pm_clock_monotonic() - started_at) / count * MICROSECONDS);
 }
 
-/* Each needs the one before it. */
-static int time_chain(int from, int length, double now)
+/* Each job depends on the one before. Returns the next free index, as the others do. */
+static int time_chain(int from, int length)
 {
-    double at = seconds();
+    double started_at = pm_clock_monotonic();
 
     for (int i = 0; i < length; i++) {
-        int before = array_number(from + i - 1);
-        add_job(array_number(from + i), &before, i > 0, now);
+        int previous = array_number(from + i - 1);
+        add_job(array_number(from + i), &previous, i > 0);
     }
-    time_cancel("a chain", from, from + length, seconds() - at);
+    time_cancellation("a chain", from, from + length, pm_clock_monotonic() - started_at);
     return from + length;
 }
 
-/* Each level's join needs two sides, which need the join below. */
-static int time_ladder(int from, int levels, double now)
+/* Each level's join depends on two sides, which depend on the join below. */
+static int time_ladder(int from, int levels)
 {
-    double at = seconds();
+    double started_at = pm_clock_monotonic();
     int next = from + 1;
 
-    add_job(array_number(from), NULL, 0, now);
+    add_job(array_number(from), NULL, 0);
     for (int level = 0; level < levels; level++) {
         int below = array_number(next - 1);
         int sides[] = {array_number(next), array_number(next + 1)};
-        add_job(sides[0], &below, 1, now);
-        add_job(sides[1], &below, 1, now);
-        add_job(array_number(next + 2), sides, 2, now);
+        add_job(sides[0], &below, 1);
+        add_job(sides[1], &below, 1);
+        add_job(array_number(next + 2), sides, 2);
         next += 3;
     }
-    time_cancel("a ladder of diamonds", from, next, seconds() - at);
+    time_cancellation("a ladder of diamonds", from, next, pm_clock_monotonic() - started_at);
     return next;
 }
 
-/* One is needed by many, which are all needed by another one. */
-static int time_fan(int from, int width, double now)
+/* Many jobs depend on one, and another one depends on all of them. */
+static int time_fan(int from, int width)
 {
-    double at = seconds();
+    double started_at = pm_clock_monotonic();
     int first = array_number(from);
-    int *all = g_new(int, width);
+    int *middle = g_new(int, width);
 
-    add_job(first, NULL, 0, now);
+    add_job(first, NULL, 0);
     for (int i = 0; i < width; i++) {
-        all[i] = array_number(from + 1 + i);
-        add_job(all[i], &first, 1, now);
+        middle[i] = array_number(from + 1 + i);
+        add_job(middle[i], &first, 1);
     }
-    add_job(array_number(from + 1 + width), all, width, now);
-    time_cancel("out to many and in again", from, from + width + 2, seconds() - at);
-    g_free(all);
+    add_job(array_number(from + 1 + width), middle, width);
+    time_cancellation("out to many and in again", from, from + width + 2,
+                      pm_clock_monotonic() - started_at);
+    g_free(middle);
     return from + width + 2;
 }
 
-static void time_dependencies(double now)
+static void time_dependencies(void)
 {
+    enum { CHAINS = 5, CHAIN_LENGTH = 1000, LADDER_LEVELS = 300, FAN_WIDTH = 500 };
     int next = 0;
 
-    for (int i = 0; i < 5; i++)
-        next = time_chain(next, 1000, now);
-    next = time_ladder(next, 300, now);
-    time_fan(next, 500, now);
-}
-
-/* Every fourth needs the one before it. */
-static void add_next(int n, double now)
-{
-    int before = n - 1;
-
-    add_job(n, &before, n % 4 == 3, now);
+    for (int i = 0; i < CHAINS; i++)
+        next = time_chain(next, CHAIN_LENGTH);
+    next = time_ladder(next, LADDER_LEVELS);
+    time_fan(next, FAN_WIDTH);
 }
 
 int main(int argc, char **argv)
 {
-    int machines = argc > 1 ? (int)strtol(argv[1], NULL, 10) : 2000;
-    int njobs = argc > 2 ? (int)strtol(argv[2], NULL, 10) : 250;
-    int next = 0;
-    double now = 100;
-    double plans = 0;
-    double reports = 0;
-    double longest = 0;
-    long placed = 0;
-    long nreports = 0;
-    struct pm_operator_settings op;
-    struct pm_scheduler *plan;
+    int machine_count = argc > 1 ? (int)strtol(argv[1], NULL, 10) : DEFAULT_MACHINES;
+    int job_count = argc > 2 ? (int)strtol(argv[2], NULL, 10) : DEFAULT_JOBS;
 
     pm_log_setup("error", "bench");
-    pm_operator_settings_defaults(&op);
-    begin(machines);
-    plan = pm_scheduler_new(&tables, jobs, workers, &op);
-    for (int round = 0; round < ROUNDS; round++) {
-        GPtrArray *all = pm_workers_all(workers);
-        double at = seconds();
-        double took;
-        for (; next < njobs + round; next++)
-            add_next(next, now);
-        for (int i = 0; i < machines; i++) {
-            struct pm_machine *m = g_ptr_array_index(all, i);
-            if (round && (i + round) % SHARE)
-                continue;
-            report(m, true, now);
-            nreports++;
-        }
-        reports += seconds() - at;
-        at = seconds();
-        placed += pm_scheduler_run(plan, now, now);
-        took = seconds() - at;
-        plans += took;
-        longest = took > longest ? took : longest;
-        for (int i = 0; i < machines; i++) {
-            struct pm_machine *m = g_ptr_array_index(all, i);
-            for (guint j = 0; j < m->placements->len; j++) {
-                struct pm_placement *place = g_ptr_array_index(m->placements, j);
-                if (place->state == PM_PLACEMENT_PROPOSED)
-                    place->state = PM_PLACEMENT_RUNNING;
-            }
-        }
-        now += 0.2;
-    }
-    printf("%d machines, %d jobs: plan %.0f us (longest %.0f us), %ld placed; report %.1f us\n",
-           machines, next, plans / ROUNDS * 1e6, longest * 1e6, placed,
-           reports / (double)nreports * 1e6);
-    time_dependencies(now);
+    init_bench(machine_count);
+    time_rounds(machine_count, job_count);
+    time_dependencies();
     return 0;
 }
--- a/src/soak/main.c
+++ b/src/soak/main.c
@@ -6,31 +6,41 @@
 #include <stdio.h>
 #include <unistd.h>
 
-enum { EXIT_CLEAN, EXIT_VIOLATION, EXIT_INPUT, SEEDS_MOST = 100000 };
+enum { EXIT_CLEAN, EXIT_VIOLATION, EXIT_INPUT };
+
+enum { SEEDS_MAX = 100000, CONTROLLERS_MIN = 3, CONTROLLERS_MAX = 8, MACHINES_MAX = 400 };
+#define SECONDS_MAX 3600
+#define LEASE_MAX_S 60
 
 struct options {
     int seed, count, controllers, machines;
     double seconds, lease_s;
-    gboolean duties;
-    char *daemon, *old_daemon, *only, *kinds, *operator_file, *logs;
+    gboolean with_roles;
+    char *daemon, *old_daemon, *only, *kinds, *operator_file, *log_directory;
 };
 
-static bool read_options(struct options *o, int argc, char **argv, GError **error)
+static bool read_options(struct options *options, int argc, char **argv, GError **error)
 {
     const GOptionEntry entries[] = {
-        {"seed", 's', 0, G_OPTION_ARG_INT, &o->seed, "the first seed", "N"},
-        {"count", 'n', 0, G_OPTION_ARG_INT, &o->count, "how many seeds, one after another", "N"},
-        {"seconds", 't', 0, G_OPTION_ARG_DOUBLE, &o->seconds, "length of a run's troubles", "S"},
-        {"controllers", 'c', 0, G_OPTION_ARG_INT, &o->controllers, "3 to 8", "N"},
-        {"machines", 'm', 0, G_OPTION_ARG_INT, &o->machines, "at most so many", "N"},
-        {"daemon", 'd', 0, G_OPTION_ARG_FILENAME, &o->daemon, "the program", "FILE"},
-        {"duties", 0, 0, G_OPTION_ARG_NONE, &o->duties, "links and duties are on", NULL},
-        {"old-daemon", 0, 0, G_OPTION_ARG_FILENAME, &o->old_daemon, "runs first, once", "FILE"},
-        {"operator", 0, 0, G_OPTION_ARG_FILENAME, &o->operator_file, "operators' settings", "FILE"},
-        {"lease", 0, 0, G_OPTION_ARG_DOUBLE, &o->lease_s, "the workers' lease; drawn", "S"},
-        {"kinds", 0, 0, G_OPTION_ARG_STRING, &o->kinds, "only such troubles", "NAME,NAME"},
-        {"only", 0, 0, G_OPTION_ARG_STRING, &o->only, "only these troubles, by number", "N,N"},
-        {"logs", 0, 0, G_OPTION_ARG_FILENAME, &o->logs, "a directory for logs", "DIR"},
+        {"seed", 's', 0, G_OPTION_ARG_INT, &options->seed, "the first seed", "N"},
+        {"count", 'n', 0, G_OPTION_ARG_INT, &options->count, "how many seeds, one after another",
+         "N"},
+        {"seconds", 't', 0, G_OPTION_ARG_DOUBLE, &options->seconds, "length of a run's troubles",
+         "S"},
+        {"controllers", 'c', 0, G_OPTION_ARG_INT, &options->controllers, "3 to 8", "N"},
+        {"machines", 'm', 0, G_OPTION_ARG_INT, &options->machines, "at most so many", "N"},
+        {"daemon", 'd', 0, G_OPTION_ARG_FILENAME, &options->daemon, "the program", "FILE"},
+        {"duties", 0, 0, G_OPTION_ARG_NONE, &options->with_roles, "links and duties are on", NULL},
+        {"old-daemon", 0, 0, G_OPTION_ARG_FILENAME, &options->old_daemon, "runs first, once",
+         "FILE"},
+        {"operator", 0, 0, G_OPTION_ARG_FILENAME, &options->operator_file, "operators' settings",
+         "FILE"},
+        {"lease", 0, 0, G_OPTION_ARG_DOUBLE, &options->lease_s, "the workers' lease; drawn", "S"},
+        {"kinds", 0, 0, G_OPTION_ARG_STRING, &options->kinds, "only such troubles", "NAME,NAME"},
+        {"only", 0, 0, G_OPTION_ARG_STRING, &options->only, "only these troubles, by number",
+         "N,N"},
+        {"logs", 0, 0, G_OPTION_ARG_FILENAME, &options->log_directory, "a directory for logs",
+         "DIR"},
         {NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL}};
     GOptionContext *context = g_option_context_new("- a randomized fault test");
     bool ok;
@@ -41,88 +51,101 @@
     return ok;
 }
 
-static const char *find_fault(const struct options *o)
+/* Why the options can't be used; NULL: they can. */
+static const char *find_bad_option(const struct options *options)
 {
-    if (o->seed < 0)
+    if (options->seed < 0)
         return "the seed is below 0";
-    if (o->count < 1 || o->count > SEEDS_MOST)
+    if (options->count < 1 || options->count > SEEDS_MAX)
         return "the count is not from 1 to 100000";
-    if (o->controllers < 3 || o->controllers > 8)
+    if (options->controllers < CONTROLLERS_MIN || options->controllers > CONTROLLERS_MAX)
         return "the controllers are not from 3 to 8";
-    if (o->machines < 1 || o->machines > 400)
+    if (options->machines < 1 || options->machines > MACHINES_MAX)
         return "the machines are not from 1 to 400";
-    if (!(o->seconds > 0 && o->seconds <= 3600))
+    if (!(options->seconds > 0 && options->seconds <= SECONDS_MAX))
         return "the seconds are not above 0, and 3600 at most";
-    if (!(o->lease_s >= 0 && o->lease_s <= 60))
+    if (!(options->lease_s >= 0 && options->lease_s <= LEASE_MAX_S))
         return "the lease is not from 0 to 60 seconds";
-    if (!schedule_read_kinds(o->kinds))
+    if (!fault_schedule_parse_kinds(options->kinds))
         return "no such kind of trouble";
-    if (access(o->daemon, X_OK) || (o->old_daemon && access(o->old_daemon, X_OK)))
+    if (access(options->daemon, X_OK) || (options->old_daemon && access(options->old_daemon, X_OK)))
         return "the daemon can't be run";
     return NULL;
 }
 
-/* One seed; its exit code. */
-static int run_seed(const struct options *o, const char *operators, guint32 seed)
+static void print_result(guint32 seed, const struct soak_result *result, const char *log)
+{
+    bool is_clean = !result->violations[0];
+
+    printf("seed %u: %u troubles in %.0f s, %u jobs, %u starts, stand-ins stalled %.2f s: %s\n",
+           seed, result->faults, result->seconds, result->jobs, result->starts, result->max_stall_s,
+           is_clean ? "clean" : "violated");
+    if (!is_clean)
+        printf("%slog: %s\n", result->violations, log ? log : "none kept (--logs DIR)");
+    fflush(stdout);
+}
+
+/* Runs one seed, and returns its exit code. */
+static int run_seed(const struct options *options, const char *operator_yaml, guint32 seed)
 {
-    char *log = o->logs ? g_strdup_printf("%s/soak-%u.log", o->logs, seed) : NULL;
-    struct soak_settings settings = {.seed = seed,
-                                     .seconds = o->seconds,
-                                     .controllers = o->controllers,
-                                     .machines = o->machines,
-                                     .daemon = o->daemon,
-                                     .old_daemon = o->old_daemon,
-                                     .lease_s = o->lease_s,
-                                     .kinds = schedule_read_kinds(o->kinds),
-                                     .duties = o->duties,
-                                     .only = o->only,
-                                     .operator= operators,
-                                     .log_file = log,
-                                     .print = o->count == 1};
+    char *log = options->log_directory
+                    ? g_strdup_printf("%s/soak-%u.log", options->log_directory, seed)
+                    : NULL;
+    const struct soak_settings settings = {.seed = seed,
+                                           .seconds = options->seconds,
+                                           .controller_count = options->controllers,
+                                           .max_machines = options->machines,
+                                           .daemon = options->daemon,
+                                           .old_daemon = options->old_daemon,
+                                           .lease_s = options->lease_s,
+                                           .kinds = fault_schedule_parse_kinds(options->kinds),
+                                           .with_roles = options->with_roles,
+                                           .only = options->only,
+                                           .operator_yaml = operator_yaml,
+                                           .log_file = log,
+                                           .print_schedule = options->count == 1};
     struct soak_result result;
     int code;
 
-    if (!soak_run(&settings, &result)) {
+    if (soak_run(&settings, &result)) {
+        code = result.violations[0] ? EXIT_VIOLATION : EXIT_CLEAN;
+        print_result(seed, &result, log);
+        g_free(result.violations);
+    } else {
+        code = EXIT_INPUT;
         fprintf(stderr, "soak: seed %u: the list of troubles can't be read, or no task starts\n",
                 seed);
-        g_free(log);
-        return EXIT_INPUT;
     }
-    printf("seed %u: %u troubles in %.0f s, %u jobs, %u starts, stand-ins stalled %.2f s: %s\n",
-           seed, result.troubles, result.seconds, result.jobs, result.starts, result.stall_s,
-           result.violations[0] ? "violated" : "clean");
-    code = result.violations[0] ? EXIT_VIOLATION : EXIT_CLEAN;
-    if (code)
-        printf("%slog: %s\n", result.violations, log ? log : "none kept (--logs DIR)");
-    fflush(stdout);
-    g_free(result.violations);
     g_free(log);
     return code;
 }
 
 int main(int argc, char **argv)
 {
-    struct options o = {.seed = 1, .count = 1, .controllers = 4, .machines = 10, .seconds = 40};
+    struct options options = {
+        .seed = 1, .count = 1, .controllers = 4, .machines = 10, .seconds = 40};
     GError *error = NULL;
-    const char *fault = NULL;
-    char *operators = NULL;
+    const char *bad_option = NULL;
+    char *operator_yaml = NULL;
     int worst = EXIT_CLEAN;
 
-    o.daemon = g_strdup(PM_DAEMON);
-    if (!read_options(&o, argc, argv, &error) || (fault = find_fault(&o)) ||
-        (o.operator_file && !g_file_get_contents(o.operator_file, &operators, NULL, &error))) {
+    options.daemon = g_strdup(PM_DAEMON);
+    if (!read_options(&options, argc, argv, &error) || (bad_option = find_bad_option(&options)) ||
+        (options.operator_file &&
+         !g_file_get_contents(options.operator_file, &operator_yaml, NULL, &error))) {
         fprintf(stderr, "soak: %s\n",
-                error ? error->message : (fault ? fault : "an argument that is not known"));
+                error ? error->message
+                      : (bad_option ? bad_option : "an argument that is not known"));
         return EXIT_INPUT;
     }
-    for (int i = 0; i < o.count; i++) {
-        int code = run_seed(&o, operators, (guint32)(o.seed + i));
+    for (int i = 0; i < options.count; i++) {
+        int code = run_seed(&options, operator_yaml, (guint32)(options.seed + i));
         worst = MAX(worst, code);
     }
     return worst;
 }
 
-/* Clusters last as long as the process: what is under way in them outlives them. */
+/* Clusters last as long as the process: calls in flight outlive them. */
 const char *__asan_default_options(void);
 const char *__asan_default_options(void)
 {
--- a/src/soak/tests/test_soak.c
+++ b/src/soak/tests/test_soak.c
@@ -1,4 +1,4 @@
-/* A short soak, which is to be clean; a program whose account of a team's use is off by one task,
+/* A short soak, which is to be clean; a daemon whose count of a team's usage is off by one task,
  * which is to be found; and the soak's own input. */
 #include "soak/soak.h"
 
@@ -12,47 +12,47 @@
 
 enum { SEED = 7, EXIT_INPUT = 2 };
 
-static const struct soak_settings usual = {.seed = SEED,
-                                           .seconds = 25,
-                                           .controllers = 4,
-                                           .machines = 10,
-                                           .lease_s = 4,
-                                           .daemon = PM_DAEMON};
+static const struct soak_settings default_settings = {.seed = SEED,
+                                                      .seconds = 25,
+                                                      .controller_count = 4,
+                                                      .max_machines = 10,
+                                                      .lease_s = 4,
+                                                      .daemon = PM_DAEMON};
 
-static char *violations_of(struct soak_settings settings, const char *kinds)
+static char *run_soak(struct soak_settings settings, const char *kinds)
 {
     struct soak_result result;
 
-    settings.kinds = schedule_read_kinds(kinds);
+    settings.kinds = fault_schedule_parse_kinds(kinds);
     assert_true(soak_run(&settings, &result));
     assert_true(result.starts > 20);
     return result.violations;
 }
 
-static void a_short_soak_is_clean(void **arg)
+static void short_soak_is_clean(void **arg)
 {
-    char *violations = violations_of(usual, NULL);
+    char *violations = run_soak(default_settings, NULL);
 
     (void)arg;
     assert_string_equal(violations, "");
     g_free(violations);
 }
 
-static void an_account_off_by_one_is_found(void **arg)
+static void quota_off_by_one_is_found(void **arg)
 {
-    struct soak_settings settings = usual;
+    struct soak_settings settings = default_settings;
     char *violations;
     char *log = g_strdup_printf("%s/pumicemount-test-soak-%d.log", g_get_tmp_dir(), (int)getpid());
 
     (void)arg;
-    /* Whether a controller sees it hangs on when its workers report: what it would log stands here.
-     */
+    /* Whether a controller logs it depends on when its workers report, so the log begins with such
+     * lines. */
     assert_true(g_file_set_contents(
         log, "error node-9 quota.exceeded planted\nerror node-8 quota.over planted\n", -1, NULL));
     settings.log_file = log;
     settings.daemon = PM_PLANTED_DAEMON;
     settings.seconds = 10;
-    violations = violations_of(settings, "machine-fails");
+    violations = run_soak(settings, "machine-fails");
     assert_non_null(strstr(violations, "quota: "));
     assert_non_null(strstr(violations, "logged: error node-9 quota.exceeded planted"));
     assert_non_null(strstr(violations, "logged: error node-8 quota.over planted"));
@@ -61,20 +61,21 @@
     g_free(violations);
 }
 
-/* Runs the program; its exit code, and whether it says why in a line. */
-static int run(const char *const *argv, bool *explained)
+/* Runs the program and returns its exit code. `is_explained`: it gave the reason in one line. */
+static int run_program(const char *const *argv, bool *is_explained)
 {
-    char *said = NULL;
+    char *message = NULL;
     int status = 0;
 
     assert_true(g_spawn_sync(NULL, (char **)argv, NULL, G_SPAWN_STDOUT_TO_DEV_NULL, NULL, NULL,
-                             NULL, &said, &status, NULL));
-    *explained = g_str_has_prefix(said, "soak: ") && strchr(said, '\n') == said + strlen(said) - 1;
-    g_free(said);
+                             NULL, &message, &status, NULL));
+    *is_explained = g_str_has_prefix(message, "soak: ") &&
+                    strchr(message, '\n') == message + strlen(message) - 1;
+    g_free(message);
     return WEXITSTATUS(status);
 }
 
-static void bad_input_is_refused_in_a_line(void **arg)
+static void bad_input_is_refused_in_one_line(void **arg)
 {
     const char *const inputs[][5] = {
         {PM_SOAK, "--no-such-flag", NULL},    {PM_SOAK, "stray argument", NULL},
@@ -88,30 +89,29 @@
 
     (void)arg;
     for (size_t i = 0; i < G_N_ELEMENTS(inputs); i++) {
-        bool explained;
-        assert_int_equal(run(inputs[i], &explained), EXIT_INPUT);
-        assert_true(explained);
+        bool is_explained;
+        assert_int_equal(run_program(inputs[i], &is_explained), EXIT_INPUT);
+        assert_true(is_explained);
     }
 }
 
-/* The same seed gives the same troubles, and a part of them keeps its numbers' times. */
-static void a_schedule_repeats_and_shortens(void **arg)
+/* The same seed gives the same faults, and a selection of them keeps its times. */
+static void schedule_is_reproducible_and_selectable(void **arg)
 {
     GRand *first = g_rand_new_with_seed(SEED);
     GRand *second = g_rand_new_with_seed(SEED);
-    GArray *whole = schedule_draw(first, 60, schedule_read_kinds(NULL));
-    GArray *part = schedule_draw(second, 60, schedule_read_kinds(NULL));
+    GArray *whole = fault_schedule_draw(first, 60, fault_schedule_parse_kinds(NULL));
+    GArray *part = fault_schedule_draw(second, 60, fault_schedule_parse_kinds(NULL));
 
     (void)arg;
     assert_true(whole->len > 10);
     assert_int_equal(part->len, whole->len);
-    assert_memory_equal(part->data, whole->data, whole->len * sizeof(struct trouble));
-    assert_true(schedule_keep(part, "2,5"));
+    assert_memory_equal(part->data, whole->data, whole->len * sizeof(struct fault));
+    assert_true(fault_schedule_select(part, "2,5"));
     assert_int_equal(part->len, 2);
-    assert_memory_equal(part->data, &g_array_index(whole, struct trouble, 1),
-                        sizeof(struct trouble));
-    assert_memory_equal(&g_array_index(part, struct trouble, 1),
-                        &g_array_index(whole, struct trouble, 4), sizeof(struct trouble));
+    assert_memory_equal(part->data, &g_array_index(whole, struct fault, 1), sizeof(struct fault));
+    assert_memory_equal(&g_array_index(part, struct fault, 1),
+                        &g_array_index(whole, struct fault, 4), sizeof(struct fault));
     g_array_free(whole, TRUE);
     g_array_free(part, TRUE);
     g_rand_free(first);
@@ -121,16 +121,16 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(a_schedule_repeats_and_shortens),
-        cmocka_unit_test(bad_input_is_refused_in_a_line),
-        cmocka_unit_test(an_account_off_by_one_is_found),
-        cmocka_unit_test(a_short_soak_is_clean),
+        cmocka_unit_test(schedule_is_reproducible_and_selectable),
+        cmocka_unit_test(bad_input_is_refused_in_one_line),
+        cmocka_unit_test(quota_off_by_one_is_found),
+        cmocka_unit_test(short_soak_is_clean),
     };
 
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
 
-/* Clusters last as long as the process. */
+/* Clusters last as long as the process: calls in flight outlive them. */
 const char *__asan_default_options(void);
 const char *__asan_default_options(void)
 {
--- a/src/soak/workload.c
+++ b/src/soak/workload.c
@@ -2,10 +2,18 @@
 
 #include <string.h>
 
-#define CHAINED 0.1 /* share of jobs that need the one before */
-#define URGENT 0.2
-#define ACCELERATED 0.5
-#define BOUND 0.3 /* share of jobs for one zone only */
+/* Shares of jobs. */
+#define DEPENDENT_SHARE 0.1 /* depend on the job before */
+#define URGENT_SHARE 0.2
+#define ACCELERATED_SHARE 0.5
+#define ZONE_BOUND_SHARE 0.3
+#define ARRAY_SHARE 0.75
+#define GANG_SHARE 0.15 /* the rest are services */
+
+enum { ARRAY_TASKS_MAX = 12, GANG_TASKS_MIN = 2, GANG_TASKS_MAX = 4, SERVICE_TASKS_MAX = 3 };
+
+/* Run times in tenths of a second. */
+enum { RUN_TENTHS_MIN = 5, ARRAY_RUN_TENTHS_MAX = 60, GANG_RUN_TENTHS_MAX = 40 };
 
 static struct cluster_team teams[WORKLOAD_TEAMS] = {
     {.name = "team-a"}, {.name = "team-b"}, {.name = "team-c"}};
@@ -23,45 +31,52 @@
     return teams;
 }
 
+static double draw_run_s(GRand *random, int max_tenths)
+{
+    return g_rand_int_range(random, RUN_TENTHS_MIN, max_tenths) / 10.0;
+}
+
 /* Mostly arrays; some gangs, and services that are cancelled later. */
-static void draw_form(GRand *random, struct cluster_job *job, unsigned scale)
+static void draw_kind(GRand *random, struct cluster_job *job, unsigned scale)
 {
-    double form = g_rand_double(random);
+    double share = g_rand_double(random);
 
-    if (form < 0.75) {
+    if (share < ARRAY_SHARE) {
         job->kind = "array";
-        job->task_count = scale * (unsigned)g_rand_int_range(random, 1, 12);
-        job->run_s = g_rand_int_range(random, 5, 60) / 10.0;
-    } else if (form < 0.9) {
+        job->task_count = scale * (unsigned)g_rand_int_range(random, 1, ARRAY_TASKS_MAX);
+        job->run_s = draw_run_s(random, ARRAY_RUN_TENTHS_MAX);
+    } else if (share < ARRAY_SHARE + GANG_SHARE) {
         job->kind = "group";
-        job->task_count = (unsigned)g_rand_int_range(random, 2, 4);
-        job->run_s = g_rand_int_range(random, 5, 40) / 10.0;
+        job->task_count = (unsigned)g_rand_int_range(random, GANG_TASKS_MIN, GANG_TASKS_MAX);
+        job->run_s = draw_run_s(random, GANG_RUN_TENTHS_MAX);
     } else {
         job->kind = "standing";
-        job->task_count = (unsigned)g_rand_int_range(random, 1, 3);
+        job->task_count = (unsigned)g_rand_int_range(random, 1, SERVICE_TASKS_MAX);
     }
 }
 
 void workload_submit(struct cluster *cluster, GRand *random, unsigned scale)
 {
-    static char before[32]; /* the job that the next one may need */
+    static char previous[32]; /* the job that the next one may depend on */
     struct cluster_job job = {.priority = "normal", .zone = -1, .cpus = 2};
+    bool is_service;
 
-    if (!cluster_job_count(cluster)) /* another run's */
-        before[0] = 0;
-    draw_form(random, &job, scale);
+    if (!cluster_job_count(cluster)) /* it was another run's */
+        previous[0] = 0;
+    draw_kind(random, &job, scale);
+    is_service = !strcmp(job.kind, "standing");
     job.team = teams[g_rand_int_range(random, 0, WORKLOAD_TEAMS)].name;
-    if (g_rand_double(random) < ACCELERATED)
+    if (g_rand_double(random) < ACCELERATED_SHARE)
         job.accelerators = 1;
-    if (g_rand_double(random) < URGENT)
+    if (g_rand_double(random) < URGENT_SHARE)
         job.priority = "urgent";
-    if (!strcmp(job.kind, "standing"))
+    if (is_service)
         job.priority = "production";
-    if (g_rand_double(random) < BOUND)
+    if (g_rand_double(random) < ZONE_BOUND_SHARE)
         job.zone = g_rand_int_range(random, 0, CLUSTER_ZONES);
-    if (before[0] && strcmp(job.kind, "standing") != 0 && g_rand_double(random) < CHAINED)
-        job.dependency = before;
-    g_strlcpy(before, cluster_submit_job(cluster, &job), sizeof before);
-    if (!strcmp(job.kind, "standing"))
-        before[0] = 0; /* nothing can wait for a service */
+    if (previous[0] && !is_service && g_rand_double(random) < DEPENDENT_SHARE)
+        job.dependency = previous;
+    g_strlcpy(previous, cluster_submit_job(cluster, &job), sizeof previous);
+    if (is_service)
+        previous[0] = 0; /* nothing can wait for a service */
 }
