--- a/src/scheduler/run_time.c
+++ b/src/scheduler/run_time.c
@@ -21,8 +21,7 @@
     *factor = (*factor > 0 ? *factor : 1) * (1 - SAMPLE_WEIGHT) + ratio * SAMPLE_WEIGHT;
 }
 
-double pm_scheduler_estimate_remaining_s(const struct pm_scheduler *scheduler,
-                                         const struct pm_job *job)
+double pm_scheduler_estimate_run_s(const struct pm_scheduler *scheduler, const struct pm_job *job)
 {
     int class_index = job->spec->class_index;
     double factor = 1;
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -71,7 +71,7 @@
         if (!machine || machine->type < 0 || machine->zone < 0)
             continue;
         if (machine->state == PM_MACHINE_BOOTING &&
-            pm_scheduler_boots_soon(scheduler->tables, machine, now))
+            pm_scheduler_is_boot_expected(scheduler->tables, machine, now))
             cache->is_boot_expected[machine->type][machine->zone][machine->spot] = true;
         else if (machine->free.cpus > PM_EPSILON &&
                  pm_scheduler_is_machine_usable(scheduler, machine, now))
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -83,8 +83,7 @@
 double pm_scheduler_usage_ratio(struct pm_scheduler *scheduler, int team);
 /* How long a task of the job probably runs from start to end, in seconds: its owner's estimate,
  * corrected by its class's measured times, averaged with the job's own. */
-double pm_scheduler_estimate_remaining_s(const struct pm_scheduler *scheduler,
-                                         const struct pm_job *job);
+double pm_scheduler_estimate_run_s(const struct pm_scheduler *scheduler, const struct pm_job *job);
 /* Notes that a task of the job ran for so many seconds from start to end. */
 void pm_scheduler_record_run_time(struct pm_scheduler *scheduler, struct pm_job *job,
                                   double seconds);
@@ -125,8 +124,8 @@
 bool pm_scheduler_is_machine_allowed(const struct pm_name_tables *tables, const struct pm_job *job,
                                      int type, int zone, bool spot);
 /* Whether a booting machine is within the time in which most of its type come up. */
-bool pm_scheduler_boots_soon(const struct pm_name_tables *tables, const struct pm_machine *machine,
-                             double now);
+bool pm_scheduler_is_boot_expected(const struct pm_name_tables *tables,
+                                   const struct pm_machine *machine, double now);
 /* Processors on usable ordinary machines that services could have at once: free or preemptible. */
 double pm_scheduler_headroom_cpus(struct pm_scheduler *scheduler, double now);
 /* Processors that services occupy on the ordinary machine where they occupy most. */
@@ -142,7 +141,7 @@
 /* Appends the ledger's value to `out`: occupied time, heartbeats, failing jobs and cached images.
  */
 void pm_scheduler_encode_ledger(const struct pm_scheduler *scheduler, double now, double wall,
-                                struct pm_buf *out);
+                                struct pm_buffer *out);
 /* Takes over the teams' occupied time from a stored value. One without a time is ignored; a team
  * that it does not name starts at zero. */
 void pm_scheduler_decode_ledger(struct pm_scheduler *scheduler, const cbor_item_t *value);
--- a/src/scheduler/shard_leasing.c
+++ b/src/scheduler/shard_leasing.c
@@ -106,7 +106,7 @@
     for (int i = 0; i < job->chunk_count; i++) {
         const GArray *stored = job->chunks[i] ? job->chunks[i]->stored_placements : NULL;
         for (guint k = 0; stored && k < stored->len; k++)
-            if (g_array_index(stored, struct pm_stored_placement, k).machine == machine)
+            if (g_array_index(stored, struct pm_stored_placement, k).machine_index == machine)
                 return true;
     }
     return false;
--- a/src/scheduler/starvation.c
+++ b/src/scheduler/starvation.c
@@ -80,7 +80,7 @@
             left_s -= GANG_CLEARING_S; /* needs its capacity at one time, or keeps waiting */
         else if (job->spec->kind == PM_WORKLOAD_ARRAY)
             work_cpu_s += pm_job_waiting_tasks(job) *
-                          (pm_scheduler_estimate_remaining_s(scheduler, job) + 1) * job->spec->cpus;
+                          (pm_scheduler_estimate_run_s(scheduler, job) + 1) * job->spec->cpus;
         if (work_cpu_s >= left_s * batch_cpus * DEPENDABLE_SHARE)
             overdue = i + 1;
     }
--- a/src/scheduler/tests/test_occupancy.c
+++ b/src/scheduler/tests/test_occupancy.c
@@ -38,7 +38,7 @@
     const double wall = 1700000010.5;
     struct scheduler_fixture fixture;
     struct pm_machine *machine;
-    struct pm_buf out = {0};
+    struct pm_buffer out = {0};
     size_t size;
     unsigned char *bytes = recorded_bytes(RECORDED_V1_LEDGER, &size);
     cbor_item_t *value = pm_cbor_parse(bytes, size);
@@ -60,7 +60,7 @@
     assert_memory_equal(out.data, bytes, size);
     pm_cbor_free(value);
     g_free(bytes);
-    pm_buf_free(&out);
+    pm_buffer_free(&out);
     scheduler_fixture_end(&fixture);
 }
 
@@ -72,7 +72,7 @@
         .zone = -1, .allowed_types = 1, .task_count = 9, .cpus = 1, .deadline_s = -1};
     struct pm_job *failing;
     const struct pm_job *healthy;
-    struct pm_buf out = {0};
+    struct pm_buffer out = {0};
     cbor_item_t *value;
 
     (void)state;
@@ -90,7 +90,7 @@
     assert_false(pm_failures_is_job_failing(healthy));
     pm_scheduler_decode_ledger(fixture.scheduler, value);
     pm_cbor_free(value);
-    pm_buf_free(&out);
+    pm_buffer_free(&out);
     scheduler_fixture_end(&fixture);
 }
 
--- a/src/scheduler/tests/test_scale.c
+++ b/src/scheduler/tests/test_scale.c
@@ -23,7 +23,7 @@
 static struct scheduler_fixture fixture;
 
 /* The size of a CBOR value as JSON; frees the buffer. */
-static size_t json_size(struct pm_buf *buf)
+static size_t json_size(struct pm_buffer *buf)
 {
     cbor_item_t *item = pm_cbor_parse(buf->data, buf->size);
     size_t size;
@@ -31,7 +31,7 @@
     assert_non_null(item);
     size = pm_cbor_json_size(item);
     pm_cbor_free(item);
-    pm_buf_free(buf);
+    pm_buffer_free(buf);
     return size;
 }
 
@@ -103,7 +103,7 @@
 
 static void ledger_fits_its_value(void **state)
 {
-    struct pm_buf buf = {0};
+    struct pm_buffer buf = {0};
     cbor_item_t *item;
     struct pm_machine *first;
 
@@ -123,12 +123,12 @@
 
 static void assert_chunk_fits(const struct pm_job *job, int chunk)
 {
-    struct pm_buf buf = {0};
+    struct pm_buffer buf = {0};
 
     pm_chunk_encode(&fixture.tables, job, chunk, -1, &buf);
     assert_true(json_size(&buf) <= VALUE_BYTES);
     for (int half = 0; half < 2; half++) {
-        pm_buf_free(&buf);
+        pm_buffer_free(&buf);
         pm_chunk_encode(&fixture.tables, job, chunk, half, &buf);
         assert_true(json_size(&buf) <= VALUE_BYTES / 2);
     }
@@ -136,7 +136,7 @@
 
 static void assert_commands_fit(struct pm_machine *machine)
 {
-    struct pm_buf buf = {0};
+    struct pm_buffer buf = {0};
 
     for (guint i = 0; i < machine->placements->len; i++)
         placement_at(machine, i)->state = PM_PLACEMENT_DURABLE;
@@ -165,7 +165,7 @@
     assert_int_equal(large->work.placed_count, 4 * MACHINES - 8);
     large->work.last_attempt = 9999999;
     for (int i = 0; i < large->chunk_count; i++)
-        if (large->chunks[i] && large->chunks[i]->task)
+        if (large->chunks[i] && large->chunks[i]->tasks)
             assert_chunk_fits(large, i);
     for (int i = 0; i < MACHINES; i += 61)
         assert_commands_fit(pm_workers_at(fixture.workers, i));
--- a/src/scheduler/tests/trace_checks.h
+++ b/src/scheduler/tests/trace_checks.h
@@ -7,7 +7,7 @@
 #include "workers/failures.h"
 
 /* Prints a list of commands to a worker; frees the buffer. */
-static void print_commands(struct trace_world *world, struct pm_buf *buf)
+static void print_commands(struct trace_world *world, struct pm_buffer *buf)
 {
     cbor_item_t *commands = pm_cbor_parse(buf->data, buf->size);
 
@@ -27,7 +27,7 @@
         g_string_append(world->output, "\n");
     }
     pm_cbor_free(commands);
-    pm_buf_free(buf);
+    pm_buffer_free(buf);
 }
 
 /* commands MACHINE [push]: in the answer to a heartbeat, or in a push that begins */
@@ -35,7 +35,7 @@
 {
     struct pm_machine *machine = trace_machine(world, words);
     bool is_push = words[2] && !strcmp(words[2], "push");
-    struct pm_buf buf = {0};
+    struct pm_buffer buf = {0};
 
     if (is_push)
         pm_worker_push_begin(world->workers, machine);
@@ -46,7 +46,7 @@
 /* cancel_kills MACHINE ...: the kills that any controller may answer this heartbeat with */
 static void run_cancel_kills(struct trace_world *world, char **words)
 {
-    struct pm_buf buf = {0};
+    struct pm_buffer buf = {0};
     cbor_item_t *message = trace_read_message(world, words);
 
     pm_workers_encode_cancel_kills(world->workers, message, &buf);
--- a/src/scheduler/tests/trace_inputs.h
+++ b/src/scheduler/tests/trace_inputs.h
@@ -59,7 +59,7 @@
 /* ---- The store's watch ---- */
 
 /* Applies a value of the job, as the watch would; frees the buffer. */
-static void feed_value(struct trace_world *world, const char *id, struct pm_buf *buf)
+static void feed_value(struct trace_world *world, const char *id, struct pm_buffer *buf)
 {
     cbor_item_t *value = pm_cbor_parse(buf->data, buf->size);
     char key[64];
@@ -68,13 +68,13 @@
     snprintf(key, sizeof key, "p/j/%s", id);
     pm_jobs_apply_put(world->jobs, key, value, ++world->revision);
     pm_cbor_free(value);
-    pm_buf_free(buf);
+    pm_buffer_free(buf);
 }
 
 static void feed_job(struct trace_world *world, const char *id, const struct pm_spec *spec,
                      enum pm_job_state state)
 {
-    struct pm_buf buf = {0};
+    struct pm_buffer buf = {0};
 
     pm_job_encode(&world->tables, spec, spec->task_count, state, true, &buf);
     feed_value(world, id, &buf);
@@ -93,7 +93,7 @@
 static void run_job_done(struct trace_world *world, char **words)
 {
     const struct pm_job done = {.task_count = 1, .ended_wall = trace_wall(world)};
-    struct pm_buf buf = {0};
+    struct pm_buffer buf = {0};
 
     world->tables.protocol_version = PM_PROTOCOL_END_TIMES;
     pm_job_encode_done(&world->tables, &done, false, &buf);
--- a/src/scheduler/tests/trace_parser.h
+++ b/src/scheduler/tests/trace_parser.h
@@ -85,17 +85,17 @@
 }
 
 /* JOB/INDEX:ATTEMPT:STATUS[:CAUSE] */
-static inline void trace_put_reported_task(struct pm_buf *buf, const char *word)
+static inline void trace_put_reported_task(struct pm_buffer *buf, const char *word)
 {
     char **part = g_strsplit(word, ":", 4);
 
-    pm_put_map(buf);
-    pm_put_pair_text(buf, "entry", part[0]);
-    pm_put_pair_count(buf, "try", (uint64_t)strtoul(part[1], NULL, 10));
-    pm_put_pair_text(buf, "status", part[2]);
+    pm_cbor_put_map(buf);
+    pm_cbor_put_pair_text(buf, "entry", part[0]);
+    pm_cbor_put_pair_count(buf, "try", (uint64_t)strtoul(part[1], NULL, 10));
+    pm_cbor_put_pair_text(buf, "status", part[2]);
     if (part[3])
-        pm_put_pair_text(buf, "cause", part[3]);
-    pm_put_end(buf);
+        pm_cbor_put_pair_text(buf, "cause", part[3]);
+    pm_cbor_put_end(buf);
     g_strfreev(part);
 }
 
@@ -103,34 +103,34 @@
  * spot=0|1 [interruption=S] [TASK]...; for TASK, see trace_put_reported_task(). */
 static inline cbor_item_t *trace_read_message(struct trace_world *world, char **words)
 {
-    struct pm_buf buf = {0};
+    struct pm_buffer buf = {0};
     char *rest;
     unsigned long incarnation = strtoul(words[2], &rest, 10);
     unsigned long sequence = *rest == '.' ? strtoul(rest + 1, NULL, 10) : 1;
     cbor_item_t *message;
 
-    pm_put_map(&buf);
-    pm_put_pair_text(&buf, "host", words[1]);
-    pm_put_pair_text(&buf, "endpoint", "127.0.0.1:9");
-    pm_put_pair_text(&buf, "model", trace_text(words, "type", "small"));
-    pm_put_pair_text(&buf, "room", trace_text(words, "zone", "east"));
-    pm_put_pair_flag(&buf, "borrowed", trace_number(words, "spot", 0) > 0);
-    pm_put_pair_count(&buf, "shift", incarnation);
-    pm_put_pair_count(&buf, "tally", sequence);
-    pm_put_pair_count(&buf, "mandate",
-                      (uint64_t)trace_number(words, "token", (double)world->epoch));
+    pm_cbor_put_map(&buf);
+    pm_cbor_put_pair_text(&buf, "host", words[1]);
+    pm_cbor_put_pair_text(&buf, "endpoint", "127.0.0.1:9");
+    pm_cbor_put_pair_text(&buf, "model", trace_text(words, "type", "small"));
+    pm_cbor_put_pair_text(&buf, "room", trace_text(words, "zone", "east"));
+    pm_cbor_put_pair_flag(&buf, "borrowed", trace_number(words, "spot", 0) > 0);
+    pm_cbor_put_pair_count(&buf, "shift", incarnation);
+    pm_cbor_put_pair_count(&buf, "tally", sequence);
+    pm_cbor_put_pair_count(&buf, "mandate",
+                           (uint64_t)trace_number(words, "token", (double)world->epoch));
     if (trace_text(words, "interruption", NULL))
-        pm_put_pair_number(&buf, "recall_s", trace_number(words, "interruption", 0));
-    pm_put_text(&buf, "entries");
-    pm_put_list(&buf);
+        pm_cbor_put_pair_number(&buf, "recall_s", trace_number(words, "interruption", 0));
+    pm_cbor_put_text(&buf, "entries");
+    pm_cbor_put_list(&buf);
     for (char **word = words + 3; *word; word++)
         if (strchr(*word, ':'))
             trace_put_reported_task(&buf, *word);
-    pm_put_end(&buf);
-    pm_put_end(&buf);
+    pm_cbor_put_end(&buf);
+    pm_cbor_put_end(&buf);
     message = pm_cbor_parse(buf.data, buf.size);
     assert_non_null(message);
-    pm_buf_free(&buf);
+    pm_buffer_free(&buf);
     return message;
 }
 
--- a/src/shards/internal.h
+++ b/src/shards/internal.h
@@ -199,7 +199,7 @@
                                    struct pm_shard_stored_machine *out);
 /* Writes the shard as the leader wants it, without the machines that are being removed. */
 void pm_shard_value_encode(const struct pm_shards *shards, const struct pm_shard *shard,
-                           struct pm_buf *out);
+                           struct pm_buffer *out);
 
 /* shard_message.c: the messages between the leader and the owners */
 
--- a/src/shards/machine_assignment.c
+++ b/src/shards/machine_assignment.c
@@ -48,7 +48,7 @@
                                 const GArray *placements, guint machine_count)
 {
     for (guint i = 0; placements && i < placements->len; i++) {
-        int index = g_array_index(placements, struct pm_stored_placement, i).machine;
+        int index = g_array_index(placements, struct pm_stored_placement, i).machine_index;
         if (index < 0 || index >= (int)machine_count)
             continue;
         subtract_tasks(&plan->free[index], job->spec, 1);
--- a/src/shards/shard_value.c
+++ b/src/shards/shard_value.c
@@ -78,55 +78,55 @@
 }
 
 static void encode_machine(const struct pm_name_tables *tables, const struct pm_machine *machine,
-                           struct pm_buf *out)
+                           struct pm_buffer *out)
 {
-    pm_put_map(out);
-    pm_put_pair_text(out, "host", machine->name);
-    pm_put_pair_text(out, "endpoint", machine->endpoint);
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_text(out, "host", machine->name);
+    pm_cbor_put_pair_text(out, "endpoint", machine->endpoint);
     if (machine->type >= 0)
-        pm_put_pair_text(out, "model", pm_names_text(tables->type_names, machine->type));
+        pm_cbor_put_pair_text(out, "model", pm_names_text(tables->type_names, machine->type));
     if (machine->zone >= 0)
-        pm_put_pair_text(out, "room", tables->settings->zone_names[machine->zone]);
-    pm_put_pair_flag(out, "borrowed", machine->spot);
-    pm_put_pair_count(out, "shift", machine->heartbeat.incarnation);
-    pm_put_end(out);
+        pm_cbor_put_pair_text(out, "room", tables->settings->zone_names[machine->zone]);
+    pm_cbor_put_pair_flag(out, "borrowed", machine->spot);
+    pm_cbor_put_pair_count(out, "shift", machine->heartbeat.incarnation);
+    pm_cbor_put_end(out);
 }
 
 static void encode_machines(const struct pm_shards *shards, const struct pm_shard *shard,
-                            struct pm_buf *out)
+                            struct pm_buffer *out)
 {
-    pm_put_text(out, "hosts");
-    pm_put_list(out);
+    pm_cbor_put_text(out, "hosts");
+    pm_cbor_put_list(out);
     for (guint i = 0; i < shard->target.machines->len; i++) {
         const struct pm_shard_machine *entry = pm_shard_machine_at(shard, i);
         const struct pm_machine *machine = pm_workers_at(shards->workers, entry->index);
         if (machine && entry->state != PM_SHARD_MACHINE_REMOVING)
             encode_machine(shards->tables, machine, out);
     }
-    pm_put_end(out);
+    pm_cbor_put_end(out);
 }
 
-static void encode_jobs(const GPtrArray *jobs, struct pm_buf *out)
+static void encode_jobs(const GPtrArray *jobs, struct pm_buffer *out)
 {
-    pm_put_text(out, "jobs");
-    pm_put_list(out);
+    pm_cbor_put_text(out, "jobs");
+    pm_cbor_put_list(out);
     for (guint i = 0; i < jobs->len; i++) {
         const struct pm_job *job = g_ptr_array_index(jobs, i);
-        pm_put_map(out);
-        pm_put_pair_text(out, "id", job->id);
-        pm_put_pair_count(out, "width", job->parallelism);
-        pm_put_end(out);
+        pm_cbor_put_map(out);
+        pm_cbor_put_pair_text(out, "id", job->id);
+        pm_cbor_put_pair_count(out, "width", job->parallelism);
+        pm_cbor_put_end(out);
     }
-    pm_put_end(out);
+    pm_cbor_put_end(out);
 }
 
 void pm_shard_value_encode(const struct pm_shards *shards, const struct pm_shard *shard,
-                           struct pm_buf *out)
+                           struct pm_buffer *out)
 {
-    pm_put_map(out);
-    pm_put_pair_text(out, "boot", shard->owner.incarnation_id);
-    pm_put_pair_count(out, "serial", shard->write.serial);
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_text(out, "boot", shard->owner.incarnation_id);
+    pm_cbor_put_pair_count(out, "serial", shard->write.serial);
     encode_machines(shards, shard, out);
     encode_jobs(shard->target.jobs, out);
-    pm_put_end(out);
+    pm_cbor_put_end(out);
 }
--- a/src/shards/tests/shard_fixtures.h
+++ b/src/shards/tests/shard_fixtures.h
@@ -187,21 +187,21 @@
 /* Applies a heartbeat of the worker on i-000001. */
 static void apply_heartbeat(struct controller *controller, uint64_t sequence)
 {
-    struct pm_buf buf = {0};
+    struct pm_buffer buf = {0};
     struct pm_machine *machine;
     cbor_item_t *item;
     bool is_new;
 
-    pm_put_map(&buf);
-    pm_put_pair_text(&buf, "host", "i-000001");
-    pm_put_pair_text(&buf, "endpoint", "127.0.0.1:9");
-    pm_put_pair_text(&buf, "model", "g8");
-    pm_put_pair_text(&buf, "room", "a");
-    pm_put_pair_flag(&buf, "borrowed", true);
-    pm_put_pair_count(&buf, "shift", 1);
-    pm_put_pair_count(&buf, "tally", sequence);
-    pm_put_pair_count(&buf, "mandate", pm_election_epoch(controller->election));
-    pm_put_end(&buf);
+    pm_cbor_put_map(&buf);
+    pm_cbor_put_pair_text(&buf, "host", "i-000001");
+    pm_cbor_put_pair_text(&buf, "endpoint", "127.0.0.1:9");
+    pm_cbor_put_pair_text(&buf, "model", "g8");
+    pm_cbor_put_pair_text(&buf, "room", "a");
+    pm_cbor_put_pair_flag(&buf, "borrowed", true);
+    pm_cbor_put_pair_count(&buf, "shift", 1);
+    pm_cbor_put_pair_count(&buf, "tally", sequence);
+    pm_cbor_put_pair_count(&buf, "mandate", pm_election_epoch(controller->election));
+    pm_cbor_put_end(&buf);
     item = pm_cbor_parse(buf.data, buf.size);
     machine = pm_workers_apply_heartbeat(controller->workers, item, PM_SOURCE_HEARTBEAT,
                                          pm_election_epoch(controller->election),
@@ -209,7 +209,7 @@
     assert_non_null(machine);
     machine->provider.is_listed = true;
     pm_cbor_free(item);
-    pm_buf_free(&buf);
+    pm_buffer_free(&buf);
 }
 
 static void on_written(void *arg, enum pm_store_result result, uint64_t store_revision,
--- a/src/shards/tests/test_shards.c
+++ b/src/shards/tests/test_shards.c
@@ -69,8 +69,8 @@
     write_job(&leader, "job-1", false);
     assert_true(event_loop_run_until(loop, is_shard_assigned, NULL));
     assert_recorded_value("p/epoch", RECORDED_V1_EPOCH);
-    assert_recorded_value("p/lead", RECORDED_V1_LEAD);
-    assert_recorded_value("p/b/n1", RECORDED_V1_BLOCK);
+    assert_recorded_value("p/lead", RECORDED_V1_LEADER_LOCK);
+    assert_recorded_value("p/b/n1", RECORDED_V1_SHARD);
     assert_version_written("p/speaks/n0");
     /* The job and its parallelism came with the machine; the leader counts it as delegated. */
     assert_int_equal(pm_jobs_find(owner.jobs, "job-1")->parallelism, 2);
--- a/src/store/leases.c
+++ b/src/store/leases.c
@@ -36,7 +36,7 @@
 }
 
 static void send_lease_request(struct pm_store *store, const char *target,
-                               const struct pm_buf *body, struct lease_request request)
+                               const struct pm_buffer *body, struct lease_request request)
 {
     struct lease_request *sent = g_new(struct lease_request, 1);
 
@@ -48,26 +48,26 @@
 void pm_store_lease_grant(struct pm_store *store, double ttl_s, pm_store_lease_done *done,
                           void *arg)
 {
-    struct pm_buf body = {0};
+    struct pm_buffer body = {0};
 
-    pm_put_map(&body);
-    pm_put_pair_count(&body, "ttl_ms", (uint64_t)(ttl_s * MS_PER_S));
-    pm_put_end(&body);
+    pm_cbor_put_map(&body);
+    pm_cbor_put_pair_count(&body, "ttl_ms", (uint64_t)(ttl_s * MS_PER_S));
+    pm_cbor_put_end(&body);
     send_lease_request(store, "/holds", &body, (struct lease_request){store, done, arg, 0});
-    pm_buf_free(&body);
+    pm_buffer_free(&body);
 }
 
 void pm_store_lease_keep_alive(struct pm_store *store, uint64_t lease_id, pm_store_lease_done *done,
                                void *arg)
 {
-    struct pm_buf body = {0};
+    struct pm_buffer body = {0};
     char target[64];
 
-    pm_put_map(&body);
-    pm_put_end(&body);
+    pm_cbor_put_map(&body);
+    pm_cbor_put_end(&body);
     snprintf(target, sizeof target, "/holds/%llu/renew", (unsigned long long)lease_id);
     send_lease_request(store, target, &body, (struct lease_request){store, done, arg, lease_id});
-    pm_buf_free(&body);
+    pm_buffer_free(&body);
 }
 
 static void on_revoked(void *arg, int status, const unsigned char *body, size_t size)
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -69,7 +69,7 @@
 
 /* A transaction under construction; begin with all zero. */
 struct pm_txn {
-    struct pm_buf compares, writes;
+    struct pm_buffer compares, writes;
     int compare_count, write_count;
 };
 
@@ -82,7 +82,7 @@
 /* Adds the deletion of a key; no fault if it does not exist. */
 void pm_txn_delete(struct pm_txn *txn, const char *key);
 /* Appends the body of the transaction's request to `out`. */
-void pm_txn_encode(const struct pm_txn *txn, struct pm_buf *out);
+void pm_txn_encode(const struct pm_txn *txn, struct pm_buffer *out);
 /* Frees what the transaction holds; it is then empty, and can be built anew. */
 void pm_txn_free(struct pm_txn *txn);
 
--- a/src/store/tests/test_store.c
+++ b/src/store/tests/test_store.c
@@ -160,7 +160,7 @@
     memset(&outcome, 0, sizeof outcome);
     pm_txn_compare(&txn, key, revision);
     pm_txn_put(&txn, key);
-    pm_put_count(&txn.writes, 1);
+    pm_cbor_put_count(&txn.writes, 1);
     pm_txn_put_end(&txn, 0);
     pm_store_commit(store, &txn, on_txn_done, NULL);
     run_until_done();
--- a/src/store/txn.c
+++ b/src/store/txn.c
@@ -6,56 +6,56 @@
 
 void pm_txn_compare(struct pm_txn *txn, const char *key, uint64_t revision)
 {
-    pm_put_map(&txn->compares);
-    pm_put_pair_text(&txn->compares, "key", key);
-    pm_put_pair_count(&txn->compares, "stamp", revision);
-    pm_put_end(&txn->compares);
+    pm_cbor_put_map(&txn->compares);
+    pm_cbor_put_pair_text(&txn->compares, "key", key);
+    pm_cbor_put_pair_count(&txn->compares, "stamp", revision);
+    pm_cbor_put_end(&txn->compares);
     txn->compare_count++;
 }
 
 void pm_txn_put(struct pm_txn *txn, const char *key)
 {
-    pm_put_map(&txn->writes);
-    pm_put_pair_text(&txn->writes, "put", key);
-    pm_put_text(&txn->writes, "data");
+    pm_cbor_put_map(&txn->writes);
+    pm_cbor_put_pair_text(&txn->writes, "put", key);
+    pm_cbor_put_text(&txn->writes, "data");
     txn->write_count++;
 }
 
 void pm_txn_put_end(struct pm_txn *txn, uint64_t lease_id)
 {
     if (lease_id)
-        pm_put_pair_count(&txn->writes, "tenure", lease_id);
-    pm_put_end(&txn->writes);
+        pm_cbor_put_pair_count(&txn->writes, "tenure", lease_id);
+    pm_cbor_put_end(&txn->writes);
 }
 
 void pm_txn_delete(struct pm_txn *txn, const char *key)
 {
-    pm_put_map(&txn->writes);
-    pm_put_pair_text(&txn->writes, "drop", key);
-    pm_put_end(&txn->writes);
+    pm_cbor_put_map(&txn->writes);
+    pm_cbor_put_pair_text(&txn->writes, "drop", key);
+    pm_cbor_put_end(&txn->writes);
     txn->write_count++;
 }
 
-static void put_list_of(struct pm_buf *out, const char *name, const struct pm_buf *entries)
+static void put_list_of(struct pm_buffer *out, const char *name, const struct pm_buffer *entries)
 {
-    pm_put_text(out, name);
-    pm_put_list(out);
-    pm_buf_add(out, entries->data, entries->size);
-    pm_put_end(out);
+    pm_cbor_put_text(out, name);
+    pm_cbor_put_list(out);
+    pm_buffer_append(out, entries->data, entries->size);
+    pm_cbor_put_end(out);
 }
 
-void pm_txn_encode(const struct pm_txn *txn, struct pm_buf *out)
+void pm_txn_encode(const struct pm_txn *txn, struct pm_buffer *out)
 {
-    pm_put_map(out);
+    pm_cbor_put_map(out);
     put_list_of(out, "if", &txn->compares);
     put_list_of(out, "writes", &txn->writes);
-    pm_put_end(out);
+    pm_cbor_put_end(out);
 }
 
 void pm_txn_free(struct pm_txn *txn)
 {
-    pm_buf_free(&txn->compares);
-    pm_buf_free(&txn->writes);
+    pm_buffer_free(&txn->compares);
+    pm_buffer_free(&txn->writes);
     txn->compare_count = 0;
     txn->write_count = 0;
 }
@@ -109,13 +109,13 @@
 void pm_store_commit(struct pm_store *store, struct pm_txn *txn, pm_txn_done *done, void *arg)
 {
     struct commit_request *commit = g_new(struct commit_request, 1);
-    struct pm_buf body = {0};
+    struct pm_buffer body = {0};
 
     *commit = (struct commit_request){store, txn->write_count, pm_clock_monotonic(), done, arg};
     pm_txn_encode(txn, &body);
     pm_store_budget_spend(store, txn->write_count);
     pm_http_call(store->http, store->address, "POST", "/txn", body.data, body.size,
                  PM_STORE_REQUEST_TIMEOUT_S, TXN_ANSWER_MAX, on_commit, commit);
-    pm_buf_free(&body);
+    pm_buffer_free(&body);
     pm_txn_free(txn);
 }
--- a/src/testing/cluster_users.c
+++ b/src/testing/cluster_users.c
@@ -46,39 +46,39 @@
 
 /* ---- requests ---- */
 
-static void put_submission(const struct user_job *job, struct pm_buf *out)
+static void put_submission(const struct user_job *job, struct pm_buffer *out)
 {
     const struct cluster_job *wanted = &job->wanted;
     char zone[16];
 
     snprintf(zone, sizeof zone, "zone-%d", wanted->zone);
-    pm_put_map(out);
-    pm_put_pair_text(out, "name_id", job->id);
-    pm_put_pair_text(out, "ledger", "batch");
-    pm_put_pair_text(out, "desk", job->team);
-    pm_put_pair_text(out, "form", wanted->kind);
-    pm_put_pair_text(out, "urgency", wanted->priority);
-    pm_put_pair_count(out, "entries", wanted->task_count);
-    pm_put_pair_number(out, "cpus", wanted->cpus);
-    pm_put_pair_number(out, "accelerators", wanted->accelerators);
-    pm_put_pair_number(out, "ram_gb", TASK_RAM_GB);
-    pm_put_pair_text(out, "bundle", "image");
-    pm_put_pair_number(out, "size_gb", TASK_IMAGE_GB);
-    pm_put_pair_flag(out, "same_place", false);
-    pm_put_pair_flag(out, "spread", false);
-    pm_put_pair_flag(out, "borrowed", true);
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_text(out, "name_id", job->id);
+    pm_cbor_put_pair_text(out, "ledger", "batch");
+    pm_cbor_put_pair_text(out, "desk", job->team);
+    pm_cbor_put_pair_text(out, "form", wanted->kind);
+    pm_cbor_put_pair_text(out, "urgency", wanted->priority);
+    pm_cbor_put_pair_count(out, "entries", wanted->task_count);
+    pm_cbor_put_pair_number(out, "cpus", wanted->cpus);
+    pm_cbor_put_pair_number(out, "accelerators", wanted->accelerators);
+    pm_cbor_put_pair_number(out, "ram_gb", TASK_RAM_GB);
+    pm_cbor_put_pair_text(out, "bundle", "image");
+    pm_cbor_put_pair_number(out, "size_gb", TASK_IMAGE_GB);
+    pm_cbor_put_pair_flag(out, "same_place", false);
+    pm_cbor_put_pair_flag(out, "spread", false);
+    pm_cbor_put_pair_flag(out, "borrowed", true);
     if (wanted->zone >= 0)
-        pm_put_pair_text(out, "room", zone);
-    pm_put_pair_number(out, "expected_s", wanted->run_s);
-    pm_put_pair_number(out, "bookmark_s", 0);
-    pm_put_pair_number(out, "filing_s", 0);
+        pm_cbor_put_pair_text(out, "room", zone);
+    pm_cbor_put_pair_number(out, "expected_s", wanted->run_s);
+    pm_cbor_put_pair_number(out, "bookmark_s", 0);
+    pm_cbor_put_pair_number(out, "filing_s", 0);
     if (job->dependency[0]) {
-        pm_put_text(out, "awaits");
-        pm_put_list(out);
-        pm_put_text(out, job->dependency);
-        pm_put_end(out);
+        pm_cbor_put_text(out, "awaits");
+        pm_cbor_put_list(out);
+        pm_cbor_put_text(out, job->dependency);
+        pm_cbor_put_end(out);
     }
-    pm_put_end(out);
+    pm_cbor_put_end(out);
 }
 
 /* A randomized user asks another controller each time, and now and then repeats the submission. */
@@ -133,7 +133,7 @@
 {
     const struct cluster *cluster = job->cluster;
     bool is_submission = !job->is_accepted || job->resubmit;
-    struct pm_buf body = {0};
+    struct pm_buffer body = {0};
     char target[64] = "/work";
 
     if (is_submission)
@@ -144,7 +144,7 @@
     pm_http_call(cluster->users.client, cluster->nodes[job->controller].worker_addr,
                  is_submission || job->is_cancelled ? "POST" : "GET", target, body.data, body.size,
                  REQUEST_TIMEOUT_S, ANSWER_MAX, on_answer, job);
-    pm_buf_free(&body);
+    pm_buffer_free(&body);
 }
 
 static void on_unknown_job_answer(void *arg, int http_status, const unsigned char *body,
--- a/src/testing/fake_machine.c
+++ b/src/testing/fake_machine.c
@@ -55,13 +55,13 @@
     return !machine->is_terminated && !machine->faults.has_failed;
 }
 
-void fake_machine_put_description(const struct fake_machine *machine, struct pm_buf *out)
+void fake_machine_put_description(const struct fake_machine *machine, struct pm_buffer *out)
 {
     char zone[16];
 
     snprintf(zone, sizeof zone, "zone-%d", machine->zone);
-    pm_put_pair_text(out, "endpoint", machine->addr);
-    pm_put_pair_text(out, "model", "m8");
-    pm_put_pair_text(out, "room", zone);
-    pm_put_pair_flag(out, "borrowed", false);
+    pm_cbor_put_pair_text(out, "endpoint", machine->addr);
+    pm_cbor_put_pair_text(out, "model", "m8");
+    pm_cbor_put_pair_text(out, "room", zone);
+    pm_cbor_put_pair_flag(out, "borrowed", false);
 }
--- a/src/testing/fake_provider_api.c
+++ b/src/testing/fake_provider_api.c
@@ -15,10 +15,10 @@
 
 enum { BOOKING_SIZE = 256, ZONE_NAME_SIZE = 32, MACHINE_NAME_SIZE = 32 };
 
-static void reply(struct pm_http_request *request, struct pm_buf *body)
+static void reply(struct pm_http_request *request, struct pm_buffer *body)
 {
     pm_http_reply(request, HTTP_OK, body->data, body->size, 0);
-    pm_buf_free(body);
+    pm_buffer_free(body);
 }
 
 /* ---- renting ---- */
@@ -33,19 +33,19 @@
 }
 
 /* The machines from `first` on, as the answer to their rental; owned by the caller. */
-static struct pm_buf *encode_rental(const struct fake_provider *provider, guint first)
+static struct pm_buffer *encode_rental(const struct fake_provider *provider, guint first)
 {
-    struct pm_buf *out = g_new0(struct pm_buf, 1);
+    struct pm_buffer *out = g_new0(struct pm_buffer, 1);
 
-    pm_put_map(out);
-    pm_put_text(out, "hosts");
-    pm_put_list(out);
+    pm_cbor_put_map(out);
+    pm_cbor_put_text(out, "hosts");
+    pm_cbor_put_list(out);
     for (guint i = first; i < provider->machines->len; i++) {
         const struct fake_machine *machine = g_ptr_array_index(provider->machines, i);
-        pm_put_text(out, machine->name);
+        pm_cbor_put_text(out, machine->name);
     }
-    pm_put_end(out);
-    pm_put_end(out);
+    pm_cbor_put_end(out);
+    pm_cbor_put_end(out);
     return out;
 }
 
@@ -63,7 +63,7 @@
 static void serve_rental(struct fake_provider *provider, const cbor_item_t *body,
                          struct pm_http_request *request)
 {
-    struct pm_buf *answer;
+    struct pm_buffer *answer;
     char booking[BOOKING_SIZE];
     char zone[ZONE_NAME_SIZE] = "";
     uint64_t count = 0;
@@ -172,75 +172,75 @@
 
 /* ---- lists ---- */
 
-static void put_machine(const struct fake_machine *machine, struct pm_buf *out)
+static void put_machine(const struct fake_machine *machine, struct pm_buffer *out)
 {
-    pm_put_map(out);
-    pm_put_pair_text(out, "name_id", machine->name);
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_text(out, "name_id", machine->name);
     fake_machine_put_description(machine, out);
-    pm_put_pair_text(out, "status", machine->faults.has_failed ? "failed" : "running");
-    pm_put_pair_number(out, "age_s", pm_clock_monotonic() - machine->rented_at);
-    pm_put_end(out);
+    pm_cbor_put_pair_text(out, "status", machine->faults.has_failed ? "failed" : "running");
+    pm_cbor_put_pair_number(out, "age_s", pm_clock_monotonic() - machine->rented_at);
+    pm_cbor_put_end(out);
 }
 
 static void serve_inventory(const struct fake_provider *provider, struct pm_http_request *request)
 {
     const char *since = strstr(request->query, "since=");
-    struct pm_buf out = {0};
+    struct pm_buffer out = {0};
     char after[MACHINE_NAME_SIZE] = "";
 
     if (since) {
         since += strlen("since=");
         g_strlcpy(after, since, MIN(sizeof after, strcspn(since, "&") + 1));
     }
-    pm_put_map(&out);
-    pm_put_text(&out, "hosts");
-    pm_put_list(&out);
+    pm_cbor_put_map(&out);
+    pm_cbor_put_text(&out, "hosts");
+    pm_cbor_put_list(&out);
     for (guint i = 0; i < provider->machines->len; i++) {
         const struct fake_machine *machine = g_ptr_array_index(provider->machines, i);
         if (!machine->is_terminated && strcmp(machine->name, after) > 0)
             put_machine(machine, &out);
     }
-    pm_put_end(&out);
-    pm_put_pair_flag(&out, "has_next", false);
-    pm_put_end(&out);
+    pm_cbor_put_end(&out);
+    pm_cbor_put_pair_flag(&out, "has_next", false);
+    pm_cbor_put_end(&out);
     reply(request, &out);
 }
 
-static void put_machine_type(const struct fake_provider *provider, struct pm_buf *out)
+static void put_machine_type(const struct fake_provider *provider, struct pm_buffer *out)
 {
     char zone[ZONE_NAME_SIZE];
 
-    pm_put_map(out);
-    pm_put_pair_text(out, "sku", "m8");
-    pm_put_pair_number(out, "cpus", FAKE_MACHINE_CPUS);
-    pm_put_pair_number(out, "accelerators", FAKE_MACHINE_ACCELERATORS);
-    pm_put_pair_number(out, "ram_gb", TYPE_RAM_GB);
-    pm_put_pair_number(out, "local_gb", TYPE_LOCAL_GB);
-    pm_put_pair_number(out, "pull_gb_per_s", TYPE_PULL_GB_PER_S);
-    pm_put_pair_number(out, "price", TYPE_PRICE);
-    pm_put_pair_number(out, "market_price", TYPE_SPOT_PRICE);
-    pm_put_pair_number(out, "ready_s", TYPE_BOOT_S);
-    pm_put_text(out, "rooms");
-    pm_put_list(out);
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_text(out, "sku", "m8");
+    pm_cbor_put_pair_number(out, "cpus", FAKE_MACHINE_CPUS);
+    pm_cbor_put_pair_number(out, "accelerators", FAKE_MACHINE_ACCELERATORS);
+    pm_cbor_put_pair_number(out, "ram_gb", TYPE_RAM_GB);
+    pm_cbor_put_pair_number(out, "local_gb", TYPE_LOCAL_GB);
+    pm_cbor_put_pair_number(out, "pull_gb_per_s", TYPE_PULL_GB_PER_S);
+    pm_cbor_put_pair_number(out, "price", TYPE_PRICE);
+    pm_cbor_put_pair_number(out, "market_price", TYPE_SPOT_PRICE);
+    pm_cbor_put_pair_number(out, "ready_s", TYPE_BOOT_S);
+    pm_cbor_put_text(out, "rooms");
+    pm_cbor_put_list(out);
     for (int i = 0; i < provider->settings.zone_count; i++) {
         snprintf(zone, sizeof zone, "zone-%d", i);
-        pm_put_text(out, zone);
+        pm_cbor_put_text(out, zone);
     }
-    pm_put_end(out);
-    pm_put_end(out);
+    pm_cbor_put_end(out);
+    pm_cbor_put_end(out);
 }
 
 static void serve_machine_types(const struct fake_provider *provider,
                                 struct pm_http_request *request)
 {
-    struct pm_buf out = {0};
+    struct pm_buffer out = {0};
 
-    pm_put_map(&out);
-    pm_put_text(&out, "models");
-    pm_put_list(&out);
+    pm_cbor_put_map(&out);
+    pm_cbor_put_text(&out, "models");
+    pm_cbor_put_list(&out);
     put_machine_type(provider, &out);
-    pm_put_end(&out);
-    pm_put_end(&out);
+    pm_cbor_put_end(&out);
+    pm_cbor_put_end(&out);
     reply(request, &out);
 }
 
--- a/src/testing/fake_provider_internal.h
+++ b/src/testing/fake_provider_internal.h
@@ -76,7 +76,7 @@
 struct fake_provider_api {
     struct pm_http_server *server;
     struct relay *relay;
-    GHashTable *bookings; /* name to the answer, as struct pm_buf */
+    GHashTable *bookings; /* name to the answer, as struct pm_buffer */
     fake_provider_observer *observer;
     void *observer_arg;
     cbor_item_t *delayed_termination; /* the request's body; NULL: none */
@@ -118,7 +118,7 @@
 /* Whether it is neither terminated nor failed. */
 bool fake_machine_is_up(const struct fake_machine *machine);
 /* Appends what both a worker and the provider report of a machine to a map. */
-void fake_machine_put_description(const struct fake_machine *machine, struct pm_buf *out);
+void fake_machine_put_description(const struct fake_machine *machine, struct pm_buffer *out);
 
 /* ---- fake_provider.c ---- */
 
@@ -141,7 +141,7 @@
 void fake_worker_tick(struct fake_machine *machine, double now);
 /* Sends `body` as a heartbeat to a controller. */
 void fake_worker_post_heartbeat(struct fake_provider *provider, int controller,
-                                const struct pm_buf *body, pm_http_done *done, void *arg);
+                                const struct pm_buffer *body, pm_http_done *done, void *arg);
 /* Executes pushed commands if their fencing token and incarnation match. Returns the HTTP status of
  * the answer. */
 int fake_worker_execute_push(struct fake_machine *machine, int controller, const cbor_item_t *body);
@@ -160,7 +160,7 @@
 /* Ends tasks that have run for long enough, and lets gangs make progress. */
 void fake_worker_run_tasks(struct fake_machine *machine, double now);
 /* Appends the list of the worker's tasks. */
-void fake_worker_put_tasks(const struct fake_worker *worker, struct pm_buf *out);
+void fake_worker_put_tasks(const struct fake_worker *worker, struct pm_buffer *out);
 
 /* ---- fake_worker_gangs.c ---- */
 
@@ -172,7 +172,7 @@
 
 /* Sends a copy of the heartbeat later, if it is drawn. */
 void fake_worker_maybe_copy_heartbeat(struct fake_machine *machine, int controller,
-                                      const struct pm_buf *body, double now);
+                                      const struct pm_buffer *body, double now);
 /* Keeps a pushed command for later if it is drawn, or the machine is suspended. False: it is to be
  * executed now. */
 bool fake_worker_maybe_delay_command(struct fake_machine *machine, int controller,
--- a/src/testing/fake_store.c
+++ b/src/testing/fake_store.c
@@ -6,16 +6,17 @@
 
 enum { CONNECTIONS_MAX = 256, SECOND_CONNECTIONS_MAX = 64 };
 
-void fake_store_reply(struct pm_http_request *request, int status, struct pm_buf *body)
+void fake_store_reply(struct pm_http_request *request, int status, struct pm_buffer *body)
 {
     pm_http_reply(request, status, body->data, body->size, 0);
-    pm_buf_free(body);
+    pm_buffer_free(body);
 }
 
-void fake_store_put_data(struct pm_buf *out, const char *name, const struct fake_store_value *value)
+void fake_store_put_data(struct pm_buffer *out, const char *name,
+                         const struct fake_store_value *value)
 {
-    pm_put_text(out, name);
-    pm_buf_add(out, value->data.data, value->data.size);
+    pm_cbor_put_text(out, name);
+    pm_buffer_append(out, value->data.data, value->data.size);
 }
 
 static void serve_txn(struct fake_store *store, struct pm_http_request *request)
--- a/src/testing/fake_store_faults.c
+++ b/src/testing/fake_store_faults.c
@@ -66,15 +66,15 @@
                 strlen(faults->delay_txn_with)))
         return false;
     faults->delay_txn_with[0] = 0;
-    pm_buf_add(&faults->delayed_txn, request->body, request->body_size);
+    pm_buffer_append(&faults->delayed_txn, request->body, request->body_size);
     pm_http_reply(request, HTTP_OK, "?", 1, 0);
     return true;
 }
 
 void fake_store_execute_delayed_txn(struct fake_store *store)
 {
-    struct pm_buf *delayed = &store->faults.delayed_txn;
+    struct pm_buffer *delayed = &store->faults.delayed_txn;
 
     fake_store_execute_txn(store, NULL, delayed->data, delayed->size);
-    pm_buf_free(delayed);
+    pm_buffer_free(delayed);
 }
--- a/src/testing/fake_store_internal.h
+++ b/src/testing/fake_store_internal.h
@@ -13,7 +13,7 @@
 
 /* The value of a key. */
 struct fake_store_value {
-    struct pm_buf data; /* as CBOR */
+    struct pm_buffer data; /* as CBOR */
     uint64_t revision;
     uint64_t lease_id; /* 0: attached to none */
 };
@@ -68,8 +68,8 @@
     bool outage, hanging;
     bool reject_next_watch;
     bool lose_next_answer;
-    char delay_txn_with[64];   /* a text in its body; "": none is delayed */
-    struct pm_buf delayed_txn; /* empty: there is none */
+    char delay_txn_with[64];      /* a text in its body; "": none is delayed */
+    struct pm_buffer delayed_txn; /* empty: there is none */
     enum fake_store_access second_access;
 };
 
@@ -87,9 +87,9 @@
 /* ---- fake_store.c ---- */
 
 /* Answers the request, and empties the buffer. */
-void fake_store_reply(struct pm_http_request *request, int status, struct pm_buf *body);
+void fake_store_reply(struct pm_http_request *request, int status, struct pm_buffer *body);
 /* Appends the pair of `name` and the value's data to a map. */
-void fake_store_put_data(struct pm_buf *out, const char *name,
+void fake_store_put_data(struct pm_buffer *out, const char *name,
                          const struct fake_store_value *value);
 
 /* ---- fake_store_keys.c ---- */
--- a/src/testing/fake_store_keys.c
+++ b/src/testing/fake_store_keys.c
@@ -10,7 +10,7 @@
 {
     struct fake_store_value *value = data;
 
-    pm_buf_free(&value->data);
+    pm_buffer_free(&value->data);
     g_free(value);
 }
 
@@ -59,9 +59,9 @@
 {
     struct fake_store_value *value = g_new0(struct fake_store_value, 1);
 
-    pm_put_map(&value->data);
-    pm_put_pair_count(&value->data, name, number);
-    pm_put_end(&value->data);
+    pm_cbor_put_map(&value->data);
+    pm_cbor_put_pair_count(&value->data, name, number);
+    pm_cbor_put_end(&value->data);
     value->revision = ++store->keys.revision;
     g_tree_replace(store->keys.values, g_strdup(key), value);
     fake_store_record_change(store, key, true);
@@ -86,7 +86,7 @@
 
 /* Appends the keys whose revision is another one than the condition names. Returns their number. */
 static int check_conditions(const struct fake_store *store, const cbor_item_t *conditions,
-                            struct pm_buf *conflicting_keys)
+                            struct pm_buffer *conflicting_keys)
 {
     char key[FAKE_STORE_KEY_SIZE];
     uint64_t revision;
@@ -98,7 +98,7 @@
             pm_cbor_read_count(pm_cbor_get(condition, "stamp"), &revision) &&
             fake_store_revision(store, key) == revision)
             continue;
-        pm_put_text(conflicting_keys, key);
+        pm_cbor_put_text(conflicting_keys, key);
         conflicts++;
     }
     return conflicts;
@@ -108,7 +108,7 @@
 {
     struct fake_store_value *value = g_new0(struct fake_store_value, 1);
 
-    pm_put_item(&value->data, pm_cbor_get(write, "data"));
+    pm_cbor_put_item(&value->data, pm_cbor_get(write, "data"));
     value->revision = store->keys.revision;
     pm_cbor_read_count(pm_cbor_get(write, "tenure"), &value->lease_id);
     g_tree_replace(store->keys.values, g_strdup(key), value);
@@ -141,13 +141,13 @@
 
 /* Consumes `body`. */
 static void reply_to_txn(struct fake_store *store, struct pm_http_request *request, int status,
-                         struct pm_buf *body)
+                         struct pm_buffer *body)
 {
     if (!request) {
-        pm_buf_free(body);
+        pm_buffer_free(body);
     } else if (store->faults.lose_next_answer) {
         store->faults.lose_next_answer = false;
-        pm_buf_free(body);
+        pm_buffer_free(body);
         pm_http_reply(request, HTTP_OK, "?", 1, 0);
     } else {
         fake_store_reply(request, status, body);
@@ -158,22 +158,22 @@
 static void compare_and_write(struct fake_store *store, struct pm_http_request *request,
                               const cbor_item_t *conditions, const cbor_item_t *writes)
 {
-    struct pm_buf conflicting_keys = {0};
-    struct pm_buf out = {0};
+    struct pm_buffer conflicting_keys = {0};
+    struct pm_buffer out = {0};
     int conflicts = check_conditions(store, conditions, &conflicting_keys);
 
-    pm_put_map(&out);
+    pm_cbor_put_map(&out);
     if (conflicts) {
-        pm_put_text(&out, "failed");
-        pm_put_list(&out);
-        pm_buf_add(&out, conflicting_keys.data, conflicting_keys.size);
-        pm_put_end(&out);
+        pm_cbor_put_text(&out, "failed");
+        pm_cbor_put_list(&out);
+        pm_buffer_append(&out, conflicting_keys.data, conflicting_keys.size);
+        pm_cbor_put_end(&out);
     } else {
         apply_writes(store, writes);
     }
-    pm_put_pair_count(&out, "edition", store->keys.revision);
-    pm_put_end(&out);
-    pm_buf_free(&conflicting_keys);
+    pm_cbor_put_pair_count(&out, "edition", store->keys.revision);
+    pm_cbor_put_end(&out);
+    pm_buffer_free(&conflicting_keys);
     reply_to_txn(store, request, conflicts ? HTTP_CONFLICT : HTTP_OK, &out);
 }
 
@@ -233,23 +233,23 @@
 {
     const char *key = request->path + strlen("/kv/");
     const struct fake_store_value *value = g_tree_lookup(store->keys.values, key);
-    struct pm_buf out = {0};
+    struct pm_buffer out = {0};
 
-    pm_put_map(&out);
+    pm_cbor_put_map(&out);
     if (value) {
-        pm_put_pair_text(&out, "key", key);
+        pm_cbor_put_pair_text(&out, "key", key);
         fake_store_put_data(&out, "data", value);
-        pm_put_pair_count(&out, "stamp", value->revision);
+        pm_cbor_put_pair_count(&out, "stamp", value->revision);
     } else {
-        pm_put_pair_count(&out, "edition", store->keys.revision);
+        pm_cbor_put_pair_count(&out, "edition", store->keys.revision);
     }
-    pm_put_end(&out);
+    pm_cbor_put_end(&out);
     fake_store_reply(request, value ? HTTP_OK : HTTP_NOT_FOUND, &out);
 }
 
 /* A page of keys that is being written. */
 struct page {
-    struct pm_buf *out;
+    struct pm_buffer *out;
     char after[FAKE_STORE_KEY_SIZE]; /* the page begins behind this key */
     int remaining;
     bool has_next;
@@ -266,11 +266,11 @@
         page->has_next = true;
         return TRUE;
     }
-    pm_put_map(page->out);
-    pm_put_pair_text(page->out, "key", key);
+    pm_cbor_put_map(page->out);
+    pm_cbor_put_pair_text(page->out, "key", key);
     fake_store_put_data(page->out, "data", value);
-    pm_put_pair_count(page->out, "stamp", value->revision);
-    pm_put_end(page->out);
+    pm_cbor_put_pair_count(page->out, "stamp", value->revision);
+    pm_cbor_put_end(page->out);
     return FALSE;
 }
 
@@ -289,17 +289,17 @@
 
 void fake_store_serve_list(struct fake_store *store, struct pm_http_request *request)
 {
-    struct pm_buf out = {0};
+    struct pm_buffer out = {0};
     struct page page = {.out = &out, .remaining = DEFAULT_PAGE_SIZE};
 
     read_page_query(request->query, &page);
-    pm_put_map(&out);
-    pm_put_text(&out, "items");
-    pm_put_list(&out);
+    pm_cbor_put_map(&out);
+    pm_cbor_put_text(&out, "items");
+    pm_cbor_put_list(&out);
     g_tree_foreach(store->keys.values, append_to_page, &page);
-    pm_put_end(&out);
-    pm_put_pair_flag(&out, "has_next", page.has_next);
-    pm_put_pair_count(&out, "edition", store->keys.revision);
-    pm_put_end(&out);
+    pm_cbor_put_end(&out);
+    pm_cbor_put_pair_flag(&out, "has_next", page.has_next);
+    pm_cbor_put_pair_count(&out, "edition", store->keys.revision);
+    pm_cbor_put_end(&out);
     fake_store_reply(request, HTTP_OK, &out);
 }
--- a/src/testing/fake_store_leases.c
+++ b/src/testing/fake_store_leases.c
@@ -83,7 +83,7 @@
 void fake_store_serve_grant(struct fake_store *store, struct pm_http_request *request)
 {
     struct fake_store_lease lease = {0};
-    struct pm_buf out = {0};
+    struct pm_buffer out = {0};
     uint64_t ttl_ms = 0;
     cbor_item_t *body;
 
@@ -100,9 +100,9 @@
         g_array_append_val(store->leases.live, lease);
     }
     pm_cbor_free(body);
-    pm_put_map(&out);
-    pm_put_pair_count(&out, "tenure", lease.id);
-    pm_put_end(&out);
+    pm_cbor_put_map(&out);
+    pm_cbor_put_pair_count(&out, "tenure", lease.id);
+    pm_cbor_put_end(&out);
     fake_store_reply(request, HTTP_OK, &out);
 }
 
--- a/src/testing/fake_store_watches.c
+++ b/src/testing/fake_store_watches.c
@@ -14,41 +14,41 @@
 
 /* A put that a later write has replaced is left out: the later change reports the key. */
 static void append_event(struct fake_store *store, const struct fake_store_change *change,
-                         struct pm_buf *out)
+                         struct pm_buffer *out)
 {
     const struct fake_store_value *value =
         change->is_put ? g_tree_lookup(store->keys.values, change->key) : NULL;
 
     if (change->is_put && (!value || value->revision != change->revision))
         return;
-    pm_put_map(out);
-    pm_put_pair_text(out, change->is_put ? "put" : "drop", change->key);
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_text(out, change->is_put ? "put" : "drop", change->key);
     if (change->is_put)
         fake_store_put_data(out, "data", value);
-    pm_put_pair_count(out, "stamp", change->revision);
-    pm_put_end(out);
+    pm_cbor_put_pair_count(out, "stamp", change->revision);
+    pm_cbor_put_end(out);
 }
 
 /* False: there is nothing to report yet, or watches are not answered now. */
 static bool try_to_answer(struct fake_store *store, const struct fake_store_watch *watch)
 {
-    struct pm_buf out = {0};
+    struct pm_buffer out = {0};
 
     if (watch->since >= store->keys.revision ||
         fake_store_are_watches_silent(store, watch->at_second_addr))
         return false;
-    pm_put_map(&out);
-    pm_put_pair_count(&out, "edition", store->keys.revision);
-    pm_put_text(&out, "events");
-    pm_put_list(&out);
+    pm_cbor_put_map(&out);
+    pm_cbor_put_pair_count(&out, "edition", store->keys.revision);
+    pm_cbor_put_text(&out, "events");
+    pm_cbor_put_list(&out);
     for (guint i = 0; i < store->watches.changes->len; i++) {
         const struct fake_store_change *change =
             &g_array_index(store->watches.changes, struct fake_store_change, i);
         if (change->revision > watch->since)
             append_event(store, change, &out);
     }
-    pm_put_end(&out);
-    pm_put_end(&out);
+    pm_cbor_put_end(&out);
+    pm_cbor_put_end(&out);
     fake_store_reply(watch->request, HTTP_OK, &out);
     return true;
 }
--- a/src/testing/fake_worker.c
+++ b/src/testing/fake_worker.c
@@ -31,19 +31,19 @@
 
 /* ---- heartbeats ---- */
 
-static void put_heartbeat(struct fake_machine *machine, struct pm_buf *out)
+static void put_heartbeat(struct fake_machine *machine, struct pm_buffer *out)
 {
     struct fake_worker *worker = &machine->worker;
 
-    pm_put_map(out);
-    pm_put_pair_text(out, "host", machine->name);
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_text(out, "host", machine->name);
     fake_machine_put_description(machine, out);
-    pm_put_pair_count(out, "shift", worker->incarnation);
-    pm_put_pair_count(out, "tally", ++worker->heartbeat_sequence);
-    pm_put_pair_count(out, "mandate", worker->fencing_token);
-    pm_put_text(out, "entries");
+    pm_cbor_put_pair_count(out, "shift", worker->incarnation);
+    pm_cbor_put_pair_count(out, "tally", ++worker->heartbeat_sequence);
+    pm_cbor_put_pair_count(out, "mandate", worker->fencing_token);
+    pm_cbor_put_text(out, "entries");
     fake_worker_put_tasks(worker, out);
-    pm_put_end(out);
+    pm_cbor_put_end(out);
 }
 
 static void accept_token(struct fake_worker *worker, uint64_t token)
@@ -116,7 +116,7 @@
 }
 
 void fake_worker_post_heartbeat(struct fake_provider *provider, int controller,
-                                const struct pm_buf *body, pm_http_done *done, void *arg)
+                                const struct pm_buffer *body, pm_http_done *done, void *arg)
 {
     pm_http_call(provider->client, provider->settings.worker_addrs[controller], "POST",
                  "/v1/report", body->data, body->size, ANSWER_TIMEOUT_S, ANSWER_MAX, done, arg);
@@ -135,7 +135,7 @@
     int controller = worker->heartbeat.controller;
     struct relay_fault fault = fault_towards(machine, controller);
     struct heartbeat_call *call;
-    struct pm_buf body = {0};
+    struct pm_buffer body = {0};
 
     worker->heartbeat.next_at = now + machine->provider->settings.heartbeat_s;
     worker->has_changes = false;
@@ -153,7 +153,7 @@
     put_heartbeat(machine, &body);
     fake_worker_maybe_copy_heartbeat(machine, controller, &body, now);
     fake_worker_post_heartbeat(machine->provider, controller, &body, on_heartbeat_answer, call);
-    pm_buf_free(&body);
+    pm_buffer_free(&body);
 }
 
 /* ---- pushed commands ---- */
@@ -193,7 +193,7 @@
 {
     const struct fake_machine_endpoint *endpoint = arg;
     struct fake_machine *machine = endpoint->machine;
-    struct pm_buf out = {0};
+    struct pm_buffer out = {0};
     int status;
 
     if (!strcmp(request->path, "/do") &&
@@ -204,7 +204,7 @@
     status = execute_request(machine, endpoint->controller, request);
     put_heartbeat(machine, &out);
     pm_http_reply(request, status, out.data, out.size, 0);
-    pm_buf_free(&out);
+    pm_buffer_free(&out);
 }
 
 /* ---- time ---- */
--- a/src/testing/fake_worker_delays.c
+++ b/src/testing/fake_worker_delays.c
@@ -10,7 +10,7 @@
 struct delayed_message {
     struct fake_machine *machine;
     int controller; /* that sent it, or that it was sent to */
-    struct pm_buf body;
+    struct pm_buffer body;
     double due_at;
 };
 
@@ -22,13 +22,13 @@
     message->machine = machine;
     message->controller = controller;
     message->due_at = due_at;
-    pm_buf_add(&message->body, data, size);
+    pm_buffer_append(&message->body, data, size);
     g_ptr_array_add(messages, message);
 }
 
 static void delayed_message_free(struct delayed_message *message)
 {
-    pm_buf_free(&message->body);
+    pm_buffer_free(&message->body);
     g_free(message);
 }
 
@@ -40,7 +40,7 @@
 }
 
 void fake_worker_maybe_copy_heartbeat(struct fake_machine *machine, int controller,
-                                      const struct pm_buf *body, double now)
+                                      const struct pm_buffer *body, double now)
 {
     struct fake_provider *provider = machine->provider;
     double delay_s;
--- a/src/testing/fake_worker_tasks.c
+++ b/src/testing/fake_worker_tasks.c
@@ -186,18 +186,18 @@
     return task->is_waiting ? "waiting" : "running";
 }
 
-void fake_worker_put_tasks(const struct fake_worker *worker, struct pm_buf *out)
+void fake_worker_put_tasks(const struct fake_worker *worker, struct pm_buffer *out)
 {
-    pm_put_list(out);
+    pm_cbor_put_list(out);
     for (guint i = 0; i < worker->tasks->len; i++) {
         const struct fake_task *task = &g_array_index(worker->tasks, struct fake_task, i);
-        pm_put_map(out);
-        pm_put_pair_text(out, "entry", task->name);
-        pm_put_pair_count(out, "try", task->attempt);
-        pm_put_pair_text(out, "status", task_status(task));
+        pm_cbor_put_map(out);
+        pm_cbor_put_pair_text(out, "entry", task->name);
+        pm_cbor_put_pair_count(out, "try", task->attempt);
+        pm_cbor_put_pair_text(out, "status", task_status(task));
         if (task->has_ended)
-            pm_put_pair_text(out, "cause", task->cause);
-        pm_put_end(out);
+            pm_cbor_put_pair_text(out, "cause", task->cause);
+        pm_cbor_put_end(out);
     }
-    pm_put_end(out);
+    pm_cbor_put_end(out);
 }
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -12,7 +12,7 @@
 
 /* A list of commands under construction. */
 struct command_list {
-    struct pm_buf *out;
+    struct pm_buffer *out;
     int count;
 };
 
@@ -24,17 +24,17 @@
 static void add_command(struct command_list *list, const char *verb, const char *job_id,
                         uint32_t task_index, uint32_t attempt, double grace_s)
 {
-    struct pm_buf *out = list->out;
+    struct pm_buffer *out = list->out;
     char name[TASK_NAME_BYTES];
 
     snprintf(name, sizeof name, "%s/%u", job_id, task_index);
-    pm_put_map(out);
-    pm_put_pair_text(out, "verb", verb);
-    pm_put_pair_text(out, "entry", name);
-    pm_put_pair_count(out, "try", attempt);
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_text(out, "verb", verb);
+    pm_cbor_put_pair_text(out, "entry", name);
+    pm_cbor_put_pair_count(out, "try", attempt);
     if (grace_s >= 0)
-        pm_put_pair_number(out, "leave_s", grace_s);
-    pm_put_end(out);
+        pm_cbor_put_pair_number(out, "leave_s", grace_s);
+    pm_cbor_put_end(out);
     list->count++;
 }
 
@@ -159,11 +159,11 @@
 }
 
 int pm_workers_encode_commands(struct pm_machine *machine, bool push, uint64_t epoch,
-                               struct pm_buf *out)
+                               struct pm_buffer *out)
 {
     struct command_list list = {.out = out};
 
-    pm_put_list(out);
+    pm_cbor_put_list(out);
     if (push) {
         add_pushed_commands(&list, machine);
     } else {
@@ -171,17 +171,17 @@
         add_orphan_kills(&list, machine);
         add_forgets(&list, machine, epoch);
     }
-    pm_put_end(out);
+    pm_cbor_put_end(out);
     return list.count;
 }
 
 void pm_workers_encode_cancel_kills(struct pm_workers *workers, const cbor_item_t *report,
-                                    struct pm_buf *out)
+                                    struct pm_buffer *out)
 {
     const cbor_item_t *tasks = pm_cbor_get(report, "entries");
     struct command_list list = {.out = out};
 
-    pm_put_list(out);
+    pm_cbor_put_list(out);
     for (size_t i = 0; i < pm_cbor_length(tasks) && !is_full(&list); i++) {
         struct pm_reported_task task;
         if (!pm_reported_task_decode(pm_cbor_at(tasks, i), &task) ||
@@ -190,5 +190,5 @@
             continue;
         add_command(&list, "kill", task.job_id, task.task_index, task.attempt, 0);
     }
-    pm_put_end(out);
+    pm_cbor_put_end(out);
 }
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -254,11 +254,11 @@
  * `push`, launches and kills that were not sent yet, and the placements concerned are marked as
  * sent by the push in flight; else all that the answer to a heartbeat is to carry. */
 int pm_workers_encode_commands(struct pm_machine *machine, bool push, uint64_t epoch,
-                               struct pm_buf *out);
+                               struct pm_buffer *out);
 /* Encodes a kill for each task in the report whose job is known to be cancelled, by the attempt
  * reported, and nothing else: a list that is safe to send whoever may command the worker. */
 void pm_workers_encode_cancel_kills(struct pm_workers *workers, const cbor_item_t *report,
-                                    struct pm_buf *out);
+                                    struct pm_buffer *out);
 /* Whether a push would carry any command. */
 bool pm_worker_push_is_due(const struct pm_machine *machine);
 /* Begins a push; its number is never 0, and never the same twice, also after a reset. Called before
