--- a/src/cmd/pumicemount/controller.c
+++ b/src/cmd/pumicemount/controller.c
@@ -24,9 +24,8 @@
     USER_SOCKETS_MIN = 8
 };
 
-#define STORE_REQUEST_SHARE                                                                        \
-    0.36 /* of the state service's requests: watches, linearizable reads                           \
-          */
+/* Of the state service's requests: watches, linearizable reads */
+#define STORE_REQUEST_SHARE 0.36
 #define FIRST_RECONCILE_S 0.05
 
 /* ---- requests ---- */
--- a/src/cmd/pumicemount/placement_events.c
+++ b/src/cmd/pumicemount/placement_events.c
@@ -5,9 +5,8 @@
 #include "base/log.h"
 #include "internal.h"
 
-#define PREEMPTED_BACKOFF_S                                                                        \
-    1.0 /* a preempted task does not compete for its capacity before this                          \
-         */
+/* A preempted task does not compete for its capacity before this */
+#define PREEMPTED_BACKOFF_S 1.0
 
 /* ---- write-back ---- */
 
--- a/src/jobs/commit_due.c
+++ b/src/jobs/commit_due.c
@@ -2,9 +2,8 @@
  * other placements, and last what no launch waits for. */
 #include "jobs/commit_internal.h"
 
-#define DEFERRABLE_DELAY_S                                                                         \
-    0.15 /* deferrable changes are written together with what follows soon                         \
-          */
+/* Deferrable changes are written together with what follows soon */
+#define DEFERRABLE_DELAY_S 0.15
 #define DEFERRABLE_BUDGET_SHARE 0.3 /* of the write rate that has to be left for them */
 
 enum urgency { URGENCY_SERVICE, URGENCY_LAUNCH, URGENCY_DEFERRABLE, URGENCY_NOT_DUE };
--- a/src/scheduler/bin_packing.c
+++ b/src/scheduler/bin_packing.c
@@ -17,9 +17,8 @@
 #define BATCH_MARKET_BONUS 5.0         /* ordinary capacity is dearer, and kept for services */
 #define BATCH_FREE_CAPACITY_WEIGHT 2.0 /* of the share of the machine that stays free */
 
-#define PREEMPT_ELSEWHERE_OBJECTIVES                                                               \
-    3.0 /* not for a job that has waited so often its objective                                    \
-         */
+/* Not for a job that has waited so often its objective */
+#define PREEMPT_ELSEWHERE_OBJECTIVES 3.0
 
 bool pm_scheduler_is_machine_allowed(const struct pm_name_tables *tables, const struct pm_job *job,
                                      int type, int zone, bool spot)
--- a/src/scheduler/mandatory_stops.c
+++ b/src/scheduler/mandatory_stops.c
@@ -2,12 +2,10 @@
  * reclaims a spot machine. */
 #include "scheduler/internal.h"
 
-#define OVERRUN_MAX_S                                                                              \
-    10.0 /* a task that ran for so much longer than estimated may run for long                     \
-          */
-#define NOTICE_SHARE                                                                               \
-    0.4 /* of the time until an interruption that is counted on: the notice may                    \
-           be off by half */
+/* A task that ran for so much longer than estimated may run for long */
+#define OVERRUN_MAX_S 10.0
+/* Of the time until an interruption that is counted on: the notice may be off by half */
+#define NOTICE_SHARE 0.4
 
 static void stop(struct pm_scheduler *scheduler, struct pm_placement *placement, double grace_s)
 {
--- a/src/scheduler/preemption_rules.c
+++ b/src/scheduler/preemption_rules.c
@@ -1,8 +1,8 @@
 /* Which work may preempt which. */
 #include "scheduler/internal.h"
 
-#define CHECKPOINT_MARGIN_S                                                                        \
-    1.0 /* granted beyond a checkpoint's duration, so that it ends in time */
+/* Granted beyond a checkpoint's duration, so that it ends in time */
+#define CHECKPOINT_MARGIN_S 1.0
 
 /* Whether one more task of the job is within its team's guarantee. */
 static bool is_within_guarantee(const struct pm_scheduler *scheduler, const struct pm_job *job)
--- a/src/scheduler/starvation.c
+++ b/src/scheduler/starvation.c
@@ -12,9 +12,8 @@
 #define CHECK_AFTER_S 150.0    /* what has waited for less is not starving yet */
 #define STARVING_SHARE 0.75    /* of the batch capacity that may go to overdue starts */
 #define BEST_EFFORT_SHARE 0.25 /* the same, for best-effort work */
-#define STARTED_PROTECTION_S                                                                       \
-    40.0                     /* a start counts if nothing stops it within 30 s; image fetches      \
-                                come before that */
+/* A start counts if nothing stops it within 30 s; image fetches come before that */
+#define STARTED_PROTECTION_S 40.0
 #define GANG_CLEARING_S 45.0 /* a gang's capacity takes so long to come free */
 #define DEPENDABLE_SHARE 0.7 /* of the machines' time that can be counted on */
 
--- a/src/workers/failures.c
+++ b/src/workers/failures.c
@@ -14,8 +14,8 @@
     BACKOFF_DOUBLINGS_MAX = 6
 };
 
-#define BACKOFF_S                                                                                  \
-    0.5 /* a task that failed backs off for twice this, then twice as long, and so on */
+/* A task that failed backs off for twice this, then twice as long, and so on */
+#define BACKOFF_S 0.5
 #define SOUND_REPLICA_S 20.0 /* a replica that has run for so long is sound, and so is its job */
 #define RETRY_S 2.0 /* after a failure of a failing job; twice as long after each further one */
 
