--- a/src/roles/audit_log.c
+++ b/src/roles/audit_log.c
@@ -261,11 +261,6 @@
     pm_writer_push(log->writer, entry);
 }
 
-uint64_t pm_audit_log_dropped(const struct pm_audit_log *log)
-{
-    return pm_writer_dropped(log->writer);
-}
-
 struct pm_audit_log *pm_audit_log_new(const char *dir, const char *controller, double period_s,
                                       unsigned megabytes, char *err, size_t err_size)
 {
--- a/src/roles/audit_log.h
+++ b/src/roles/audit_log.h
@@ -16,7 +16,6 @@
 
 #include <stdbool.h>
 #include <stddef.h>
-#include <stdint.h>
 
 struct pm_audit_log;
 
@@ -28,11 +27,9 @@
 /* Waits until everything that was appended is written, closes the file and frees the log. */
 void pm_audit_log_free(struct pm_audit_log *log);
 /* Appends an entry, stamped with the wall clock; texts are copied, and cut to the size of their
- * field. Never waits: an entry that does not fit into the queue is dropped and counted. */
+ * field. Never waits: an entry that does not fit into the queue is dropped. */
 void pm_audit_log_append(struct pm_audit_log *log, const char *event, const char *role_name,
                          const char *subject, const char *detail);
-/* How many entries were dropped since the log was opened. */
-uint64_t pm_audit_log_dropped(const struct pm_audit_log *log);
 
 enum pm_audit_file_state {
     PM_AUDIT_FILE_COMPLETE,
--- a/src/shards/machine_revocation.c
+++ b/src/shards/machine_revocation.c
@@ -50,7 +50,7 @@
         entry->preempt = true;
         shard->owner.requested_at = 0;
         task_count -= MIN(gained, task_count);
-        pm_info("shard.machine_recalled", "%s is revoked from %s for job %s",
+        pm_info("shard.machine_revoked", "%s is revoked from %s for job %s",
                 pm_workers_at(shards->workers, entry->index)->name, shard->owner_name, job->id);
     }
     return task_count;
