--- a/src/fleet/boots.c
+++ b/src/fleet/boots.c
@@ -19,39 +19,39 @@
 
 static bool boots(const struct pm_machine *m)
 {
-    return m->state == PM_BOOTING && m->type >= 0 && m->zone >= 0;
+    return m->state == PM_MACHINE_BOOTING && m->type >= 0 && m->zone >= 0;
 }
 
 static bool is_up(const struct pm_machine *m)
 {
     /* When a holder's machine was rented is not known here. */
-    return m->state == PM_UP && m->type >= 0 && m->zone >= 0 && !m->lent && m->rented > 0;
+    return m->state == PM_MACHINE_UP && m->type >= 0 && m->zone >= 0 && !m->lent && m->rented > 0;
 }
 
-static void note_overdue(struct pm_fleet *f, const struct pm_machine *m, double now)
+static void note_overdue(struct pm_autoscaler *f, const struct pm_machine *m, double now)
 {
     struct kind *kind;
 
-    if (!boots(m) || pm_plan_boots_soon(f->tables, m, now))
+    if (!boots(m) || pm_scheduler_boots_soon(f->tables, m, now))
         return;
-    kind = pm_fleet_kind_of(f, m);
+    kind = pm_autoscaler_kind_of(f, m);
     kind->overdue++;
     kind->oldest_overdue = MIN(kind->oldest_overdue, m->rented);
 }
 
-static void note_up(struct pm_fleet *f, const struct pm_machine *m)
+static void note_up(struct pm_autoscaler *f, const struct pm_machine *m)
 {
     struct kind *kind;
 
     if (!is_up(m))
         return;
-    kind = pm_fleet_kind_of(f, m);
+    kind = pm_autoscaler_kind_of(f, m);
     kind->up_since += m->rented >= kind->oldest_overdue;
     if (m->session == 1 && m->rented > f->took_at)
         kind->longest_boot = MAX(kind->longest_boot, m->session_heard - m->rented);
 }
 
-void pm_fleet_note_boots(struct pm_fleet *f, double now)
+void pm_autoscaler_track_boots(struct pm_autoscaler *f, double now)
 {
     GPtrArray *all = pm_workers_all(f->workers);
 
@@ -72,19 +72,21 @@
             note_up(f, g_ptr_array_index(all, i));
 }
 
-bool pm_fleet_kind_slow(const struct kind *kind)
+bool pm_autoscaler_is_kind_late(const struct kind *kind)
 {
     return kind->overdue > kind->up_since;
 }
 
-enum boot pm_fleet_boot_of(const struct pm_fleet *f, const struct pm_machine *m, double now)
+enum boot pm_autoscaler_boot_state(const struct pm_autoscaler *f, const struct pm_machine *m,
+                                   double now)
 {
-    if (pm_plan_boots_soon(f->tables, m, now))
+    if (pm_scheduler_boots_soon(f->tables, m, now))
         return BOOT_EXPECTED;
-    return pm_fleet_kind_slow(&f->kind[m->type][m->zone][m->spot]) ? BOOT_LATE : BOOT_STUCK;
+    return pm_autoscaler_is_kind_late(&f->kind[m->type][m->zone][m->spot]) ? BOOT_LATE : BOOT_STUCK;
 }
 
-bool pm_fleet_boot_failed(const struct pm_fleet *f, const struct pm_machine *m, double now)
+bool pm_autoscaler_has_boot_failed(const struct pm_autoscaler *f, const struct pm_machine *m,
+                                   double now)
 {
     /* One that the list calls running has come up; after a change of leader it has yet to report
      * here. */
@@ -96,12 +98,13 @@
         return false;
     ready_s = f->tables->type[m->type].ready_s;
     longest = f->kind[m->type][m->zone][m->spot].longest_boot;
-    if (pm_fleet_boot_of(f, m, now) == BOOT_STUCK)
+    if (pm_autoscaler_boot_state(f, m, now) == BOOT_STUCK)
         return age > MAX(STUCK_BOOTS * ready_s + STUCK_S, STUCK_LONGEST * longest);
     return age > LATE_BOOTS * ready_s + LATE_S;
 }
 
-int pm_fleet_probes(const struct pm_fleet *f, int type, const struct kind *kind, double now)
+int pm_autoscaler_probe_count(const struct pm_autoscaler *f, int type, const struct kind *kind,
+                              double now)
 {
     if (now - kind->probed_at < f->tables->type[type].ready_s)
         return 0;
--- a/src/fleet/calls.c
+++ b/src/fleet/calls.c
@@ -28,9 +28,9 @@
 
 /* A request to the cloud, or the intent that is written before it. */
 struct call {
-    struct pm_fleet *fleet;
+    struct pm_autoscaler *fleet;
     uint64_t round;
-    struct pm_rent rent;
+    struct pm_scale_out_request rent;
     char booking[PM_INTENT_NAME + 8]; /* the name of a rental's request */
     char intent[PM_INTENT_NAME];      /* "": there is none */
     guint rental;                     /* its place in the intent */
@@ -39,7 +39,7 @@
     int tries;
 };
 
-static struct call *call_new(struct pm_fleet *f, double now)
+static struct call *call_new(struct pm_autoscaler *f, double now)
 {
     struct call *call = g_new0(struct call, 1);
 
@@ -58,21 +58,21 @@
 
 /* The only way by which requests that rent or return machines leave: not after this controller's
  * hold on the duty may have ended, however long the process stands still before the write. */
-static void send_to_cloud(struct call *call, enum pm_single_duty duty, const char *target,
+static void send_to_cloud(struct call *call, enum pm_role duty, const char *target,
                           const struct pm_buf *body, pm_http_done *done)
 {
-    struct pm_fleet *f = call->fleet;
+    struct pm_autoscaler *f = call->fleet;
     double valid_until = 0;
 
     f->in_flight++;
     if (call->intent[0]) {
-        pm_duties_note(f->duties, duty, "sent", call->intent, call->booking);
-        valid_until = pm_duties_valid_until(f->duties, duty);
+        pm_roles_log_action(f->duties, duty, "sent", call->intent, call->booking);
+        valid_until = pm_roles_valid_until(f->duties, duty);
         if (valid_until <= 0) /* not held any more; 0 would mean no limit */
             valid_until = call->sent;
     }
     pm_http_call_until(f->http, f->tables->settings->cloud, "POST", target, body->data, body->size,
-                       PM_FLEET_CALL_S, RENT_ANSWER_MAX, valid_until, done, call);
+                       PM_AUTOSCALER_CALL_TIMEOUT_S, RENT_ANSWER_MAX, valid_until, done, call);
 }
 
 static bool is_settled(const struct pm_intent *intent)
@@ -83,30 +83,30 @@
     return true;
 }
 
-static bool is_fenced(const struct pm_fleet *f)
+static bool is_fenced(const struct pm_autoscaler *f)
 {
-    return f->duties && pm_duties_active(f->duties);
+    return f->duties && pm_roles_are_active(f->duties);
 }
 
 /* The cloud has answered, or has not: an intent is closed once it has said what became of all of
  * it, and else sent again. */
-static void settle_intent(const struct call *call, enum pm_single_duty duty, int status,
-                          bool settled, double now)
+static void settle_intent(const struct call *call, enum pm_role duty, int status, bool settled,
+                          double now)
 {
-    struct pm_fleet *f = call->fleet;
+    struct pm_autoscaler *f = call->fleet;
     struct pm_intent *intent;
     char text[PM_INTENT_NAME + 32];
 
     if (!call->intent[0])
         return;
     snprintf(text, sizeof text, "%s status %d", call->booking, status);
-    pm_duties_note(f->duties, duty, "answered", call->intent, text);
-    intent = pm_duties_find(f->duties, call->intent);
+    pm_roles_log_action(f->duties, duty, "answered", call->intent, text);
+    intent = pm_roles_find_intent(f->duties, call->intent);
     if (!intent)
         return;
     if (!settled)
         intent->retry_at = now + REPEAT_S;
-    if (duty == PM_SINGLE_RENT) {
+    if (duty == PM_ROLE_SCALE_OUT) {
         struct pm_intent_rental *rental =
             &g_array_index(intent->rentals, struct pm_intent_rental, call->rental);
         rental->busy = false;
@@ -115,11 +115,11 @@
     }
     intent->busy = false;
     if (settled)
-        pm_duties_close(f->duties, call->intent, now);
+        pm_roles_close_intent(f->duties, call->intent, now);
 }
 
 /* One intent for each duty at a time, so far apart that they leave the write budget to the jobs. */
-static double intent_pace(const struct pm_fleet *f)
+static double intent_pace(const struct pm_autoscaler *f)
 {
     return INTENT_WRITES / (INTENT_SHARE * f->tables->settings->state_write_rps);
 }
@@ -140,13 +140,14 @@
     pm_put_pair_flag(&body, "borrowed", call->rent.spot);
     pm_put_pair_count(&body, "how_many", (uint64_t)call->rent.count);
     pm_put_end(&body);
-    send_to_cloud(call, PM_SINGLE_RENT, "/machines", &body, on_rented);
+    send_to_cloud(call, PM_ROLE_SCALE_OUT, "/machines", &body, on_rented);
     pm_buf_free(&body);
 }
 
 /* A kind of which the cloud has no more is asked for again later and later, and not at the same
  * moment as the others. */
-static void note_answer(struct pm_fleet *f, const struct pm_rent *rent, int status, size_t got)
+static void note_answer(struct pm_autoscaler *f, const struct pm_scale_out_request *rent,
+                        int status, size_t got)
 {
     struct kind *kind = &f->kind[rent->type][rent->zone][rent->spot];
     double pause;
@@ -164,10 +165,10 @@
 
 static void add_rented(struct call *call, const char *name)
 {
-    struct pm_fleet *f = call->fleet;
+    struct pm_autoscaler *f = call->fleet;
     struct pm_machine *m = pm_workers_add(f->workers, name);
 
-    if (m->state == PM_RELEASING)
+    if (m->state == PM_MACHINE_RELEASING)
         return; /* the answer to a request that was sent again */
     m->rented = call->sent;
     if (m->type >= 0)
@@ -190,7 +191,7 @@
         if (pm_cbor_text(pm_cbor_at(hosts, i), name, sizeof name) || !name[0])
             continue;
         got++;
-        if (!pm_fleet_returned(call->fleet, name))
+        if (!pm_autoscaler_is_terminated(call->fleet, name))
             add_rented(call, name);
     }
     pm_cbor_free(answer);
@@ -200,7 +201,7 @@
 static void on_rented(void *arg, int status, const unsigned char *body, size_t size)
 {
     struct call *call = arg;
-    struct pm_fleet *f = call->fleet;
+    struct pm_autoscaler *f = call->fleet;
     size_t got;
 
     if (call->round != f->round) {
@@ -215,24 +216,24 @@
     note_answer(f, &call->rent, status, got);
     /* No answer: it may have been carried out. The same name asks for the same machines, and rents
      * nothing twice. */
-    if (status == PM_HTTP_LOST && ++call->tries < RENT_TRIES) {
+    if (status == PM_HTTP_NO_ANSWER && ++call->tries < RENT_TRIES) {
         rent_send(call);
     } else {
-        settle_intent(call, PM_SINGLE_RENT, status, status > 0, pm_clock_steady());
+        settle_intent(call, PM_ROLE_SCALE_OUT, status, status > 0, pm_clock_monotonic());
         call_free(call);
     }
     f->hooks.changed(f->hooks.arg);
 }
 
 /* A rental of an intent as a request; NULL: of a machine type or zone that is not known here. */
-static struct call *call_of_rental(struct pm_fleet *f, const struct pm_intent *intent, guint index,
-                                   double now)
+static struct call *call_of_rental(struct pm_autoscaler *f, const struct pm_intent *intent,
+                                   guint index, double now)
 {
     const struct pm_intent_rental *rental =
         &g_array_index(intent->rentals, struct pm_intent_rental, index);
-    struct pm_rent rent = {pm_names_find(f->tables->types, rental->type),
-                           pm_settings_zone(f->tables->settings, rental->zone), rental->spot,
-                           (int)rental->count};
+    struct pm_scale_out_request rent = {pm_names_find(f->tables->types, rental->type),
+                                        pm_settings_find_zone(f->tables->settings, rental->zone),
+                                        rental->spot, (int)rental->count};
     struct call *call;
 
     if (rent.type < 0 || rent.type >= f->tables->ntypes || rent.zone < 0)
@@ -246,14 +247,14 @@
 }
 
 /* Sends what is neither settled nor under way, as far as there is room. */
-static void send_rentals(struct pm_fleet *f, struct pm_intent *intent, int in_flight_max,
+static void send_rentals(struct pm_autoscaler *f, struct pm_intent *intent, int in_flight_max,
                          double now)
 {
     for (guint i = 0; i < intent->rentals->len && f->in_flight < in_flight_max; i++) {
         struct pm_intent_rental *rental =
             &g_array_index(intent->rentals, struct pm_intent_rental, i);
         struct call *call;
-        if (rental->busy || rental->settled || !pm_fleet_may_call(f, now))
+        if (rental->busy || rental->settled || !pm_autoscaler_may_call(f, now))
             continue;
         call = call_of_rental(f, intent, i, now);
         if (!call) {
@@ -270,19 +271,20 @@
 static void on_rent_intended(void *arg, const char *name)
 {
     struct call *call = arg;
-    struct pm_fleet *f = call->fleet;
+    struct pm_autoscaler *f = call->fleet;
 
     if (call->round == f->round) { /* else whoever holds the duty finishes what was written */
         f->in_flight--;
         if (name)
-            send_rentals(f, pm_duties_find(f->duties, name), PM_INTENT_RENTALS, call->sent);
+            send_rentals(f, pm_roles_find_intent(f->duties, name), PM_INTENT_RENTALS, call->sent);
     }
     call_free(call);
 }
 
-static void rent_fenced(struct pm_fleet *f, const struct pm_rent *rents, int count, double now)
+static void rent_fenced(struct pm_autoscaler *f, const struct pm_scale_out_request *rents,
+                        int count, double now)
 {
-    struct pm_intent *intent = pm_intent_new(PM_SINGLE_RENT);
+    struct pm_intent *intent = pm_intent_new(PM_ROLE_SCALE_OUT);
     struct call *call = call_new(f, now);
 
     for (int i = 0; i < count; i++) {
@@ -293,25 +295,26 @@
     }
     f->rent_intent_at = now;
     f->in_flight++;
-    if (pm_duties_intend(f->duties, intent, on_rent_intended, call, now))
+    if (pm_roles_write_intent(f->duties, intent, on_rent_intended, call, now))
         return;
     f->in_flight--;
     call_free(call);
 }
 
-bool pm_fleet_may_rent(const struct pm_fleet *f, double now)
+bool pm_autoscaler_may_scale_out(const struct pm_autoscaler *f, double now)
 {
     return !is_fenced(f) || (now - f->rent_intent_at >= intent_pace(f) &&
-                             pm_duties_holds(f->duties, PM_SINGLE_RENT, now));
+                             pm_roles_holds(f->duties, PM_ROLE_SCALE_OUT, now));
 }
 
-void pm_fleet_rent(struct pm_fleet *f, const struct pm_rent *rents, int count, double now)
+void pm_autoscaler_scale_out(struct pm_autoscaler *f, const struct pm_scale_out_request *rents,
+                             int count, double now)
 {
     if (is_fenced(f)) {
         rent_fenced(f, rents, MIN(count, PM_INTENT_RENTALS), now);
         return;
     }
-    for (int i = 0; i < count && pm_fleet_may_call(f, now); i++) {
+    for (int i = 0; i < count && pm_autoscaler_may_call(f, now); i++) {
         struct call *call = call_new(f, now);
         call->rent = rents[i];
         /* The epoch is this term's alone, so the name is never used again by anybody. */
@@ -324,13 +327,13 @@
 /* ---- returning ---- */
 
 /* What we return ourselves may be had again. */
-static void note_returned(struct pm_fleet *f, const struct pm_machine *m)
+static void note_returned(struct pm_autoscaler *f, const struct pm_machine *m)
 {
     struct kind *kind;
 
     if (m->type < 0 || m->zone < 0)
         return;
-    kind = pm_fleet_kind_of(f, m);
+    kind = pm_autoscaler_kind_of(f, m);
     kind->refusals = 0;
     kind->refused_until = MIN(kind->refused_until, f->filled + REFUSED_S);
 }
@@ -338,7 +341,7 @@
 /* They are to be tried again; those of an intent are, with the intent. */
 static void retry_machines(struct call *call, double at)
 {
-    struct pm_fleet *f = call->fleet;
+    struct pm_autoscaler *f = call->fleet;
 
     for (guint i = 0; i < call->machines->len; i++) {
         struct pm_machine *m = pm_workers_find(f->workers, g_ptr_array_index(call->machines, i));
@@ -349,7 +352,7 @@
 
 static void confirm_returned(struct call *call)
 {
-    struct pm_fleet *f = call->fleet;
+    struct pm_autoscaler *f = call->fleet;
 
     for (guint i = 0; i < call->machines->len; i++) {
         struct pm_machine *m = pm_workers_find(f->workers, g_ptr_array_index(call->machines, i));
@@ -364,7 +367,7 @@
 static void on_released(void *arg, int status, const unsigned char *body, size_t size)
 {
     struct call *call = arg;
-    struct pm_fleet *f = call->fleet;
+    struct pm_autoscaler *f = call->fleet;
 
     (void)body;
     (void)size;
@@ -377,7 +380,7 @@
         confirm_returned(call);
     else if (!call->intent[0])
         retry_machines(call, f->filled + REPEAT_S); /* until it is confirmed */
-    settle_intent(call, PM_SINGLE_RETURN, status, status == 200, pm_clock_steady());
+    settle_intent(call, PM_ROLE_SCALE_IN, status, status == 200, pm_clock_monotonic());
     pm_info("fleet.released", "%u machines, status %d", call->machines->len, status);
     call_free(call);
     f->hooks.changed(f->hooks.arg);
@@ -394,24 +397,24 @@
         pm_put_text(&body, g_ptr_array_index(call->machines, i));
     pm_put_end(&body);
     pm_put_end(&body);
-    send_to_cloud(call, PM_SINGLE_RETURN, "/machines/release", &body, on_released);
+    send_to_cloud(call, PM_ROLE_SCALE_IN, "/machines/release", &body, on_released);
     pm_buf_free(&body);
 }
 
-static void mark_returned(struct pm_fleet *f, const struct pm_intent *intent)
+static void mark_returned(struct pm_autoscaler *f, const struct pm_intent *intent)
 {
     for (guint i = 0; i < intent->machines->len; i++) {
         const char *name = g_ptr_array_index(intent->machines, i);
         struct pm_machine *m;
-        if (pm_fleet_returned(f, name))
+        if (pm_autoscaler_is_terminated(f, name))
             continue;
         m = pm_workers_add(f->workers, name);
-        m->state = PM_RELEASING;
+        m->state = PM_MACHINE_RELEASING;
         m->release_retry = INFINITY; /* with the intent */
     }
 }
 
-static void send_return(struct pm_fleet *f, struct pm_intent *intent, double now)
+static void send_return(struct pm_autoscaler *f, struct pm_intent *intent, double now)
 {
     struct call *call = call_new(f, now);
 
@@ -427,53 +430,53 @@
 static void on_return_intended(void *arg, const char *name)
 {
     struct call *call = arg;
-    struct pm_fleet *f = call->fleet;
+    struct pm_autoscaler *f = call->fleet;
 
     if (call->round == f->round) { /* else whoever holds the duty finishes what was written */
         f->in_flight--;
         if (name)
-            send_return(f, pm_duties_find(f->duties, name), call->sent);
+            send_return(f, pm_roles_find_intent(f->duties, name), call->sent);
         else
-            retry_machines(call, pm_clock_steady() + UNWRITTEN_S);
+            retry_machines(call, pm_clock_monotonic() + UNWRITTEN_S);
     }
     call_free(call);
 }
 
 static void release_fenced(struct call *call, double now)
 {
-    struct pm_fleet *f = call->fleet;
-    struct pm_intent *intent = pm_intent_new(PM_SINGLE_RETURN);
+    struct pm_autoscaler *f = call->fleet;
+    struct pm_intent *intent = pm_intent_new(PM_ROLE_SCALE_IN);
 
     f->return_intent_at = now;
     for (guint i = 0; i < call->machines->len; i++)
         g_ptr_array_add(intent->machines, g_strdup(g_ptr_array_index(call->machines, i)));
     f->in_flight++;
-    if (pm_duties_intend(f->duties, intent, on_return_intended, call, now))
+    if (pm_roles_write_intent(f->duties, intent, on_return_intended, call, now))
         return;
     f->in_flight--;
     retry_machines(call, now + UNWRITTEN_S);
     call_free(call);
 }
 
-bool pm_fleet_returned(const struct pm_fleet *f, const char *machine)
+bool pm_autoscaler_is_terminated(const struct pm_autoscaler *f, const char *machine)
 {
     return g_hash_table_contains(f->gone, machine);
 }
 
-void pm_fleet_release_due(struct pm_fleet *f, double now)
+void pm_autoscaler_terminate_due(struct pm_autoscaler *f, double now)
 {
     GPtrArray *all = pm_workers_all(f->workers);
     struct call *call = NULL;
 
     if (is_fenced(f) && (now - f->return_intent_at < intent_pace(f) ||
-                         !pm_duties_holds(f->duties, PM_SINGLE_RETURN, now)))
+                         !pm_roles_holds(f->duties, PM_ROLE_SCALE_IN, now)))
         return;
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        if (!m || m->state != PM_RELEASING || m->release_retry > now)
+        if (!m || m->state != PM_MACHINE_RELEASING || m->release_retry > now)
             continue;
         if (!call) {
-            if (!pm_fleet_may_call(f, now))
+            if (!pm_autoscaler_may_call(f, now))
                 return;
             call = call_new(f, now);
             call->machines = g_ptr_array_new_with_free_func(g_free);
@@ -493,37 +496,37 @@
 
 /* ---- finishing what is open ---- */
 
-void pm_fleet_adopt_intents(struct pm_fleet *f)
+void pm_autoscaler_adopt_intents(struct pm_autoscaler *f)
 {
     GPtrArray *open;
 
     if (!f->duties)
         return;
-    pm_duties_forget_calls(f->duties);
-    open = pm_duties_open(f->duties, PM_SINGLE_RETURN);
+    pm_roles_forget_calls(f->duties);
+    open = pm_roles_open_intents(f->duties, PM_ROLE_SCALE_IN);
     for (guint i = 0; i < open->len; i++)
         mark_returned(f, g_ptr_array_index(open, i));
     g_ptr_array_free(open, TRUE);
 }
 
-void pm_fleet_finish_intents(struct pm_fleet *f, int in_flight_max, double now)
+void pm_autoscaler_finish_intents(struct pm_autoscaler *f, int in_flight_max, double now)
 {
-    static const enum pm_single_duty duties[] = {PM_SINGLE_RETURN, PM_SINGLE_RENT};
+    static const enum pm_role duties[] = {PM_ROLE_SCALE_IN, PM_ROLE_SCALE_OUT};
 
     if (!is_fenced(f))
         return;
     for (size_t k = 0; k < G_N_ELEMENTS(duties); k++) {
         GPtrArray *open;
-        if (!pm_duties_holds(f->duties, duties[k], now))
+        if (!pm_roles_holds(f->duties, duties[k], now))
             continue;
-        open = pm_duties_open(f->duties, duties[k]);
+        open = pm_roles_open_intents(f->duties, duties[k]);
         for (guint i = 0; i < open->len && f->in_flight < in_flight_max; i++) {
             struct pm_intent *intent = g_ptr_array_index(open, i);
             if (intent->busy || intent->closing || intent->retry_at > now)
                 continue;
-            if (duties[k] == PM_SINGLE_RENT)
+            if (duties[k] == PM_ROLE_SCALE_OUT)
                 send_rentals(f, intent, in_flight_max, now);
-            else if (pm_fleet_may_call(f, now))
+            else if (pm_autoscaler_may_call(f, now))
                 send_return(f, intent, now);
         }
         g_ptr_array_free(open, TRUE);
--- a/src/fleet/fleet.c
+++ b/src/fleet/fleet.c
@@ -6,12 +6,13 @@
 
 enum { RENT_MAX = 64, TYPES_PACE_S = 60, IN_FLIGHT_LEAST = 3 };
 
-struct pm_fleet *pm_fleet_new(struct pm_http_client *http, struct pm_name_tables *tables,
-                              struct pm_jobs *jobs, struct pm_workers *workers,
-                              struct pm_plan *plan, const struct pm_operator *op,
-                              const struct pm_fleet_hooks *hooks)
+struct pm_autoscaler *pm_autoscaler_new(struct pm_http_client *http, struct pm_name_tables *tables,
+                                        struct pm_jobs *jobs, struct pm_workers *workers,
+                                        struct pm_scheduler *plan,
+                                        const struct pm_operator_settings *op,
+                                        const struct pm_autoscaler_hooks *hooks)
 {
-    struct pm_fleet *f = g_new0(struct pm_fleet, 1);
+    struct pm_autoscaler *f = g_new0(struct pm_autoscaler, 1);
 
     f->http = http;
     f->tables = tables;
@@ -27,12 +28,12 @@
     return f;
 }
 
-void pm_fleet_set_duties(struct pm_fleet *f, struct pm_duties *duties)
+void pm_autoscaler_set_duties(struct pm_autoscaler *f, struct pm_roles *duties)
 {
     f->duties = duties;
 }
 
-void pm_fleet_free(struct pm_fleet *f)
+void pm_autoscaler_free(struct pm_autoscaler *f)
 {
     g_hash_table_destroy(f->seen);
     g_hash_table_destroy(f->gone);
@@ -40,7 +41,7 @@
     g_free(f);
 }
 
-void pm_fleet_reset(struct pm_fleet *f, uint64_t epoch)
+void pm_autoscaler_reset(struct pm_autoscaler *f, uint64_t epoch)
 {
     f->epoch = epoch;
     f->round++;
@@ -55,7 +56,8 @@
     memset(f->zone_heard, 0, sizeof f->zone_heard);
 }
 
-void pm_fleet_read_heard(struct pm_fleet *f, const cbor_item_t *ledger, double now, double day)
+void pm_autoscaler_decode_silent_zones(struct pm_autoscaler *f, const cbor_item_t *ledger,
+                                       double now, double day)
 {
     const struct pm_settings *s = f->tables->settings;
     const cbor_item_t *heard = pm_cbor_get(ledger, "heard");
@@ -72,7 +74,7 @@
             f->zone_heard[z] = MIN(now - (day - at), now);
 }
 
-bool pm_fleet_may_call(struct pm_fleet *f, double now)
+bool pm_autoscaler_may_call(struct pm_autoscaler *f, double now)
 {
     double rate = f->tables->settings->cloud_rps * 0.85;
 
@@ -84,7 +86,7 @@
     return true;
 }
 
-void pm_fleet_set_writable(struct pm_fleet *f, bool writable, double now)
+void pm_autoscaler_set_writable(struct pm_autoscaler *f, bool writable, double now)
 {
     if (writable)
         f->wrote_at = now;
@@ -93,13 +95,14 @@
 
 /* Whether the machines that there are were told, if the cloud tells them at all. Before that a new
  * leader, to which no worker has reported yet, would rent for all that runs and waits. */
-static bool knows_machines(const struct pm_fleet *f, double now)
+static bool knows_machines(const struct pm_autoscaler *f, double now)
 {
     return f->list_known || now - f->took_at > LIST_AWAITED_S;
 }
 
 /* Requests for what is to be rented, of so many machines as the cloud takes in one. */
-static int split_rents(const struct pm_rent *rents, int count, struct pm_rent *out, int most)
+static int split_rents(const struct pm_scale_out_request *rents, int count,
+                       struct pm_scale_out_request *out, int most)
 {
     int n = 0;
 
@@ -111,33 +114,33 @@
     return n;
 }
 
-static void rent_due(struct pm_fleet *f, int in_flight_max, double now, double day)
+static void rent_due(struct pm_autoscaler *f, int in_flight_max, double now, double day)
 {
-    struct pm_rent rents[RENT_MAX];
-    struct pm_rent requests[PM_INTENT_RENTALS];
-    int count = pm_fleet_size(f, now, day, rents, RENT_MAX);
+    struct pm_scale_out_request rents[RENT_MAX];
+    struct pm_scale_out_request requests[PM_INTENT_RENTALS];
+    int count = pm_autoscaler_size(f, now, day, rents, RENT_MAX);
 
     count = split_rents(rents, count, requests, in_flight_max);
     if (count)
-        pm_fleet_rent(f, requests, count, now);
+        pm_autoscaler_scale_out(f, requests, count, now);
 }
 
-void pm_fleet_run(struct pm_fleet *f, double now, double day)
+void pm_autoscaler_run(struct pm_autoscaler *f, double now, double day)
 {
     int in_flight_max =
         (int)CLAMP(f->tables->settings->cloud_rps * 0.6, IN_FLIGHT_LEAST, PM_INTENT_RENTALS);
 
     if (!f->tables->ntypes)
         return;
-    pm_fleet_review(f, now);
-    pm_fleet_finish_intents(f, in_flight_max, now);
+    pm_autoscaler_mark_scale_in(f, now);
+    pm_autoscaler_finish_intents(f, in_flight_max, now);
     if (f->in_flight < in_flight_max)
-        pm_fleet_release_due(f, now);
+        pm_autoscaler_terminate_due(f, now);
     /* Sized only with no request under way: its machines are not in the tables yet. */
-    if (f->in_flight == 0 && knows_machines(f, now) && pm_fleet_may_rent(f, now))
+    if (f->in_flight == 0 && knows_machines(f, now) && pm_autoscaler_may_scale_out(f, now))
         rent_due(f, in_flight_max, now, day);
-    pm_fleet_list_on(f, now);
-    pm_fleet_list_start(f, now);
+    pm_autoscaler_continue_inventory(f, now);
+    pm_autoscaler_start_inventory(f, now);
     if (now - f->types_asked > TYPES_PACE_S)
-        pm_fleet_ask_types(f, now);
+        pm_autoscaler_request_machine_types(f, now);
 }
--- a/src/fleet/internal.h
+++ b/src/fleet/internal.h
@@ -1,13 +1,13 @@
 /* What the parts of the fleet slice share; nobody else includes it. */
-#ifndef PM_FLEET_PARTS_H
-#define PM_FLEET_PARTS_H
+#ifndef PM_AUTOSCALER_INTERNAL_H
+#define PM_AUTOSCALER_INTERNAL_H
 
 #include "duties/duties.h"
 #include "fleet/fleet.h"
 
 #define EPS 1e-6
-#define PM_FLEET_CALL_S 5.0 /* the cloud's answer counts only within this */
-#define FLOW_S 60.0         /* over which the stream of array work is measured */
+#define PM_AUTOSCALER_CALL_TIMEOUT_S 5.0 /* the cloud's answer counts only within this */
+#define FLOW_S 60.0                      /* over which the stream of array work is measured */
 
 /* What is known of one kind of machines: a type, in a zone, spot or not. */
 struct kind {
@@ -22,15 +22,15 @@
     double probed_at;      /* steady: some were asked for while it was slow */
 };
 
-struct pm_fleet {
+struct pm_autoscaler {
     struct pm_http_client *http;
     struct pm_name_tables *tables;
     struct pm_jobs *jobs;
     struct pm_workers *workers;
-    struct pm_plan *plan;
-    const struct pm_operator *op;
-    struct pm_duties *duties; /* NULL: the lead alone says who rents and returns */
-    struct pm_fleet_hooks hooks;
+    struct pm_scheduler *plan;
+    const struct pm_operator_settings *op;
+    struct pm_roles *duties; /* NULL: the lead alone says who rents and returns */
+    struct pm_autoscaler_hooks hooks;
     uint64_t epoch, round, bookings;
     double tokens, filled;
     int in_flight;
@@ -64,26 +64,28 @@
 };
 
 /* The kind of a machine whose type and zone are known. */
-static inline struct kind *pm_fleet_kind_of(struct pm_fleet *f, const struct pm_machine *m)
+static inline struct kind *pm_autoscaler_kind_of(struct pm_autoscaler *f,
+                                                 const struct pm_machine *m)
 {
     return &f->kind[m->type][m->zone][m->spot];
 }
 
 /* fleet.c: whether the cloud's limit on requests has room for one more, which is taken off it */
-bool pm_fleet_may_call(struct pm_fleet *f, double now);
+bool pm_autoscaler_may_call(struct pm_autoscaler *f, double now);
 
 /* list.c: the next page, and a new list, when they are due */
-void pm_fleet_list_on(struct pm_fleet *f, double now);
-void pm_fleet_list_start(struct pm_fleet *f, double now);
+void pm_autoscaler_continue_inventory(struct pm_autoscaler *f, double now);
+void pm_autoscaler_start_inventory(struct pm_autoscaler *f, double now);
 
 /* calls.c */
-bool pm_fleet_may_rent(const struct pm_fleet *f, double now);
+bool pm_autoscaler_may_scale_out(const struct pm_autoscaler *f, double now);
 /* Sends these requests, of PM_INTENT_RENTED machines each at most, as far as the limits allow. */
-void pm_fleet_rent(struct pm_fleet *f, const struct pm_rent *rents, int count, double now);
+void pm_autoscaler_scale_out(struct pm_autoscaler *f, const struct pm_scale_out_request *rents,
+                             int count, double now);
 /* Returns the machines that are marked for it, as many as go into one request. */
-void pm_fleet_release_due(struct pm_fleet *f, double now);
+void pm_autoscaler_terminate_due(struct pm_autoscaler *f, double now);
 /* Sends the open intents of the duties that are held. */
-void pm_fleet_finish_intents(struct pm_fleet *f, int in_flight_max, double now);
+void pm_autoscaler_finish_intents(struct pm_autoscaler *f, int in_flight_max, double now);
 
 /* boots.c: machines that come late, or never */
 enum boot {
@@ -92,16 +94,19 @@
     BOOT_STUCK     /* overdue, while most others are up: it may never come */
 };
 /* Looks at all machines: which kinds are slow. */
-void pm_fleet_note_boots(struct pm_fleet *f, double now);
-enum boot pm_fleet_boot_of(const struct pm_fleet *f, const struct pm_machine *m, double now);
+void pm_autoscaler_track_boots(struct pm_autoscaler *f, double now);
+enum boot pm_autoscaler_boot_state(const struct pm_autoscaler *f, const struct pm_machine *m,
+                                   double now);
 /* Whether the machine has been booting for so long that it is given up. */
-bool pm_fleet_boot_failed(const struct pm_fleet *f, const struct pm_machine *m, double now);
+bool pm_autoscaler_has_boot_failed(const struct pm_autoscaler *f, const struct pm_machine *m,
+                                   double now);
 /* Whether machines of the kind are late, so that one rented now would not be up before them. */
-bool pm_fleet_kind_slow(const struct kind *kind);
+bool pm_autoscaler_is_kind_late(const struct kind *kind);
 /* How many of a slow kind may be rented all the same, to find out when it is well again. */
-int pm_fleet_probes(const struct pm_fleet *f, int type, const struct kind *kind, double now);
+int pm_autoscaler_probe_count(const struct pm_autoscaler *f, int type, const struct kind *kind,
+                              double now);
 
 /* size.c: processors that the stream of array work takes for certain */
-double pm_fleet_steady_flow(const struct pm_fleet *f, double now);
+double pm_autoscaler_steady_demand_cpus(const struct pm_autoscaler *f, double now);
 
 #endif
--- a/src/fleet/list.c
+++ b/src/fleet/list.c
@@ -11,14 +11,14 @@
 
 /* One page of the list, on its way. */
 struct page {
-    struct pm_fleet *fleet;
+    struct pm_autoscaler *fleet;
     uint64_t round;
     double sent;
 };
 
-static void list_page(struct pm_fleet *f);
+static void list_page(struct pm_autoscaler *f);
 
-static void read_listed(struct pm_fleet *f, const cbor_item_t *item, double now)
+static void read_listed(struct pm_autoscaler *f, const cbor_item_t *item, double now)
 {
     char name[PM_NAME_MAX];
     char text[PM_NAME_MAX];
@@ -34,7 +34,7 @@
     pm_cbor_text(pm_cbor_get(item, "status"), status, sizeof status);
     pm_cbor_number(pm_cbor_get(item, "age_s"), &age);
     m = pm_workers_find(f->workers, name);
-    if ((m && m->state == PM_RELEASING) || g_hash_table_contains(f->gone, name))
+    if ((m && m->state == PM_MACHINE_RELEASING) || g_hash_table_contains(f->gone, name))
         return;
     if (!m) {
         m = pm_workers_add(f->workers, name);
@@ -44,7 +44,7 @@
         (type = pm_names_find(f->tables->types, text)) >= 0 && type < f->tables->ntypes) {
         pm_workers_set_type(f->workers, m, type);
         if (!pm_cbor_text(pm_cbor_get(item, "room"), text, sizeof text))
-            m->zone = pm_settings_zone(f->tables->settings, text);
+            m->zone = pm_settings_find_zone(f->tables->settings, text);
         pm_cbor_flag(pm_cbor_get(item, "borrowed"), &m->spot);
     }
     if (!m->endpoint[0])
@@ -68,7 +68,7 @@
 
 /* A list describes one moment, though a past one. A machine that it leaves out while it has one
  * that was rented later is gone; otherwise only what is older than the list can be is missed. */
-static void read_absent(struct pm_fleet *f, double now)
+static void read_absent(struct pm_autoscaler *f, double now)
 {
     GPtrArray *all = pm_workers_all(f->workers);
     double lag = 2 * f->tables->settings->list_lag_s + 1;
@@ -76,7 +76,7 @@
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
         bool past;
-        if (!m || m->state == PM_RELEASING || g_hash_table_contains(f->seen, m->name))
+        if (!m || m->state == PM_MACHINE_RELEASING || g_hash_table_contains(f->seen, m->name))
             continue;
         past = f->since[0] && rented_before(m->name, f->since);
         /* One that is lent reports elsewhere: the list alone tells. */
@@ -89,29 +89,29 @@
 
 /* The next page goes as the cloud's limit allows: of a large fleet, all at once would be refused,
  * and a list that began anew with each refusal would never end. */
-void pm_fleet_list_on(struct pm_fleet *f, double now)
+void pm_autoscaler_continue_inventory(struct pm_autoscaler *f, double now)
 {
-    if (!f->page_due || now < f->page_at || !pm_fleet_may_call(f, now))
+    if (!f->page_due || now < f->page_at || !pm_autoscaler_may_call(f, now))
         return;
     f->page_due = false;
     list_page(f);
 }
 
 /* The same page again, after a pause; a cloud that keeps failing is asked for a new list later. */
-static void retry_page(struct pm_fleet *f)
+static void retry_page(struct pm_autoscaler *f)
 {
     if (++f->page_failures > PAGE_TRIES) {
         f->list_busy = false;
         return;
     }
     f->page_due = true;
-    f->page_at = pm_clock_steady() + PAGE_PAUSE_S * f->page_failures;
+    f->page_at = pm_clock_monotonic() + PAGE_PAUSE_S * f->page_failures;
 }
 
 static void on_list(void *arg, int status, const unsigned char *body, size_t size)
 {
     struct page *page = arg;
-    struct pm_fleet *f = page->fleet;
+    struct pm_autoscaler *f = page->fleet;
     bool current = page->round == f->round, more = false;
     double now = page->sent; /* ages are as of the list, near enough */
     cbor_item_t *answer;
@@ -134,7 +134,7 @@
     pm_cbor_free(answer);
     if (more) {
         f->page_due = true;
-        pm_fleet_list_on(f, pm_clock_steady());
+        pm_autoscaler_continue_inventory(f, pm_clock_monotonic());
         return;
     }
     f->list_busy = false;
@@ -143,7 +143,7 @@
     f->hooks.changed(f->hooks.arg);
 }
 
-static void list_page(struct pm_fleet *f)
+static void list_page(struct pm_autoscaler *f)
 {
     struct page *page = g_new(struct page, 1);
     char target[PM_NAME_MAX + 64];
@@ -151,29 +151,29 @@
     *page = (struct page){f, f->round, f->filled};
     snprintf(target, sizeof target, "/machines?%s%s%spage=%d", f->since[0] ? "since=" : "",
              f->since, f->since[0] ? "&" : "", PAGE);
-    pm_http_call(f->http, f->tables->settings->cloud, "GET", target, NULL, 0, PM_FLEET_CALL_S,
-                 LIST_MAX, on_list, page);
+    pm_http_call(f->http, f->tables->settings->cloud, "GET", target, NULL, 0,
+                 PM_AUTOSCALER_CALL_TIMEOUT_S, LIST_MAX, on_list, page);
 }
 
-static bool some_silent(const struct pm_fleet *f, double now)
+static bool some_silent(const struct pm_autoscaler *f, double now)
 {
     GPtrArray *all = pm_workers_all(f->workers);
 
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
-        if (m && m->state == PM_UP && !m->lent && m->places->len &&
+        if (m && m->state == PM_MACHINE_UP && !m->lent && m->places->len &&
             now - m->heard > 1.6 * f->tables->settings->report_s + 0.5)
             return true;
     }
     return false;
 }
 
-void pm_fleet_list_start(struct pm_fleet *f, double now)
+void pm_autoscaler_start_inventory(struct pm_autoscaler *f, double now)
 {
     /* Somebody silent: the list may tell why. */
     double every = some_silent(f, now) ? 1.5 : CLAMP(f->tables->settings->list_lag_s / 2, 2, 6);
 
-    if (f->list_busy || (f->listed && now - f->listed < every) || !pm_fleet_may_call(f, now))
+    if (f->list_busy || (f->listed && now - f->listed < every) || !pm_autoscaler_may_call(f, now))
         return;
     f->list_busy = true;
     f->listed = f->list_sent = now;
--- a/src/fleet/review.c
+++ b/src/fleet/review.c
@@ -17,7 +17,7 @@
 static void give_back(struct pm_machine *m, const char *why)
 {
     pm_info("fleet.return", "%s: %s", m->name, why);
-    m->state = PM_RELEASING;
+    m->state = PM_MACHINE_RELEASING;
     m->release_retry = 0;
 }
 
@@ -25,10 +25,10 @@
  * no lease's begin, and would wait for one from its own. What the leader before heard last tells
  * when the leases there have run out, unless somebody there renewed them; a confirmed release makes
  * sure. */
-static void give_up_zones(struct pm_fleet *f, const bool *reported, double now)
+static void give_up_zones(struct pm_autoscaler *f, const bool *reported, double now)
 {
     GPtrArray *all = pm_workers_all(f->workers);
-    double over = f->tables->settings->lease_s * (1 + 2 * PM_DRIFT) + 0.5;
+    double over = f->tables->settings->lease_s * (1 + 2 * PM_CLOCK_DRIFT_MAX) + 0.5;
     bool any = false;
 
     /* Nobody heard at all, or not yet: that is this controller's trouble, not a zone's. */
@@ -38,7 +38,7 @@
         return;
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        if (m && m->state == PM_UP && m->zone >= 0 && !m->lent && m->places->len &&
+        if (m && m->state == PM_MACHINE_UP && m->zone >= 0 && !m->lent && m->places->len &&
             !reported[m->zone] && f->zone_heard[m->zone] > 0 && now - f->zone_heard[m->zone] > over)
             give_back(m, "its zone has been silent for a lease");
     }
@@ -46,13 +46,13 @@
 
 /* Why the machine is of no use though it is heard of; NULL: it is not so. What we heard last of one
  * that is lent says nothing: it reports to its holder. */
-static const char *why_lost(const struct pm_fleet *f, const struct pm_machine *m, double now)
+static const char *why_lost(const struct pm_autoscaler *f, const struct pm_machine *m, double now)
 {
     if (m->lent)
         return NULL;
-    if (pm_workers_deaf(m, now))
+    if (pm_machine_is_unreachable(m, now))
         return "does not hear us, while its zone does";
-    if (pm_workers_mute(m, f->tables->settings, now))
+    if (pm_machine_is_not_reporting(m, f->tables->settings, now))
         return "reports to nobody, while its zone does";
     return NULL;
 }
@@ -62,7 +62,7 @@
  * and they start elsewhere; of a machine that was only cut off, little more than the blink of a
  * restart is lost. Where most of a zone are silent at once it is the network, and waiting is
  * better. */
-static void give_up_silent(struct pm_fleet *f, double now)
+static void give_up_silent(struct pm_autoscaler *f, double now)
 {
     GPtrArray *all = pm_workers_all(f->workers);
     double limit = MAX(SILENT_S, 1.25 * f->tables->settings->report_s + 2.4);
@@ -77,7 +77,7 @@
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
         double since;
-        if (!m || m->state != PM_UP || m->zone < 0)
+        if (!m || m->state != PM_MACHINE_UP || m->zone < 0)
             continue;
         reported[m->zone] |= m->reported;
         /* Of one that is lent, its holder tells. */
@@ -110,23 +110,23 @@
 
 /* What comes next is the less certain the fewer machines share it: of many, the swings even out as
  * the root of their number, and what idles is the fleet's excess rather than one job's gap. */
-double pm_fleet_idle_s(const struct pm_operator *op, int machines)
+double pm_autoscaler_idle_timeout_s(const struct pm_operator_settings *op, int machines)
 {
     return op->idle_return_s * CLAMP(sqrt((double)FEW / MAX(machines, 1)), IDLE_LEAST, 1);
 }
 
 /* Why a machine is to be returned that is not there, or never was: NULL, it is to stay. */
-static const char *why_gone(const struct pm_fleet *f, const struct pm_machine *m, double now)
+static const char *why_gone(const struct pm_autoscaler *f, const struct pm_machine *m, double now)
 {
     if (m->failed)
         return "failed";
     /* Taken or dead: the confirmed release proves it at once, sooner than its lease. */
-    if (m->absent_since && m->state == PM_UP &&
+    if (m->absent_since && m->state == PM_MACHINE_UP &&
         (m->lent || now - m->heard > 1.3 * f->tables->settings->report_s + 1))
         return "no longer listed, and silent";
-    if (pm_fleet_boot_failed(f, m, now))
+    if (pm_autoscaler_has_boot_failed(f, m, now))
         return "does not come up";
-    if (!m->lent && m->state == PM_UP && m->places->len == 0 &&
+    if (!m->lent && m->state == PM_MACHINE_UP && m->places->len == 0 &&
         now - m->heard > 2 * f->tables->settings->lease_s + 20)
         return "silent and empty";
     return NULL;
@@ -134,11 +134,11 @@
 
 /* Whether an idle machine is kept all the same: for the stream of array work, or for services.
  * What is returned is taken off both. */
-static bool is_kept(struct pm_fleet *f, const struct pm_machine *m, double *spare, double now)
+static bool is_kept(struct pm_autoscaler *f, const struct pm_machine *m, double *spare, double now)
 {
     if (m->spot) {
         if (now - m->idle_since < FLOW_KEEP_S &&
-            f->spot_cpus - m->cpus < pm_fleet_steady_flow(f, now))
+            f->spot_cpus - m->cpus < pm_autoscaler_steady_demand_cpus(f, now))
             return true;
         f->spot_cpus -= m->cpus;
         return false;
@@ -150,14 +150,14 @@
 }
 
 /* Why a machine that is there is to be returned: NULL, it is to stay. */
-static const char *why_unused(struct pm_fleet *f, struct pm_machine *m, double idle_s,
+static const char *why_unused(struct pm_autoscaler *f, struct pm_machine *m, double idle_s,
                               double *spare, double now)
 {
-    bool waits = pm_plan_wants(f->plan)->len > 0;
+    bool waits = pm_scheduler_unmet_demand(f->plan)->len > 0;
 
     if (m->draining && waits && (m->places->len || now - m->rented < LEAST_AGE_S))
         m->draining = false; /* it is needed after all */
-    if (m->state != PM_UP || m->places->len) {
+    if (m->state != PM_MACHINE_UP || m->places->len) {
         m->idle_since = 0;
         return NULL;
     }
@@ -167,34 +167,34 @@
         m->idle_since = now;
     if (m->draining)
         return "emptied";
-    if (pm_fault_machine_faulty(m))
+    if (pm_failures_is_machine_faulty(m))
         return "its tasks keep failing";
     if (now - m->idle_since < idle_s || now - m->rented < LEAST_AGE_S)
         return NULL;
     return is_kept(f, m, spare, now) ? NULL : "idle";
 }
 
-void pm_fleet_review(struct pm_fleet *f, double now)
+void pm_autoscaler_mark_scale_in(struct pm_autoscaler *f, double now)
 {
     GPtrArray *all = pm_workers_all(f->workers);
     double idle_s;
     int machines = 0;
-    double spare = pm_plan_spare(f->plan, now);
+    double spare = pm_scheduler_headroom_cpus(f->plan, now);
 
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
-        machines += m && m->state != PM_RELEASING;
+        machines += m && m->state != PM_MACHINE_RELEASING;
     }
-    idle_s = pm_fleet_idle_s(f->op, machines);
+    idle_s = pm_autoscaler_idle_timeout_s(f->op, machines);
     give_up_silent(f, now);
-    if (!pm_plan_wants(f->plan)->len && now - f->emptied > 1) {
+    if (!pm_scheduler_unmet_demand(f->plan)->len && now - f->emptied > 1) {
         f->emptied = now;
-        pm_plan_consolidate(f->plan, now);
+        pm_scheduler_consolidate(f->plan, now);
     }
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
         const char *why;
-        if (!m || m->state == PM_RELEASING)
+        if (!m || m->state == PM_MACHINE_RELEASING)
             continue;
         why = why_gone(f, m, now);
         if (!why && !m->lent)
--- a/src/fleet/size.c
+++ b/src/fleet/size.c
@@ -11,9 +11,9 @@
 #define SILENT_S 12.0 /* a machine not heard of for longer is not counted on */
 
 struct sizing {
-    struct pm_fleet *f;
+    struct pm_autoscaler *f;
     GArray *bins; /* of struct bin */
-    struct pm_rent *out;
+    struct pm_scale_out_request *out;
     int n, max;
     double now, day;
     enum slow_kinds { SLOW_NOT, SLOW_PROBES, SLOW_ANY } slow; /* see may_rent */
@@ -26,9 +26,9 @@
     int n;
 
     if (tasks <= 0 || bin->cpus + EPS < spec->cpus ||
-        !pm_plan_allows(s->f->tables, job, bin->type, bin->zone, bin->spot))
+        !pm_scheduler_is_machine_allowed(s->f->tables, job, bin->type, bin->zone, bin->spot))
         return 0;
-    n = (int)MIN(pm_spec_fit(spec, bin->cpus, bin->gpus, bin->ram_gb), (uint32_t)tasks);
+    n = (int)MIN(pm_spec_tasks_that_fit(spec, bin->cpus, bin->gpus, bin->ram_gb), (uint32_t)tasks);
     bin->cpus -= n * spec->cpus;
     bin->gpus -= n * spec->gpus;
     bin->ram_gb -= n * spec->ram_gb;
@@ -36,7 +36,7 @@
 }
 
 /* What is asked for of the kind so far, NULL: nothing. */
-static struct pm_rent *find_rent(const struct sizing *s, int type, int zone, bool spot)
+static struct pm_scale_out_request *find_rent(const struct sizing *s, int type, int zone, bool spot)
 {
     for (int i = 0; i < s->n; i++)
         if (s->out[i].type == type && s->out[i].zone == zone && s->out[i].spot == spot)
@@ -50,28 +50,28 @@
 static bool may_rent(const struct sizing *s, int type, int zone, int spot)
 {
     const struct kind *kind = &s->f->kind[type][zone][spot];
-    const struct pm_rent *asked;
+    const struct pm_scale_out_request *asked;
 
     if (kind->refused_until > s->now)
         return false;
-    if (!pm_fleet_kind_slow(kind) || s->slow == SLOW_ANY)
+    if (!pm_autoscaler_is_kind_late(kind) || s->slow == SLOW_ANY)
         return true;
     if (s->slow != SLOW_PROBES)
         return false;
     asked = find_rent(s, type, zone, spot);
-    return (asked ? asked->count : 0) < pm_fleet_probes(s->f, type, kind, s->now);
+    return (asked ? asked->count : 0) < pm_autoscaler_probe_count(s->f, type, kind, s->now);
 }
 
 /* The kind that runs `left` such tasks at the least cost each; false when none is to be had. */
 static bool cheapest(const struct sizing *s, const struct pm_job *job, int left, int zone_wanted,
-                     bool spot_only, struct pm_rent *out)
+                     bool spot_only, struct pm_scale_out_request *out)
 {
     double best = INFINITY;
 
     for (int type = 0; type < s->f->tables->ntypes; type++) {
         const struct pm_type *t = &s->f->tables->type[type];
-        bool service = job->spec->form == PM_SERVICE;
-        int most = (int)pm_spec_fit(job->spec, t->cpus, t->gpus, t->ram_gb);
+        bool service = job->spec->form == PM_WORKLOAD_SERVICE;
+        int most = (int)pm_spec_tasks_that_fit(job->spec, t->cpus, t->gpus, t->ram_gb);
         int fit = service ? most : MIN(most, left);
         for (int zone = 0; fit > 0 && zone < s->f->tables->settings->zones; zone++) {
             for (int spot = spot_only; spot < 2; spot++) {
@@ -80,12 +80,12 @@
                 double price =
                     (spot ? t->spot_price : t->price) * (1 + t->ready_s / (service ? 60 : 300));
                 if (!(t->zones >> zone & 1) || (zone_wanted >= 0 && zone != zone_wanted) ||
-                    !pm_plan_allows(s->f->tables, job, type, zone, spot) ||
+                    !pm_scheduler_is_machine_allowed(s->f->tables, job, type, zone, spot) ||
                     !may_rent(s, type, zone, spot))
                     continue;
                 if (price / fit < best) {
                     best = price / fit;
-                    *out = (struct pm_rent){type, zone, spot, 1};
+                    *out = (struct pm_scale_out_request){type, zone, spot, 1};
                 }
             }
         }
@@ -93,7 +93,7 @@
     return best < INFINITY;
 }
 
-static void add_rent(struct sizing *s, const struct pm_rent *rent)
+static void add_rent(struct sizing *s, const struct pm_scale_out_request *rent)
 {
     const struct pm_type *t = &s->f->tables->type[rent->type];
     struct bin bin = {.cpus = t->cpus,
@@ -103,7 +103,7 @@
                       .zone = rent->zone,
                       .spot = rent->spot,
                       .fresh = true};
-    struct pm_rent *asked = find_rent(s, rent->type, rent->zone, rent->spot);
+    struct pm_scale_out_request *asked = find_rent(s, rent->type, rent->zone, rent->spot);
 
     g_array_append_val(s->bins, bin);
     s->f->kind[rent->type][rent->zone][rent->spot].cpus += t->cpus;
@@ -119,18 +119,19 @@
     double work, pool;
 };
 
-static double task_seconds(const struct pm_fleet *f, const struct pm_job *job)
+static double task_seconds(const struct pm_autoscaler *f, const struct pm_job *job)
 {
-    return MAX(pm_plan_expected(f->plan, job) * 1.5 + 2, 1);
+    return MAX(pm_scheduler_estimate_remaining_s(f->plan, job) * 1.5 + 2, 1);
 }
 
 static bool in_flow(const struct pm_job *job)
 {
-    return job->spec && job->spec->form == PM_ARRAY && job->spec->spot && job->spec->cpus > 0;
+    return job->spec && job->spec->form == PM_WORKLOAD_ARRAY && job->spec->spot &&
+           job->spec->cpus > 0;
 }
 
 /* How soon the users want jobs of the class to have begun, or ended; 0: they do not say. */
-static double wanted_within(const struct pm_fleet *f, const struct pm_job *job)
+static double wanted_within(const struct pm_autoscaler *f, const struct pm_job *job)
 {
     const struct pm_settings *s = f->tables->settings;
     const char *name = pm_names_text(f->tables->classes, job->spec->class_index);
@@ -144,21 +145,22 @@
 
 /* Best-effort work fills idle room. Machines are rented for it only where the users say how soon
  * its class is to begin, or to end. */
-static bool is_idle_time_work(const struct pm_fleet *f, const struct pm_job *job)
+static bool is_idle_time_work(const struct pm_autoscaler *f, const struct pm_job *job)
 {
-    return job->priority == PM_BEST_EFFORT && job->spec->due_s < 0 && wanted_within(f, job) <= 0;
+    return job->priority == PM_PRIORITY_BEST_EFFORT && job->spec->due_s < 0 &&
+           wanted_within(f, job) <= 0;
 }
 
 /* Within what time a backlog of such jobs is to be worked off. */
-static double backlog_s(const struct pm_fleet *f, const struct pm_job *job)
+static double backlog_s(const struct pm_autoscaler *f, const struct pm_job *job)
 {
-    if (job->priority > PM_BEST_EFFORT)
+    if (job->priority > PM_PRIORITY_BEST_EFFORT)
         return f->op->backlog_s;
     return MAX(f->op->backlog_s, wanted_within(f, job) / 2);
 }
 
 /* What array tasks that run now still have before them. */
-static double running_work(const struct pm_fleet *f, double now)
+static double running_work(const struct pm_autoscaler *f, double now)
 {
     GPtrArray *all = pm_workers_all(f->workers);
     GPtrArray *active = pm_jobs_active(f->jobs);
@@ -167,10 +169,10 @@
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
         for (guint j = 0; m && j < m->places->len; j++) {
-            const struct pm_place *place = g_ptr_array_index(m->places, j);
+            const struct pm_placement *place = g_ptr_array_index(m->places, j);
             double each;
             double ran;
-            if (place->state == PM_ENDED || !in_flow(place->job))
+            if (place->state == PM_PLACEMENT_ENDED || !in_flow(place->job))
                 continue;
             each = task_seconds(f, place->job);
             ran = place->ran_from ? now - place->ran_from : 0;
@@ -183,7 +185,7 @@
         uint32_t placed;
         if (!job->delegated || !in_flow(job))
             continue;
-        pm_jobs_count(job, &done, &placed);
+        pm_job_count_tasks(job, &done, &placed);
         work += placed * task_seconds(f, job) * job->spec->cpus / 2;
     }
     return work;
@@ -203,7 +205,7 @@
         for (int zone = 0; zone < tables->settings->zones; zone++)
             for (int spot = 0; spot < 2; spot++)
                 if (s->f->kind[type][zone][spot].cpus >= job->spec->cpus &&
-                    pm_plan_allows(tables, job, type, zone, spot))
+                    pm_scheduler_is_machine_allowed(tables, job, type, zone, spot))
                     return true;
     return false;
 }
@@ -211,7 +213,7 @@
 /* How many more of a job's tasks ought to get machines of their own, so that it ends in time: the
  * rest follows on the machines that there are. A job whose time cannot be kept by renting counts as
  * backlog, to be worked off within a while. */
-static int more_tasks(const struct sizing *s, struct flow *flow, const struct pm_want *want,
+static int more_tasks(const struct sizing *s, struct flow *flow, const struct pm_unmet_demand *want,
                       double caution)
 {
     const struct pm_spec *spec = want->job->spec;
@@ -250,8 +252,8 @@
 {
     const struct pm_spec *spec = job->spec;
 
-    return spec->form == PM_ARRAY && spec->spot &&
-           job->due - s->day < pm_plan_expected(s->f->plan, job);
+    return spec->form == PM_WORKLOAD_ARRAY && spec->spot &&
+           job->due - s->day < pm_scheduler_estimate_remaining_s(s->f->plan, job);
 }
 
 /* Tasks of a job that are yet to find a machine. */
@@ -287,7 +289,7 @@
 static void fill_rented(struct sizing *s, struct filling *want)
 {
     bool late = too_late(s, want->job);
-    struct pm_rent rent = {0};
+    struct pm_scale_out_request rent = {0};
 
     while (want->tasks > 0) {
         int n;
@@ -310,12 +312,12 @@
  * they should, then those that are late, and only then more of these. */
 static void fill(struct sizing *s, const struct pm_job *job, int tasks, int dear, bool used_up)
 {
-    struct filling want = {.job = job,
-                           .tasks = tasks,
-                           .dear = dear,
-                           .zone = job->spec->same_place && job->spec->form == PM_GANG ? ONE_ZONE
-                                                                                       : ANY_ZONE,
-                           .used_up = used_up};
+    struct filling want = {
+        .job = job,
+        .tasks = tasks,
+        .dear = dear,
+        .zone = job->spec->same_place && job->spec->form == PM_WORKLOAD_GANG ? ONE_ZONE : ANY_ZONE,
+        .used_up = used_up};
 
     s->slow = SLOW_NOT;
     fill_bins(s, &want, false);
@@ -329,7 +331,7 @@
 
 /* Array work comes as a stream of jobs, each too short for the boot of a machine to help it: what
  * the stream takes on the whole is rented ahead, and kept, on spot machines. */
-static void measure_flow(struct pm_fleet *f, double now, double day)
+static void measure_flow(struct pm_autoscaler *f, double now, double day)
 {
     GPtrArray *active = pm_jobs_active(f->jobs);
 
@@ -348,13 +350,14 @@
             continue;
         weight = exp(-MAX(0, day - job->spec->submitted) / FLOW_S);
         f->flow_jobs += weight;
-        f->flow += weight * job->entries * pm_plan_expected(f->plan, job) * job->spec->cpus;
+        f->flow += weight * job->entries * pm_scheduler_estimate_remaining_s(f->plan, job) *
+                   job->spec->cpus;
     }
 }
 
 /* Processors that the stream takes for certain: the fewer jobs it was measured by, the less. What
  * came first of all is taken for the first while's share. */
-double pm_fleet_steady_flow(const struct pm_fleet *f, double now)
+double pm_autoscaler_steady_demand_cpus(const struct pm_autoscaler *f, double now)
 {
     double seen = FLOW_S * (1 - exp(-MAX(now - f->flow_since, FLOW_FIRST_S) / FLOW_S));
 
@@ -364,13 +367,13 @@
 static void rent_for_flow(struct sizing *s)
 {
     GPtrArray *active = pm_jobs_active(s->f->jobs);
-    double missing = pm_fleet_steady_flow(s->f, s->now) - s->f->spot_cpus;
+    double missing = pm_autoscaler_steady_demand_cpus(s->f, s->now) - s->f->spot_cpus;
     struct pm_job *typical = NULL;
-    struct pm_rent rent;
+    struct pm_scale_out_request rent;
 
     for (guint i = 0; i < active->len; i++) {
         struct pm_job *job = g_ptr_array_index(active, i);
-        if (in_flow(job) && job->state == PM_LIVE &&
+        if (in_flow(job) && job->state == PM_JOB_LIVE &&
             (!typical || job->spec->submitted > typical->spec->submitted))
             typical = job;
     }
@@ -391,7 +394,7 @@
  */
 static void collect_bins(struct sizing *s)
 {
-    struct pm_fleet *f = s->f;
+    struct pm_autoscaler *f = s->f;
     GPtrArray *all = pm_workers_all(f->workers);
 
     g_array_set_size(s->bins, 0);
@@ -401,16 +404,18 @@
         enum boot boot;
         if (!m || m->type < 0 || m->zone < 0)
             continue;
-        boot = m->state == PM_BOOTING ? pm_fleet_boot_of(f, m, s->now) : BOOT_EXPECTED;
+        boot =
+            m->state == PM_MACHINE_BOOTING ? pm_autoscaler_boot_state(f, m, s->now) : BOOT_EXPECTED;
         if (boot == BOOT_STUCK)
             continue;
-        if (m->state != PM_RELEASING && !m->recall_at) {
+        if (m->state != PM_MACHINE_RELEASING && !m->recall_at) {
             double cpus = f->tables->type[m->type].cpus;
-            pm_fleet_kind_of(f, m)->cpus += cpus;
+            pm_autoscaler_kind_of(f, m)->cpus += cpus;
             f->spot_cpus += m->spot ? cpus : 0;
         }
-        if (m->state == PM_RELEASING || m->recall_at || pm_fault_machine_faulty(m) || m->lent ||
-            (m->state == PM_UP && s->now - m->heard > SILENT_S) || m->cpus <= EPS)
+        if (m->state == PM_MACHINE_RELEASING || m->recall_at || pm_failures_is_machine_faulty(m) ||
+            m->lent || (m->state == PM_MACHINE_UP && s->now - m->heard > SILENT_S) ||
+            m->cpus <= EPS)
             continue;
         g_array_append_vals(s->bins,
                             &(struct bin){.cpus = m->cpus,
@@ -419,7 +424,7 @@
                                           .type = m->type,
                                           .zone = m->zone,
                                           .spot = m->spot,
-                                          .up = m->state == PM_UP,
+                                          .up = m->state == PM_MACHINE_UP,
                                           .overdue = boot == BOOT_LATE},
                             1);
     }
@@ -427,12 +432,13 @@
 
 static void rent_for_wants(struct sizing *s)
 {
-    const GArray *wants = pm_plan_wants(s->f->plan);
-    struct flow flow = {running_work(s->f, s->now), pm_plan_pool(s->f->plan, s->now)};
+    const GArray *wants = pm_scheduler_unmet_demand(s->f->plan);
+    struct flow flow = {running_work(s->f, s->now),
+                        pm_scheduler_batch_capacity_cpus(s->f->plan, s->now)};
     struct flow dear_flow = {flow.work * DEAR, flow.pool};
 
     for (guint i = 0; i < wants->len; i++) {
-        const struct pm_want *want = &g_array_index(wants, struct pm_want, i);
+        const struct pm_unmet_demand *want = &g_array_index(wants, struct pm_unmet_demand, i);
         int cheap = more_tasks(s, &flow, want, 1);
         int dear = more_tasks(s, &dear_flow, want, DEAR);
         fill(s, want->job, MAX(cheap, dear), dear, true);
@@ -441,7 +447,7 @@
 
 /* What services use, or will once those that wait have room: on a cold start nothing runs yet, and
  * what is rented late is up late. Returns one that may run nearly anywhere, NULL: there is none. */
-static struct pm_job *sum_services(const struct pm_fleet *f, double *cpus, int *services)
+static struct pm_job *sum_services(const struct pm_autoscaler *f, double *cpus, int *services)
 {
     GPtrArray *active = pm_jobs_active(f->jobs);
     struct pm_job *typical = NULL;
@@ -450,9 +456,9 @@
     *services = 0;
     for (guint i = 0; i < active->len; i++) {
         struct pm_job *job = g_ptr_array_index(active, i);
-        if (!job->spec || job->spec->form != PM_SERVICE || job->state != PM_LIVE)
+        if (!job->spec || job->spec->form != PM_WORKLOAD_SERVICE || job->state != PM_JOB_LIVE)
             continue;
-        *cpus += (job->nplaced + pm_job_waiting(job)) * job->spec->cpus;
+        *cpus += (job->nplaced + pm_job_waiting_tasks(job)) * job->spec->cpus;
         ++*services;
         if (!typical || (job->spec->zone < 0 && job->spec->types == ~(uint64_t)0))
             typical = job;
@@ -465,7 +471,7 @@
  * number: as the root of it. */
 static void rent_for_reserve(struct sizing *s)
 {
-    struct pm_fleet *f = s->f;
+    struct pm_autoscaler *f = s->f;
     double cpus;
     double spare;
     double share;
@@ -473,12 +479,12 @@
     const struct pm_job *typical = sum_services(f, &cpus, &services);
 
     share = MIN(cpus * f->op->warm_share, WARM_ROOT * cpus / sqrt(MAX(services, 1)));
-    f->spare_want = MAX(share, pm_plan_largest(f->plan, s->now));
-    pm_plan_set_reserve(f->plan, f->spare_want);
+    f->spare_want = MAX(share, pm_scheduler_largest_service_cpus(f->plan, s->now));
+    pm_scheduler_set_reserve(f->plan, f->spare_want);
     if (!typical || typical->spec->cpus <= 0)
         return;
     /* What array tasks use on ordinary machines yields at once, so it counts as spare. */
-    spare = pm_plan_spare(f->plan, s->now);
+    spare = pm_scheduler_headroom_cpus(f->plan, s->now);
     for (guint i = 0; i < s->bins->len; i++) {
         const struct bin *bin = &g_array_index(s->bins, struct bin, i);
         if (!bin->spot && !bin->up && bin->cpus > 0)
@@ -492,18 +498,19 @@
 {
     for (int i = 0; i < s->n; i++) {
         struct kind *kind = &s->f->kind[s->out[i].type][s->out[i].zone][s->out[i].spot];
-        if (pm_fleet_kind_slow(kind))
+        if (pm_autoscaler_is_kind_late(kind))
             kind->probed_at = s->now;
     }
 }
 
-int pm_fleet_size(struct pm_fleet *f, double now, double day, struct pm_rent *out, int max)
+int pm_autoscaler_size(struct pm_autoscaler *f, double now, double day,
+                       struct pm_scale_out_request *out, int max)
 {
     struct sizing sizing = {
         .f = f, .bins = f->bins, .out = out, .max = max, .now = now, .day = day};
 
     measure_flow(f, now, day);
-    pm_fleet_note_boots(f, now);
+    pm_autoscaler_track_boots(f, now);
     collect_bins(&sizing);
     rent_for_wants(&sizing);
     rent_for_flow(&sizing);
--- a/src/fleet/types.c
+++ b/src/fleet/types.c
@@ -6,7 +6,7 @@
 
 enum { TYPES_MAX = 256 * 1024 };
 
-bool pm_fleet_read_types(struct pm_name_tables *tables, const cbor_item_t *models)
+bool pm_machine_types_decode(struct pm_name_tables *tables, const cbor_item_t *models)
 {
     char name[PM_NAME_MAX];
 
@@ -31,12 +31,12 @@
         for (size_t z = 0; z < pm_cbor_length(zones); z++) {
             int zone = pm_cbor_text(pm_cbor_at(zones, z), name, sizeof name)
                            ? -1
-                           : pm_settings_zone(tables->settings, name);
+                           : pm_settings_find_zone(tables->settings, name);
             if (zone >= 0)
                 type.zones |= 1u << zone;
         }
         pm_cbor_text(pm_cbor_get(item, "sku"), name, sizeof name);
-        index = pm_names_add(tables->types, name);
+        index = pm_names_intern(tables->types, name);
         if (index >= PM_TYPES_MAX) {
             pm_error("fleet.types", "%s is not used: only %d types are", name, PM_TYPES_MAX);
             continue;
@@ -49,7 +49,7 @@
 
 static void on_types(void *arg, int status, const unsigned char *body, size_t size)
 {
-    struct pm_fleet *f = arg;
+    struct pm_autoscaler *f = arg;
     cbor_item_t *answer = status == 200 ? pm_cbor_parse(body, size) : NULL;
     cbor_item_t *models = pm_cbor_get(answer, "models");
 
@@ -61,12 +61,13 @@
     pm_cbor_free(answer);
 }
 
-void pm_fleet_ask_types(struct pm_fleet *f, double now)
+void pm_autoscaler_request_machine_types(struct pm_autoscaler *f, double now)
 {
-    if (f->types_busy || (f->types_asked && now - f->types_asked < 1) || !pm_fleet_may_call(f, now))
+    if (f->types_busy || (f->types_asked && now - f->types_asked < 1) ||
+        !pm_autoscaler_may_call(f, now))
         return;
     f->types_busy = true;
     f->types_asked = now;
     pm_http_call(f->http, f->tables->settings->cloud, "GET", "/machine_types", NULL, 0,
-                 PM_FLEET_CALL_S, TYPES_MAX, on_types, f);
+                 PM_AUTOSCALER_CALL_TIMEOUT_S, TYPES_MAX, on_types, f);
 }
--- a/src/jobs/cancellations.c
+++ b/src/jobs/cancellations.c
@@ -4,47 +4,47 @@
 
 #include <string.h>
 
-void pm_jobs_note_cancelled(struct pm_jobs *jobs, const char *id, uint64_t revision)
+void pm_jobs_note_cancellation(struct pm_jobs *jobs, const char *id, uint64_t revision)
 {
-    struct pm_cancelled entry = {.revision = revision};
+    struct pm_cancellation entry = {.revision = revision};
     GArray *list = jobs->cancelled;
 
     g_strlcpy(entry.id, id, sizeof entry.id);
     /* A listing goes by key, and peers tell in their own order: sorted when next asked for. */
-    if (list->len && g_array_index(list, struct pm_cancelled, list->len - 1).revision > revision)
+    if (list->len && g_array_index(list, struct pm_cancellation, list->len - 1).revision > revision)
         jobs->unsorted = true;
     g_array_append_val(list, entry);
 }
 
 /* A job that needs a cancelled one. Peers infer it as we do, so it is not told them. */
-void pm_jobs_infer_cancelled(void *arg, struct pm_job *job)
+void pm_jobs_cancel_dependent(void *arg, struct pm_job *job)
 {
     if (job->cancelled)
         return;
     job->cancelled = *(const uint64_t *)arg;
-    job->state = PM_CANCELLED;
+    job->state = PM_JOB_CANCELLED;
     job->inferred = true;
 }
 
-bool pm_jobs_cancel(struct pm_jobs *jobs, const char *id, uint64_t revision)
+bool pm_jobs_apply_cancellation(struct pm_jobs *jobs, const char *id, uint64_t revision)
 {
     struct pm_job *job = g_hash_table_lookup(jobs->by_id, id);
 
-    if (!pm_jobs_id_valid(id) || !revision || pm_jobs_cancelled(jobs, id) ||
-        (job && job->state == PM_DONE))
+    if (!pm_job_id_is_valid(id) || !revision || pm_jobs_cancellation_revision(jobs, id) ||
+        (job && job->state == PM_JOB_DONE))
         return false;
     if (job) {
         job->cancelled = revision;
-        job->state = PM_CANCELLED;
+        job->state = PM_JOB_CANCELLED;
     } else {
         g_hash_table_insert(jobs->unknown, g_strdup(id), g_memdup2(&revision, sizeof revision));
     }
-    pm_jobs_note_cancelled(jobs, id, revision);
-    pm_dependencies_cancelled(jobs->dependencies, id, pm_jobs_infer_cancelled, &revision);
+    pm_jobs_note_cancellation(jobs, id, revision);
+    pm_dependencies_mark_cancelled(jobs->dependencies, id, pm_jobs_cancel_dependent, &revision);
     return true;
 }
 
-uint64_t pm_jobs_cancelled(const struct pm_jobs *jobs, const char *id)
+uint64_t pm_jobs_cancellation_revision(const struct pm_jobs *jobs, const char *id)
 {
     const struct pm_job *job = g_hash_table_lookup(jobs->by_id, id);
     const uint64_t *revision = job ? &job->cancelled : g_hash_table_lookup(jobs->unknown, id);
@@ -54,16 +54,16 @@
 
 static gint by_revision(gconstpointer a, gconstpointer b)
 {
-    const struct pm_cancelled *x = a;
-    const struct pm_cancelled *y = b;
+    const struct pm_cancellation *x = a;
+    const struct pm_cancellation *y = b;
 
     return (x->revision > y->revision) - (x->revision < y->revision);
 }
 
-const struct pm_cancelled *pm_jobs_cancelled_after(struct pm_jobs *jobs, uint64_t revision,
-                                                   size_t most, size_t *n, bool *more)
+const struct pm_cancellation *pm_jobs_list_cancellations(struct pm_jobs *jobs, uint64_t revision,
+                                                         size_t most, size_t *n, bool *more)
 {
-    struct pm_cancelled *all;
+    struct pm_cancellation *all;
     size_t from = 0;
     size_t to = jobs->cancelled->len;
     size_t end;
@@ -71,7 +71,7 @@
     if (jobs->unsorted)
         g_array_sort(jobs->cancelled, by_revision);
     jobs->unsorted = false;
-    all = (struct pm_cancelled *)(void *)jobs->cancelled->data;
+    all = (struct pm_cancellation *)(void *)jobs->cancelled->data;
     while (from < to) { /* the first with a later revision */
         size_t middle = from + (to - from) / 2;
         if (all[middle].revision > revision)
--- a/src/jobs/chunks.c
+++ b/src/jobs/chunks.c
@@ -15,8 +15,8 @@
     if (!chunk)
         return;
     for (int half = -1; half < 2; half++)
-        if (pm_chunk_value(chunk, half)->stored_places)
-            g_array_free(pm_chunk_value(chunk, half)->stored_places, TRUE);
+        if (pm_chunk_stored(chunk, half)->stored_places)
+            g_array_free(pm_chunk_stored(chunk, half)->stored_places, TRUE);
     if (chunk->stored_places)
         g_array_free(chunk->stored_places, TRUE);
     g_free(chunk->task);
@@ -25,9 +25,9 @@
 
 /* ---- values of p/t ---- */
 
-static void read_ranges(const char *text, uint64_t done[PM_CHUNK / 64])
+static void read_ranges(const char *text, uint64_t done[PM_CHUNK_TASKS / 64])
 {
-    memset(done, 0, PM_CHUNK / 8);
+    memset(done, 0, PM_CHUNK_TASKS / 8);
     while (*text) {
         char *end;
         unsigned long from = strtoul(text, &end, 10);
@@ -36,7 +36,7 @@
             return;
         if (*end == '-')
             to = strtoul(end + 1, &end, 10);
-        for (; from <= to && from < PM_CHUNK; from++)
+        for (; from <= to && from < PM_CHUNK_TASKS; from++)
             done[from / 64] |= (uint64_t)1 << (from % 64);
         text = *end == ',' ? end + 1 : end;
     }
@@ -59,7 +59,7 @@
 }
 
 /* ID/K, or ID/K/H: `half` is -1 for the whole chunk. */
-bool pm_chunk_split_key(const char *rest, char *id, int *k, int *half)
+bool pm_chunk_key_parse(const char *rest, char *id, int *k, int *half)
 {
     const char *slash = strchr(rest, '/');
     char *end;
@@ -70,7 +70,7 @@
     memcpy(id, rest, (size_t)(slash - rest));
     id[slash - rest] = 0;
     number = strtoul(slash + 1, &end, 10);
-    if (end == slash + 1 || number > PM_ENTRIES_MAX / PM_CHUNK)
+    if (end == slash + 1 || number > PM_JOB_TASKS_MAX / PM_CHUNK_TASKS)
         return false;
     *k = (int)number;
     *half = -1;
@@ -90,7 +90,7 @@
     return job->chunk[k];
 }
 
-struct pm_value *pm_chunk_value(struct pm_chunk *chunk, int half)
+struct pm_stored_chunk *pm_chunk_stored(struct pm_chunk *chunk, int half)
 {
     return half < 0 ? &chunk->whole : &chunk->half[half];
 }
@@ -99,21 +99,22 @@
 void pm_chunk_merge(struct pm_chunk *chunk)
 {
     if (!chunk->stored_places)
-        chunk->stored_places = g_array_new(FALSE, FALSE, sizeof(struct pm_stored_place));
+        chunk->stored_places = g_array_new(FALSE, FALSE, sizeof(struct pm_stored_placement));
     g_array_set_size(chunk->stored_places, 0);
     chunk->stored = false;
     chunk->last_try = 0;
     for (int h = 0; h < 2; h++) {
-        const struct pm_value *value = chunk->half[h].revision ? &chunk->half[h] : &chunk->whole;
+        const struct pm_stored_chunk *value =
+            chunk->half[h].revision ? &chunk->half[h] : &chunk->whole;
         chunk->done[h] = value->revision ? value->done[h] : 0;
         if (!value->revision)
             continue;
         chunk->stored = true;
         chunk->last_try = MAX(chunk->last_try, value->last_try);
         for (guint i = 0; i < value->stored_places->len; i++) {
-            const struct pm_stored_place *spot =
-                &g_array_index(value->stored_places, struct pm_stored_place, i);
-            if (spot->task / PM_HALF == h)
+            const struct pm_stored_placement *spot =
+                &g_array_index(value->stored_places, struct pm_stored_placement, i);
+            if (spot->task / PM_HALF_CHUNK_TASKS == h)
                 g_array_append_vals(chunk->stored_places, spot, 1);
         }
     }
@@ -123,7 +124,7 @@
 
 /* A place as stored: [task, attempt, machine, session]. False: unreadable. */
 static bool read_place(struct pm_name_tables *tables, const cbor_item_t *item,
-                       struct pm_stored_place *out)
+                       struct pm_stored_placement *out)
 {
     char machine[TEXT_MAX];
     uint64_t task;
@@ -133,16 +134,17 @@
     if (pm_cbor_length(item) != 4 || pm_cbor_count(pm_cbor_at(item, 0), &task) ||
         pm_cbor_count(pm_cbor_at(item, 1), &attempt) ||
         pm_cbor_text(pm_cbor_at(item, 2), machine, sizeof machine) ||
-        pm_cbor_count(pm_cbor_at(item, 3), &session) || task >= PM_CHUNK)
+        pm_cbor_count(pm_cbor_at(item, 3), &session) || task >= PM_CHUNK_TASKS)
         return false;
-    *out = (struct pm_stored_place){.task = (uint16_t)task,
-                                    .attempt = (uint32_t)attempt,
-                                    .session = (uint32_t)session,
-                                    .machine = pm_names_add(tables->machines, machine)};
+    *out = (struct pm_stored_placement){.task = (uint16_t)task,
+                                        .attempt = (uint32_t)attempt,
+                                        .session = (uint32_t)session,
+                                        .machine = pm_names_intern(tables->machines, machine)};
     return true;
 }
 
-bool pm_chunk_read(struct pm_name_tables *tables, const cbor_item_t *value, struct pm_value *out)
+bool pm_chunk_decode(struct pm_name_tables *tables, const cbor_item_t *value,
+                     struct pm_stored_chunk *out)
 {
     char done[DONE_MAX];
     uint64_t last_try = 0;
@@ -156,22 +158,22 @@
     if (out->stored_places)
         g_array_set_size(out->stored_places, 0);
     else
-        out->stored_places = g_array_new(FALSE, FALSE, sizeof(struct pm_stored_place));
+        out->stored_places = g_array_new(FALSE, FALSE, sizeof(struct pm_stored_placement));
     places = pm_cbor_get(value, "at");
     for (size_t i = 0; i < pm_cbor_length(places); i++) {
-        struct pm_stored_place spot;
+        struct pm_stored_placement spot;
         if (read_place(tables, pm_cbor_at(places, i), &spot))
             g_array_append_val(out->stored_places, spot);
     }
     return true;
 }
 
-void pm_jobs_write_chunk(const struct pm_name_tables *tables, const struct pm_job *job, int k,
-                         int half, struct pm_buf *out)
+void pm_chunk_encode(const struct pm_name_tables *tables, const struct pm_job *job, int k, int half,
+                     struct pm_buf *out)
 {
     const struct pm_chunk *chunk = job->chunk[k];
-    int from = half < 0 ? 0 : half * PM_HALF;
-    int to = half < 0 ? PM_CHUNK : from + PM_HALF;
+    int from = half < 0 ? 0 : half * PM_HALF_CHUNK_TASKS;
+    int to = half < 0 ? PM_CHUNK_TASKS : from + PM_HALF_CHUNK_TASKS;
     char text[DONE_MAX];
 
     write_ranges(chunk->task, from, to, text, sizeof text);
@@ -181,8 +183,8 @@
     pm_put_text(out, "at");
     pm_put_list(out);
     for (int i = from; i < to; i++) {
-        const struct pm_place *place = chunk->task[i].place;
-        if (!place || place->state == PM_ENDED)
+        const struct pm_placement *place = chunk->task[i].place;
+        if (!place || place->state == PM_PLACEMENT_ENDED)
             continue;
         pm_put_list(out);
         pm_put_count(out, (uint64_t)i);
@@ -195,17 +197,18 @@
     pm_put_end(out);
 }
 
-uint64_t pm_value_revision(const struct pm_value *value)
+uint64_t pm_stored_chunk_revision(const struct pm_stored_chunk *value)
 {
     return MAX(value->revision, value->written);
 }
 
-bool pm_job_in_halves(const struct pm_name_tables *tables, const struct pm_job *job, int k)
+bool pm_job_is_chunk_split(const struct pm_name_tables *tables, const struct pm_job *job, int k)
 {
     const struct pm_chunk *chunk = job->chunk[k];
-    uint32_t tasks = MIN(PM_CHUNK, job->entries - (uint32_t)k * PM_CHUNK);
+    uint32_t tasks = MIN(PM_CHUNK_TASKS, job->entries - (uint32_t)k * PM_CHUNK_TASKS);
 
-    if (chunk && (pm_value_revision(&chunk->half[0]) || pm_value_revision(&chunk->half[1])))
+    if (chunk &&
+        (pm_stored_chunk_revision(&chunk->half[0]) || pm_stored_chunk_revision(&chunk->half[1])))
         return true;
     if (tables->protocol_version < PM_PROTOCOL_DEPENDENCIES)
         return false; /* an earlier version would take a half for the whole */
@@ -213,9 +216,10 @@
            tasks * PLACE_SIZE + VALUE_SIZE > tables->settings->value_kb * 1024;
 }
 
-bool pm_job_has_room(const struct pm_name_tables *tables, const struct pm_job *job, uint32_t index)
+bool pm_job_value_has_room(const struct pm_name_tables *tables, const struct pm_job *job,
+                           uint32_t index)
 {
-    const struct pm_chunk *chunk = job->chunk[index / PM_CHUNK];
+    const struct pm_chunk *chunk = job->chunk[index / PM_CHUNK_TASKS];
     const struct pm_settings *s = tables->settings;
     bool early = tables->protocol_version < PM_PROTOCOL_DEPENDENCIES;
     double kb = early ? MAX(s->value_kb, s->value_kb_now) : s->value_kb;
@@ -223,8 +227,8 @@
 
     if (!chunk)
         return true;
-    placed = pm_job_in_halves(tables, job, (int)(index / PM_CHUNK))
-                 ? chunk->placed[index % PM_CHUNK / PM_HALF]
+    placed = pm_job_is_chunk_split(tables, job, (int)(index / PM_CHUNK_TASKS))
+                 ? chunk->placed[index % PM_CHUNK_TASKS / PM_HALF_CHUNK_TASKS]
                  : (unsigned)chunk->placed[0] + chunk->placed[1];
     return (placed + 1) * PLACE_SIZE + VALUE_SIZE <= kb * 1024;
 }
--- a/src/jobs/commit.c
+++ b/src/jobs/commit.c
@@ -80,9 +80,9 @@
 static guint content_of(struct pm_commit *c, struct pm_job *job, int k)
 {
     struct pm_buf buf = {0};
-    guint hash = pm_job_in_halves(c->tables, job, k);
+    guint hash = pm_job_is_chunk_split(c->tables, job, k);
 
-    pm_jobs_write_chunk(c->tables, job, k, -1, &buf);
+    pm_chunk_encode(c->tables, job, k, -1, &buf);
     for (size_t i = 0; i < buf.size; i++)
         hash = hash * 33 + buf.data[i];
     pm_buf_free(&buf);
@@ -93,7 +93,7 @@
                          uint64_t store_revision, double now, double pause)
 {
     struct pm_chunk *chunk = part->job->chunk[part->k];
-    struct pm_value *value = pm_chunk_value(chunk, part->half);
+    struct pm_stored_chunk *value = pm_chunk_stored(chunk, part->half);
 
     chunk->in_flight = false;
     chunk->failures = status == 200 ? 0 : chunk->failures + 1;
@@ -105,8 +105,8 @@
         value->written = store_revision;
         chunk->refused = 0;
         chunk->alone = false;
-        if (part->half >= 0 && pm_value_revision(&chunk->whole) &&
-            pm_value_revision(&chunk->half[!part->half]))
+        if (part->half >= 0 && pm_stored_chunk_revision(&chunk->whole) &&
+            pm_stored_chunk_revision(&chunk->half[!part->half]))
             chunk->dirty |= PM_DIRTY_WHOLE;
         return;
     }
@@ -130,7 +130,7 @@
 static void settle(struct flight *f, int status, uint64_t store_revision)
 {
     struct pm_commit *c = f->commit;
-    double now = pm_clock_steady();
+    double now = pm_clock_monotonic();
     double pause = status == 409 ? 0.06 : status == 429 ? 0.15 : status == 400 ? REFUSED_S : 0.3;
 
     for (guint i = 0; i < f->parts->len; i++) {
@@ -156,10 +156,10 @@
         const struct pm_task *task;
         if (!mark->job->chunk)
             continue;
-        task = pm_job_peek(mark->job, mark->index);
+        task = pm_job_find_task(mark->job, mark->index);
         if (task && task->place && task->place->attempt == mark->attempt &&
-            task->place->state == PM_INTENT) {
-            task->place->state = PM_DURABLE;
+            task->place->state == PM_PLACEMENT_PROPOSED) {
+            task->place->state = PM_PLACEMENT_DURABLE;
             c->hooks.durable(c->hooks.arg, task->place);
         }
     }
@@ -206,7 +206,7 @@
         if (g_array_index(f->parts, struct part, i).job == job)
             return;
     job_key(job, key, sizeof key);
-    pm_txn_if(&f->txn, key, job->revision);
+    pm_txn_compare(&f->txn, key, job->revision);
 }
 
 static void condition_value(struct flight *f, struct pm_job *job, int k, int half)
@@ -214,7 +214,7 @@
     char key[64];
 
     value_key(job, k, half, key, sizeof key);
-    pm_txn_if(&f->txn, key, pm_value_revision(pm_chunk_value(job->chunk[k], half)));
+    pm_txn_compare(&f->txn, key, pm_stored_chunk_revision(pm_chunk_stored(job->chunk[k], half)));
 }
 
 static void put_value(struct pm_commit *c, struct flight *f, struct pm_job *job, int k, int half)
@@ -224,11 +224,12 @@
 
     value_key(job, k, half, key, sizeof key);
     pm_txn_put(&f->txn, key);
-    pm_jobs_write_chunk(c->tables, job, k, half, &f->txn.writes);
+    pm_chunk_encode(c->tables, job, k, half, &f->txn.writes);
     pm_txn_put_end(&f->txn, 0);
-    for (int i = 0; i < PM_CHUNK; i++) {
-        const struct pm_place *place = chunk->task[i].place;
-        if (place && place->state == PM_INTENT && (half < 0 || i / PM_HALF == half))
+    for (int i = 0; i < PM_CHUNK_TASKS; i++) {
+        const struct pm_placement *place = chunk->task[i].place;
+        if (place && place->state == PM_PLACEMENT_PROPOSED &&
+            (half < 0 || i / PM_HALF_CHUNK_TASKS == half))
             g_array_append_vals(f->marks, &(struct mark){job, place->index, place->attempt}, 1);
     }
     chunk->dirty &= half < 0 ? ~3u : ~(1u << half);
@@ -242,7 +243,7 @@
     char key[64];
 
     value_key(job, k, half, key, sizeof key);
-    pm_txn_drop(&f->txn, key);
+    pm_txn_delete(&f->txn, key);
     job->chunk[k]->in_flight = true;
     g_array_append_vals(f->parts, &(struct part){job, k, half, true}, 1);
 }
@@ -253,16 +254,16 @@
 static void add_chunk(struct pm_commit *c, struct flight *f, struct pm_job *job, int k, int room)
 {
     struct pm_chunk *chunk = job->chunk[k];
-    bool whole = pm_value_revision(&chunk->whole) != 0;
+    bool whole = pm_stored_chunk_revision(&chunk->whole) != 0;
 
     condition_job(f, job);
     condition_value(f, job, k, -1);
-    if (!pm_job_in_halves(c->tables, job, k)) {
+    if (!pm_job_is_chunk_split(c->tables, job, k)) {
         put_value(c, f, job, k, -1);
         return;
     }
     for (int h = 0; h < 2 && room > 0; h++) {
-        if (!(chunk->dirty >> h & 1) && !(whole && !pm_value_revision(&chunk->half[h])))
+        if (!(chunk->dirty >> h & 1) && !(whole && !pm_stored_chunk_revision(&chunk->half[h])))
             continue;
         condition_value(f, job, k, h);
         put_value(c, f, job, k, h);
@@ -280,7 +281,8 @@
 {
     if (!job->spec || job->nplaced)
         return false;
-    return job->state != PM_LIVE || (job->spec->form != PM_SERVICE && job->ndone == job->entries);
+    return job->state != PM_JOB_LIVE ||
+           (job->spec->form != PM_WORKLOAD_SERVICE && job->ndone == job->entries);
 }
 
 /* How many values its chunks have. */
@@ -293,7 +295,7 @@
         if (!job->chunk[k])
             continue;
         for (int half = -1; half < 2; half++)
-            n += pm_value_revision(pm_chunk_value(job->chunk[k], half)) != 0;
+            n += pm_stored_chunk_revision(pm_chunk_stored(job->chunk[k], half)) != 0;
         *busy |= job->chunk[k]->in_flight;
     }
     return n;
@@ -303,7 +305,7 @@
  * called done with its description kept, then its chunks go, then the description. */
 static bool add_final(struct pm_commit *c, struct flight *f, struct pm_job *job, int room)
 {
-    enum pm_job_state end = job->state == PM_LIVE ? PM_DONE : job->state;
+    enum pm_job_state end = job->state == PM_JOB_LIVE ? PM_JOB_DONE : job->state;
     char key[64];
     bool busy, fits;
     int values = values_written(job, &busy) + (int)job->spec->overflow_lists;
@@ -314,30 +316,30 @@
     if (!fits && f->parts->len)
         return false; /* wait for a transaction of its own */
     condition_job(f, job);
-    if (fits || job->state == PM_LIVE || job->inferred) {
+    if (fits || job->state == PM_JOB_LIVE || job->inferred) {
         job_key(job, key, sizeof key);
         pm_txn_put(&f->txn, key);
-        if (end == PM_DONE) {
+        if (end == PM_JOB_DONE) {
             job->ended = job->ended > 0 ? job->ended : c->day;
-            pm_jobs_write_done(c->tables, job, !fits, &f->txn.writes);
+            pm_job_encode_done(c->tables, job, !fits, &f->txn.writes);
         } else {
-            pm_jobs_write(c->tables, job->spec, job->entries, end, !fits, &f->txn.writes);
+            pm_job_encode(c->tables, job->spec, job->entries, end, !fits, &f->txn.writes);
         }
         pm_txn_put_end(&f->txn, 0);
         room--;
     }
     g_array_append_vals(f->parts, &(struct part){job, -1, -1, false}, 1);
     job->final_in_flight = true;
-    if (!fits && (job->state == PM_LIVE || job->inferred))
+    if (!fits && (job->state == PM_JOB_LIVE || job->inferred))
         return true; /* what it needs, and what ran, goes once the end itself is there */
     for (uint32_t n = job->spec->overflow_lists; n > 0 && room > 0; n--, room--) {
         snprintf(key, sizeof key, "p/n/%s/%u", job->id, n - 1);
-        pm_txn_drop(&f->txn, key);
+        pm_txn_delete(&f->txn, key);
         g_array_append_vals(f->parts, &(struct part){job, LISTS, (int)n - 1, true}, 1);
     }
     for (int k = 0; k < job->nchunks; k++)
         for (int half = -1; job->chunk[k] && half < 2 && room > 0; half++) {
-            if (!pm_value_revision(pm_chunk_value(job->chunk[k], half)))
+            if (!pm_stored_chunk_revision(pm_chunk_stored(job->chunk[k], half)))
                 continue;
             condition_value(f, job, k, half);
             drop_value(f, job, k, half);
@@ -347,7 +349,8 @@
     return true;
 }
 
-static struct flight *flight_new(struct pm_commit *c, const struct pm_grounds *grounds, double now)
+static struct flight *flight_new(struct pm_commit *c, const struct pm_commit_conditions *grounds,
+                                 double now)
 {
     struct flight *f = g_new0(struct flight, 1);
 
@@ -356,9 +359,9 @@
     f->sent = now;
     f->marks = g_array_new(FALSE, FALSE, sizeof(struct mark));
     f->parts = g_array_new(FALSE, FALSE, sizeof(struct part));
-    pm_txn_if(&f->txn, "p/epoch", grounds->epoch_revision);
+    pm_txn_compare(&f->txn, "p/epoch", grounds->epoch_revision);
     if (grounds->block_key)
-        pm_txn_if(&f->txn, grounds->block_key, grounds->block_revision);
+        pm_txn_compare(&f->txn, grounds->block_key, grounds->block_revision);
     return f;
 }
 
@@ -375,9 +378,9 @@
         *next = *next ? MIN(*next, chunk->retry_at) : chunk->retry_at;
         return NOT_DUE;
     }
-    for (int i = 0; i < PM_CHUNK; i++)
-        if (chunk->task[i].place && chunk->task[i].place->state == PM_INTENT)
-            return job->spec->priority == PM_PRODUCTION ? PASS_SERVICES : PASS_LAUNCHES;
+    for (int i = 0; i < PM_CHUNK_TASKS; i++)
+        if (chunk->task[i].place && chunk->task[i].place->state == PM_PLACEMENT_PROPOSED)
+            return job->spec->priority == PM_PRIORITY_PRODUCTION ? PASS_SERVICES : PASS_LAUNCHES;
     return PASS_LAZY;
 }
 
@@ -429,7 +432,7 @@
  * with the job's final state, unless the budget has room to spare. */
 static bool room_for_lazy(struct pm_commit *c, double now)
 {
-    return pm_store_room(c->store, now) >= 0.3 * c->tables->settings->state_write_rps;
+    return pm_store_write_budget(c->store, now) >= 0.3 * c->tables->settings->state_write_rps;
 }
 
 /* Whether there is anything to write that no launch waits for. */
@@ -468,13 +471,14 @@
     }
 }
 
-double pm_commit_run(struct pm_commit *c, const struct pm_grounds *grounds, double now, double day)
+double pm_commit_run(struct pm_commit *c, const struct pm_commit_conditions *grounds, double now,
+                     double day)
 {
     int txn_ops = c->tables->settings->txn_ops;
 
     c->day = day;
     for (;;) {
-        int room = MIN(pm_store_room(c->store, now), txn_ops);
+        int room = MIN(pm_store_write_budget(c->store, now), txn_ops);
         double next = 0;
         struct flight *f;
 
--- a/src/jobs/dependencies.c
+++ b/src/jobs/dependencies.c
@@ -198,7 +198,7 @@
         graph->steps++;
         if (outcome.cancelled)
             cancelled = cancelled ? MIN(cancelled, outcome.cancelled) : outcome.cancelled;
-        else if (outcome.job && outcome.job->state == PM_DONE)
+        else if (outcome.job && outcome.job->state == PM_JOB_DONE)
             note_end(node->job, outcome.job->ended);
         else
             add_edge(graph, node, index, outcome.job);
@@ -210,7 +210,8 @@
                              pm_dependency_lookup *lookup, void *arg)
 {
     struct pm_names *ids = graph->tables->dependency_ids;
-    int index = job->spec->ndependencies ? pm_names_add(ids, job->id) : pm_names_find(ids, job->id);
+    int index =
+        job->spec->ndependencies ? pm_names_intern(ids, job->id) : pm_names_find(ids, job->id);
     struct node *node = index >= 0 ? make_node(graph, index) : NULL;
     uint64_t cancelled;
 
@@ -231,7 +232,7 @@
 
 /* ---- ends ---- */
 
-void pm_dependencies_done(struct pm_dependency_graph *graph, const char *id, double ended)
+void pm_dependencies_mark_done(struct pm_dependency_graph *graph, const char *id, double ended)
 {
     int index = pm_names_find(graph->tables->dependency_ids, id);
     const struct node *node = find_node(graph, index);
@@ -248,8 +249,8 @@
     remove_node(graph, index);
 }
 
-void pm_dependencies_cancelled(struct pm_dependency_graph *graph, const char *id,
-                               pm_dependency_cancel *cancel, void *arg)
+void pm_dependencies_mark_cancelled(struct pm_dependency_graph *graph, const char *id,
+                                    pm_dependency_cancel *cancel, void *arg)
 {
     GArray *walk = g_array_new(FALSE, FALSE, sizeof(int));
     int index = pm_names_find(graph->tables->dependency_ids, id);
--- a/src/jobs/dependencies.h
+++ b/src/jobs/dependencies.h
@@ -33,13 +33,13 @@
 
 /* The job of that id is durably done since the time of day `ended` (0: not known): what needed only
  * it may start. */
-void pm_dependencies_done(struct pm_dependency_graph *graph, const char *id, double ended);
+void pm_dependencies_mark_done(struct pm_dependency_graph *graph, const char *id, double ended);
 
 /* The job of that id is durably cancelled: calls `cancel` for each live job that needs it, directly
  * or through others. */
 typedef void pm_dependency_cancel(void *arg, struct pm_job *job);
-void pm_dependencies_cancelled(struct pm_dependency_graph *graph, const char *id,
-                               pm_dependency_cancel *cancel, void *arg);
+void pm_dependencies_mark_cancelled(struct pm_dependency_graph *graph, const char *id,
+                                    pm_dependency_cancel *cancel, void *arg);
 
 /* How many edges have been looked at since the graph was made: the cost of all calls so far. */
 uint64_t pm_dependencies_steps(const struct pm_dependency_graph *graph);
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -31,7 +31,7 @@
     jobs->by_id = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_free);
     jobs->active = g_ptr_array_new();
     jobs->dependencies = pm_dependencies_new(tables);
-    jobs->cancelled = g_array_new(FALSE, FALSE, sizeof(struct pm_cancelled));
+    jobs->cancelled = g_array_new(FALSE, FALSE, sizeof(struct pm_cancellation));
     jobs->lists =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
     jobs->unknown = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -80,7 +80,7 @@
 static void job_size(struct pm_job *job)
 {
     if (!job->chunk) {
-        job->nchunks = (int)((job->entries + PM_CHUNK - 1) / PM_CHUNK);
+        job->nchunks = (int)((job->entries + PM_CHUNK_TASKS - 1) / PM_CHUNK_TASKS);
         job->chunk = g_new0(struct pm_chunk *, job->nchunks);
     }
 }
@@ -99,7 +99,8 @@
 {
     struct pm_jobs *jobs = arg;
 
-    return (struct pm_dependency_outcome){pm_jobs_find(jobs, id), pm_jobs_cancelled(jobs, id)};
+    return (struct pm_dependency_outcome){pm_jobs_find(jobs, id),
+                                          pm_jobs_cancellation_revision(jobs, id)};
 }
 
 /* The job as the replica tells it, in the dependency graph. */
@@ -107,22 +108,23 @@
 {
     uint64_t revision;
 
-    if (job->state == PM_DONE) {
-        pm_dependencies_done(jobs->dependencies, job->id, job->ended);
+    if (job->state == PM_JOB_DONE) {
+        pm_dependencies_mark_done(jobs->dependencies, job->id, job->ended);
         return;
     }
-    if (job->state == PM_LIVE && job->spec && !job->incomplete) {
+    if (job->state == PM_JOB_LIVE && job->spec && !job->incomplete) {
         const struct pm_spec *spec = job->spec;
         job->priority = MAX(job->priority, spec->priority);
         if (spec->due_s >= 0)
             job->due = MIN(job->due, spec->submitted + spec->due_s);
         revision = pm_dependencies_add(jobs->dependencies, job, find_outcome, jobs);
         if (revision)
-            pm_jobs_infer_cancelled(&revision, job);
+            pm_jobs_cancel_dependent(&revision, job);
     }
-    if (job->state == PM_CANCELLED) {
+    if (job->state == PM_JOB_CANCELLED) {
         revision = job->cancelled;
-        pm_dependencies_cancelled(jobs->dependencies, job->id, pm_jobs_infer_cancelled, &revision);
+        pm_dependencies_mark_cancelled(jobs->dependencies, job->id, pm_jobs_cancel_dependent,
+                                       &revision);
     }
 }
 
@@ -168,12 +170,12 @@
     int k;
     int half;
 
-    if (!pm_chunk_split_key(rest, id, &k, &half) || half >= 0 || !pm_jobs_id_valid(id))
+    if (!pm_chunk_key_parse(rest, id, &k, &half) || half >= 0 || !pm_job_id_is_valid(id))
         return NULL;
     job = pm_jobs_find(jobs, id);
     if (job && !job->incomplete)
         return NULL; /* known, or over */
-    if (pm_jobs_read_dependencies(value, &ids) || !ids) {
+    if (pm_submission_decode_dependencies(value, &ids) || !ids) {
         pm_error("jobs.value", "unreadable list %s", rest);
         return NULL;
     }
@@ -203,7 +205,7 @@
     index = pm_name_index(pm_job_state_names, 3, now);
     if (index < 0 || pm_cbor_count(pm_cbor_get(value, "entries"), &count))
         return false;
-    if (count < 1 || count > PM_ENTRIES_MAX)
+    if (count < 1 || count > PM_JOB_TASKS_MAX)
         return false;
     *state = (enum pm_job_state)index;
     *entries = (uint32_t)count;
@@ -224,13 +226,13 @@
 
 static void set_state(struct pm_jobs *jobs, struct pm_job *job, enum pm_job_state state)
 {
-    if (state == PM_CANCELLED)
+    if (state == PM_JOB_CANCELLED)
         job->inferred = false; /* its own value says so */
     /* What is known cancelled stays so: this value is an older one then. */
-    job->state = job->cancelled ? PM_CANCELLED : state;
-    if (job->state == PM_CANCELLED && !job->cancelled) {
+    job->state = job->cancelled ? PM_JOB_CANCELLED : state;
+    if (job->state == PM_JOB_CANCELLED && !job->cancelled) {
         job->cancelled = job->revision;
-        pm_jobs_note_cancelled(jobs, job->id, job->revision);
+        pm_jobs_note_cancellation(jobs, job->id, job->revision);
     }
 }
 
@@ -240,14 +242,14 @@
 {
     GPtrArray *dependencies = NULL;
     uint64_t lists = 0;
-    bool readable = !pm_jobs_read_dependencies(value, &dependencies);
+    bool readable = !pm_submission_decode_dependencies(value, &dependencies);
 
     if (pm_cbor_has(value, "lists"))
         readable &= !pm_cbor_count(pm_cbor_get(value, "lists"), &lists);
     if (!readable)
         pm_error("jobs.value", "unreadable dependencies of job %s", job->id);
     if (!readable || lists) {
-        spec->overflow_lists = (uint32_t)MIN(lists, PM_ENTRIES_MAX);
+        spec->overflow_lists = (uint32_t)MIN(lists, PM_JOB_TASKS_MAX);
         job->incomplete = true;
         job->unmet++;
     }
@@ -263,19 +265,19 @@
     const struct pm_settings *settings = jobs->tables->settings;
     bool known = job->spec != NULL;
     struct pm_spec *spec = known ? job->spec : g_new0(struct pm_spec, 1);
-    struct pm_raw_names names;
+    struct pm_submitted_names names;
     const char *why;
 
-    if (pm_spec_read_fields(jobs->tables, value, spec, &names, &why) ||
+    if (pm_spec_decode(jobs->tables, value, spec, &names, &why) ||
         (spec->team = pm_spec_find_team(settings, names.team)) < 0) {
         pm_error("jobs.value", "unreadable description of job %s", job->id);
         if (!known)
             pm_spec_free(spec);
         return false;
     }
-    spec->zone = names.zone[0] ? pm_settings_zone(settings, names.zone) : -1;
-    spec->class_index = pm_names_add(jobs->tables->classes, names.class_name);
-    spec->image = pm_names_add(jobs->tables->images, names.image);
+    spec->zone = names.zone[0] ? pm_settings_find_zone(settings, names.zone) : -1;
+    spec->class_index = pm_names_intern(jobs->tables->classes, names.class_name);
+    spec->image = pm_names_intern(jobs->tables->images, names.image);
     pm_cbor_number(pm_cbor_get(value, "at"), &spec->submitted);
     if (!known) {
         job->spec = spec;
@@ -297,11 +299,11 @@
                               uint64_t revision)
 {
     struct pm_job *job = pm_jobs_find(jobs, id);
-    enum pm_job_state state = PM_LIVE;
+    enum pm_job_state state = PM_JOB_LIVE;
     uint32_t entries = 1;
     bool readable;
 
-    if ((job && job->revision >= revision) || !pm_jobs_id_valid(id))
+    if ((job && job->revision >= revision) || !pm_job_id_is_valid(id))
         return NULL;
     readable = read_summary(value, &state, &entries);
     if (!readable) {
@@ -314,7 +316,7 @@
         job = job_new(jobs, id, entries);
     job->revision = revision;
     set_state(jobs, job, state);
-    if (state == PM_DONE)
+    if (state == PM_JOB_DONE)
         pm_cbor_number(pm_cbor_get(value, "ended"), &job->ended);
     if (!readable)
         return job; /* not to be run: it may have been cancelled */
@@ -339,18 +341,18 @@
     char id[PM_ID_MAX];
     struct pm_job *job;
     struct pm_chunk *chunk;
-    struct pm_value *stored;
+    struct pm_stored_chunk *stored;
     int k;
     int half;
 
-    if (!pm_chunk_split_key(rest, id, &k, &half))
+    if (!pm_chunk_key_parse(rest, id, &k, &half))
         return NULL;
     job = pm_jobs_find(jobs, id);
     chunk = job ? pm_job_chunk(job, k) : NULL;
-    stored = chunk ? pm_chunk_value(chunk, half) : NULL;
+    stored = chunk ? pm_chunk_stored(chunk, half) : NULL;
     if (!stored || stored->revision >= revision)
         return NULL;
-    if (!pm_chunk_read(jobs->tables, value, stored)) {
+    if (!pm_chunk_decode(jobs->tables, value, stored)) {
         pm_error("jobs.value", "unreadable chunk %s", rest);
         return NULL;
     }
@@ -361,8 +363,8 @@
 
 /* ---- feed ---- */
 
-struct pm_job *pm_jobs_put(struct pm_jobs *jobs, const char *key, const cbor_item_t *value,
-                           uint64_t revision)
+struct pm_job *pm_jobs_apply_put(struct pm_jobs *jobs, const char *key, const cbor_item_t *value,
+                                 uint64_t revision)
 {
     if (!strncmp(key, "p/j/", 4))
         return put_job(jobs, key + 4, value, revision);
@@ -373,18 +375,18 @@
     return NULL;
 }
 
-struct pm_job *pm_jobs_drop(struct pm_jobs *jobs, const char *key, uint64_t revision)
+struct pm_job *pm_jobs_apply_delete(struct pm_jobs *jobs, const char *key, uint64_t revision)
 {
     char id[PM_ID_MAX];
     struct pm_job *job;
-    struct pm_value *value;
+    struct pm_stored_chunk *value;
     int k;
     int half;
 
-    if (strncmp(key, "p/t/", 4) || !pm_chunk_split_key(key + 4, id, &k, &half) ||
+    if (strncmp(key, "p/t/", 4) || !pm_chunk_key_parse(key + 4, id, &k, &half) ||
         !(job = pm_jobs_find(jobs, id)) || k >= job->nchunks || !job->chunk[k])
         return NULL;
-    value = pm_chunk_value(job->chunk[k], half);
+    value = pm_chunk_stored(job->chunk[k], half);
     if (value->revision > revision)
         return NULL;
     value->revision = 0;
@@ -392,7 +394,7 @@
     return job;
 }
 
-void pm_jobs_sweep_begin(struct pm_jobs *jobs)
+void pm_jobs_snapshot_begin(struct pm_jobs *jobs)
 {
     GHashTableIter iter;
     gpointer value;
@@ -406,23 +408,23 @@
             if (!job->chunk[k])
                 continue;
             for (int half = -1; half < 2; half++)
-                pm_chunk_value(job->chunk[k], half)->revision = 0;
+                pm_chunk_stored(job->chunk[k], half)->revision = 0;
             pm_chunk_merge(job->chunk[k]);
         }
     }
 }
 
-void pm_jobs_count(const struct pm_job *job, uint32_t *done, uint32_t *running)
+void pm_job_count_tasks(const struct pm_job *job, uint32_t *done, uint32_t *running)
 {
     *done = *running = 0;
-    if (job->state == PM_DONE) {
+    if (job->state == PM_JOB_DONE) {
         *done = job->entries;
         return;
     }
     for (int k = 0; k < job->nchunks; k++) {
         if (!job->chunk[k])
             continue;
-        for (int i = 0; i < PM_CHUNK / 64; i++)
+        for (int i = 0; i < PM_CHUNK_TASKS / 64; i++)
             *done += (uint32_t)__builtin_popcountll(job->chunk[k]->done[i]);
         if (job->chunk[k]->stored_places)
             *running += job->chunk[k]->stored_places->len;
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -27,11 +27,22 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-enum { PM_CHUNK = 128, PM_HALF = 64, PM_ENTRIES_MAX = 100000, PM_TYPES_MAX = 64, PM_ID_MAX = 32 };
+enum {
+    PM_CHUNK_TASKS = 128,
+    PM_HALF_CHUNK_TASKS = 64,
+    PM_JOB_TASKS_MAX = 100000,
+    PM_TYPES_MAX = 64,
+    PM_ID_MAX = 32
+};
 
-enum pm_form { PM_ARRAY, PM_GANG, PM_SERVICE };
-enum pm_priority { PM_BEST_EFFORT, PM_NORMAL, PM_URGENT, PM_PRODUCTION };
-enum pm_job_state { PM_LIVE, PM_CANCELLED, PM_DONE };
+enum pm_workload_kind { PM_WORKLOAD_ARRAY, PM_WORKLOAD_GANG, PM_WORKLOAD_SERVICE };
+enum pm_priority {
+    PM_PRIORITY_BEST_EFFORT,
+    PM_PRIORITY_NORMAL,
+    PM_PRIORITY_URGENT,
+    PM_PRIORITY_PRODUCTION
+};
+enum pm_job_state { PM_JOB_LIVE, PM_JOB_CANCELLED, PM_JOB_DONE };
 
 /* The dense indices of all names that jobs and machines speak of. */
 struct pm_name_tables {
@@ -48,7 +59,7 @@
 
 struct pm_spec {
     int class_index, team, image, zone; /* zone -1: any */
-    enum pm_form form;
+    enum pm_workload_kind form;
     enum pm_priority priority;
     uint32_t entries;
     double cpus, gpus, ram_gb, image_gb;
@@ -62,7 +73,7 @@
 };
 
 /* A task's place as the state service knows it. */
-struct pm_stored_place {
+struct pm_stored_placement {
     uint16_t task; /* within the chunk */
     uint32_t attempt, session;
     int machine;
@@ -70,23 +81,23 @@
 
 struct pm_machine; /* workers slice */
 
-enum pm_place_state {
-    PM_INTENT,  /* not durable yet: nothing may be sent */
-    PM_DURABLE, /* may be launched; its worker has not reported it yet */
-    PM_FETCHING,
-    PM_WAITING,
-    PM_RUNNING,
-    PM_SAVING,
-    PM_ENDED /* proven: it holds nothing any more */
+enum pm_placement_state {
+    PM_PLACEMENT_PROPOSED, /* not durable yet: nothing may be sent */
+    PM_PLACEMENT_DURABLE,  /* may be launched; its worker has not reported it yet */
+    PM_PLACEMENT_FETCHING,
+    PM_PLACEMENT_WAITING,
+    PM_PLACEMENT_RUNNING,
+    PM_PLACEMENT_CHECKPOINTING,
+    PM_PLACEMENT_ENDED /* proven: it holds nothing any more */
 };
 
 /* Where a task is, or may be. */
-struct pm_place {
+struct pm_placement {
     struct pm_job *job;
     struct pm_machine *machine;
     int machine_index;
     uint32_t index, attempt, session;
-    enum pm_place_state state;
+    enum pm_placement_state state;
     bool stop;      /* to be killed */
     bool stop_sent; /* a /do with the kill was answered */
     bool seen;      /* in the message being read */
@@ -100,7 +111,7 @@
 
 /* The leader's view of one task. */
 struct pm_task {
-    struct pm_place *place; /* whatever is not proven gone */
+    struct pm_placement *place; /* whatever is not proven gone */
     uint16_t errors;
     bool done;
     bool resumed;      /* ran before: its next run may be shorter than a whole one */
@@ -108,10 +119,10 @@
 };
 
 /* One value of a chunk: of all its tasks, or of half of them. */
-struct pm_value {
+struct pm_stored_chunk {
     uint64_t revision; /* 0: not in the state service */
     uint64_t written;  /* of our own last write: the watch may not have told it yet */
-    uint64_t done[PM_CHUNK / PM_HALF];
+    uint64_t done[PM_CHUNK_TASKS / PM_HALF_CHUNK_TASKS];
     uint32_t last_try;
     GArray *stored_places; /* of struct pm_spot */
 };
@@ -121,14 +132,14 @@
 /* 128 tasks. In the state service they are one value, or two halves where the limits are low; while
  * only one half has a value of its own, that of the whole chunk tells of the other. */
 struct pm_chunk {
-    struct pm_value whole, half[2];
+    struct pm_stored_chunk whole, half[2];
     /* What these say together. */
     bool stored; /* any of them is there */
-    uint64_t done[PM_CHUNK / PM_HALF];
+    uint64_t done[PM_CHUNK_TASKS / PM_HALF_CHUNK_TASKS];
     uint32_t last_try;
     GArray *stored_places; /* of struct pm_spot, as written; NULL when none */
     /* Leader only. */
-    struct pm_task *task; /* PM_CHUNK of them, or NULL: none was ever touched */
+    struct pm_task *task; /* PM_CHUNK_TASKS of them, or NULL: none was ever touched */
     unsigned dirty;       /* bit h: half h needs writing; and PM_DIRTY_WHOLE */
     uint16_t placed[2];   /* places in each half */
     bool in_flight;
@@ -140,7 +151,7 @@
 };
 
 /* What the outcomes of a job's tasks say of it (workers/faults.h). */
-struct pm_job_faults {
+struct pm_job_failures {
     int machine[4]; /* distinct ones on which its tasks failed since the last that succeeded */
     unsigned nmachines;
     unsigned in_a_row; /* failures since the last success */
@@ -187,7 +198,7 @@
     double ran_sum; /* run times seen of this job's tasks: its owner's estimate may be far off */
     uint32_t ran_n;
     uint32_t parallelism; /* tasks at once that its block's lease allows */
-    struct pm_job_faults faults;
+    struct pm_job_failures faults;
     double rest_until; /* steady: some of its tasks rest until then, see struct pm_task */
     double retry_at;
 };
@@ -201,10 +212,10 @@
 GPtrArray *pm_jobs_active(struct pm_jobs *jobs);
 
 /* The replica's feed; each returns the job that changed, or NULL. */
-struct pm_job *pm_jobs_put(struct pm_jobs *jobs, const char *key, const cbor_item_t *value,
-                           uint64_t revision);
-struct pm_job *pm_jobs_drop(struct pm_jobs *jobs, const char *key, uint64_t revision);
-void pm_jobs_sweep_begin(struct pm_jobs *jobs);
+struct pm_job *pm_jobs_apply_put(struct pm_jobs *jobs, const char *key, const cbor_item_t *value,
+                                 uint64_t revision);
+struct pm_job *pm_jobs_apply_delete(struct pm_jobs *jobs, const char *key, uint64_t revision);
+void pm_jobs_snapshot_begin(struct pm_jobs *jobs);
 
 /* ---- cancellations ----
  *
@@ -212,30 +223,30 @@
  * write, or from a peer. From then on the job is cancelled here, though its key's revision is still
  * the old one: what is written on that revision fails, as it should. */
 
-struct pm_cancelled {
+struct pm_cancellation {
     uint64_t revision;
     char id[PM_ID_MAX];
 };
 
 /* `id` was cancelled at `revision`, durably. True if that is news. */
-bool pm_jobs_cancel(struct pm_jobs *jobs, const char *id, uint64_t revision);
+bool pm_jobs_apply_cancellation(struct pm_jobs *jobs, const char *id, uint64_t revision);
 /* The revision of its cancellation, also if nothing else is known of the job; 0: none is known. */
-uint64_t pm_jobs_cancelled(const struct pm_jobs *jobs, const char *id);
+uint64_t pm_jobs_cancellation_revision(const struct pm_jobs *jobs, const char *id);
 /* Jobs cancelled after that revision, by revision: at most about `most`, but all of one revision
  * together. Returns where in the borrowed array they begin; `n` is how many, `more` whether there
  * are others behind them. */
-const struct pm_cancelled *pm_jobs_cancelled_after(struct pm_jobs *jobs, uint64_t revision,
-                                                   size_t most, size_t *n, bool *more);
+const struct pm_cancellation *pm_jobs_list_cancellations(struct pm_jobs *jobs, uint64_t revision,
+                                                         size_t most, size_t *n, bool *more);
 
 /* Whether `id` has the form that users' ids always have. */
-bool pm_jobs_id_valid(const char *id);
+bool pm_job_id_is_valid(const char *id);
 /* Reads a submission: 200, or 400, 422, 503 (types not known yet) with the reason in `why`. */
-int pm_jobs_read(struct pm_name_tables *tables, const cbor_item_t *body, char *id,
-                 struct pm_spec *spec, const char **why);
+int pm_submission_decode(struct pm_name_tables *tables, const cbor_item_t *body, char *id,
+                         struct pm_spec *spec, const char **why);
 /* The jobs that a submission, or a job's value, names as to be done before: each once, NULL for
  * none; owned by the caller. -1: not a list of ids in the known form. They become indices once they
  * are known to be jobs: a name alone costs no lasting memory. */
-int pm_jobs_read_dependencies(const cbor_item_t *body, GPtrArray **out);
+int pm_submission_decode_dependencies(const cbor_item_t *body, GPtrArray **out);
 void pm_spec_set_dependencies(struct pm_name_tables *tables, struct pm_spec *spec,
                               const GPtrArray *ids);
 /* How many p/n values the spec's needs take; 0 where the job's own value, which takes `size` bytes
@@ -243,32 +254,34 @@
 uint32_t pm_spec_overflow_lists(const struct pm_name_tables *tables, const struct pm_spec *spec,
                                 size_t size);
 /* Writes the value of p/n/ID/K. */
-void pm_jobs_write_overflow_list(const struct pm_name_tables *tables, const struct pm_spec *spec,
-                                 uint32_t k, struct pm_buf *out);
+void pm_dependency_list_encode(const struct pm_name_tables *tables, const struct pm_spec *spec,
+                               uint32_t k, struct pm_buf *out);
 /* Writes the value of p/j for a job in that state; `full` keeps the description. */
-void pm_jobs_write(const struct pm_name_tables *tables, const struct pm_spec *spec,
+void pm_job_encode(const struct pm_name_tables *tables, const struct pm_spec *spec,
                    uint32_t entries, enum pm_job_state state, bool full, struct pm_buf *out);
 /* The same for a job that is done, with the time of its end where all controllers read that. */
-void pm_jobs_write_done(const struct pm_name_tables *tables, const struct pm_job *job, bool full,
+void pm_job_encode_done(const struct pm_name_tables *tables, const struct pm_job *job, bool full,
                         struct pm_buf *out);
 void pm_spec_free(struct pm_spec *spec);
 /* How many such tasks that room holds. */
-uint32_t pm_spec_fit(const struct pm_spec *spec, double cpus, double gpus, double ram_gb);
+uint32_t pm_spec_tasks_that_fit(const struct pm_spec *spec, double cpus, double gpus,
+                                double ram_gb);
 /* Display counts, from the replica. */
-void pm_jobs_count(const struct pm_job *job, uint32_t *done, uint32_t *running);
+void pm_job_count_tasks(const struct pm_job *job, uint32_t *done, uint32_t *running);
 
 /* The cost so far of keeping the dependency graph, in edges looked at. */
 uint64_t pm_jobs_dependency_steps(const struct pm_jobs *jobs);
 
 /* ---- the leader's working state ---- */
 
-struct pm_task *pm_job_task(struct pm_job *job, uint32_t index);             /* made when missing */
-const struct pm_task *pm_job_peek(const struct pm_job *job, uint32_t index); /* NULL: untouched */
-void pm_job_touch(struct pm_job *job, uint32_t index); /* its chunk needs writing */
+struct pm_task *pm_job_task(struct pm_job *job, uint32_t index); /* made when missing */
+const struct pm_task *pm_job_find_task(const struct pm_job *job,
+                                       uint32_t index);     /* NULL: untouched */
+void pm_job_mark_dirty(struct pm_job *job, uint32_t index); /* its chunk needs writing */
 /* The task is not to start before that time. */
-void pm_job_rest(struct pm_job *job, uint32_t index, double until);
+void pm_job_back_off(struct pm_job *job, uint32_t index, double until);
 /* How many of the waiting tasks may start now: those that rest are left out. */
-uint32_t pm_job_startable(const struct pm_job *job, double now);
+uint32_t pm_job_startable_tasks(const struct pm_job *job, double now);
 /* Whether jobs are, until told otherwise, another controller's to place: for all, and for those to
  * come. */
 void pm_jobs_set_delegated(struct pm_jobs *jobs, bool delegated);
@@ -277,20 +290,21 @@
 /* Drops the working state of all jobs and rebuilds the counts from the replica. */
 void pm_jobs_reset_work(struct pm_jobs *jobs);
 /* Writes the value of p/t/ID/k, or of one half of it (-1: the whole), from the working state. */
-void pm_jobs_write_chunk(const struct pm_name_tables *tables, const struct pm_job *job, int k,
-                         int half, struct pm_buf *out);
+void pm_chunk_encode(const struct pm_name_tables *tables, const struct pm_job *job, int k, int half,
+                     struct pm_buf *out);
 /* The revision to write the value on. */
-uint64_t pm_value_revision(const struct pm_value *value);
+uint64_t pm_stored_chunk_revision(const struct pm_stored_chunk *value);
 /* The value of half h of the chunk, or, for -1, of the whole. */
-struct pm_value *pm_chunk_value(struct pm_chunk *chunk, int half);
+struct pm_stored_chunk *pm_chunk_stored(struct pm_chunk *chunk, int half);
 /* A task of the job got a place, or lost it (`by` -1). */
-void pm_job_count_place(struct pm_job *job, uint32_t index, int by);
+void pm_job_count_placement(struct pm_job *job, uint32_t index, int by);
 /* Whether chunk k is written in halves: it is already, or it could grow too large for one value.
  * Every further value costs a change of the state service's, the scarcest of all. */
-bool pm_job_in_halves(const struct pm_name_tables *tables, const struct pm_job *job, int k);
+bool pm_job_is_chunk_split(const struct pm_name_tables *tables, const struct pm_job *job, int k);
 /* Whether the value that tells of the task holds one more place. */
-bool pm_job_has_room(const struct pm_name_tables *tables, const struct pm_job *job, uint32_t index);
+bool pm_job_value_has_room(const struct pm_name_tables *tables, const struct pm_job *job,
+                           uint32_t index);
 /* Tasks that are neither done nor placed, and may start. */
-uint32_t pm_job_waiting(const struct pm_job *job);
+uint32_t pm_job_waiting_tasks(const struct pm_job *job);
 
 #endif
--- a/src/jobs/spec.c
+++ b/src/jobs/spec.c
@@ -26,7 +26,7 @@
     g_free(spec);
 }
 
-bool pm_jobs_id_valid(const char *id)
+bool pm_job_id_is_valid(const char *id)
 {
     size_t n = strlen(id);
 
@@ -99,8 +99,8 @@
 }
 
 /* 0, or -1 with the field at fault in `why`. Names are left for the caller to judge. */
-int pm_spec_read_fields(const struct pm_name_tables *tables, const cbor_item_t *body,
-                        struct pm_spec *spec, struct pm_raw_names *names, const char **why)
+int pm_spec_decode(const struct pm_name_tables *tables, const cbor_item_t *body,
+                   struct pm_spec *spec, struct pm_submitted_names *names, const char **why)
 {
     char text[TEXT_MAX];
     uint64_t entries;
@@ -116,7 +116,7 @@
     *why = "form";
     if ((found = pm_name_index(form_names, 3, text)) < 0)
         return -1;
-    spec->form = (enum pm_form)found;
+    spec->form = (enum pm_workload_kind)found;
     if (read_name(body, "urgency", text, why))
         return -1;
     *why = "urgency";
@@ -125,7 +125,7 @@
     spec->priority = (enum pm_priority)found;
     *why = "entries";
     if (pm_cbor_count(pm_cbor_get(body, "entries"), &entries) || entries < 1 ||
-        entries > PM_ENTRIES_MAX)
+        entries > PM_JOB_TASKS_MAX)
         return -1;
     spec->entries = (uint32_t)entries;
     if (read_amount(body, "cpus", &spec->cpus, why) ||
@@ -164,7 +164,7 @@
     return false;
 }
 
-int pm_jobs_read_dependencies(const cbor_item_t *body, GPtrArray **out)
+int pm_submission_decode_dependencies(const cbor_item_t *body, GPtrArray **out)
 {
     const cbor_item_t *list = pm_cbor_get(body, "awaits");
     GHashTable *seen;
@@ -176,7 +176,7 @@
     if (!cbor_isa_array(list))
         return -1;
     for (size_t i = 0; i < pm_cbor_length(list); i++)
-        if (pm_cbor_text(pm_cbor_at(list, i), id, sizeof id) || !pm_jobs_id_valid(id))
+        if (pm_cbor_text(pm_cbor_at(list, i), id, sizeof id) || !pm_job_id_is_valid(id))
             return -1;
     if (!pm_cbor_length(list))
         return 0;
@@ -199,21 +199,21 @@
     spec->dependencies = g_new(int, ids->len);
     spec->ndependencies = ids->len;
     for (guint i = 0; i < ids->len; i++)
-        spec->dependencies[i] = pm_names_add(tables->dependency_ids, g_ptr_array_index(ids, i));
+        spec->dependencies[i] = pm_names_intern(tables->dependency_ids, g_ptr_array_index(ids, i));
 }
 
-int pm_jobs_read(struct pm_name_tables *tables, const cbor_item_t *body, char *id,
-                 struct pm_spec *spec, const char **why)
+int pm_submission_decode(struct pm_name_tables *tables, const cbor_item_t *body, char *id,
+                         struct pm_spec *spec, const char **why)
 {
     static const char *const flags[] = {"same_place", "spread", "borrowed"};
     const struct pm_settings *settings = tables->settings;
-    struct pm_raw_names names;
+    struct pm_submitted_names names;
     const struct pm_team_setting *team;
     double tasks;
 
     memset(spec, 0, sizeof *spec);
     *why = "name_id";
-    if (pm_cbor_text(pm_cbor_get(body, "name_id"), id, PM_ID_MAX) || !pm_jobs_id_valid(id))
+    if (pm_cbor_text(pm_cbor_get(body, "name_id"), id, PM_ID_MAX) || !pm_job_id_is_valid(id))
         return 400;
     /* Users say whether or not; what was accepted before they had to is still read. */
     for (size_t i = 0; i < G_N_ELEMENTS(flags); i++) {
@@ -221,14 +221,14 @@
         if (!pm_cbor_has(body, flags[i]))
             return 400;
     }
-    if (pm_spec_read_fields(tables, body, spec, &names, why))
+    if (pm_spec_decode(tables, body, spec, &names, why))
         return 400;
     if (!tables->ntypes) {
         *why = "machine types not known yet";
         return 503;
     }
     spec->team = pm_spec_find_team(settings, names.team);
-    spec->zone = names.zone[0] ? pm_settings_zone(settings, names.zone) : -1;
+    spec->zone = names.zone[0] ? pm_settings_find_zone(settings, names.zone) : -1;
     *why = "unknown team or room";
     if (spec->team < 0 || (names.zone[0] && spec->zone < 0))
         return 422;
@@ -236,12 +236,12 @@
     if (!fits_some_type(tables, spec))
         return 422;
     team = &settings->team[spec->team];
-    tasks = spec->form == PM_ARRAY ? 1 : spec->entries;
+    tasks = spec->form == PM_WORKLOAD_ARRAY ? 1 : spec->entries;
     *why = "above the team's limit";
     if (tasks * spec->cpus > team->cpus_max + EPS || tasks * spec->gpus > team->gpus_max + EPS)
         return 422;
-    spec->class_index = pm_names_add(tables->classes, names.class_name);
-    spec->image = pm_names_add(tables->images, names.image);
+    spec->class_index = pm_names_intern(tables->classes, names.class_name);
+    spec->image = pm_names_intern(tables->images, names.image);
     return 200;
 }
 
@@ -299,18 +299,19 @@
     pm_put_end(out);
 }
 
-void pm_jobs_write(const struct pm_name_tables *tables, const struct pm_spec *spec,
+void pm_job_encode(const struct pm_name_tables *tables, const struct pm_spec *spec,
                    uint32_t entries, enum pm_job_state state, bool full, struct pm_buf *out)
 {
     write_value(tables, spec, entries, state, full, 0, out);
 }
 
-void pm_jobs_write_done(const struct pm_name_tables *tables, const struct pm_job *job, bool full,
+void pm_job_encode_done(const struct pm_name_tables *tables, const struct pm_job *job, bool full,
                         struct pm_buf *out)
 {
     bool says_when = tables->protocol_version >= PM_PROTOCOL_END_TIMES;
 
-    write_value(tables, job->spec, job->entries, PM_DONE, full, says_when ? job->ended : 0, out);
+    write_value(tables, job->spec, job->entries, PM_JOB_DONE, full, says_when ? job->ended : 0,
+                out);
 }
 
 /* ---- what a job needs, where its own value does not name it ---- */
@@ -332,8 +333,8 @@
                : (spec->ndependencies + per - 1) / per;
 }
 
-void pm_jobs_write_overflow_list(const struct pm_name_tables *tables, const struct pm_spec *spec,
-                                 uint32_t k, struct pm_buf *out)
+void pm_dependency_list_encode(const struct pm_name_tables *tables, const struct pm_spec *spec,
+                               uint32_t k, struct pm_buf *out)
 {
     uint32_t per = ids_in_list(tables);
 
@@ -346,7 +347,7 @@
     pm_put_end(out);
 }
 
-uint32_t pm_spec_fit(const struct pm_spec *spec, double cpus, double gpus, double ram_gb)
+uint32_t pm_spec_tasks_that_fit(const struct pm_spec *spec, double cpus, double gpus, double ram_gb)
 {
     double n = 1e6;
 
