--- a/src/jobs/work.c
+++ b/src/jobs/work.c
@@ -14,7 +14,7 @@
 
 const struct pm_task *pm_job_find_task(const struct pm_job *job, uint32_t index)
 {
-    const struct pm_chunk *chunk = job->chunk[index / PM_CHUNK_TASKS];
+    const struct pm_chunk *chunk = job->chunks[index / PM_CHUNK_TASKS];
 
     return chunk && chunk->task ? &chunk->task[index % PM_CHUNK_TASKS] : NULL;
 }
@@ -22,30 +22,30 @@
 void pm_job_mark_dirty(struct pm_job *job, uint32_t index)
 {
     pm_job_task(job, index);
-    job->chunk[index / PM_CHUNK_TASKS]->dirty |= 1u
-                                                 << (index % PM_CHUNK_TASKS / PM_HALF_CHUNK_TASKS);
+    job->chunks[index / PM_CHUNK_TASKS]->dirty |= 1u
+                                                  << (index % PM_CHUNK_TASKS / PM_HALF_CHUNK_TASKS);
 }
 
 void pm_job_count_placement(struct pm_job *job, uint32_t index, int by)
 {
     struct pm_chunk *chunk = pm_job_chunk(job, (int)(index / PM_CHUNK_TASKS));
-    uint16_t *placed = &chunk->placed[index % PM_CHUNK_TASKS / PM_HALF_CHUNK_TASKS];
+    uint16_t *placed = &chunk->placement_counts[index % PM_CHUNK_TASKS / PM_HALF_CHUNK_TASKS];
 
     *placed = (uint16_t)(*placed + by);
-    job->nplaced += (uint32_t)by;
+    job->placed_count += (uint32_t)by;
 }
 
 uint32_t pm_job_waiting_tasks(const struct pm_job *job)
 {
-    if (job->state != PM_JOB_LIVE || !job->spec || job->unmet)
+    if (job->state != PM_JOB_LIVE || !job->spec || job->unmet_dependencies)
         return 0;
-    return job->entries - job->ndone - job->nplaced;
+    return job->task_count - job->done_count - job->placed_count;
 }
 
 void pm_job_back_off(struct pm_job *job, uint32_t index, double until)
 {
-    pm_job_task(job, index)->not_before = until;
-    job->rest_until = MAX(job->rest_until, until);
+    pm_job_task(job, index)->backoff_until = until;
+    job->backoff_until = MAX(job->backoff_until, until);
 }
 
 /* Waiting tasks of the chunk that rest. */
@@ -55,7 +55,7 @@
 
     for (int t = 0; t < PM_CHUNK_TASKS; t++) {
         const struct pm_task *task = &chunk->task[t];
-        resting += !task->done && !task->place && task->not_before > now;
+        resting += !task->done && !task->placement && task->backoff_until > now;
     }
     return resting;
 }
@@ -65,44 +65,45 @@
     uint32_t waiting = pm_job_waiting_tasks(job);
     uint32_t resting = 0;
 
-    if (!waiting || job->rest_until <= now)
+    if (!waiting || job->backoff_until <= now)
         return waiting;
-    for (int k = 0; k < job->nchunks; k++)
-        if (job->chunk[k] && job->chunk[k]->task)
-            resting += count_resting(job->chunk[k], now);
+    for (int k = 0; k < job->chunk_count; k++)
+        if (job->chunks[k] && job->chunks[k]->task)
+            resting += count_resting(job->chunks[k], now);
     return waiting - MIN(waiting, resting);
 }
 
 void pm_job_reset_work(struct pm_job *job)
 {
-    job->ndone = job->nplaced = job->last_try = job->hint = 0;
-    job->final_in_flight = job->tried = job->sized = false;
-    job->retry_at = job->rest_until = job->begun_at = 0;
-    for (int k = 0; k < job->nchunks; k++) {
-        struct pm_chunk *chunk = job->chunk[k];
+    job->done_count = job->placed_count = job->last_attempt = job->first_waiting_hint = 0;
+    job->final_in_flight = job->write_attempted = job->counted_in_demand = false;
+    job->retry_at = job->backoff_until = job->fully_started_at = 0;
+    for (int k = 0; k < job->chunk_count; k++) {
+        struct pm_chunk *chunk = job->chunks[k];
         if (!chunk)
             continue;
         g_free(chunk->task);
         chunk->task = NULL;
         chunk->dirty = 0;
-        memset(chunk->placed, 0, sizeof chunk->placed);
+        memset(chunk->placement_counts, 0, sizeof chunk->placement_counts);
         chunk->in_flight = false;
         chunk->retry_at = 0;
         for (int half = -1; half < 2; half++)
-            pm_chunk_stored(chunk, half)->written = 0;
+            pm_chunk_stored(chunk, half)->written_revision = 0;
         if (!chunk->stored)
             continue;
         chunk->task = g_new0(struct pm_task, PM_CHUNK_TASKS);
-        job->tried = true;
-        job->last_try = MAX(job->last_try, chunk->last_try);
+        job->write_attempted = true;
+        job->last_attempt = MAX(job->last_attempt, chunk->last_attempt);
         for (int t = 0; t < PM_CHUNK_TASKS; t++) {
             if (chunk->done[t / 64] >> (t % 64) & 1) {
                 chunk->task[t].done = true;
-                job->ndone++;
+                job->done_count++;
             }
         }
     }
-    job->begun = job->last_try >= job->entries; /* as far as the number of attempts tells */
+    job->has_fully_started =
+        job->last_attempt >= job->task_count; /* as far as the number of attempts tells */
 }
 
 void pm_jobs_reset_work(struct pm_jobs *jobs)
--- a/src/leadership/cancels.c
+++ b/src/leadership/cancels.c
@@ -53,14 +53,14 @@
 
 static int majority(const struct pm_cancel_quorum *c)
 {
-    return c->settings->size / 2 + 1;
+    return c->settings->cluster_size / 2 + 1;
 }
 
 bool pm_cancel_quorum_is_acked(const struct pm_cancel_quorum *c, uint64_t revision)
 {
     int n = 1; /* ourselves */
 
-    for (int i = 0; i < c->settings->peers; i++)
+    for (int i = 0; i < c->settings->peer_count; i++)
         n += c->store_revision[i] >= revision;
     return n >= majority(c);
 }
@@ -73,7 +73,7 @@
         int known = 1;
         int hopeful = 0;
         bool ok;
-        for (int j = 0; j < c->settings->peers; j++) {
+        for (int j = 0; j < c->settings->peer_count; j++) {
             bool knows = w->acked[j] || c->store_revision[j] >= w->revision;
             known += knows;
             hopeful += !knows && w->tries[j] < TRIES_MAX;
@@ -85,7 +85,8 @@
         }
         g_ptr_array_remove_index_fast(c->waiting, i);
         if (!ok)
-            pm_debug("cancels.unsure", "%s: known to %d of %d", w->id, known, c->settings->size);
+            pm_debug("cancels.unsure", "%s: known to %d of %d", w->id, known,
+                     c->settings->cluster_size);
         w->done(w->arg, ok);
         g_free(w);
         i = 0; /* the callback may have added some */
@@ -100,7 +101,8 @@
 {
     struct call *call = arg;
     struct pm_cancel_quorum *c = call->cancels;
-    Pm__CancelTell *tell = status == 200 ? pm__cancel_tell__unpack(NULL, size, body) : NULL;
+    Pm__CancellationResponse *tell =
+        status == 200 ? pm__cancellation_response__unpack(NULL, size, body) : NULL;
 
     c->busy[call->peer] = false;
     for (size_t i = 0; i < call->n; i++)
@@ -115,7 +117,7 @@
         }
     if (tell) {
         pm_cancel_quorum_note_peer_revision(c, call->peer, tell->store_revision);
-        pm__cancel_tell__free_unpacked(tell, NULL);
+        pm__cancellation_response__free_unpacked(tell, NULL);
     }
     g_free(call);
     settle(c, pm_clock_monotonic());
@@ -125,9 +127,9 @@
 /* One message to a peer at a time: what comes meanwhile goes with the next. */
 static void send_to(struct pm_cancel_quorum *c, int peer)
 {
-    Pm__CancelCall message = PM__CANCEL_CALL__INIT;
-    Pm__Cancelled entry[CALL_MAX];
-    Pm__Cancelled *list[CALL_MAX];
+    Pm__CancellationRequest message = PM__CANCELLATION_REQUEST__INIT;
+    Pm__Cancellation entry[CALL_MAX];
+    Pm__Cancellation *list[CALL_MAX];
     struct call *call;
     unsigned char *data;
     size_t size;
@@ -144,7 +146,7 @@
             continue;
         g_strlcpy(item->id, w->id, sizeof item->id);
         item->revision = w->revision;
-        pm__cancelled__init(&entry[call->n]);
+        pm__cancellation__init(&entry[call->n]);
         entry[call->n].id = item->id;
         entry[call->n].revision = item->revision;
         list[call->n] = &entry[call->n];
@@ -159,17 +161,17 @@
     message.store_revision = pm_store_revision(c->store);
     message.cancelled = list;
     message.n_cancelled = call->n;
-    size = pm__cancel_call__get_packed_size(&message);
+    size = pm__cancellation_request__get_packed_size(&message);
     data = g_malloc(size);
-    pm__cancel_call__pack(&message, data);
-    pm_http_call(c->http, c->settings->peer[peer].addr, "POST", "/cancelled", data, size, ANSWER_S,
+    pm__cancellation_request__pack(&message, data);
+    pm_http_call(c->http, c->settings->peers[peer].addr, "POST", "/cancelled", data, size, ANSWER_S,
                  4096, on_told, call);
     g_free(data);
 }
 
 static void send_all(struct pm_cancel_quorum *c)
 {
-    for (int i = 0; c->waiting->len && i < c->settings->peers; i++)
+    for (int i = 0; c->waiting->len && i < c->settings->peer_count; i++)
         send_to(c, i);
 }
 
@@ -214,15 +216,16 @@
 
 void pm_cancel_quorum_handle_peer_request(struct pm_cancel_quorum *c, struct pm_http_request *req)
 {
-    Pm__CancelCall *call = pm__cancel_call__unpack(NULL, req->body_size, req->body);
-    Pm__CancelTell tell = PM__CANCEL_TELL__INIT;
+    Pm__CancellationRequest *call =
+        pm__cancellation_request__unpack(NULL, req->body_size, req->body);
+    Pm__CancellationResponse tell = PM__CANCELLATION_RESPONSE__INIT;
     unsigned char data[512];
     int peer = call ? pm_settings_find_peer(c->settings, call->from) : -1;
 
     if (peer < 0) {
         pm_error("cancels.message", "malformed, or from a controller that is not known");
         if (call)
-            pm__cancel_call__free_unpacked(call, NULL);
+            pm__cancellation_request__free_unpacked(call, NULL);
         pm_http_reply(req, 400, NULL, 0, 0);
         return;
     }
@@ -232,12 +235,12 @@
             c->untold = 0;
     }
     pm_cancel_quorum_note_peer_revision(c, peer, call->store_revision);
-    pm__cancel_call__free_unpacked(call, NULL);
+    pm__cancellation_request__free_unpacked(call, NULL);
     tell.from = (char *)c->settings->name;
     tell.store_revision = pm_store_revision(c->store);
     pm_http_reply(req, 200, data,
-                  pm__cancel_tell__get_packed_size(&tell) <= sizeof data
-                      ? pm__cancel_tell__pack(&tell, data)
+                  pm__cancellation_response__get_packed_size(&tell) <= sizeof data
+                      ? pm__cancellation_response__pack(&tell, data)
                       : 0,
                   0);
     settle(c, pm_clock_monotonic());
@@ -247,7 +250,7 @@
 
 void pm_cancel_quorum_note_read(struct pm_cancel_quorum *c, uint64_t revision)
 {
-    if (!c->settings->peers || revision <= c->untold)
+    if (!c->settings->peer_count || revision <= c->untold)
         return;
     if (!c->untold)
         c->untold_since = pm_clock_monotonic();
--- a/src/leadership/internal.h
+++ b/src/leadership/internal.h
@@ -80,7 +80,7 @@
 
 static inline int pm_election_quorum(const struct pm_election *l)
 {
-    return l->settings->size / 2 + 1;
+    return l->settings->cluster_size / 2 + 1;
 }
 
 /* Answered 503 so lately that it counts as a word on the present. Who is cut off says nothing. */
--- a/src/leadership/leadership.c
+++ b/src/leadership/leadership.c
@@ -32,9 +32,9 @@
 /* Half of what a cancellation leaves when a lease is taken off, if that is less. */
 static double most_staleness(const struct pm_settings *settings)
 {
-    double spare = (settings->cancel_s - settings->lease_s) / 2;
+    double spare = (settings->cancel_deadline_s - settings->lease_s) / 2;
 
-    return settings->cancel_s > 0 && spare > 0 ? MIN(STALENESS_S, spare) : STALENESS_S;
+    return settings->cancel_deadline_s > 0 && spare > 0 ? MIN(STALENESS_S, spare) : STALENESS_S;
 }
 
 double pm_election_staleness_bound_s(const struct pm_settings *settings,
@@ -73,7 +73,7 @@
     l->leads = false;
     l->confirmed = 0;
     l->vacant_since = 0;
-    l->hooks.lost(l->hooks.arg);
+    l->hooks.stepped_down(l->hooks.arg);
 }
 
 /* ---- confirming it ---- */
@@ -102,7 +102,7 @@
             bool first = !l->confirmed;
             pm_election_confirm_epoch(l, attempt->sent, store_revision);
             if (first)
-                l->hooks.confirmed(l->hooks.arg);
+                l->hooks.epoch_confirmed(l->hooks.arg);
         } else if (status == 409 && l->leads)
             pm_store_wait_for_revision(l->store, store_revision, on_judged, l);
         else if (status == 409)
@@ -181,7 +181,7 @@
         if (now - l->asked > ANNOUNCE_S)
             pm_election_poll_peers(l, now);
     }
-    if (l->links.pack && now - l->asked > l->links.ask_every_s)
+    if (l->links.encode_views && now - l->asked > l->links.poll_interval_s)
         pm_election_poll_peers(l, now);
     if (l->leads) {
         if (!l->renew_busy && now - l->renewed > l->op->leader_ttl_s / 3.5) {
--- a/src/leadership/leadership.h
+++ b/src/leadership/leadership.h
@@ -23,28 +23,29 @@
 struct pm_cancellation; /* jobs slice */
 
 struct pm_election_hooks {
-    void (*took)(void *arg, uint64_t epoch); /* leads, and the replica has caught up with that */
-    void (*lost)(void *arg);
-    void (*raised)(void *arg, uint64_t epoch); /* still leads, with a higher epoch */
-    void (*confirmed)(void *arg);              /* a block newly held may be used */
+    void (*elected)(void *arg, uint64_t epoch); /* leads, and the replica has caught up with that */
+    void (*stepped_down)(void *arg);
+    void (*epoch_advanced)(void *arg, uint64_t epoch); /* still leads, with a higher epoch */
+    void (*epoch_confirmed)(void *arg);                /* a block newly held may be used */
     /* A peer says that this job's cancellation is durable. */
     void (*cancelled)(void *arg, const char *id, uint64_t revision);
     /* Writes the jobs known cancelled after `revision`, as pm_jobs_list_cancellations. */
-    const struct pm_cancellation *(*list_cancelled)(void *arg, uint64_t revision, size_t most,
-                                                    size_t *n, bool *more);
-    void (*reached)(void *arg, int peer,
-                    uint64_t store_revision); /* a peer's replica goes to here */
+    const struct pm_cancellation *(*list_cancellations)(void *arg, uint64_t revision, size_t most,
+                                                        size_t *n, bool *more);
+    void (*peer_reached_revision)(void *arg, int peer,
+                                  uint64_t store_revision); /* a peer's replica goes to here */
     void *arg;
 };
 
 /* What the links slice has to do with the messages between controllers, and with who leads. */
 struct pm_election_links {
-    double ask_every_s; /* peers are asked at least so often */
+    double poll_interval_s; /* peers are asked at least so often */
     /* The views to be told in an answer to a peer; owned by the caller. */
-    unsigned char *(*pack)(void *arg, size_t *size);
+    unsigned char *(*encode_views)(void *arg, size_t *size);
     /* A peer's answer, to what was sent at `asked_at`, told its views. */
-    void (*unpack)(void *arg, int peer, const unsigned char *data, size_t size, double asked_at);
-    void (*heard)(void *arg, int peer); /* a peer's request has arrived */
+    void (*decode_views)(void *arg, int peer, const unsigned char *data, size_t size,
+                         double asked_at);
+    void (*peer_heard)(void *arg, int peer); /* a peer's request has arrived */
     /* How much longer than others this controller waits before it takes a vacant lead. */
     double (*candidate_wait_s)(void *arg);
     void *arg;
--- a/src/leadership/peers.c
+++ b/src/leadership/peers.c
@@ -26,7 +26,7 @@
 static void ask_peer(struct pm_election *l, struct ask *ask, uint64_t after);
 
 /* What the peer knows cancelled is known here now. False while it has more to tell. */
-static bool take_cancelled(struct pm_election *l, struct ask *ask, const Pm__PeerTell *tell)
+static bool take_cancelled(struct pm_election *l, struct ask *ask, const Pm__PeerResponse *tell)
 {
     uint64_t last = 0;
 
@@ -34,8 +34,8 @@
         l->hooks.cancelled(l->hooks.arg, tell->cancelled[i]->id, tell->cancelled[i]->revision);
         last = MAX(last, tell->cancelled[i]->revision);
     }
-    l->hooks.reached(l->hooks.arg, ask->peer, tell->store_revision);
-    if (!tell->more || !last)
+    l->hooks.peer_reached_revision(l->hooks.arg, ask->peer, tell->store_revision);
+    if (!tell->has_more || !last)
         return true;
     ask_peer(l, ask, last);
     return false;
@@ -46,7 +46,7 @@
     int acks = 1;
 
     l->acked[peer] = true;
-    for (int i = 0; i < l->settings->peers; i++)
+    for (int i = 0; i < l->settings->peer_count; i++)
         acks += l->acked[i];
     if (l->ack_at || acks < pm_election_quorum(l))
         return;
@@ -59,10 +59,11 @@
  * and has told all that was cancelled after our replica ends (safety invariant 7). A majority of
  * such votes confirms the epoch. We are one of it: what we were told of counts as much as what the
  * others were. */
-static void on_vote(struct pm_election *l, const struct ask *ask, const Pm__PeerTell *tell)
+static void on_vote(struct pm_election *l, const struct ask *ask, const Pm__PeerResponse *tell)
 {
-    if (!tell->ready || !tell->lists || ask->round != l->ask_round ||
-        l->heard > pm_election_acting_epoch(l) || tell->known > pm_election_acting_epoch(l) ||
+    if (!tell->has_state || !tell->has_cancellations || ask->round != l->ask_round ||
+        l->heard > pm_election_acting_epoch(l) ||
+        tell->highest_epoch > pm_election_acting_epoch(l) ||
         l->ask_epoch != pm_election_acting_epoch(l))
         return;
     if (pm_election_may_act(l) && ++l->ask_yes >= pm_election_quorum(l) &&
@@ -70,7 +71,7 @@
         pm_election_note_confirmed(l, ask->sent);
         l->caught_up_at = MAX(l->caught_up_at, ask->sent);
     }
-    if (!l->leads && tell->refused && ++l->renewal_votes >= pm_election_quorum(l) &&
+    if (!l->leads && tell->store_refusing && ++l->renewal_votes >= pm_election_quorum(l) &&
         l->refused_since && ask->sent - l->refused_since > RENEWAL_AFTER_S)
         l->renewal_confirmed = MAX(l->renewal_confirmed, ask->sent);
 }
@@ -79,37 +80,38 @@
 {
     struct ask *ask = arg;
     struct pm_election *l = ask->lead;
-    Pm__PeerTell *tell = status == 200 ? pm__peer_tell__unpack(NULL, size, body) : NULL;
+    Pm__PeerResponse *tell = status == 200 ? pm__peer_response__unpack(NULL, size, body) : NULL;
 
     if (!tell) {
         g_free(ask);
         return;
     }
     l->peer_version[ask->peer] = MAX(l->peer_version[ask->peer], tell->protocol_version);
-    if (tell->served)
+    if (tell->store_serving)
         l->peer_served = pm_clock_monotonic();
-    if (tell->known > l->heard)
-        l->heard = tell->known;
-    if (l->leads && tell->known >= l->mine) {
-        if (tell->known > l->mine && !l->raising)
+    if (tell->highest_epoch > l->heard)
+        l->heard = tell->highest_epoch;
+    if (l->leads && tell->highest_epoch >= l->mine) {
+        if (tell->highest_epoch > l->mine && !l->raising)
             pm_election_recheck_epoch(l);
         on_acknowledged(l, ask->peer);
     }
     if (!strcmp(tell->from, l->holder))
         l->leader_heard = pm_clock_monotonic();
-    if (l->links.unpack && tell->views.len)
-        l->links.unpack(l->links.arg, ask->peer, tell->views.data, tell->views.len, ask->sent);
+    if (l->links.decode_views && tell->views.len)
+        l->links.decode_views(l->links.arg, ask->peer, tell->views.data, tell->views.len,
+                              ask->sent);
     if (take_cancelled(l, ask, tell)) {
         on_vote(l, ask, tell);
         g_free(ask);
     }
-    pm__peer_tell__free_unpacked(tell, NULL);
+    pm__peer_response__free_unpacked(tell, NULL);
 }
 
 /* Consumes `ask`, or leaves it to the answer. */
 static void ask_peer(struct pm_election *l, struct ask *ask, uint64_t after)
 {
-    Pm__PeerAsk message = PM__PEER_ASK__INIT;
+    Pm__PeerRequest message = PM__PEER_REQUEST__INIT;
     unsigned char data[256];
 
     message.from = (char *)l->settings->name;
@@ -117,12 +119,12 @@
     message.store_revision = ask->from;
     message.after = after;
     message.protocol_version = PM_PROTOCOL_VERSION;
-    if (pm__peer_ask__get_packed_size(&message) > sizeof data) {
+    if (pm__peer_request__get_packed_size(&message) > sizeof data) {
         g_free(ask);
         return;
     }
-    pm_http_call(l->http, l->settings->peer[ask->peer].addr, "POST", "/peer", data,
-                 pm__peer_ask__pack(&message, data), PEER_S, TELL_MAX, on_peer, ask);
+    pm_http_call(l->http, l->settings->peers[ask->peer].addr, "POST", "/peer", data,
+                 pm__peer_request__pack(&message, data), PEER_S, TELL_MAX, on_peer, ask);
 }
 
 void pm_election_poll_peers(struct pm_election *l, double now)
@@ -132,49 +134,50 @@
     l->ask_epoch = pm_election_acting_epoch(l);
     l->ask_yes = 1; /* ourselves: who leads, or holds a block, has read the state */
     l->renewal_votes = pm_store_is_ready(l->store) && pm_election_is_refused_now(l, now);
-    for (int i = 0; i < l->settings->peers; i++) {
+    for (int i = 0; i < l->settings->peer_count; i++) {
         struct ask *ask = g_new0(struct ask, 1);
         *ask = (struct ask){l, i, l->ask_round, now, pm_store_revision(l->store)};
         ask_peer(l, ask, 0);
     }
 }
 
-static void answer_peer(struct pm_election *l, struct pm_http_request *req, const Pm__PeerAsk *ask)
+static void answer_peer(struct pm_election *l, struct pm_http_request *req,
+                        const Pm__PeerRequest *ask)
 {
-    Pm__PeerTell tell = PM__PEER_TELL__INIT;
-    Pm__Cancelled *entry;
-    Pm__Cancelled **list;
+    Pm__PeerResponse tell = PM__PEER_RESPONSE__INIT;
+    Pm__Cancellation *entry;
+    Pm__Cancellation **list;
     const struct pm_cancellation *known;
     unsigned char *data;
     size_t n = 0;
     bool more = false;
 
-    known = l->hooks.list_cancelled(l->hooks.arg, MAX(ask->store_revision, ask->after), PAGE, &n,
-                                    &more);
-    entry = g_new0(Pm__Cancelled, n + 1);
-    list = g_new0(Pm__Cancelled *, n + 1);
+    known = l->hooks.list_cancellations(l->hooks.arg, MAX(ask->store_revision, ask->after), PAGE,
+                                        &n, &more);
+    entry = g_new0(Pm__Cancellation, n + 1);
+    list = g_new0(Pm__Cancellation *, n + 1);
     for (size_t i = 0; i < n; i++) {
-        pm__cancelled__init(&entry[i]);
+        pm__cancellation__init(&entry[i]);
         entry[i].id = (char *)known[i].id;
         entry[i].revision = known[i].revision;
         list[i] = &entry[i];
     }
     tell.from = (char *)l->settings->name;
-    tell.known = MAX(l->epoch, l->heard);
-    tell.ready = pm_store_is_ready(l->store);
-    tell.served = !pm_store_is_refusing(l->store) &&
-                  pm_clock_monotonic() - pm_store_last_served_at(l->store) < SERVED_S;
-    tell.refused = pm_election_is_refused_now(l, pm_clock_monotonic());
+    tell.highest_epoch = MAX(l->epoch, l->heard);
+    tell.has_state = pm_store_is_ready(l->store);
+    tell.store_serving = !pm_store_is_refusing(l->store) &&
+                         pm_clock_monotonic() - pm_store_last_served_at(l->store) < SERVED_S;
+    tell.store_refusing = pm_election_is_refused_now(l, pm_clock_monotonic());
     tell.store_revision = pm_store_revision(l->store);
-    tell.lists = true;
+    tell.has_cancellations = true;
     tell.cancelled = list;
     tell.n_cancelled = n;
-    tell.more = more;
+    tell.has_more = more;
     tell.protocol_version = PM_PROTOCOL_VERSION;
-    if (l->links.pack)
-        tell.views.data = l->links.pack(l->links.arg, &tell.views.len);
-    data = g_malloc(pm__peer_tell__get_packed_size(&tell));
-    pm_http_reply(req, 200, data, pm__peer_tell__pack(&tell, data), 0);
+    if (l->links.encode_views)
+        tell.views.data = l->links.encode_views(l->links.arg, &tell.views.len);
+    data = g_malloc(pm__peer_response__get_packed_size(&tell));
+    pm_http_reply(req, 200, data, pm__peer_response__pack(&tell, data), 0);
     g_free(tell.views.data);
     g_free(data);
     g_free(list);
@@ -183,23 +186,23 @@
 
 void pm_election_handle_peer_request(struct pm_election *l, struct pm_http_request *req)
 {
-    Pm__PeerAsk *ask = pm__peer_ask__unpack(NULL, req->body_size, req->body);
+    Pm__PeerRequest *ask = pm__peer_request__unpack(NULL, req->body_size, req->body);
     int peer = ask ? pm_settings_find_peer(l->settings, ask->from) : -1;
 
     if (peer < 0) {
         pm_error("lead.message", "malformed, or from a controller that is not known");
         if (ask)
-            pm__peer_ask__free_unpacked(ask, NULL);
+            pm__peer_request__free_unpacked(ask, NULL);
         pm_http_reply(req, 400, NULL, 0, 0);
         return;
     }
-    if (l->links.heard)
-        l->links.heard(l->links.arg, peer);
+    if (l->links.peer_heard)
+        l->links.peer_heard(l->links.arg, peer);
     l->peer_version[peer] = MAX(l->peer_version[peer], ask->protocol_version);
     if (ask->epoch > l->heard)
         l->heard = ask->epoch;
     if (l->leads && ask->epoch > l->mine)
         pm_election_recheck_epoch(l);
     answer_peer(l, req, ask);
-    pm__peer_ask__free_unpacked(ask, NULL);
+    pm__peer_request__free_unpacked(ask, NULL);
 }
--- a/src/leadership/take.c
+++ b/src/leadership/take.c
@@ -28,7 +28,7 @@
         return;
     }
     l->reach = 0;
-    l->hooks.took(l->hooks.arg, l->mine);
+    l->hooks.elected(l->hooks.arg, l->mine);
 }
 
 static void on_taken(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
@@ -124,7 +124,7 @@
     l->ack_epoch = epoch;
     l->asked = 0;
     pm_info("lead.raised", "epoch %llu", (unsigned long long)epoch);
-    l->hooks.raised(l->hooks.arg, epoch);
+    l->hooks.epoch_advanced(l->hooks.arg, epoch);
 }
 
 static void on_raised(void *arg, int status, uint64_t store_revision, const cbor_item_t *failed)
--- a/src/leadership/versions.c
+++ b/src/leadership/versions.c
@@ -35,7 +35,7 @@
 {
     unsigned lowest = PM_PROTOCOL_VERSION;
 
-    for (int i = 0; i < l->settings->peers; i++)
+    for (int i = 0; i < l->settings->peer_count; i++)
         lowest = MIN(lowest, l->peer_version[i]);
     return lowest;
 }
--- a/src/links/fitness.c
+++ b/src/links/fitness.c
@@ -50,7 +50,7 @@
                         int *known)
 {
     *reached = *known = 0;
-    for (int i = 0; i < matrix->settings->zones; i++) {
+    for (int i = 0; i < matrix->settings->zone_count; i++) {
         uint8_t state = matrix->view[controller].zone[i];
         if (state == PM_LINK_UNKNOWN)
             state = matrix->view[reference].zone[i];
@@ -86,7 +86,7 @@
 
     for (int i = 0; i < matrix->controllers; i++)
         reached += i != controller && pm_link_usable(matrix->view[controller].peer[i]);
-    if (reached <= matrix->settings->size / 2)
+    if (reached <= matrix->settings->cluster_size / 2)
         return (struct pm_fitness_verdict){PM_UNFIT, "no majority of controllers is reached"};
     return (struct pm_fitness_verdict){PM_FIT, ""};
 }
--- a/src/links/links.c
+++ b/src/links/links.c
@@ -58,15 +58,15 @@
     links->limits =
         (struct pm_link_limits){setting->down_s, setting->recover_s, setting->half_life_s};
     links->zone_limits = links->limits;
-    links->zone_limits.down_s = MAX(setting->down_s, REPORTS_MISSED * settings->report_s);
+    links->zone_limits.down_s = MAX(setting->down_s, REPORTS_MISSED * settings->heartbeat_s);
     links->times = (struct pm_fitness_times){URGENT_S, SLIGHT_S, LED_LEAST_S};
     pm_matrix_init(&links->matrix, settings, setting->expire_s);
     name_link(&links->state, "state service", "");
     name_link(&links->cloud, "cloud", "");
-    for (int i = 0; i < settings->peers; i++)
-        name_link(&links->peer[i], "controller", settings->peer[i].name);
-    for (int i = 0; i < settings->zones; i++)
-        name_link(&links->zone[i], "workers", settings->zone_name[i]);
+    for (int i = 0; i < settings->peer_count; i++)
+        name_link(&links->peer[i], "controller", settings->peers[i].name);
+    for (int i = 0; i < settings->zone_count; i++)
+        name_link(&links->zone[i], "workers", settings->zone_names[i]);
     return links;
 }
 
@@ -81,7 +81,7 @@
 static int find_probed_zone(const struct pm_links *links, const char *addr)
 {
     for (int c = 0; c < links->matrix.controllers; c++)
-        for (int z = 0; z < links->settings->zones; z++)
+        for (int z = 0; z < links->settings->zone_count; z++)
             for (int i = 0; i < PM_VIEW_ENDPOINTS; i++)
                 if (!strcmp(links->matrix.view[c].endpoint[z][i], addr))
                     return z;
@@ -103,11 +103,11 @@
     const struct pm_settings *settings = links->settings;
     int zone;
 
-    if (!strcmp(outcome->addr, settings->state)) {
+    if (!strcmp(outcome->addr, settings->store_addr)) {
         note_outcome(&links->state.link, outcome);
         return;
     }
-    if (!strcmp(outcome->addr, settings->cloud)) {
+    if (!strcmp(outcome->addr, settings->cloud_addr)) {
         /* It refuses for want of capacity as well: an answer is an answer. */
         if (outcome->status > 0)
             pm_link_worked(&links->cloud.link, PM_LINK_OUTWARD, outcome->ended);
@@ -115,8 +115,8 @@
             pm_link_failed(&links->cloud.link, PM_LINK_OUTWARD, outcome->began, outcome->ended);
         return;
     }
-    for (int i = 0; i < settings->peers; i++)
-        if (!strcmp(outcome->addr, settings->peer[i].addr)) {
+    for (int i = 0; i < settings->peer_count; i++)
+        if (!strcmp(outcome->addr, settings->peers[i].addr)) {
             note_outcome(&links->peer[i].link, outcome);
             return;
         }
@@ -134,7 +134,7 @@
 
 void pm_links_worker_heard(struct pm_links *links, int zone, bool hears_us, double now)
 {
-    if (zone < 0 || zone >= links->settings->zones)
+    if (zone < 0 || zone >= links->settings->zone_count)
         return;
     pm_link_worked(&links->zone[zone].link, PM_LINK_INWARD, now);
     if (hears_us)
@@ -144,7 +144,7 @@
 void pm_links_worker_answered(struct pm_links *links, int zone, bool answered, double began,
                               double now)
 {
-    if (zone < 0 || zone >= links->settings->zones)
+    if (zone < 0 || zone >= links->settings->zone_count)
         return;
     if (answered)
         pm_link_worked(&links->zone[zone].link, PM_LINK_OUTWARD, now);
@@ -158,7 +158,7 @@
     struct pm_link *link = &links->zone[zone].link;
 
     pm_link_await(link, census->up > 0, now);
-    if (census->up && 2 * census->deaf > census->up)
+    if (census->up && 2 * census->unreachable > census->up)
         pm_link_failed(link, PM_LINK_OUTWARD, link->path[PM_LINK_OUTWARD].worked, now);
     memcpy(links->matrix.view[0].endpoint[zone], census->endpoint, sizeof census->endpoint);
 }
@@ -201,9 +201,9 @@
 {
     pm_link_excuse(&links->state.link, now);
     pm_link_excuse(&links->cloud.link, now);
-    for (int i = 0; i < links->settings->peers; i++)
+    for (int i = 0; i < links->settings->peer_count; i++)
         pm_link_excuse(&links->peer[i].link, now);
-    for (int i = 0; i < links->settings->zones; i++)
+    for (int i = 0; i < links->settings->zone_count; i++)
         pm_link_excuse(&links->zone[i].link, now);
 }
 
@@ -243,9 +243,9 @@
     view->epoch = epoch;
     view->state = judge(links, &links->state, &links->limits, now);
     view->cloud = judge(links, &links->cloud, &links->limits, now);
-    for (int i = 0; i < links->settings->peers; i++)
+    for (int i = 0; i < links->settings->peer_count; i++)
         view->peer[i + 1] = judge(links, &links->peer[i], &links->limits, now);
-    for (int i = 0; i < links->settings->zones; i++)
+    for (int i = 0; i < links->settings->zone_count; i++)
         view->zone[i] = judge(links, &links->zone[i], &links->zone_limits, now);
     judge_duties(links);
 }
@@ -446,7 +446,7 @@
         for (int i = 0; i < links->matrix.controllers; i++)
             if (i != controller)
                 put_link(out, pm_matrix_name(&links->matrix, i), view->peer[i]);
-        for (int i = 0; i < links->settings->zones; i++)
+        for (int i = 0; i < links->settings->zone_count; i++)
             put_link(out, links->zone[i].name, view->zone[i]);
     }
     pm_put_end(out);
--- a/src/links/links.h
+++ b/src/links/links.h
@@ -41,7 +41,7 @@
 /* What the leader or a holder sees of the workers of a zone: how many machines are up, how many of
  * them do not hear us though we hear them, and the addresses of some that are heard. */
 struct pm_links_zone_census {
-    int up, deaf;
+    int up, unreachable;
     char endpoint[PM_VIEW_ENDPOINTS][64];
 };
 void pm_links_count_zone(struct pm_links *links, int zone,
--- a/src/links/matrix.c
+++ b/src/links/matrix.c
@@ -11,12 +11,12 @@
     memset(matrix, 0, sizeof *matrix);
     matrix->settings = settings;
     matrix->expire_s = expire_s;
-    matrix->controllers = settings->peers + 1;
+    matrix->controllers = settings->peer_count + 1;
 }
 
 const char *pm_matrix_name(const struct pm_matrix *matrix, int controller)
 {
-    return controller ? matrix->settings->peer[controller - 1].name : matrix->settings->name;
+    return controller ? matrix->settings->peers[controller - 1].name : matrix->settings->name;
 }
 
 int pm_matrix_controller(const struct pm_matrix *matrix, const char *name)
@@ -78,9 +78,9 @@
     for (int i = 0; i < matrix->controllers; i++)
         if (i != controller)
             message->peer[message->n_peer++] = new_link(pm_matrix_name(matrix, i), view->peer[i]);
-    message->zone = g_new0(Pm__LinkSeen *, matrix->settings->zones);
-    for (int i = 0; i < matrix->settings->zones; i++) {
-        message->zone[i] = new_link(matrix->settings->zone_name[i], view->zone[i]);
+    message->zone = g_new0(Pm__LinkSeen *, matrix->settings->zone_count);
+    for (int i = 0; i < matrix->settings->zone_count; i++) {
+        message->zone[i] = new_link(matrix->settings->zone_names[i], view->zone[i]);
         add_endpoints(message->zone[i], view, i);
         message->n_zone++;
     }
@@ -202,8 +202,8 @@
     pm_put_end(out);
     pm_put_text(out, "zones");
     pm_put_map(out);
-    for (int i = 0; i < matrix->settings->zones; i++)
-        pm_put_pair_count(out, matrix->settings->zone_name[i], view->zone[i]);
+    for (int i = 0; i < matrix->settings->zone_count; i++)
+        pm_put_pair_count(out, matrix->settings->zone_names[i], view->zone[i]);
     pm_put_end(out);
     pm_put_end(out);
 }
@@ -227,7 +227,7 @@
     pm_cbor_count(pm_cbor_get(value, "epoch"), &out->epoch);
     for (int i = 0; i < matrix->controllers; i++)
         get_state(pm_cbor_get(value, "peers"), pm_matrix_name(matrix, i), &out->peer[i]);
-    for (int i = 0; i < matrix->settings->zones; i++)
-        get_state(pm_cbor_get(value, "zones"), matrix->settings->zone_name[i], &out->zone[i]);
+    for (int i = 0; i < matrix->settings->zone_count; i++)
+        get_state(pm_cbor_get(value, "zones"), matrix->settings->zone_names[i], &out->zone[i]);
     return true;
 }
--- a/src/placement/empty.c
+++ b/src/placement/empty.c
@@ -15,12 +15,13 @@
  * only if nothing stops it for a while, so young ones stay. */
 static bool movable(const struct pm_machine *m, double now)
 {
-    for (guint j = 0; j < m->places->len; j++) {
-        const struct pm_placement *place = g_ptr_array_index(m->places, j);
-        if (place->job->spec->form == PM_WORKLOAD_ARRAY)
+    for (guint j = 0; j < m->placements->len; j++) {
+        const struct pm_placement *place = g_ptr_array_index(m->placements, j);
+        if (place->job->spec->kind == PM_WORKLOAD_ARRAY)
             continue; /* ends by itself */
-        if (place->job->spec->form != PM_WORKLOAD_SERVICE || place->state != PM_PLACEMENT_RUNNING ||
-            place->stop || now - place->ran_from < YOUNG_S || now - place->since < YOUNG_S)
+        if (place->job->spec->kind != PM_WORKLOAD_SERVICE || place->state != PM_PLACEMENT_RUNNING ||
+            place->should_stop || now - place->running_since < YOUNG_S ||
+            now - place->placed_at < YOUNG_S)
             return false;
     }
     return true;
@@ -39,10 +40,10 @@
     at.total--;
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
-        if (!m || m == from || m->spot || !m->places->len ||
+        if (!m || m == from || m->spot || !m->placements->len ||
             !pm_scheduler_has_image(m, spec->image) || !pm_scheduler_is_machine_usable(p, m, now) ||
             spec->gpus > 0 ||
-            room[i][0] - spec->cpus < CROWDED * p->tables->type[m->type].cpus - EPS ||
+            room[i][0] - spec->cpus < CROWDED * p->tables->types[m->type].cpus - EPS ||
             room[i][1] + EPS < spec->ram_gb || !pm_scheduler_zone_ok(place->job, &at, m->zone) ||
             !pm_scheduler_is_machine_allowed(p->tables, place->job, m->type, m->zone, m->spot))
             continue;
@@ -74,16 +75,17 @@
         if (isnan(room[i]))
             continue;
         here = room[i];
-        for (guint j = 0; j < from->places->len; j++) {
-            struct pm_placement *place = g_ptr_array_index(from->places, j);
+        for (guint j = 0; j < from->placements->len; j++) {
+            struct pm_placement *place = g_ptr_array_index(from->placements, j);
             const struct pm_spec *spec = place->job->spec;
-            if (spec->form != PM_WORKLOAD_SERVICE || place->state != PM_PLACEMENT_RUNNING ||
-                place->stop || now - place->ran_from < YOUNG_S || spec->spread || spec->same_place)
+            if (spec->kind != PM_WORKLOAD_SERVICE || place->state != PM_PLACEMENT_RUNNING ||
+                place->should_stop || now - place->running_since < YOUNG_S || spec->spread_zones ||
+                spec->same_zone)
                 continue;
             for (guint k = 0; k < all->len; k++) {
                 const struct pm_machine *to = g_ptr_array_index(all, k);
                 double gain;
-                gain = room[k] - here - 2 * spec->cpus - p->tables->type[from->type].cpus * 0.25;
+                gain = room[k] - here - 2 * spec->cpus - p->tables->types[from->type].cpus * 0.25;
                 if (!(gain > best_gain) || !pm_scheduler_has_image(to, spec->image) ||
                     !pm_scheduler_has_free_capacity(to, spec) ||
                     !pm_scheduler_is_machine_allowed(p->tables, place->job, to->type, to->zone,
@@ -98,7 +100,8 @@
     g_free(room);
     if (!best)
         return;
-    pm_debug("plan.balance", "%s/%u leaves %s", best->job->id, best->index, best->machine->name);
+    pm_debug("plan.balance", "%s/%u leaves %s", best->job->id, best->task_index,
+             best->machine->name);
     pm_placement_stop(best, 0);
 }
 
@@ -120,18 +123,18 @@
         double value;
         bool fits = true;
         if (!m || m->spot || !pm_scheduler_is_machine_usable(p, m, now) || m->type < 0 ||
-            !m->places->len || now - m->rented < 60 || !movable(m, now))
+            !m->placements->len || now - m->rented_at < 60 || !movable(m, now))
             continue;
-        used = p->tables->type[m->type].cpus - pm_scheduler_yielding_room(m);
+        used = p->tables->types[m->type].cpus - pm_scheduler_yielding_room(m);
         value =
-            p->tables->type[m->type].price * (1 - used / MAX(p->tables->type[m->type].cpus, EPS));
-        if (value <= worst_value || spare - p->tables->type[m->type].cpus < MAX(p->reserve, EPS))
+            p->tables->types[m->type].price * (1 - used / MAX(p->tables->types[m->type].cpus, EPS));
+        if (value <= worst_value || spare - p->tables->types[m->type].cpus < MAX(p->reserve, EPS))
             continue;
         memcpy(left, room, size);
-        for (guint j = 0; j < m->places->len && fits; j++)
-            fits = ((struct pm_placement *)g_ptr_array_index(m->places, j))->job->spec->form ==
+        for (guint j = 0; j < m->placements->len && fits; j++)
+            fits = ((struct pm_placement *)g_ptr_array_index(m->placements, j))->job->spec->kind ==
                        PM_WORKLOAD_ARRAY ||
-                   takes(p, m, g_ptr_array_index(m->places, j), left, now);
+                   takes(p, m, g_ptr_array_index(m->placements, j), left, now);
         if (!fits)
             continue;
         worst = m;
@@ -164,15 +167,15 @@
     room = g_malloc0(sizeof(double[2]) * (all->len + 1));
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        if (!m || m->state != PM_MACHINE_UP || m->lent)
+        if (!m || m->state != PM_MACHINE_UP || m->shard_owner)
             continue;
-        draining += m->draining && m->places->len;
+        draining += m->draining && m->placements->len;
         if (m->spot || !pm_scheduler_is_machine_usable(p, m, now))
             continue;
         ordinary++;
         spare += pm_scheduler_yielding_room(m);
-        room[i][0] = m->cpus;
-        room[i][1] = m->ram_gb;
+        room[i][0] = m->free_cpus;
+        room[i][1] = m->free_ram_gb;
     }
     batch = MIN(1 + ordinary / BATCH_OF, DRAINING_MAX * (1 + ordinary / BATCH_OF) - draining);
     while (emptied < batch) {
@@ -180,12 +183,12 @@
         if (!worst)
             break;
         emptied++;
-        spare -= p->tables->type[worst->type].cpus;
-        pm_info("plan.empty", "%s: %u tasks move or end", worst->name, worst->places->len);
+        spare -= p->tables->types[worst->type].cpus;
+        pm_info("plan.empty", "%s: %u tasks move or end", worst->name, worst->placements->len);
         worst->draining = true;
-        for (guint j = 0; j < worst->places->len; j++) {
-            struct pm_placement *place = g_ptr_array_index(worst->places, j);
-            if (place->job->spec->form == PM_WORKLOAD_SERVICE)
+        for (guint j = 0; j < worst->placements->len; j++) {
+            struct pm_placement *place = g_ptr_array_index(worst->placements, j);
+            if (place->job->spec->kind == PM_WORKLOAD_SERVICE)
                 pm_placement_stop(place, 0);
         }
     }
--- a/src/placement/fit.c
+++ b/src/placement/fit.c
@@ -14,31 +14,32 @@
 {
     const struct pm_spec *spec = job->spec;
 
-    return type >= 0 && type < tables->ntypes && zone >= 0 && (spec->types >> type & 1) &&
-           (spec->zone < 0 || spec->zone == zone) && (!spot || spec->spot);
+    return type >= 0 && type < tables->type_count && zone >= 0 &&
+           (spec->allowed_types >> type & 1) && (spec->zone < 0 || spec->zone == zone) &&
+           (!spot || spec->spot);
 }
 
 /* Heard as lately as reports come on a quiet day: a machine that misses one may be dead. */
 bool pm_scheduler_is_machine_usable(const struct pm_scheduler *p, const struct pm_machine *m,
                                     double now)
 {
-    return m->state == PM_MACHINE_UP && m->reported && !m->lent && !m->leaving && !m->draining &&
-           !m->recall_at && !pm_failures_is_machine_faulty(m) && !m->unheard &&
-           pm_machine_is_verified(m) && m->strays->len == 0 &&
+    return m->state == PM_MACHINE_UP && m->has_heartbeat && !m->shard_owner && !m->revoking &&
+           !m->draining && !m->spot_interruption_at && !pm_failures_is_machine_faulty(m) &&
+           !m->delivery_failures && pm_machine_is_verified(m) && m->orphan_tasks->len == 0 &&
            !pm_machine_missed_heartbeat(m, p->tables->settings, now) &&
            !pm_machine_is_not_reporting(m, p->tables->settings, now);
 }
 
 bool pm_scheduler_has_free_capacity(const struct pm_machine *m, const struct pm_spec *spec)
 {
-    return m->cpus + EPS >= spec->cpus && m->gpus + EPS >= spec->gpus &&
-           m->ram_gb + EPS >= spec->ram_gb;
+    return m->free_cpus + EPS >= spec->cpus && m->free_gpus + EPS >= spec->gpus &&
+           m->free_ram_gb + EPS >= spec->ram_gb;
 }
 
 bool pm_scheduler_has_image(const struct pm_machine *m, int image)
 {
-    for (int i = 0; i < m->ncached; i++)
-        if (m->cached[i].image == image)
+    for (int i = 0; i < m->cached_image_count; i++)
+        if (m->cached_images[i].image == image)
             return true;
     return false;
 }
@@ -46,14 +47,14 @@
 void pm_scheduler_count_zones(const struct pm_job *job, struct spread *out)
 {
     memset(out, 0, sizeof *out);
-    if (!job->nplaced || !(job->spec->spread || job->spec->same_place))
+    if (!job->placed_count || !(job->spec->spread_zones || job->spec->same_zone))
         return; /* nobody asks */
-    for (uint32_t i = 0; i < job->entries; i++) {
+    for (uint32_t i = 0; i < job->task_count; i++) {
         const struct pm_task *task = pm_job_find_task(job, i);
-        if (!task || !task->place || task->place->state == PM_PLACEMENT_ENDED)
+        if (!task || !task->placement || task->placement->state == PM_PLACEMENT_ENDED)
             continue;
-        if (task->place->machine->zone >= 0)
-            out->zone[task->place->machine->zone]++;
+        if (task->placement->machine->zone >= 0)
+            out->zone[task->placement->machine->zone]++;
         else
             out->unknown++;
         out->total++;
@@ -64,9 +65,9 @@
 {
     const struct pm_spec *spec = job->spec;
 
-    if (spec->same_place && at->total && at->zone[zone] < at->total)
+    if (spec->same_zone && at->total && at->zone[zone] < at->total)
         return false;
-    return !spec->spread || at->zone[zone] + at->unknown < (spec->entries + 1) / 2;
+    return !spec->spread_zones || at->zone[zone] + at->unknown < (spec->task_count + 1) / 2;
 }
 
 struct need pm_scheduler_need_of(const struct pm_scheduler *p, const struct pm_job *job,
@@ -75,14 +76,14 @@
     const struct pm_spec *spec = job->spec;
     struct need need = {0};
 
-    need.types = spec->types;
+    need.types = spec->allowed_types;
     need.team = team;
     need.priority = job->priority;
     need.spot = spec->spot;
     need.cpus = spec->cpus;
     need.gpus = spec->gpus;
     need.ram_gb = spec->ram_gb;
-    for (int z = 0; z < p->tables->settings->zones; z++)
+    for (int z = 0; z < p->tables->settings->zone_count; z++)
         if ((spec->zone < 0 || spec->zone == z) && pm_scheduler_zone_ok(job, at, z))
             need.zones |= 1u << z;
     return need;
@@ -107,8 +108,8 @@
 {
     uint32_t n = 0;
 
-    for (guint j = 0; j < m->places->len; j++) {
-        const struct pm_placement *place = g_ptr_array_index(m->places, j);
+    for (guint j = 0; j < m->placements->len; j++) {
+        const struct pm_placement *place = g_ptr_array_index(m->placements, j);
         n += place->job == job && place->state != PM_PLACEMENT_ENDED;
     }
     return n;
@@ -117,10 +118,10 @@
 /* Processors on the machine that a production task could have at once: free, or yielding. */
 double pm_scheduler_yielding_room(const struct pm_machine *m)
 {
-    double room = m->cpus;
+    double room = m->free_cpus;
 
-    for (guint j = 0; j < m->places->len; j++) {
-        const struct pm_placement *place = g_ptr_array_index(m->places, j);
+    for (guint j = 0; j < m->placements->len; j++) {
+        const struct pm_placement *place = g_ptr_array_index(m->placements, j);
         if (place->state != PM_PLACEMENT_ENDED && place->job->priority < PM_PRIORITY_PRODUCTION)
             room += place->job->spec->cpus;
     }
@@ -131,12 +132,12 @@
 static double promise(const struct pm_scheduler *p, const struct pm_job *job)
 {
     const struct pm_settings *s = p->tables->settings;
-    const char *name = pm_names_text(p->tables->classes, job->spec->class_index);
+    const char *name = pm_names_text(p->tables->class_names, job->spec->class_index);
 
-    for (int i = 0; i < s->aims; i++)
-        if (!strcmp(s->aim[i].kind, "wait") && !strcmp(s->aim[i].class_name, name) &&
-            s->aim[i].within_s > 0)
-            return s->aim[i].within_s;
+    for (int i = 0; i < s->objective_count; i++)
+        if (!strcmp(s->objectives[i].kind, "wait") && !strcmp(s->objectives[i].class_name, name) &&
+            s->objectives[i].within_s > 0)
+            return s->objectives[i].within_s;
     return LATE_S;
 }
 
@@ -145,7 +146,7 @@
 static bool may_fetch(const struct pm_scheduler *p, const struct pm_machine *m,
                       const struct pm_job *job)
 {
-    const struct pm_type *t = &p->tables->type[m->type];
+    const struct pm_type *t = &p->tables->types[m->type];
     double waited = p->day - pm_scheduler_since(job);
 
     return waited > promise(p, job) &&
@@ -158,20 +159,20 @@
                     const struct pm_spec *spec)
 {
     return pm_scheduler_yielding_room(m) - spec->cpus <
-           CROWDED * p->tables->type[m->type].cpus - EPS;
+           CROWDED * p->tables->types[m->type].cpus - EPS;
 }
 
 bool pm_scheduler_boots_soon(const struct pm_name_tables *tables, const struct pm_machine *m,
                              double now)
 {
-    return now - m->rented < 1.4 * tables->type[m->type].ready_s + 3;
+    return now - m->rented_at < 1.4 * tables->types[m->type].ready_s + 3;
 }
 
 /* Whether a machine that the job may run on is to come up soon. */
 bool pm_scheduler_boot_expected(const struct pm_scheduler *p, const struct pm_job *job)
 {
-    for (int type = 0; type < p->tables->ntypes; type++)
-        for (int zone = 0; zone < p->tables->settings->zones; zone++)
+    for (int type = 0; type < p->tables->type_count; type++)
+        for (int zone = 0; zone < p->tables->settings->zone_count; zone++)
             for (int spot = 0; spot < 2; spot++)
                 if (p->soon[type][zone][spot] &&
                     pm_scheduler_is_machine_allowed(p->tables, job, type, zone, spot))
@@ -183,7 +184,7 @@
 {
     double waited = p->day - pm_scheduler_since(job);
 
-    return job->spec->form == PM_WORKLOAD_SERVICE && p->cold && waited < p->op->replica_due_s &&
+    return job->spec->kind == PM_WORKLOAD_SERVICE && p->cold && waited < p->op->replica_due_s &&
            pm_scheduler_boot_expected(p, job);
 }
 
@@ -203,26 +204,26 @@
 {
     double gb = 0;
 
-    for (guint j = 0; j < m->places->len; j++) {
-        const struct pm_placement *place = g_ptr_array_index(m->places, j);
+    for (guint j = 0; j < m->placements->len; j++) {
+        const struct pm_placement *place = g_ptr_array_index(m->placements, j);
         const struct pm_spec *other = place->job->spec;
         if (place->state <= PM_PLACEMENT_FETCHING && other->image != spec->image &&
             !pm_scheduler_has_image(m, other->image))
             gb += other->image_gb;
     }
-    return gb / MAX(p->tables->type[m->type].pull_gb_per_s, EPS);
+    return gb / MAX(p->tables->types[m->type].pull_gb_per_s, EPS);
 }
 
 static double score(struct pm_scheduler *p, const struct pm_machine *m, const struct pm_job *job)
 {
     const struct pm_spec *spec = job->spec;
-    const struct pm_type *t = &p->tables->type[m->type];
+    const struct pm_type *t = &p->tables->types[m->type];
     bool image = pm_scheduler_has_image(m, spec->image);
     double value = -BLAME_WEIGHT * pm_failures_machine_score(m);
 
     if (pm_failures_has_failed_on(job, m))
         value -= FAILED_THERE_WEIGHT;
-    if (spec->form == PM_WORKLOAD_SERVICE) {
+    if (spec->kind == PM_WORKLOAD_SERVICE) {
         /* Spread: then every machine comes to hold every image, and has some room to start the next
          * service at once. Array tasks use that room meanwhile. */
         if (may_fetch(p, m, job))
@@ -237,7 +238,7 @@
     value += image ? 3 : 0;
     value += m->spot == spec->spot ? 5 : 0; /* ordinary room is dearer, and services' */
     /* Fill what is fullest, so that others come free and can go back. */
-    return value - 2 * (m->cpus - spec->cpus) / MAX(t->cpus, EPS);
+    return value - 2 * (m->free_cpus - spec->cpus) / MAX(t->cpus, EPS);
 }
 
 /* One walk over the machines counts them all: whoever sizes the fleet asks for each of them. */
@@ -251,11 +252,11 @@
     *t = (struct totals){.at = now};
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
-        const struct pm_type *type = m && m->type >= 0 ? &p->tables->type[m->type] : NULL;
+        const struct pm_type *type = m && m->type >= 0 ? &p->tables->types[m->type] : NULL;
         double room;
         if (!type || m->state == PM_MACHINE_RELEASING)
             continue;
-        if (m->lent ||
+        if (m->shard_owner ||
             (m->state == PM_MACHINE_BOOTING && pm_scheduler_boots_soon(p->tables, m, now)))
             t->pool += type->cpus;
         if (!pm_scheduler_is_machine_usable(p, m, now))
@@ -288,16 +289,17 @@
 /* Whether the machine's room is being cleared for a gang that comes before the job. */
 bool pm_scheduler_claimed_by_other(const struct pm_machine *m, const struct pm_job *job, double now)
 {
-    return m->claim && m->claim != job && m->claim->state == PM_JOB_LIVE && m->claim->spec &&
-           !m->claim->nplaced && now < m->claim->claims_until &&
-           job->priority <= m->claim->priority;
+    return m->reserved_for_gang && m->reserved_for_gang != job &&
+           m->reserved_for_gang->state == PM_JOB_LIVE && m->reserved_for_gang->spec &&
+           !m->reserved_for_gang->placed_count && now < m->reserved_for_gang->reservation_until &&
+           job->priority <= m->reserved_for_gang->priority;
 }
 
 static bool is_stopping(const struct pm_machine *m)
 {
-    for (guint j = 0; j < m->places->len; j++) {
-        const struct pm_placement *place = g_ptr_array_index(m->places, j);
-        if (place->stop && place->state != PM_PLACEMENT_ENDED)
+    for (guint j = 0; j < m->placements->len; j++) {
+        const struct pm_placement *place = g_ptr_array_index(m->placements, j);
+        if (place->should_stop && place->state != PM_PLACEMENT_ENDED)
             return true;
     }
     return false;
@@ -308,9 +310,9 @@
 static bool cleared_for_other(struct pm_scheduler *p, const struct pm_machine *m,
                               const struct pm_job *job, double now)
 {
-    const struct pm_job *other = m->clearing_for;
+    const struct pm_job *other = m->reserved_for;
 
-    if (!other || other == job || now >= m->clearing_until || other->state != PM_JOB_LIVE ||
+    if (!other || other == job || now >= m->reserved_until || other->state != PM_JOB_LIVE ||
         !pm_job_waiting_tasks(other) || !pm_scheduler_yields_to(p, job, other))
         return false;
     return is_stopping(m);
@@ -353,7 +355,7 @@
         return false;
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *other = g_ptr_array_index(all, i);
-        if (other && other->ncached && pm_scheduler_has_image(other, job->spec->image) &&
+        if (other && other->cached_image_count && pm_scheduler_has_image(other, job->spec->image) &&
             pm_scheduler_is_machine_usable(p, other, now) &&
             pm_scheduler_is_machine_allowed(p->tables, job, other->type, other->zone,
                                             other->spot) &&
--- a/src/placement/gangs.c
+++ b/src/placement/gangs.c
@@ -11,29 +11,29 @@
     struct pm_machine **chosen;
     bool ok = true;
 
-    if (!pm_scheduler_within(p, job, job->entries, guarantee))
+    if (!pm_scheduler_within(p, job, job->task_count, guarantee))
         return false;
-    chosen = g_new0(struct pm_machine *, job->entries);
-    for (uint32_t i = 0; ok && i < job->entries; i++) {
+    chosen = g_new0(struct pm_machine *, job->task_count);
+    for (uint32_t i = 0; ok && i < job->task_count; i++) {
         chosen[i] = pm_scheduler_best_machine(p, job, &at, only_zone, now);
         ok = chosen[i] != NULL;
         if (ok) { /* taken for the time being, so that the next task sees it */
-            chosen[i]->cpus -= job->spec->cpus;
-            chosen[i]->gpus -= job->spec->gpus;
-            chosen[i]->ram_gb -= job->spec->ram_gb;
+            chosen[i]->free_cpus -= job->spec->cpus;
+            chosen[i]->free_gpus -= job->spec->gpus;
+            chosen[i]->free_ram_gb -= job->spec->ram_gb;
             at.zone[chosen[i]->zone]++;
             at.total++;
         }
     }
-    for (uint32_t i = 0; i < job->entries && chosen[i]; i++) {
-        chosen[i]->cpus += job->spec->cpus;
-        chosen[i]->gpus += job->spec->gpus;
-        chosen[i]->ram_gb += job->spec->ram_gb;
+    for (uint32_t i = 0; i < job->task_count && chosen[i]; i++) {
+        chosen[i]->free_cpus += job->spec->cpus;
+        chosen[i]->free_gpus += job->spec->gpus;
+        chosen[i]->free_ram_gb += job->spec->ram_gb;
     }
     if (ok) {
-        job->last_try++;
-        for (uint32_t i = 0; i < job->entries; i++)
-            pm_scheduler_place_task(p, job, i, chosen[i], job->last_try, &at, now);
+        job->last_attempt++;
+        for (uint32_t i = 0; i < job->task_count; i++)
+            pm_scheduler_place_task(p, job, i, chosen[i], job->last_attempt, &at, now);
     }
     g_free(chosen);
     return ok;
@@ -44,16 +44,17 @@
 static uint32_t room_to_come(struct pm_scheduler *p, const struct pm_machine *m,
                              const struct pm_job *job, int only_zone, double now)
 {
-    double room[3] = {m->cpus, m->gpus, m->ram_gb};
+    double room[3] = {m->free_cpus, m->free_gpus, m->free_ram_gb};
 
     if (!pm_scheduler_is_machine_usable(p, m, now) || (only_zone >= 0 && m->zone != only_zone) ||
         pm_scheduler_claimed_by_other(m, job, now) ||
         !pm_scheduler_is_machine_allowed(p->tables, job, m->type, m->zone, m->spot))
         return 0;
-    for (guint j = 0; j < m->places->len; j++) {
-        const struct pm_placement *place = g_ptr_array_index(m->places, j);
+    for (guint j = 0; j < m->placements->len; j++) {
+        const struct pm_placement *place = g_ptr_array_index(m->placements, j);
         const struct pm_spec *spec = place->job->spec;
-        if (place->state == PM_PLACEMENT_ENDED || (spec->form != PM_WORKLOAD_ARRAY && !place->stop))
+        if (place->state == PM_PLACEMENT_ENDED ||
+            (spec->kind != PM_WORKLOAD_ARRAY && !place->should_stop))
             continue;
         room[0] += spec->cpus;
         room[1] += spec->gpus;
@@ -70,20 +71,20 @@
     uint32_t n = 0;
     uint32_t fit;
 
-    for (guint i = 0; i < all->len && n < job->entries; i++)
+    for (guint i = 0; i < all->len && n < job->task_count; i++)
         if (g_ptr_array_index(all, i))
             n += room_to_come(p, g_ptr_array_index(all, i), job, only_zone, now);
-    if (n < job->entries)
+    if (n < job->task_count)
         return false;
     n = 0;
-    for (guint i = 0; i < all->len && n < job->entries; i++) {
+    for (guint i = 0; i < all->len && n < job->task_count; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
         if (!m || !(fit = room_to_come(p, m, job, only_zone, now)))
             continue;
-        m->claim = job;
+        m->reserved_for_gang = job;
         n += fit;
     }
-    job->claims_until = now + CLAIM_S;
+    job->reservation_until = now + CLAIM_S;
     return true;
 }
 
@@ -94,28 +95,28 @@
 {
     GPtrArray *all = pm_workers_all(p->workers);
     size_t size = sizeof(spoken) * (all->len + 1);
-    int zones = job->spec->same_place ? p->tables->settings->zones : 1;
+    int zones = job->spec->same_zone ? p->tables->settings->zone_count : 1;
 
-    if (job->priority < PM_PRIORITY_URGENT || now < job->claims_until)
+    if (job->priority < PM_PRIORITY_URGENT || now < job->reservation_until)
         return;
     for (int zone = 0; zone < zones; zone++) {
-        int only = job->spec->same_place ? zone : -1;
+        int only = job->spec->same_zone ? zone : -1;
         spoken *trial = g_memdup2(spoken_for, size);
         struct spread at = {0};
         uint32_t n = 0;
-        while (n < job->entries && pm_scheduler_clear_one(p, job, trial, &at, only, true, now))
+        while (n < job->task_count && pm_scheduler_clear_one(p, job, trial, &at, only, true, now))
             n++;
         g_free(trial);
-        if (n < job->entries)
+        if (n < job->task_count)
             continue;
         memset(&at, 0, sizeof at);
-        job->claims_until = now + CLAIM_S;
-        for (n = 0; n < job->entries; n++) {
+        job->reservation_until = now + CLAIM_S;
+        for (n = 0; n < job->task_count; n++) {
             struct pm_machine *m =
                 pm_scheduler_clear_one(p, job, spoken_for, &at, only, false, now);
             if (!m)
                 break;
-            m->claim = job;
+            m->reserved_for_gang = job;
         }
         return;
     }
--- a/src/placement/lease.c
+++ b/src/placement/lease.c
@@ -11,7 +11,7 @@
 uint32_t pm_scheduler_tasks_within_guarantee(struct pm_scheduler *p, const struct pm_job *job)
 {
     const struct pm_spec *spec = job->spec;
-    double left = p->tables->settings->team[spec->team].cpus - p->actual[spec->team];
+    double left = p->tables->settings->teams[spec->team].cpus - p->actual[spec->team];
     uint32_t done;
     uint32_t placed;
     uint32_t n;
@@ -20,7 +20,7 @@
     if (left <= 0 || spec->cpus <= 0)
         return 0;
     n = (uint32_t)MIN(floor((left + EPS) / spec->cpus),
-                      job->entries - MIN(done + placed, job->entries));
+                      job->task_count - MIN(done + placed, job->task_count));
     p->actual[spec->team] += n * spec->cpus;
     return n;
 }
@@ -33,7 +33,7 @@
     p->spare = -1;
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        if (m && m->type >= 0 && m->zone >= 0 && !m->places->len &&
+        if (m && m->type >= 0 && m->zone >= 0 && !m->placements->len &&
             pm_scheduler_is_machine_usable(p, m, now) && pm_machine_is_drained(m, epoch))
             g_ptr_array_add(p->whole, m);
     }
@@ -43,7 +43,8 @@
 bool pm_scheduler_is_machine_leasable(struct pm_scheduler *p, const struct pm_machine *m,
                                       const struct pm_job *job, double now)
 {
-    if (m->lent || !pm_scheduler_is_machine_allowed(p->tables, job, m->type, m->zone, m->spot) ||
+    if (m->shard_owner ||
+        !pm_scheduler_is_machine_allowed(p->tables, job, m->type, m->zone, m->spot) ||
         !pm_scheduler_has_free_capacity(m, job->spec))
         return false;
     if (m->spot)
@@ -52,7 +53,7 @@
         p->totals.at = -1; /* counted anew: this run has placed since */
         p->spare = pm_scheduler_headroom_cpus(p, now);
     }
-    return p->spare - m->cpus >= p->reserve;
+    return p->spare - m->free_cpus >= p->reserve;
 }
 
 struct pm_machine *pm_scheduler_pick_idle_machine(struct pm_scheduler *p, const struct pm_job *job,
@@ -67,14 +68,14 @@
         if (!pm_scheduler_is_machine_leasable(p, m, job, now))
             continue;
         value = (pm_scheduler_has_image(m, job->spec->image) ? 3 : 0) + (m->spot ? 5 : 0) -
-                2 * MAX(0, m->cpus - tasks * job->spec->cpus) / MAX(m->cpus, EPS);
+                2 * MAX(0, m->free_cpus - tasks * job->spec->cpus) / MAX(m->free_cpus, EPS);
         if (value > best_score) {
             best_score = value;
             best = m;
         }
     }
     if (best && !best->spot)
-        p->spare -= best->cpus; /* leased from now on */
+        p->spare -= best->free_cpus; /* leased from now on */
     return best;
 }
 
@@ -88,15 +89,16 @@
         bool there = false;
         if (!other->delegated || !other->spec)
             continue;
-        for (int k = 0; k < other->nchunks && !there; k++) {
-            const GArray *stored_places = other->chunk[k] ? other->chunk[k]->stored_places : NULL;
+        for (int k = 0; k < other->chunk_count && !there; k++) {
+            const GArray *stored_places =
+                other->chunks[k] ? other->chunks[k]->stored_placements : NULL;
             for (guint s = 0; stored_places && s < stored_places->len && !there; s++)
                 there =
                     g_array_index(stored_places, struct pm_stored_placement, s).machine == machine;
         }
         if (!there)
             continue;
-        team = &p->tables->settings->team[other->spec->team];
+        team = &p->tables->settings->teams[other->spec->team];
         if (other->spec->team == job->spec->team || other->priority == PM_PRIORITY_PRODUCTION ||
             p->actual[other->spec->team] - p->yielding[other->spec->team] <= team->cpus + EPS)
             return false;
@@ -107,6 +109,6 @@
 
 void pm_scheduler_preempt_placement(struct pm_placement *place)
 {
-    if (!place->stop && place->state != PM_PLACEMENT_ENDED)
+    if (!place->should_stop && place->state != PM_PLACEMENT_ENDED)
         pm_placement_stop(place, pm_scheduler_leave_for(place, false));
 }
--- a/src/placement/ledger.c
+++ b/src/placement/ledger.c
@@ -15,13 +15,13 @@
  * it has waited too long to begin: from then on it is charged, and does not yield at once. */
 bool pm_scheduler_is_unallocated(const struct pm_job *job)
 {
-    return job->priority == PM_PRIORITY_BEST_EFFORT && !job->aged;
+    return job->priority == PM_PRIORITY_BEST_EFFORT && !job->is_overdue_start;
 }
 
 static double machine_share(const struct pm_name_tables *tables, const struct pm_spec *spec,
                             const struct pm_machine *m)
 {
-    const struct pm_type *t = &tables->type[m->type];
+    const struct pm_type *t = &tables->types[m->type];
     double share = MAX(spec->cpus / MAX(t->cpus, EPS), spec->ram_gb / MAX(t->ram_gb, EPS));
 
     return t->gpus > 0 ? MAX(share, spec->gpus / t->gpus) : share;
@@ -37,7 +37,7 @@
         p->bucket = bucket - BUCKETS;
     while (p->bucket < bucket) {
         p->bucket++;
-        for (int t = 0; t < p->tables->settings->teams; t++) {
+        for (int t = 0; t < p->tables->settings->team_count; t++) {
             double *old = &p->ledger[t].bucket[p->bucket % BUCKETS];
             p->ledger[t].sum -= *old;
             *old = 0;
@@ -68,8 +68,8 @@
         const struct pm_spec *spec = job->spec;
         if (!job->delegated || !spec || job->parallelism == UINT32_MAX)
             continue;
-        for (int k = 0; k < job->nchunks; k++) {
-            const GArray *stored_places = job->chunk[k] ? job->chunk[k]->stored_places : NULL;
+        for (int k = 0; k < job->chunk_count; k++) {
+            const GArray *stored_places = job->chunks[k] ? job->chunks[k]->stored_placements : NULL;
             for (guint s = 0; stored_places && s < stored_places->len; s++) {
                 const struct pm_machine *m = pm_workers_at(
                     p->workers,
@@ -89,17 +89,17 @@
     double span = p->charged_at ? MIN(now - p->charged_at, 5) : 0;
 
     turn_buckets(p, day);
-    for (int t = 0; t < p->tables->settings->teams; t++)
+    for (int t = 0; t < p->tables->settings->team_count; t++)
         p->actual[t] = p->yielding[t] = p->promised[t] = 0;
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        for (guint j = 0; m && j < m->places->len; j++) {
-            const struct pm_placement *place = g_ptr_array_index(m->places, j);
+        for (guint j = 0; m && j < m->placements->len; j++) {
+            const struct pm_placement *place = g_ptr_array_index(m->placements, j);
             const struct pm_spec *spec = place->job->spec;
             if (place->state == PM_PLACEMENT_ENDED)
                 continue;
             p->actual[spec->team] += spec->cpus;
-            if (place->stop)
+            if (place->should_stop)
                 p->yielding[spec->team] += spec->cpus;
             if (m->type >= 0 && place->state >= PM_PLACEMENT_DURABLE)
                 charge(p, place->job, m, span);
@@ -116,9 +116,9 @@
     double total = 0;
     double mine;
 
-    for (int t = 0; t < s->teams; t++)
-        total += s->team[t].cpus;
-    mine = total > 0 ? s->team[team].cpus / total : 1.0 / s->teams;
+    for (int t = 0; t < s->team_count; t++)
+        total += s->teams[t].cpus;
+    mine = total > 0 ? s->teams[team].cpus / total : 1.0 / s->team_count;
     return p->ledger[team].sum / MAX(mine, 1e-3);
 }
 
@@ -127,33 +127,33 @@
 static void write_images(const struct pm_scheduler *p, size_t others, struct pm_buf *out)
 {
     GPtrArray *all = pm_workers_all(p->workers);
-    size_t most = (size_t)(p->tables->settings->value_kb * 1024 * 0.85);
+    size_t most = (size_t)(p->tables->settings->store_value_kb * 1024 * 0.85);
     size_t used = 100 + others;
-    int count = pm_names_count(p->tables->images);
+    int count = pm_names_count(p->tables->image_names);
     int known = 0;
     int *place = g_new(int, count + 1);
     struct pm_buf machines = {0};
 
     for (int i = 0; i < count; i++)
         place[i] = -1;
-    for (int t = 0; t < p->tables->settings->teams; t++)
-        used += strlen(p->tables->settings->team[t].name) + 24;
-    for (int z = 0; z < p->tables->settings->zones; z++)
-        used += strlen(p->tables->settings->zone_name[z]) + 24;
+    for (int t = 0; t < p->tables->settings->team_count; t++)
+        used += strlen(p->tables->settings->teams[t].name) + 24;
+    for (int z = 0; z < p->tables->settings->zone_count; z++)
+        used += strlen(p->tables->settings->zone_names[z]) + 24;
     pm_put_text(out, "table");
     pm_put_list(out);
     for (int spot = 0; spot < 2; spot++)
         for (guint i = 0; i < all->len && used < most; i++) {
             const struct pm_machine *m = g_ptr_array_index(all, i);
-            if (!m || !m->ncached || m->state != PM_MACHINE_UP || m->spot != spot)
+            if (!m || !m->cached_image_count || m->state != PM_MACHINE_UP || m->spot != spot)
                 continue;
             pm_put_text(&machines, m->name);
             pm_put_list(&machines);
             used += strlen(m->name) + 6;
-            for (int k = 0; k < m->ncached && used < most; k++) {
-                const struct pm_cached_image *c = &m->cached[k];
+            for (int k = 0; k < m->cached_image_count && used < most; k++) {
+                const struct pm_cached_image *c = &m->cached_images[k];
                 if (place[c->image] < 0) {
-                    const char *image = pm_names_text(p->tables->images, c->image);
+                    const char *image = pm_names_text(p->tables->image_names, c->image);
                     place[c->image] = known++;
                     pm_put_text(out, image);
                     pm_put_number(out, ceil(c->gb * 100) / 100);
@@ -184,16 +184,17 @@
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
         cbor_item_t *list = m ? pm_cbor_get(images, m->name) : NULL;
-        if (!list || m->ncached)
+        if (!list || m->cached_image_count)
             continue;
-        for (size_t k = 0; k < pm_cbor_length(list) && m->ncached < PM_CACHED_IMAGES_MAX; k++) {
-            struct pm_cached_image *c = &m->cached[m->ncached];
+        for (size_t k = 0; k < pm_cbor_length(list) && m->cached_image_count < PM_CACHED_IMAGES_MAX;
+             k++) {
+            struct pm_cached_image *c = &m->cached_images[m->cached_image_count];
             if (pm_cbor_count(pm_cbor_at(list, k), &place) || place >= pm_cbor_length(table) / 2 ||
                 pm_cbor_text(pm_cbor_at(table, 2 * place), name, sizeof name) ||
                 pm_cbor_number(pm_cbor_at(table, 2 * place + 1), &c->gb))
                 continue;
-            c->image = pm_names_intern(p->tables->images, name);
-            m->ncached++;
+            c->image = pm_names_intern(p->tables->image_names, name);
+            m->cached_image_count++;
         }
     }
 }
@@ -208,14 +209,14 @@
 
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
-        if (m && m->reported && m->zone >= 0 && !m->lent)
-            heard[m->zone] = MAX(heard[m->zone], m->heard);
+        if (m && m->has_heartbeat && m->zone >= 0 && !m->shard_owner)
+            heard[m->zone] = MAX(heard[m->zone], m->last_message_at);
     }
     pm_put_text(out, "heard");
     pm_put_map(out);
-    for (int z = 0; z < s->zones; z++)
+    for (int z = 0; z < s->zone_count; z++)
         if (heard[z] > 0)
-            pm_put_pair_number(out, s->zone_name[z], day - (now - heard[z]));
+            pm_put_pair_number(out, s->zone_names[z], day - (now - heard[z]));
     pm_put_end(out);
 }
 
@@ -265,8 +266,8 @@
     pm_put_pair_number(out, "day", day);
     pm_put_text(out, "teams");
     pm_put_map(out);
-    for (int t = 0; t < p->tables->settings->teams; t++)
-        pm_put_pair_number(out, p->tables->settings->team[t].name, p->ledger[t].sum);
+    for (int t = 0; t < p->tables->settings->team_count; t++)
+        pm_put_pair_number(out, p->tables->settings->teams[t].name, p->ledger[t].sum);
     pm_put_end(out);
     write_heard(p, now, day, out);
     write_images(p, write_failing(p, out), out);
@@ -280,11 +281,11 @@
 
     if (pm_cbor_number(pm_cbor_get(value, "day"), &day))
         return;
-    memset(p->ledger, 0, sizeof p->ledger[0] * (size_t)p->tables->settings->teams);
+    memset(p->ledger, 0, sizeof p->ledger[0] * (size_t)p->tables->settings->team_count);
     p->bucket = (long)(day / (p->op->window_h * 3600 / BUCKETS)) + BUCKETS;
-    for (int t = 0; t < p->tables->settings->teams; t++) {
+    for (int t = 0; t < p->tables->settings->team_count; t++) {
         struct ledger *l = &p->ledger[t];
-        if (pm_cbor_number(pm_cbor_get(teams, p->tables->settings->team[t].name), &l->sum))
+        if (pm_cbor_number(pm_cbor_get(teams, p->tables->settings->teams[t].name), &l->sum))
             l->sum = 0;
         /* The total alone is kept: its age is taken to be even over half the window. */
         for (int b = 0; b < HALF_WINDOW; b++)
@@ -297,12 +298,12 @@
     int c = job->spec->class_index;
     double ratio;
 
-    job->ran_sum += seconds;
-    job->ran_n++;
-    if (c >= CLASSES_MAX || job->spec->expected_s <= 0)
+    job->run_time_sum_s += seconds;
+    job->run_time_samples++;
+    if (c >= CLASSES_MAX || job->spec->estimated_run_s <= 0)
         return;
     /* Slowly: the tasks of one job are all off by much the same. */
-    ratio = CLAMP(seconds / job->spec->expected_s, 0.1, 10);
+    ratio = CLAMP(seconds / job->spec->estimated_run_s, 0.1, 10);
     p->factor[c] = (p->factor[c] > 0 ? p->factor[c] : 1) * 0.99 + ratio * 0.01;
 }
 
@@ -311,5 +312,6 @@
     int c = job->spec->class_index;
     double factor = c < CLASSES_MAX && p->factor[c] > 0 ? p->factor[c] : 1;
 
-    return (job->spec->expected_s * factor + job->ran_sum) / (1 + job->ran_n);
+    return (job->spec->estimated_run_s * factor + job->run_time_sum_s) /
+           (1 + job->run_time_samples);
 }
--- a/src/placement/plan.c
+++ b/src/placement/plan.c
@@ -67,11 +67,12 @@
 bool pm_scheduler_within(const struct pm_scheduler *p, const struct pm_job *job, uint32_t tasks,
                          bool guarantee)
 {
-    const struct pm_team_setting *team = &p->tables->settings->team[job->spec->team];
+    const struct pm_team_setting *team = &p->tables->settings->teams[job->spec->team];
 
-    if (job->nplaced + tasks > job->parallelism)
+    if (job->placed_count + tasks > job->parallelism)
         return false; /* the block's lease allows no more at once */
-    if (job->spec->form == PM_WORKLOAD_ARRAY && job->nplaced && pm_failures_is_job_failing(job))
+    if (job->spec->kind == PM_WORKLOAD_ARRAY && job->placed_count &&
+        pm_failures_is_job_failing(job))
         return false; /* one at a time */
     if (guarantee &&
         (p->actual[job->spec->team] + tasks * job->spec->cpus > team->cpus + EPS ||
@@ -84,20 +85,20 @@
 void pm_scheduler_place_task(struct pm_scheduler *p, struct pm_job *job, uint32_t index,
                              struct pm_machine *m, uint32_t attempt, struct spread *at, double now)
 {
-    pm_workers_add_placement(p->workers, job, index, m, attempt, m->session, PM_PLACEMENT_PROPOSED,
-                             now);
+    pm_workers_add_placement(p->workers, job, index, m, attempt, m->incarnation,
+                             PM_PLACEMENT_PROPOSED, now);
     pm_job_mark_dirty(job, index);
     pm_quota_add_own(p, job->spec, 1);
     p->actual[job->spec->team] += job->spec->cpus;
     at->zone[m->zone]++;
     at->total++;
     p->steps++;
-    if (m->cpus < EPS)
+    if (m->free_cpus < EPS)
         g_ptr_array_remove(p->room, m);
     pm_debug("plan.place", "%s/%u try %u on %s, %s uses %g of %g: own %g, leased %g, stray %g",
-             job->id, index, attempt, m->name, p->tables->settings->team[job->spec->team].name,
+             job->id, index, attempt, m->name, p->tables->settings->teams[job->spec->team].name,
              pm_quota_total(p, job->spec->team).cpus,
-             p->tables->settings->team[job->spec->team].cpus_max, p->use[job->spec->team].own.cpus,
+             p->tables->settings->teams[job->spec->team].cpus_max, p->use[job->spec->team].own.cpus,
              p->use[job->spec->team].leased.cpus, p->use[job->spec->team].stray.cpus);
 }
 
@@ -105,16 +106,16 @@
 static uint32_t next_waiting(const struct pm_name_tables *tables, struct pm_job *job, uint32_t from,
                              double now)
 {
-    for (uint32_t i = from; i < job->entries; i++) {
+    for (uint32_t i = from; i < job->task_count; i++) {
         const struct pm_task *task = pm_job_find_task(job, i);
-        if (!task || (!task->done && !task->place && task->not_before <= now)) {
-            if (job->spec->form == PM_WORKLOAD_GANG || pm_job_value_has_room(tables, job, i))
+        if (!task || (!task->done && !task->placement && task->backoff_until <= now)) {
+            if (job->spec->kind == PM_WORKLOAD_GANG || pm_job_value_has_room(tables, job, i))
                 return i;
             i |= PM_HALF_CHUNK_TASKS -
                  1; /* the others of this half, too, wait until a place there is free */
         }
     }
-    return job->entries;
+    return job->task_count;
 }
 
 static uint32_t place_tasks(struct pm_scheduler *p, struct pm_job *job, bool guarantee, double now)
@@ -125,17 +126,18 @@
     uint32_t i;
     const struct pm_task *task;
 
-    while (job->hint < job->entries && (task = pm_job_find_task(job, job->hint)) &&
-           (task->done || task->place))
-        job->hint++;
-    i = job->hint;
+    while (job->first_waiting_hint < job->task_count &&
+           (task = pm_job_find_task(job, job->first_waiting_hint)) &&
+           (task->done || task->placement))
+        job->first_waiting_hint++;
+    i = job->first_waiting_hint;
     pm_scheduler_count_zones(job, &at);
     while (p->steps < STEPS_MAX) {
         i = next_waiting(p->tables, job, i, now);
-        if (i >= job->entries || !pm_scheduler_within(p, job, 1, guarantee))
+        if (i >= job->task_count || !pm_scheduler_within(p, job, 1, guarantee))
             break;
         /* Array tasks fill a machine before the next one is looked for. */
-        if (!m || job->spec->form != PM_WORKLOAD_ARRAY || job->spec->spread ||
+        if (!m || job->spec->kind != PM_WORKLOAD_ARRAY || job->spec->spread_zones ||
             !pm_scheduler_has_free_capacity(m, job->spec)) {
             struct need need = pm_scheduler_need_of(p, job, &at, -1);
             if (pm_scheduler_is_unschedulable(p, &need))
@@ -147,7 +149,7 @@
         if (!m || pm_scheduler_better_cleared(p, m, job, &at, now) ||
             pm_scheduler_rather_waits(p, m, job))
             break;
-        pm_scheduler_place_task(p, job, i, m, ++job->last_try, &at, now);
+        pm_scheduler_place_task(p, job, i, m, ++job->last_attempt, &at, now);
         placed++;
         i++;
     }
@@ -160,23 +162,23 @@
 
     if (pm_failures_is_job_failing(job) && !pm_failures_may_retry(job, now))
         return 0;
-    if (job->spec->form != PM_WORKLOAD_GANG)
+    if (job->spec->kind != PM_WORKLOAD_GANG)
         return place_tasks(p, job, guarantee, now);
     /* The old attempt's tasks hold their machines, and their zones, until they are gone. */
-    if (job->nplaced || job->ndone || next_waiting(p->tables, job, 0, now) > 0)
+    if (job->placed_count || job->done_count || next_waiting(p->tables, job, 0, now) > 0)
         return 0;
-    for (uint32_t i = 0; i < job->entries; i++) {
+    for (uint32_t i = 0; i < job->task_count; i++) {
         const struct pm_task *task = pm_job_find_task(job, i);
-        if (task && task->not_before > now)
+        if (task && task->backoff_until > now)
             return 0;
     }
-    zones = job->spec->same_place ? p->tables->settings->zones : 1;
+    zones = job->spec->same_zone ? p->tables->settings->zone_count : 1;
     for (int zone = 0; zone < zones; zone++)
-        if (pm_scheduler_place_gang(p, job, job->spec->same_place ? zone : -1, guarantee, now))
-            return job->entries;
+        if (pm_scheduler_place_gang(p, job, job->spec->same_zone ? zone : -1, guarantee, now))
+            return job->task_count;
     for (int zone = 0; zone < zones; zone++)
-        if (job->starving && now > job->claims_until - CLAIM_S / 2 &&
-            pm_scheduler_await_room(p, job, job->spec->same_place ? zone : -1, now))
+        if (job->is_starving && now > job->reservation_until - CLAIM_S / 2 &&
+            pm_scheduler_await_room(p, job, job->spec->same_zone ? zone : -1, now))
             break;
     return 0;
 }
@@ -190,7 +192,7 @@
         return;
     for (guint i = 0; i < active->len; i++) {
         const struct pm_job *job = g_ptr_array_index(active, i);
-        if (job->spec && job->spec->form == PM_WORKLOAD_SERVICE && job->nplaced)
+        if (job->spec && job->spec->kind == PM_WORKLOAD_SERVICE && job->placed_count)
             return;
     }
     p->cold_until = now + 2 * p->op->replica_due_s;
@@ -211,7 +213,7 @@
             continue;
         if (m->state == PM_MACHINE_BOOTING && pm_scheduler_boots_soon(p->tables, m, now))
             p->soon[m->type][m->zone][m->spot] = true;
-        else if (m->cpus > EPS && pm_scheduler_is_machine_usable(p, m, now))
+        else if (m->free_cpus > EPS && pm_scheduler_is_machine_usable(p, m, now))
             g_ptr_array_add(p->room, m);
     }
 }
@@ -227,7 +229,7 @@
     pm_scheduler_mark_starving(p, now);
     note_cold_start(p, now);
     survey(p, now);
-    for (int t = 0; t < p->tables->settings->teams; t++)
+    for (int t = 0; t < p->tables->settings->team_count; t++)
         p->ratio[t] = pm_scheduler_usage_ratio(p, t);
 }
 
@@ -239,10 +241,10 @@
 {
     if (!pm_failures_is_job_failing(job))
         return pm_job_startable_tasks(job, now);
-    if (job->nplaced || now < job->faults.retry_at + RETRY_WAITS_S)
+    if (job->placed_count || now < job->failures.retry_at + RETRY_WAITS_S)
         return 0;
     return MIN(pm_job_startable_tasks(job, now),
-               job->spec->form == PM_WORKLOAD_GANG ? job->entries : 1);
+               job->spec->kind == PM_WORKLOAD_GANG ? job->task_count : 1);
 }
 
 int pm_scheduler_place(struct pm_scheduler *p, double now)
@@ -267,20 +269,20 @@
     }
     for (guint i = 0; i < p->queue->len; i++) {
         struct pm_job *job = g_ptr_array_index(p->queue, i);
-        const struct pm_team_setting *team = &p->tables->settings->team[job->spec->team];
+        const struct pm_team_setting *team = &p->tables->settings->teams[job->spec->team];
         uint32_t left;
         double room;
         if (p->steps < STEPS_MAX)
             place_job(p, job, false, now);
         left = count_wanted(job, now);
-        if (!left || (job->spec->form == PM_WORKLOAD_GANG && job->nplaced))
+        if (!left || (job->spec->kind == PM_WORKLOAD_GANG && job->placed_count))
             continue;
         /* More than the team's limit allows is no reason to rent or to stop anything. */
         room =
             team->cpus_max - pm_quota_total(p, job->spec->team).cpus - held_cpus[job->spec->team];
         if (job->spec->cpus > 0)
             left = (uint32_t)MIN((double)left, MAX(0, floor((room + EPS) / job->spec->cpus)));
-        if (job->spec->form == PM_WORKLOAD_GANG && left < job->entries)
+        if (job->spec->kind == PM_WORKLOAD_GANG && left < job->task_count)
             continue;
         if (!left)
             continue;
--- a/src/placement/preempt.c
+++ b/src/placement/preempt.c
@@ -12,12 +12,12 @@
     int team = job->spec->team;
 
     return p->actual[team] + p->promised[team] + job->spec->cpus <=
-           p->tables->settings->team[team].cpus + EPS;
+           p->tables->settings->teams[team].cpus + EPS;
 }
 
 static bool beyond_guarantee(const struct pm_scheduler *p, int team)
 {
-    return p->actual[team] - p->yielding[team] > p->tables->settings->team[team].cpus + EPS;
+    return p->actual[team] - p->yielding[team] > p->tables->settings->teams[team].cpus + EPS;
 }
 
 /* Urgent work beyond its team's guarantee leaves alone what another team has within its own: that
@@ -56,7 +56,7 @@
     const struct pm_spec *theirs = place->job->spec;
     bool is_protected;
 
-    if (place->stop || place->state == PM_PLACEMENT_ENDED || place->job == job)
+    if (place->should_stop || place->state == PM_PLACEMENT_ENDED || place->job == job)
         return false;
     if (pm_scheduler_is_unallocated(place->job) && job->priority > place->job->priority)
         return true;
@@ -73,24 +73,28 @@
         return true;
     if (job->priority >= PM_PRIORITY_URGENT)
         return false;
-    is_protected = now - place->since < p->op->min_runtime_s;
-    return !is_protected && theirs->bookmark_s > 0 && p->ratio[mine->team] < p->ratio[theirs->team];
+    is_protected = now - place->placed_at < p->op->min_runtime_s;
+    return !is_protected && theirs->checkpoint_interval_s > 0 &&
+           p->ratio[mine->team] < p->ratio[theirs->team];
 }
 
 /* What is lost when the task is stopped now, in seconds of its work. */
 static double loss(const struct pm_placement *place, double now)
 {
     const struct pm_spec *spec = place->job->spec;
-    double ran = place->ran_from ? now - place->ran_from : 0;
+    double ran = place->running_since ? now - place->running_since : 0;
 
-    return spec->bookmark_s > 0 ? spec->filing_s + fmod(ran, spec->bookmark_s) : ran;
+    return spec->checkpoint_interval_s > 0
+               ? spec->checkpoint_duration_s + fmod(ran, spec->checkpoint_interval_s)
+               : ran;
 }
 
 double pm_scheduler_leave_for(const struct pm_placement *place, bool hurry)
 {
     const struct pm_spec *spec = place->job->spec;
 
-    return spec->bookmark_s > 0 && !hurry ? spec->filing_s + LEAVE_EXTRA_S : 0;
+    return spec->checkpoint_interval_s > 0 && !hurry ? spec->checkpoint_duration_s + LEAVE_EXTRA_S
+                                                     : 0;
 }
 
 struct victim {
@@ -117,17 +121,17 @@
                       const spoken *spoken_for, guint *n, double *cost, double now)
 {
     const struct pm_spec *need = job->spec;
-    double room[3] = {m->cpus, m->gpus, m->ram_gb};
+    double room[3] = {m->free_cpus, m->free_gpus, m->free_ram_gb};
 
     *cost = 0;
     g_array_set_size(p->victims, 0);
     if (!pm_scheduler_has_image(m, need->image))
         *cost = 1e4 * (1 + pm_scheduler_fetches_before(p, m, need) +
-                       need->image_gb / MAX(p->tables->type[m->type].pull_gb_per_s, EPS));
-    for (guint j = 0; j < m->places->len; j++) {
-        struct pm_placement *place = g_ptr_array_index(m->places, j);
+                       need->image_gb / MAX(p->tables->types[m->type].pull_gb_per_s, EPS));
+    for (guint j = 0; j < m->placements->len; j++) {
+        struct pm_placement *place = g_ptr_array_index(m->placements, j);
         const struct pm_spec *spec = place->job->spec;
-        if (place->stop && place->state != PM_PLACEMENT_ENDED) {
+        if (place->should_stop && place->state != PM_PLACEMENT_ENDED) {
             room[0] += spec->cpus;
             room[1] += spec->gpus;
             room[2] += spec->ram_gb;
@@ -176,13 +180,13 @@
 static void add_candidate(struct pm_scheduler *p, struct pm_machine *m)
 {
     struct candidate candidate = {.machine = m};
-    bool any = m->cpus > EPS; /* free room serves without stopping anything */
+    bool any = m->free_cpus > EPS; /* free room serves without stopping anything */
 
     for (int k = 0; k <= PM_PRIORITY_PRODUCTION; k++)
-        candidate.room[k] = m->cpus;
-    for (guint j = 0; j < m->places->len; j++) {
-        const struct pm_placement *place = g_ptr_array_index(m->places, j);
-        int from = place->stop ? PM_PRIORITY_BEST_EFFORT : (int)place->job->priority + 1;
+        candidate.room[k] = m->free_cpus;
+    for (guint j = 0; j < m->placements->len; j++) {
+        const struct pm_placement *place = g_ptr_array_index(m->placements, j);
+        int from = place->should_stop ? PM_PRIORITY_BEST_EFFORT : (int)place->job->priority + 1;
         if (place->state == PM_PLACEMENT_ENDED)
             continue;
         any |= from <= PM_PRIORITY_PRODUCTION;
@@ -243,16 +247,16 @@
         can_clear(p, job, best, spoken_for, &n, &cost, now);
         for (guint v = 0; v < n; v++) {
             struct pm_placement *place = victim_at(p, v)->place;
-            pm_info("plan.preempt", "%s/%u on %s for %s", place->job->id, place->index, best->name,
-                    job->id);
+            pm_info("plan.preempt", "%s/%u on %s for %s", place->job->id, place->task_index,
+                    best->name, job->id);
             pm_placement_stop(
                 place, pm_scheduler_leave_for(place, job->priority == PM_PRIORITY_PRODUCTION));
             p->yielding[place->job->spec->team] += place->job->spec->cpus;
             p->steps++;
         }
         p->promised[job->spec->team] += job->spec->cpus;
-        best->clearing_for = job;
-        best->clearing_until = now + CLEARING_S;
+        best->reserved_for = job;
+        best->reserved_until = now + CLEARING_S;
     }
     spoken_for[best->index][0] += job->spec->cpus;
     spoken_for[best->index][1] += job->spec->gpus;
@@ -270,8 +274,8 @@
 
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
-        for (guint j = 0; m && j < m->places->len; j++) {
-            const struct pm_placement *place = g_ptr_array_index(m->places, j);
+        for (guint j = 0; m && j < m->placements->len; j++) {
+            const struct pm_placement *place = g_ptr_array_index(m->placements, j);
             lowest = MIN(lowest, place->job->priority);
         }
     }
@@ -283,7 +287,7 @@
 {
     const struct pm_settings *s = p->tables->settings;
 
-    for (int t = 0; t < s->teams; t++)
+    for (int t = 0; t < s->team_count; t++)
         if (t != team && beyond_guarantee(p, t))
             return true;
     return false;
@@ -311,7 +315,7 @@
             continue;
         if (job->delegated)
             continue; /* the leader calls machines back for it */
-        if (job->spec->form == PM_WORKLOAD_GANG) {
+        if (job->spec->kind == PM_WORKLOAD_GANG) {
             pm_scheduler_clear_gang(p, job, spoken_for, now);
             continue;
         }
@@ -334,10 +338,10 @@
 
 static void stop_gang(struct pm_scheduler *p, struct pm_job *job, double leave_s)
 {
-    for (uint32_t i = 0; i < job->entries; i++) {
+    for (uint32_t i = 0; i < job->task_count; i++) {
         const struct pm_task *task = pm_job_find_task(job, i);
-        if (task && task->place && !task->place->stop) {
-            pm_placement_stop(task->place, leave_s);
+        if (task && task->placement && !task->placement->should_stop) {
+            pm_placement_stop(task->placement, leave_s);
             p->steps++;
         }
     }
@@ -347,21 +351,21 @@
  * a task that cannot save runs on only where it may well end in time. */
 static void heed_notice(struct pm_scheduler *p, struct pm_machine *m, double now)
 {
-    double left = m->recall_at - now;
+    double left = m->spot_interruption_at - now;
 
-    for (guint j = 0; j < m->places->len; j++) {
-        struct pm_placement *place = g_ptr_array_index(m->places, j);
+    for (guint j = 0; j < m->placements->len; j++) {
+        struct pm_placement *place = g_ptr_array_index(m->placements, j);
         const struct pm_spec *spec = place->job->spec;
         double remains = pm_scheduler_estimate_remaining_s(p, place->job) -
-                         (place->ran_from ? now - place->ran_from : 0);
-        if (place->stop || place->state == PM_PLACEMENT_ENDED ||
+                         (place->running_since ? now - place->running_since : 0);
+        if (place->should_stop || place->state == PM_PLACEMENT_ENDED ||
             place->state == PM_PLACEMENT_PROPOSED)
             continue;
         /* The notice may be off by half. */
-        if (spec->form != PM_WORKLOAD_SERVICE && place->ran_from && remains > -10 &&
+        if (spec->kind != PM_WORKLOAD_SERVICE && place->running_since && remains > -10 &&
             remains < left * 0.4)
             continue;
-        if (spec->form == PM_WORKLOAD_GANG) {
+        if (spec->kind == PM_WORKLOAD_GANG) {
             stop_gang(p, place->job, pm_scheduler_leave_for(place, false));
             continue;
         }
@@ -378,18 +382,19 @@
 
     for (guint i = 0; i < active->len; i++) {
         struct pm_job *job = g_ptr_array_index(active, i);
-        if (job->spec && !job->delegated && job->spec->form == PM_WORKLOAD_GANG && job->nplaced &&
-            job->state == PM_JOB_LIVE && !job->ndone && job->nplaced < job->entries)
+        if (job->spec && !job->delegated && job->spec->kind == PM_WORKLOAD_GANG &&
+            job->placed_count && job->state == PM_JOB_LIVE && !job->done_count &&
+            job->placed_count < job->task_count)
             stop_gang(p, job, 0);
     }
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        for (guint j = 0; m && j < m->places->len;) {
-            struct pm_placement *place = g_ptr_array_index(m->places, j);
+        for (guint j = 0; m && j < m->placements->len;) {
+            struct pm_placement *place = g_ptr_array_index(m->placements, j);
             if (place->state == PM_PLACEMENT_PROPOSED &&
-                (place->job->state != PM_JOB_LIVE || place->stop)) {
+                (place->job->state != PM_JOB_LIVE || place->should_stop)) {
                 /* Never launched: nothing needs proof. */
-                uint32_t index = place->index;
+                uint32_t index = place->task_index;
                 struct pm_job *job = place->job;
                 pm_workers_remove_placement(p->workers, place);
                 pm_job_mark_dirty(job, index);
@@ -397,13 +402,13 @@
                 continue;
             }
             if (place->job->state != PM_JOB_LIVE && place->state != PM_PLACEMENT_ENDED &&
-                !(place->stop && place->leave_s <= 0)) {
+                !(place->should_stop && place->grace_s <= 0)) {
                 pm_placement_stop(place, 0);
                 p->steps++;
             }
             j++;
         }
-        if (m && m->recall_at && m->state == PM_MACHINE_UP)
+        if (m && m->spot_interruption_at && m->state == PM_MACHINE_UP)
             heed_notice(p, m, now);
     }
 }
--- a/src/placement/use.c
+++ b/src/placement/use.c
@@ -36,16 +36,16 @@
     uint32_t placed;
 
     pm_job_count_tasks(job, &done, &placed);
-    return MAX(MIN(job->parallelism, job->entries - MIN(done, job->entries)), placed);
+    return MAX(MIN(job->parallelism, job->task_count - MIN(done, job->task_count)), placed);
 }
 
 static void count_machine(struct pm_scheduler *p, const struct pm_machine *m)
 {
     /* An old copy of a report shows tasks that have ended since: they count, but prove nothing. */
-    bool heeds_us = m->told && m->token >= m->told;
+    bool heeds_us = m->acked_epoch && m->fencing_token >= m->acked_epoch;
 
-    for (guint i = 0; i < m->places->len; i++) {
-        const struct pm_placement *place = g_ptr_array_index(m->places, i);
+    for (guint i = 0; i < m->placements->len; i++) {
+        const struct pm_placement *place = g_ptr_array_index(m->placements, i);
         struct team_use *use = &p->use[place->job->spec->team];
         if (place->state == PM_PLACEMENT_ENDED)
             continue;
@@ -53,8 +53,9 @@
         if (place->state >= PM_PLACEMENT_WAITING)
             add(&use->reported, place->job->spec, 1);
     }
-    for (guint i = 0; i < m->strays->len; i++) {
-        const struct pm_spec *spec = g_array_index(m->strays, struct pm_task_ref, i).job->spec;
+    for (guint i = 0; i < m->orphan_tasks->len; i++) {
+        const struct pm_spec *spec =
+            g_array_index(m->orphan_tasks, struct pm_task_ref, i).job->spec;
         if (!spec)
             continue; /* its job is over: how much it takes is not known any more */
         add(&p->use[spec->team].stray, spec, 1);
@@ -80,8 +81,8 @@
 /* The invariant, asserted on what workers report: seen broken, it is told and counted. */
 static void assert_within(struct pm_scheduler *p, double now)
 {
-    for (int t = 0; t < p->tables->settings->teams; t++) {
-        const struct pm_team_setting *team = &p->tables->settings->team[t];
+    for (int t = 0; t < p->tables->settings->team_count; t++) {
+        const struct pm_team_setting *team = &p->tables->settings->teams[t];
         const struct team_use *use = &p->use[t];
         if (!is_over(team, use->reported) || (p->over_told[t] && now < p->over_told[t] + TELL_S))
             continue;
@@ -99,7 +100,7 @@
     GPtrArray *all = pm_workers_all(p->workers);
     GPtrArray *active = pm_jobs_active(p->jobs);
 
-    memset(p->use, 0, sizeof p->use[0] * (size_t)p->tables->settings->teams);
+    memset(p->use, 0, sizeof p->use[0] * (size_t)p->tables->settings->team_count);
     for (guint i = 0; i < all->len; i++)
         if (g_ptr_array_index(all, i))
             count_machine(p, g_ptr_array_index(all, i));
@@ -127,7 +128,7 @@
     struct pm_quota_usage use = pm_quota_total(p, spec->team);
 
     add(&use, spec, tasks);
-    return !is_over(&p->tables->settings->team[spec->team], use);
+    return !is_over(&p->tables->settings->teams[spec->team], use);
 }
 
 /* What is below a limit, less a share of it that is kept; all of it where there is no limit. */
@@ -139,7 +140,7 @@
 uint32_t pm_scheduler_leasable_tasks(const struct pm_scheduler *p, const struct pm_spec *spec,
                                      double kept)
 {
-    const struct pm_team_setting *team = &p->tables->settings->team[spec->team];
+    const struct pm_team_setting *team = &p->tables->settings->teams[spec->team];
     struct pm_quota_usage use = pm_quota_total(p, spec->team);
 
     return pm_spec_tasks_that_fit(spec, below(team->cpus_max, use.cpus, kept),
@@ -155,13 +156,13 @@
 
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        for (guint j = m ? m->places->len : 0; j > 0; j--) {
-            struct pm_placement *place = g_ptr_array_index(m->places, j - 1);
+        for (guint j = m ? m->placements->len : 0; j > 0; j--) {
+            struct pm_placement *place = g_ptr_array_index(m->placements, j - 1);
             struct pm_job *job = place->job;
-            uint32_t index = place->index;
+            uint32_t index = place->task_index;
             if (place->state != PM_PLACEMENT_PROPOSED || job->spec->team != team)
                 continue;
-            if (!is_over(&p->tables->settings->team[team], pm_quota_total(p, team)))
+            if (!is_over(&p->tables->settings->teams[team], pm_quota_total(p, team)))
                 return withdrawn;
             pm_workers_remove_placement(p->workers, place);
             pm_job_mark_dirty(job, index);
@@ -178,8 +179,8 @@
         return;
     p->unchecked = false;
     pm_quota_count(p, now);
-    for (int t = 0; t < p->tables->settings->teams; t++) {
-        const struct pm_team_setting *team = &p->tables->settings->team[t];
+    for (int t = 0; t < p->tables->settings->team_count; t++) {
+        const struct pm_team_setting *team = &p->tables->settings->teams[t];
         struct pm_quota_usage before = pm_quota_total(p, t);
         unsigned withdrawn = is_over(team, before) ? withdraw_starts(p, t) : 0;
         if (!withdrawn)
@@ -197,8 +198,8 @@
 
 void pm_scheduler_log_quota_usage(const struct pm_scheduler *p)
 {
-    for (int t = 0; t < p->tables->settings->teams; t++) {
-        const struct pm_team_setting *team = &p->tables->settings->team[t];
+    for (int t = 0; t < p->tables->settings->team_count; t++) {
+        const struct pm_team_setting *team = &p->tables->settings->teams[t];
         const struct team_use *use = &p->use[t];
         struct pm_quota_usage total = pm_quota_total(p, t);
         if (total.cpus >= NEAR_LIMIT * team->cpus_max || total.gpus >= NEAR_LIMIT * team->gpus_max)
--- a/src/store/internal.h
+++ b/src/store/internal.h
@@ -22,7 +22,7 @@
     struct ev_loop *loop;
     struct pm_http_client *http;
     char addr[64];
-    struct pm_store_observer feed;
+    struct pm_store_observer observer;
     bool ready, refusing;
     bool listing;     /* a listing is under way, or due */
     double caught_at; /* steady: the replica last caught up with something */
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -69,7 +69,7 @@
     if (store_revision > s->store_revision)
         s->store_revision = store_revision;
     s->caught_at = pm_clock_monotonic();
-    s->feed.caught_up(s->feed.arg, s->store_revision);
+    s->observer.caught_up(s->observer.arg, s->store_revision);
     pm_store_wake_waiters(s);
 }
 
@@ -81,7 +81,7 @@
     if (pm_cbor_text(pm_cbor_get(item, name_of_key), key, sizeof key) ||
         pm_cbor_count(pm_cbor_get(item, "stamp"), &revision))
         return -1;
-    s->feed.put(s->feed.arg, key, pm_cbor_get(item, "data"), revision);
+    s->observer.put(s->observer.arg, key, pm_cbor_get(item, "data"), revision);
     snprintf(s->since, sizeof s->since, "%s", key);
     return 0;
 }
@@ -108,7 +108,7 @@
     if (!s->since[0]) {
         s->ready = false; /* what was known is thrown away only now that there is something new */
         s->list_store_revision = store_revision;
-        s->feed.begin(s->feed.arg);
+        s->observer.snapshot_begin(s->observer.arg);
     }
     for (size_t i = 0; i < pm_cbor_length(items); i++)
         tell_put(s, pm_cbor_at(items, i), "key");
@@ -120,7 +120,7 @@
     }
     s->ready = true;
     s->listing = false;
-    s->feed.listed(s->feed.arg);
+    s->observer.snapshot_end(s->observer.arg);
     /* Later pages may be newer than the first: the watch from its store revision tells the rest. */
     caught_up(s, s->list_store_revision);
     pm_store_open_watch(s);
@@ -188,7 +188,7 @@
             tell_put(s, event, "put");
         else if (!pm_cbor_text(pm_cbor_get(event, "drop"), key, sizeof key) &&
                  !pm_cbor_count(pm_cbor_get(event, "stamp"), &revision))
-            s->feed.drop(s->feed.arg, key, revision);
+            s->observer.delete(s->observer.arg, key, revision);
     }
     pm_cbor_free(answer);
     caught_up(s, store_revision);
@@ -251,7 +251,7 @@
     s->loop = loop;
     s->http = http;
     snprintf(s->addr, sizeof s->addr, "%s", addr);
-    s->feed = *feed;
+    s->observer = *feed;
     s->write_rps = write_rps;
     s->share = s->most = 0.5;
     s->pace = PM_STORE_MIN_REQUEST_INTERVAL_S;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -18,10 +18,10 @@
 struct pm_store_observer {
     /* A key's value; also told again, with the same or an older revision, after a new listing. */
     void (*put)(void *arg, const char *key, const cbor_item_t *value, uint64_t revision);
-    void (*drop)(void *arg, const char *key, uint64_t revision);
+    void (*delete)(void *arg, const char *key, uint64_t revision);
     /* A listing begins: whatever it does not tell, until `listed`, is gone. */
-    void (*begin)(void *arg);
-    void (*listed)(void *arg);
+    void (*snapshot_begin)(void *arg);
+    void (*snapshot_end)(void *arg);
     /* Every change up to `store_revision` has been told. */
     void (*caught_up)(void *arg, uint64_t store_revision);
     void *arg;
@@ -44,8 +44,8 @@
 
 /* A transaction under construction. */
 struct pm_txn {
-    struct pm_buf conditions, writes;
-    int nconditions, nwrites;
+    struct pm_buf compares, writes;
+    int compare_count, write_count;
 };
 
 void pm_txn_compare(struct pm_txn *txn, const char *key, uint64_t revision);
--- a/src/store/txn.c
+++ b/src/store/txn.c
@@ -8,11 +8,11 @@
 
 void pm_txn_compare(struct pm_txn *t, const char *key, uint64_t revision)
 {
-    pm_put_map(&t->conditions);
-    pm_put_pair_text(&t->conditions, "key", key);
-    pm_put_pair_count(&t->conditions, "stamp", revision);
-    pm_put_end(&t->conditions);
-    t->nconditions++;
+    pm_put_map(&t->compares);
+    pm_put_pair_text(&t->compares, "key", key);
+    pm_put_pair_count(&t->compares, "stamp", revision);
+    pm_put_end(&t->compares);
+    t->compare_count++;
 }
 
 void pm_txn_put(struct pm_txn *t, const char *key)
@@ -20,7 +20,7 @@
     pm_put_map(&t->writes);
     pm_put_pair_text(&t->writes, "put", key);
     pm_put_text(&t->writes, "data");
-    t->nwrites++;
+    t->write_count++;
 }
 
 void pm_txn_put_end(struct pm_txn *t, uint64_t lease_id)
@@ -35,7 +35,7 @@
     pm_put_map(&t->writes);
     pm_put_pair_text(&t->writes, "drop", key);
     pm_put_end(&t->writes);
-    t->nwrites++;
+    t->write_count++;
 }
 
 void pm_txn_encode(const struct pm_txn *t, struct pm_buf *out)
@@ -43,7 +43,7 @@
     pm_put_map(out);
     pm_put_text(out, "if");
     pm_put_list(out);
-    pm_buf_add(out, t->conditions.data, t->conditions.size);
+    pm_buf_add(out, t->compares.data, t->compares.size);
     pm_put_end(out);
     pm_put_text(out, "writes");
     pm_put_list(out);
@@ -54,9 +54,9 @@
 
 void pm_txn_free(struct pm_txn *t)
 {
-    pm_buf_free(&t->conditions);
+    pm_buf_free(&t->compares);
     pm_buf_free(&t->writes);
-    t->nconditions = t->nwrites = 0;
+    t->compare_count = t->write_count = 0;
 }
 
 void pm_store_note_foreign_writes(struct pm_store *s, double changes)
@@ -103,9 +103,9 @@
     struct commit *commit = g_new(struct commit, 1);
     struct pm_buf body = {0};
 
-    *commit = (struct commit){s, t->nwrites, pm_clock_monotonic(), done, arg};
+    *commit = (struct commit){s, t->write_count, pm_clock_monotonic(), done, arg};
     pm_txn_encode(t, &body);
-    s->tokens -= t->nwrites;
+    s->tokens -= t->write_count;
     pm_http_call(s->http, s->addr, "POST", "/txn", body.data, body.size, PM_STORE_REQUEST_TIMEOUT_S,
                  64 * 1024, on_commit, commit);
     pm_buf_free(&body);
--- a/src/workers/faults.c
+++ b/src/workers/faults.c
@@ -20,15 +20,15 @@
 
 bool pm_failures_is_job_failing(const struct pm_job *job)
 {
-    const struct pm_job_failures *faults = &job->faults;
+    const struct pm_job_failures *faults = &job->failures;
 
-    return faults->told || faults->nmachines >= FAILING_MACHINES ||
-           faults->in_a_row >= FAILING_TASKS;
+    return faults->reported_failing || faults->machine_count >= FAILING_MACHINES ||
+           faults->consecutive >= FAILING_TASKS;
 }
 
 bool pm_failures_may_retry(const struct pm_job *job, double now)
 {
-    return now >= job->faults.retry_at;
+    return now >= job->failures.retry_at;
 }
 
 /* What one job's failures say against the machine: nothing if it fails everywhere, all of them if
@@ -37,16 +37,16 @@
 {
     if (pm_failures_is_job_failing(record->job))
         return 0;
-    return record->job->faults.succeeded ? record->failures : 1;
+    return record->job->failures.has_succeeded ? record->failures : 1;
 }
 
 unsigned pm_failures_machine_score(const struct pm_machine *m)
 {
     unsigned blame = 0;
 
-    for (guint i = 0; m->fault_records && i < m->fault_records->len; i++)
-        blame += blame_of(&g_array_index(m->fault_records, struct pm_failure_record, i));
-    return m->condemned ? MAX(blame, FAULTY_BLAME) : blame;
+    for (guint i = 0; m->failure_records && i < m->failure_records->len; i++)
+        blame += blame_of(&g_array_index(m->failure_records, struct pm_failure_record, i));
+    return m->quarantined_by_owner ? MAX(blame, FAULTY_BLAME) : blame;
 }
 
 bool pm_failures_is_machine_faulty(const struct pm_machine *m)
@@ -56,8 +56,8 @@
 
 bool pm_failures_has_failed_on(const struct pm_job *job, const struct pm_machine *m)
 {
-    for (unsigned i = 0; i < job->faults.nmachines; i++)
-        if (job->faults.machine[i] == m->index)
+    for (unsigned i = 0; i < job->failures.machine_count; i++)
+        if (job->failures.machines[i] == m->index)
             return true;
     return false;
 }
@@ -66,41 +66,42 @@
 {
     struct pm_failure_record record = {.job = job, .failures = 1};
 
-    if (!m->fault_records)
-        m->fault_records = g_array_new(FALSE, FALSE, sizeof record);
-    for (guint i = 0; i < m->fault_records->len; i++) {
+    if (!m->failure_records)
+        m->failure_records = g_array_new(FALSE, FALSE, sizeof record);
+    for (guint i = 0; i < m->failure_records->len; i++) {
         struct pm_failure_record *known =
-            &g_array_index(m->fault_records, struct pm_failure_record, i);
+            &g_array_index(m->failure_records, struct pm_failure_record, i);
         if (known->job == job) {
             known->failures++;
             return;
         }
     }
-    if (m->fault_records->len >= RECORDS_MAX)
-        g_array_remove_index(m->fault_records, 0);
-    g_array_append_val(m->fault_records, record);
+    if (m->failure_records->len >= RECORDS_MAX)
+        g_array_remove_index(m->failure_records, 0);
+    g_array_append_val(m->failure_records, record);
 }
 
 static void record_on_job(struct pm_job *job, const struct pm_machine *m)
 {
-    struct pm_job_failures *faults = &job->faults;
+    struct pm_job_failures *faults = &job->failures;
 
-    faults->in_a_row++;
-    if (pm_failures_has_failed_on(job, m) || faults->nmachines >= G_N_ELEMENTS(faults->machine))
+    faults->consecutive++;
+    if (pm_failures_has_failed_on(job, m) ||
+        faults->machine_count >= G_N_ELEMENTS(faults->machines))
         return;
-    faults->machine[faults->nmachines++] = m->index;
+    faults->machines[faults->machine_count++] = m->index;
 }
 
 /* Of tasks that were started together, all fail at about the same time: that makes one round. */
 static void put_off_retry(struct pm_job *job, double now)
 {
-    struct pm_job_failures *faults = &job->faults;
+    struct pm_job_failures *faults = &job->failures;
 
     if (now < faults->retry_at)
         return;
-    faults->retry_at = now + RETRY_S * (1 << faults->rounds);
-    if (faults->rounds < RETRY_DOUBLINGS_MAX)
-        faults->rounds++;
+    faults->retry_at = now + RETRY_S * (1 << faults->retry_rounds);
+    if (faults->retry_rounds < RETRY_DOUBLINGS_MAX)
+        faults->retry_rounds++;
 }
 
 static void note_failure(struct pm_job *job, struct pm_machine *m, double now)
@@ -125,40 +126,40 @@
 {
     if (pm_failures_is_job_failing(job))
         pm_info("job.succeeds", "%s has succeeded on %s", job->id, m->name);
-    job->faults = (struct pm_job_failures){.succeeded = true};
-    if (m->fault_records)
-        g_array_set_size(m->fault_records, 0);
+    job->failures = (struct pm_job_failures){.has_succeeded = true};
+    if (m->failure_records)
+        g_array_set_size(m->failure_records, 0);
 }
 
 void pm_failures_note_running(const struct pm_placement *place, double now)
 {
-    if (place->job->spec->form != PM_WORKLOAD_SERVICE || !place->job->faults.in_a_row ||
-        now - place->ran_from < REPLICA_RUNS_S)
+    if (place->job->spec->kind != PM_WORKLOAD_SERVICE || !place->job->failures.consecutive ||
+        now - place->running_since < REPLICA_RUNS_S)
         return;
     note_success(place->job, place->machine);
 }
 
 static void rest_after_failure(struct pm_placement *place, enum pm_task_exit end, double now)
 {
-    struct pm_task *task = pm_job_task(place->job, place->index);
+    struct pm_task *task = pm_job_task(place->job, place->task_index);
     double rest = REST_S;
 
-    task->errors = (uint16_t)MIN(task->errors + 1, REST_DOUBLINGS_MAX);
+    task->failures = (uint16_t)MIN(task->failures + 1, REST_DOUBLINGS_MAX);
     if (end == PM_TASK_EXIT_ERROR)
-        rest = REST_S * (1 << task->errors);
-    pm_job_back_off(place->job, place->index, now + rest);
+        rest = REST_S * (1 << task->failures);
+    pm_job_back_off(place->job, place->task_index, now + rest);
 }
 
 void pm_failures_note_exit(struct pm_placement *place, enum pm_task_exit end, double now)
 {
     if (end == PM_TASK_EXIT_DONE) {
-        pm_job_task(place->job, place->index)->errors = 0;
+        pm_job_task(place->job, place->task_index)->failures = 0;
         note_success(place->job, place->machine);
         return;
     }
     if (end != PM_TASK_EXIT_ERROR && end != PM_TASK_EXIT_REFUSED)
         return;
-    pm_debug("task.failed", "%s/%u on %s", place->job->id, place->index, place->machine->name);
+    pm_debug("task.failed", "%s/%u on %s", place->job->id, place->task_index, place->machine->name);
     rest_after_failure(place, end, now);
     if (end == PM_TASK_EXIT_ERROR)
         note_failure(place->job, place->machine, now);
@@ -168,16 +169,16 @@
 {
     if (pm_failures_is_job_failing(job))
         return;
-    job->faults.told = true;
+    job->failures.reported_failing = true;
     put_off_retry(job, now);
 }
 
 void pm_failures_clear_job(struct pm_job *job)
 {
-    job->faults.told = false;
+    job->failures.reported_failing = false;
 }
 
 void pm_failures_quarantine_machine(struct pm_machine *m)
 {
-    m->condemned = true;
+    m->quarantined_by_owner = true;
 }
--- a/src/workers/internal.h
+++ b/src/workers/internal.h
@@ -8,9 +8,9 @@
     struct pm_name_tables *tables;
     struct pm_jobs *jobs;
     struct pm_workers_hooks hooks;
-    GPtrArray *all;   /* by machine index of the replica */
-    uint64_t ignored; /* entries of jobs that the replica does not know */
-    uint64_t directs; /* /do begun so far, over all resets */
+    GPtrArray *machines;    /* by machine index of the replica */
+    uint64_t ignored_tasks; /* entries of jobs that the replica does not know */
+    uint64_t push_count;    /* /do begun so far, over all resets */
 };
 
 /* workers.c */
--- a/src/workers/orders.c
+++ b/src/workers/orders.c
@@ -23,21 +23,22 @@
 
 static bool launch_due(const struct pm_placement *place, const struct pm_machine *m, bool direct)
 {
-    return place->state == PM_PLACEMENT_DURABLE && !place->stop && place->session == m->session &&
-           m->state == PM_MACHINE_UP && (!direct || (!place->direct && !place->replied));
+    return place->state == PM_PLACEMENT_DURABLE && !place->should_stop &&
+           place->incarnation == m->incarnation && m->state == PM_MACHINE_UP &&
+           (!direct || (!place->launch_push && !place->launch_reply_sequence));
 }
 
 static bool kill_due(const struct pm_placement *place, const struct pm_machine *m, bool direct)
 {
-    return place->stop && place->state >= PM_PLACEMENT_DURABLE &&
-           place->state < PM_PLACEMENT_ENDED && place->session == m->session &&
-           (!direct || !place->stop_sent);
+    return place->should_stop && place->state >= PM_PLACEMENT_DURABLE &&
+           place->state < PM_PLACEMENT_ENDED && place->incarnation == m->incarnation &&
+           (!direct || !place->stop_acked);
 }
 
 bool pm_worker_push_is_due(const struct pm_machine *m)
 {
-    for (guint i = 0; i < m->places->len; i++) {
-        const struct pm_placement *place = g_ptr_array_index(m->places, i);
+    for (guint i = 0; i < m->placements->len; i++) {
+        const struct pm_placement *place = g_ptr_array_index(m->placements, i);
         if (launch_due(place, m, true) || kill_due(place, m, true))
             return true;
     }
@@ -51,11 +52,11 @@
 {
     const struct pm_chunk *chunk;
 
-    if (m->direct_open || m->doubtful || m->token < epoch)
+    if (m->push_in_flight || m->unknown_outcome_epoch || m->fencing_token < epoch)
         return false;
-    if (!entry->job->chunk)
+    if (!entry->job->chunks)
         return true; /* over, durably */
-    chunk = entry->job->chunk[entry->index / PM_CHUNK_TASKS];
+    chunk = entry->job->chunks[entry->task_index / PM_CHUNK_TASKS];
     return !chunk || (!chunk->dirty && !chunk->in_flight);
 }
 
@@ -65,31 +66,32 @@
     int n = 0;
 
     pm_put_list(out);
-    for (guint i = 0; i < m->places->len && n < ORDERS_MAX; i++) {
-        struct pm_placement *place = g_ptr_array_index(m->places, i);
+    for (guint i = 0; i < m->placements->len && n < ORDERS_MAX; i++) {
+        struct pm_placement *place = g_ptr_array_index(m->placements, i);
         if (launch_due(place, m, direct)) {
-            put_order(out, "launch", place->job->id, place->index, place->attempt, -1);
+            put_order(out, "launch", place->job->id, place->task_index, place->attempt, -1);
             if (direct)
-                place->direct = m->direct_open, m->direct_launches = true;
+                place->launch_push = m->push_in_flight, m->push_has_launches = true;
             else
-                place->replied = m->sequence;
+                place->launch_reply_sequence = m->sequence;
             n++;
         } else if (kill_due(place, m, direct)) {
-            put_order(out, "kill", place->job->id, place->index, place->attempt, place->leave_s);
+            put_order(out, "kill", place->job->id, place->task_index, place->attempt,
+                      place->grace_s);
             if (direct)
-                place->stop_sent = true;
+                place->stop_acked = true;
             n++;
         }
     }
-    for (guint i = 0; !direct && i < m->strays->len && n < ORDERS_MAX; i++, n++) {
-        struct pm_task_ref *entry = &g_array_index(m->strays, struct pm_task_ref, i);
-        put_order(out, "kill", entry->job->id, entry->index, entry->attempt, 0);
+    for (guint i = 0; !direct && i < m->orphan_tasks->len && n < ORDERS_MAX; i++, n++) {
+        struct pm_task_ref *entry = &g_array_index(m->orphan_tasks, struct pm_task_ref, i);
+        put_order(out, "kill", entry->job->id, entry->task_index, entry->attempt, 0);
     }
-    for (guint i = 0; !direct && i < m->ended->len && n < ORDERS_MAX; i++) {
-        struct pm_task_ref *entry = &g_array_index(m->ended, struct pm_task_ref, i);
+    for (guint i = 0; !direct && i < m->exited_tasks->len && n < ORDERS_MAX; i++) {
+        struct pm_task_ref *entry = &g_array_index(m->exited_tasks, struct pm_task_ref, i);
         if (!may_forget(m, entry, epoch))
             continue;
-        put_order(out, "forget", entry->job->id, entry->index, entry->attempt, -1);
+        put_order(out, "forget", entry->job->id, entry->task_index, entry->attempt, -1);
         n++;
     }
     pm_put_end(out);
@@ -126,39 +128,39 @@
 
 uint64_t pm_worker_push_begin(struct pm_workers *w, struct pm_machine *m)
 {
-    m->direct_open = ++w->directs;
-    m->direct_launches = false;
-    return m->direct_open;
+    m->push_in_flight = ++w->push_count;
+    m->push_has_launches = false;
+    return m->push_in_flight;
 }
 
 /* What the end of a /do tells of one place. */
 static void note_direct_end(struct pm_placement *place, uint64_t number, int status)
 {
     if (status == PM_HTTP_NO_ANSWER) {
-        place->in_doubt |= place->direct == number;
+        place->launch_outcome_unknown |= place->launch_push == number;
     } else if (status == PM_HTTP_NOT_SENT) {
-        if (place->direct == number)
-            place->direct = 0;
-    } else if (place->direct <= number) {
+        if (place->launch_push == number)
+            place->launch_push = 0;
+    } else if (place->launch_push <= number) {
         /* The machine answers: what is still not there is sent anew. That says nothing of an
          * earlier /do that had no answer: its launch may be carried out yet. */
-        place->direct = 0;
+        place->launch_push = 0;
     }
     if (status != 200)
-        place->stop_sent = false;
+        place->stop_acked = false;
 }
 
 bool pm_worker_push_done(struct pm_machine *m, uint64_t number, uint64_t epoch, int status)
 {
-    if (m->direct_open != number)
+    if (m->push_in_flight != number)
         return false;
-    m->direct_open = 0;
-    for (guint i = 0; i < m->places->len; i++)
-        note_direct_end(g_ptr_array_index(m->places, i), number, status);
+    m->push_in_flight = 0;
+    for (guint i = 0; i < m->placements->len; i++)
+        note_direct_end(g_ptr_array_index(m->placements, i), number, status);
     /* Whatever became of the launches it carried, a copy may still arrive minutes late. */
-    if (status == PM_HTTP_NO_ANSWER && m->direct_launches) {
-        m->doubtful = epoch;
-        m->doubtful_session = m->session;
+    if (status == PM_HTTP_NO_ANSWER && m->push_has_launches) {
+        m->unknown_outcome_epoch = epoch;
+        m->unknown_outcome_incarnation = m->incarnation;
     }
     return true;
 }
--- a/src/workers/report.c
+++ b/src/workers/report.c
@@ -46,23 +46,23 @@
 static void note_image(struct pm_workers *w, struct pm_machine *m, const struct pm_spec *spec)
 {
     struct pm_cached_image entry = {spec->image, spec->image_gb};
-    double room = m->type >= 0 ? w->tables->type[m->type].local_gb : 0;
+    double room = m->type >= 0 ? w->tables->types[m->type].local_gb : 0;
     int i;
 
-    for (i = 0; i < m->ncached && m->cached[i].image != spec->image; i++)
+    for (i = 0; i < m->cached_image_count && m->cached_images[i].image != spec->image; i++)
         ;
-    if (i == 0 && m->ncached)
+    if (i == 0 && m->cached_image_count)
         return;
-    if (i == m->ncached && m->ncached < PM_CACHED_IMAGES_MAX)
-        m->ncached++;
+    if (i == m->cached_image_count && m->cached_image_count < PM_CACHED_IMAGES_MAX)
+        m->cached_image_count++;
     if (i == PM_CACHED_IMAGES_MAX)
         i--;
-    memmove(m->cached + 1, m->cached, (size_t)i * sizeof m->cached[0]);
-    m->cached[0] = entry;
-    for (i = 0; i < m->ncached; i++) { /* the least recently used give way */
-        room -= m->cached[i].gb;
+    memmove(m->cached_images + 1, m->cached_images, (size_t)i * sizeof m->cached_images[0]);
+    m->cached_images[0] = entry;
+    for (i = 0; i < m->cached_image_count; i++) { /* the least recently used give way */
+        room -= m->cached_images[i].gb;
         if (i > 0 && room < 0)
-            m->ncached = i;
+            m->cached_image_count = i;
     }
 }
 
@@ -79,7 +79,7 @@
     int state;
 
     if (pm_cbor_text(pm_cbor_get(item, "entry"), text, sizeof text) ||
-        !pm_task_name_parse(text, id, &entry.index) ||
+        !pm_task_name_parse(text, id, &entry.task_index) ||
         pm_cbor_count(pm_cbor_get(item, "try"), &attempt) ||
         pm_cbor_text(pm_cbor_get(item, "status"), status, sizeof status)) {
         pm_error("workers.entry", "unreadable entry from %s", m->name);
@@ -89,37 +89,38 @@
         ;
     entry.job = pm_jobs_find(w->jobs, id);
     entry.attempt = (uint32_t)attempt;
-    if (!entry.job || state == PM_TASK_STATES || entry.index >= entry.job->entries) {
-        if (w->ignored++ == 0)
+    if (!entry.job || state == PM_TASK_STATES || entry.task_index >= entry.job->task_count) {
+        if (w->ignored_tasks++ == 0)
             pm_error("workers.entry", "%s reports %s, unknown here", m->name, text);
         return;
     }
-    if (entry.job->spec && entry.job->chunk) {
-        const struct pm_task *task = pm_job_find_task(entry.job, entry.index);
-        if (task && task->place && task->place->machine == m &&
-            task->place->attempt == entry.attempt && task->place->session == m->session)
-            place = task->place;
+    if (entry.job->spec && entry.job->chunks) {
+        const struct pm_task *task = pm_job_find_task(entry.job, entry.task_index);
+        if (task && task->placement && task->placement->machine == m &&
+            task->placement->attempt == entry.attempt &&
+            task->placement->incarnation == m->incarnation)
+            place = task->placement;
     }
     if (!place) {
-        g_array_append_val(*(state == 4 ? &m->ended : &m->strays), entry);
+        g_array_append_val(*(state == 4 ? &m->exited_tasks : &m->orphan_tasks), entry);
         if (state != 4)
             pm_info("workers.stray", "%s has %s try %u, not in the books", m->name, text,
                     entry.attempt);
         return;
     }
-    place->seen = true;
+    place->seen_in_message = true;
     if (state >= 1 && state <= 3)
         note_image(w, m, entry.job->spec);
     if (state == 4) {
         pm_cbor_flag(pm_cbor_get(item, "stored"), &saved);
-        g_array_append_val(m->ended, entry);
+        g_array_append_val(m->exited_tasks, entry);
         pm_workers_end_placement(w, place, read_end(item), saved, now);
         return;
     }
     place->state = (enum pm_placement_state)(PM_PLACEMENT_FETCHING + state);
-    if (place->state == PM_PLACEMENT_RUNNING && !place->ran_from) {
-        place->ran_from = now;
-        w->hooks.ran(w->hooks.arg, place, now);
+    if (place->state == PM_PLACEMENT_RUNNING && !place->running_since) {
+        place->running_since = now;
+        w->hooks.placement_running(w->hooks.arg, place, now);
     }
     if (place->state == PM_PLACEMENT_RUNNING)
         pm_failures_note_running(place, now);
@@ -132,20 +133,22 @@
 static void read_absence(struct pm_workers *w, struct pm_machine *m, enum pm_task_list_source kind,
                          uint64_t epoch, double now)
 {
-    for (guint i = 0; i < m->places->len;) {
-        struct pm_placement *place = g_ptr_array_index(m->places, i);
+    for (guint i = 0; i < m->placements->len;) {
+        struct pm_placement *place = g_ptr_array_index(m->placements, i);
         bool in_answer =
-            place->replied && (kind != PM_SOURCE_HEARTBEAT || m->sequence <= place->replied);
-        bool in_direct = (place->direct && m->direct_open) || (place->in_doubt && m->doubtful);
+            place->launch_reply_sequence &&
+            (kind != PM_SOURCE_HEARTBEAT || m->sequence <= place->launch_reply_sequence);
+        bool in_direct = (place->launch_push && m->push_in_flight) ||
+                         (place->launch_outcome_unknown && m->unknown_outcome_epoch);
 
-        if (place->seen || place->state == PM_PLACEMENT_PROPOSED || m->token < epoch || in_answer ||
-            in_direct) {
+        if (place->seen_in_message || place->state == PM_PLACEMENT_PROPOSED ||
+            m->fencing_token < epoch || in_answer || in_direct) {
             i++;
             continue;
         }
-        place->replied = place->direct = 0; /* no copy is under way any more */
-        place->in_doubt = false;
-        if (place->stop || place->state > PM_PLACEMENT_DURABLE) {
+        place->launch_reply_sequence = place->launch_push = 0; /* no copy is under way any more */
+        place->launch_outcome_unknown = false;
+        if (place->should_stop || place->state > PM_PLACEMENT_DURABLE) {
             /* Not there, and nothing can bring it. */
             pm_workers_end_placement(w, place, PM_TASK_EXIT_LOST, false, now);
             i = 0;
@@ -159,18 +162,18 @@
  * message: a /do then asks the worker, and its answer clears the doubt. */
 static void read_unheard(struct pm_machine *m, bool risen, double lease_s, double now)
 {
-    if (risen && m->told && now - m->answered < lease_s) {
+    if (risen && m->acked_epoch && now - m->last_acked_at < lease_s) {
         pm_machine_note_delivery_failure(m, "its lease ran out though we answered", now);
         return;
     }
-    if (m->told && m->sequence > m->told_sequence && m->token < m->told) {
+    if (m->acked_epoch && m->sequence > m->acked_sequence && m->fencing_token < m->acked_epoch) {
         pm_machine_note_delivery_failure(m, "it has not taken our token", now);
         return;
     }
-    for (guint i = 0; i < m->places->len; i++) {
-        const struct pm_placement *place = g_ptr_array_index(m->places, i);
-        if (place->state == PM_PLACEMENT_DURABLE && place->replied &&
-            m->sequence > place->replied) {
+    for (guint i = 0; i < m->placements->len; i++) {
+        const struct pm_placement *place = g_ptr_array_index(m->placements, i);
+        if (place->state == PM_PLACEMENT_DURABLE && place->launch_reply_sequence &&
+            m->sequence > place->launch_reply_sequence) {
             pm_machine_note_delivery_failure(m, "it shows no trace of an order", now);
             return;
         }
@@ -189,7 +192,7 @@
     m->zone = pm_settings_find_zone(w->tables->settings, zone);
     m->spot = false;
     pm_cbor_flag(pm_cbor_get(report, "borrowed"), &m->spot);
-    pm_workers_set_type(w, m, pm_names_find(w->tables->types, type));
+    pm_workers_set_type(w, m, pm_names_find(w->tables->type_names, type));
     return 0;
 }
 
@@ -216,55 +219,57 @@
     m = pm_workers_add(w, name);
     if (read_identity(w, m, report))
         return NULL;
-    if (session < m->session || session < m->least_session ||
-        (session == m->session && sequence <= m->sequence)) {
-        m->stale = now;
+    if (session < m->incarnation || session < m->min_incarnation ||
+        (session == m->incarnation && sequence <= m->sequence)) {
+        m->stale_message_at = now;
         return m; /* late: its list is as old as itself */
     }
     *fresh = true;
-    risen = m->reported && session > m->session;
-    if (session > m->session) {
+    risen = m->has_heartbeat && session > m->incarnation;
+    if (session > m->incarnation) {
         /* A later session: what an earlier one held was killed. Places found in the state service
          * may be of this session already: those stay. */
-        for (guint i = 0; i < m->places->len;) {
-            struct pm_placement *place = g_ptr_array_index(m->places, i);
-            if (place->session < session) {
+        for (guint i = 0; i < m->placements->len;) {
+            struct pm_placement *place = g_ptr_array_index(m->placements, i);
+            if (place->incarnation < session) {
                 pm_workers_end_placement(w, place, PM_TASK_EXIT_LOST, false, now);
                 i = 0;
             } else {
                 i++;
             }
         }
-        if (m->session)
-            m->ncached = 0;
+        if (m->incarnation)
+            m->cached_image_count = 0;
     }
-    if (session > m->session || !m->reported)
-        m->session_heard = now;
-    m->session = session;
+    if (session > m->incarnation || !m->has_heartbeat)
+        m->incarnation_seen_at = now;
+    m->incarnation = session;
     m->sequence = sequence;
-    m->token = token;
-    m->heard = now;
-    if (kind == PM_SOURCE_HEARTBEAT || !m->reported)
-        m->report_at = now;
-    m->reported = true;
+    m->fencing_token = token;
+    m->last_message_at = now;
+    if (kind == PM_SOURCE_HEARTBEAT || !m->has_heartbeat)
+        m->last_heartbeat_at = now;
+    m->has_heartbeat = true;
     m->absent_since = 0;
     if (m->state == PM_MACHINE_BOOTING) {
         m->state = PM_MACHINE_UP;
         pm_debug("workers.up", "%s", m->name);
     }
-    if (m->doubtful && (token > m->doubtful || session > m->doubtful_session))
-        m->doubtful = 0;
-    m->recall_at = pm_cbor_number(pm_cbor_get(report, "recall_s"), &recall) ? 0 : now + recall;
-    for (guint i = 0; i < m->places->len; i++)
-        ((struct pm_placement *)g_ptr_array_index(m->places, i))->seen = false;
-    g_array_set_size(m->ended, 0);
-    g_array_set_size(m->strays, 0);
+    if (m->unknown_outcome_epoch &&
+        (token > m->unknown_outcome_epoch || session > m->unknown_outcome_incarnation))
+        m->unknown_outcome_epoch = 0;
+    m->spot_interruption_at =
+        pm_cbor_number(pm_cbor_get(report, "recall_s"), &recall) ? 0 : now + recall;
+    for (guint i = 0; i < m->placements->len; i++)
+        ((struct pm_placement *)g_ptr_array_index(m->placements, i))->seen_in_message = false;
+    g_array_set_size(m->exited_tasks, 0);
+    g_array_set_size(m->orphan_tasks, 0);
     for (size_t i = 0; i < pm_cbor_length(entries); i++)
         read_task(w, m, pm_cbor_at(entries, i), now);
     if (kind == PM_SOURCE_HEARTBEAT)
         read_unheard(m, risen, w->tables->settings->lease_s, now);
     else
-        m->reached = true, m->unheard = 0;
+        m->has_answered_push = true, m->delivery_failures = 0;
     read_absence(w, m, kind, epoch, now);
     return m;
 }
