--- a/src/autoscaler/boot_tracking.c
+++ b/src/autoscaler/boot_tracking.c
@@ -25,8 +25,8 @@
 static bool is_up(const struct pm_machine *m)
 {
     /* When a holder's machine was rented is not known here. */
-    return m->state == PM_MACHINE_UP && m->type >= 0 && m->zone >= 0 && !m->shard_owner &&
-           m->rented_at > 0;
+    return m->state == PM_MACHINE_UP && m->type >= 0 && m->zone >= 0 && !m->shard.owner &&
+           m->provider.rented_at > 0;
 }
 
 static void note_overdue(struct pm_autoscaler *f, const struct pm_machine *m, double now)
@@ -37,7 +37,7 @@
         return;
     kind = pm_autoscaler_kind_of(f, m);
     kind->overdue++;
-    kind->oldest_overdue = MIN(kind->oldest_overdue, m->rented_at);
+    kind->oldest_overdue = MIN(kind->oldest_overdue, m->provider.rented_at);
 }
 
 static void note_up(struct pm_autoscaler *f, const struct pm_machine *m)
@@ -47,9 +47,10 @@
     if (!is_up(m))
         return;
     kind = pm_autoscaler_kind_of(f, m);
-    kind->up_since += m->rented_at >= kind->oldest_overdue;
-    if (m->incarnation == 1 && m->rented_at > f->took_at)
-        kind->longest_boot = MAX(kind->longest_boot, m->incarnation_seen_at - m->rented_at);
+    kind->up_since += m->provider.rented_at >= kind->oldest_overdue;
+    if (m->heartbeat.incarnation == 1 && m->provider.rented_at > f->took_at)
+        kind->longest_boot =
+            MAX(kind->longest_boot, m->lease.incarnation_seen_at - m->provider.rented_at);
 }
 
 void pm_autoscaler_track_boots(struct pm_autoscaler *f, double now)
@@ -91,7 +92,8 @@
 {
     /* One that the list calls running has come up; after a change of leader it has yet to report
      * here. */
-    double age = now - (m->listed_running_since ? m->listed_running_since : m->rented_at);
+    double age =
+        now - (m->provider.running_since ? m->provider.running_since : m->provider.rented_at);
     double ready_s;
     double longest;
 
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -38,7 +38,7 @@
         return;
     if (!m) {
         m = pm_workers_add(f->workers, name);
-        m->rented_at = now - age;
+        m->provider.rented_at = now - age;
     }
     if (m->type < 0 && pm_cbor_read_text(pm_cbor_get(item, "model"), text, sizeof text) &&
         (type = pm_names_find(f->tables->type_names, text)) >= 0 && type < f->tables->type_count) {
@@ -49,12 +49,12 @@
     }
     if (!m->endpoint[0])
         pm_cbor_read_text(pm_cbor_get(item, "endpoint"), m->endpoint, sizeof m->endpoint);
-    m->listed = true;
-    m->absent_since = 0;
+    m->provider.is_listed = true;
+    m->provider.absent_since = 0;
     if (!strcmp(status, "failed"))
-        m->failed = true;
-    if (!strcmp(status, "running") && !m->listed_running_since)
-        m->listed_running_since = now;
+        m->provider.has_failed = true;
+    if (!strcmp(status, "running") && !m->provider.running_since)
+        m->provider.running_since = now;
 }
 
 /* Whether `a` was rented before `b`: names go by creation. */
@@ -80,11 +80,11 @@
             continue;
         past = f->since[0] && rented_before(m->name, f->since);
         /* One that is lent reports elsewhere: the list alone tells. */
-        if (!past && (f->list_sent - m->rented_at <= lag ||
-                      (!m->shard_owner && now - m->last_message_at <= lag)))
+        if (!past && (f->list_sent - m->provider.rented_at <= lag ||
+                      (!m->shard.owner && now - m->heartbeat.last_message_at <= lag)))
             continue;
-        if (!m->absent_since)
-            m->absent_since = now;
+        if (!m->provider.absent_since)
+            m->provider.absent_since = now;
     }
 }
 
@@ -162,8 +162,8 @@
 
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
-        if (m && m->state == PM_MACHINE_UP && !m->shard_owner && m->placements->len &&
-            now - m->last_message_at > 1.6 * f->tables->settings->heartbeat_s + 0.5)
+        if (m && m->state == PM_MACHINE_UP && !m->shard.owner && m->placements->len &&
+            now - m->heartbeat.last_message_at > 1.6 * f->tables->settings->heartbeat_s + 0.5)
             return true;
     }
     return false;
--- a/src/autoscaler/provider_client.c
+++ b/src/autoscaler/provider_client.c
@@ -171,7 +171,7 @@
 
     if (m->state == PM_MACHINE_RELEASING)
         return; /* the answer to a request that was sent again */
-    m->rented_at = call->sent;
+    m->provider.rented_at = call->sent;
     if (m->type >= 0)
         return; /* reported already */
     pm_workers_set_type(f->workers, m, call->rent.type);
@@ -348,7 +348,7 @@
     for (guint i = 0; i < call->machines->len; i++) {
         struct pm_machine *m = pm_workers_find(f->workers, g_ptr_array_index(call->machines, i));
         if (m)
-            m->terminate_retry_at = at;
+            m->provider.terminate_retry_at = at;
     }
 }
 
@@ -412,7 +412,7 @@
             continue;
         m = pm_workers_add(f->workers, name);
         m->state = PM_MACHINE_RELEASING;
-        m->terminate_retry_at = INFINITY; /* with the intent */
+        m->provider.terminate_retry_at = INFINITY; /* with the intent */
     }
 }
 
@@ -475,7 +475,7 @@
         return;
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        if (!m || m->state != PM_MACHINE_RELEASING || m->terminate_retry_at > now)
+        if (!m || m->state != PM_MACHINE_RELEASING || m->provider.terminate_retry_at > now)
             continue;
         if (!call) {
             if (!pm_autoscaler_may_call(f, now))
@@ -486,7 +486,7 @@
         if (call->machines->len >= PM_INTENT_MACHINES)
             break;
         g_ptr_array_add(call->machines, g_strdup(m->name));
-        m->terminate_retry_at = INFINITY;
+        m->provider.terminate_retry_at = INFINITY;
     }
     if (!call)
         return;
--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -18,7 +18,7 @@
 {
     pm_info("autoscaler.scale_in", "%s: %s", m->name, why);
     m->state = PM_MACHINE_RELEASING;
-    m->terminate_retry_at = 0;
+    m->provider.terminate_retry_at = 0;
 }
 
 /* A zone that was cut off before this leader came: nothing there ever reported to it, so it knows
@@ -38,7 +38,7 @@
         return;
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        if (m && m->state == PM_MACHINE_UP && m->zone >= 0 && !m->shard_owner &&
+        if (m && m->state == PM_MACHINE_UP && m->zone >= 0 && !m->shard.owner &&
             m->placements->len && !reported[m->zone] && f->zone_heard[m->zone] > 0 &&
             now - f->zone_heard[m->zone] > over)
             give_back(m, "its zone has been silent for a lease");
@@ -49,7 +49,7 @@
  * that is lent says nothing: it reports to its holder. */
 static const char *why_lost(const struct pm_autoscaler *f, const struct pm_machine *m, double now)
 {
-    if (m->shard_owner)
+    if (m->shard.owner)
         return NULL;
     if (pm_machine_is_unreachable(m, now))
         return "does not hear us, while its zone does";
@@ -80,11 +80,11 @@
         double since;
         if (!m || m->state != PM_MACHINE_UP || m->zone < 0)
             continue;
-        reported[m->zone] |= m->has_heartbeat;
+        reported[m->zone] |= m->heartbeat.is_known;
         /* Of one that is lent, its holder tells. */
-        since = m->shard_owner
-                    ? (now - m->owner_reported_silent_at < 2 ? m->owner_silent_since : now)
-                    : m->last_message_at;
+        since = m->shard.owner
+                    ? (now - m->shard.reported_silent_at < 2 ? m->shard.silent_since : now)
+                    : m->heartbeat.last_message_at;
         if (why_lost(f, m, now)) { /* its tasks end with its lease, whatever still comes of it or
                                       arrives there */
             missed[m->zone]++;
@@ -96,9 +96,10 @@
             continue;
         }
         missed[m->zone]++;
-        if ((m->shard_owner || (m->placements->len && MAX(m->push_failed_at, m->stale_message_at) >
-                                                          m->last_message_at)) &&
-            now - since > (m->shard_owner ? limit * 0.6 : limit))
+        if ((m->shard.owner ||
+             (m->placements->len &&
+              MAX(m->push.failed_at, m->heartbeat.last_stale_at) > m->heartbeat.last_message_at)) &&
+            now - since > (m->shard.owner ? limit * 0.6 : limit))
             g_ptr_array_add(silent, m);
     }
     /* However many they are: by its zone alone is the network told from deaths. */
@@ -122,16 +123,17 @@
 /* Why a machine is to be returned that is not there, or never was: NULL, it is to stay. */
 static const char *why_gone(const struct pm_autoscaler *f, const struct pm_machine *m, double now)
 {
-    if (m->failed)
+    if (m->provider.has_failed)
         return "failed";
     /* Taken or dead: the confirmed release proves it at once, sooner than its lease. */
-    if (m->absent_since && m->state == PM_MACHINE_UP &&
-        (m->shard_owner || now - m->last_message_at > 1.3 * f->tables->settings->heartbeat_s + 1))
+    if (m->provider.absent_since && m->state == PM_MACHINE_UP &&
+        (m->shard.owner ||
+         now - m->heartbeat.last_message_at > 1.3 * f->tables->settings->heartbeat_s + 1))
         return "no longer listed, and silent";
     if (pm_autoscaler_has_boot_failed(f, m, now))
         return "does not come up";
-    if (!m->shard_owner && m->state == PM_MACHINE_UP && m->placements->len == 0 &&
-        now - m->last_message_at > 2 * f->tables->settings->lease_s + 20)
+    if (!m->shard.owner && m->state == PM_MACHINE_UP && m->placements->len == 0 &&
+        now - m->heartbeat.last_message_at > 2 * f->tables->settings->lease_s + 20)
         return "silent and empty";
     return NULL;
 }
@@ -141,15 +143,15 @@
 static bool is_kept(struct pm_autoscaler *f, const struct pm_machine *m, double *spare, double now)
 {
     if (m->spot) {
-        if (now - m->idle_since < FLOW_KEEP_S &&
-            f->spot_cpus - m->free_cpus < pm_autoscaler_steady_demand_cpus(f, now))
+        if (now - m->provider.idle_since < FLOW_KEEP_S &&
+            f->spot_cpus - m->free.cpus < pm_autoscaler_steady_demand_cpus(f, now))
             return true;
-        f->spot_cpus -= m->free_cpus;
+        f->spot_cpus -= m->free.cpus;
         return false;
     }
-    if (*spare - m->free_cpus < f->spare_want)
+    if (*spare - m->free.cpus < f->spare_want)
         return true;
-    *spare -= m->free_cpus;
+    *spare -= m->free.cpus;
     return false;
 }
 
@@ -159,21 +161,22 @@
 {
     bool waits = pm_scheduler_unmet_demand(f->plan)->len > 0;
 
-    if (m->draining && waits && (m->placements->len || now - m->rented_at < LEAST_AGE_S))
-        m->draining = false; /* it is needed after all */
+    if (m->reservation.draining && waits &&
+        (m->placements->len || now - m->provider.rented_at < LEAST_AGE_S))
+        m->reservation.draining = false; /* it is needed after all */
     if (m->state != PM_MACHINE_UP || m->placements->len) {
-        m->idle_since = 0;
+        m->provider.idle_since = 0;
         return NULL;
     }
     /* While nothing can be placed, that a machine idles says nothing about its use: what waits will
      * want it as soon as the state service is back. Not for ever, though. */
-    if (!m->idle_since || (!f->writable && now - f->wrote_at < OUTAGE_KEEP_S))
-        m->idle_since = now;
-    if (m->draining)
+    if (!m->provider.idle_since || (!f->writable && now - f->wrote_at < OUTAGE_KEEP_S))
+        m->provider.idle_since = now;
+    if (m->reservation.draining)
         return "emptied";
     if (pm_failures_is_machine_faulty(m))
         return "its tasks keep failing";
-    if (now - m->idle_since < idle_s || now - m->rented_at < LEAST_AGE_S)
+    if (now - m->provider.idle_since < idle_s || now - m->provider.rented_at < LEAST_AGE_S)
         return NULL;
     return is_kept(f, m, spare, now) ? NULL : "idle";
 }
@@ -201,7 +204,7 @@
         if (!m || m->state == PM_MACHINE_RELEASING)
             continue;
         why = why_gone(f, m, now);
-        if (!why && !m->shard_owner)
+        if (!why && !m->shard.owner)
             why = why_unused(f, m, idle_s, &spare, now);
         if (why)
             give_back(m, why);
--- a/src/autoscaler/sizing.c
+++ b/src/autoscaler/sizing.c
@@ -344,9 +344,9 @@
     for (guint i = 0; i < active->len; i++) {
         struct pm_job *job = g_ptr_array_index(active, i);
         double weight;
-        if (job->counted_in_demand || !in_flow(job))
+        if (job->scheduling.counted_in_demand || !in_flow(job))
             continue;
-        job->counted_in_demand = true;
+        job->scheduling.counted_in_demand = true;
         if (is_idle_time_work(f, job))
             continue;
         weight = exp(-MAX(0, day - job->spec->submitted_wall) / FLOW_S);
@@ -409,20 +409,20 @@
             m->state == PM_MACHINE_BOOTING ? pm_autoscaler_boot_state(f, m, s->now) : BOOT_EXPECTED;
         if (boot == BOOT_STUCK)
             continue;
-        if (m->state != PM_MACHINE_RELEASING && !m->spot_interruption_at) {
+        if (m->state != PM_MACHINE_RELEASING && !m->heartbeat.spot_interruption_at) {
             double cpus = f->tables->types[m->type].cpus;
             pm_autoscaler_kind_of(f, m)->cpus += cpus;
             f->spot_cpus += m->spot ? cpus : 0;
         }
-        if (m->state == PM_MACHINE_RELEASING || m->spot_interruption_at ||
-            pm_failures_is_machine_faulty(m) || m->shard_owner ||
-            (m->state == PM_MACHINE_UP && s->now - m->last_message_at > SILENT_S) ||
-            m->free_cpus <= EPS)
+        if (m->state == PM_MACHINE_RELEASING || m->heartbeat.spot_interruption_at ||
+            pm_failures_is_machine_faulty(m) || m->shard.owner ||
+            (m->state == PM_MACHINE_UP && s->now - m->heartbeat.last_message_at > SILENT_S) ||
+            m->free.cpus <= EPS)
             continue;
         g_array_append_vals(s->bins,
-                            &(struct bin){.cpus = m->free_cpus,
-                                          .gpus = m->free_gpus,
-                                          .ram_gb = m->free_ram_gb,
+                            &(struct bin){.cpus = m->free.cpus,
+                                          .gpus = m->free.gpus,
+                                          .ram_gb = m->free.ram_gb,
                                           .type = m->type,
                                           .zone = m->zone,
                                           .spot = m->spot,
@@ -460,7 +460,7 @@
         struct pm_job *job = g_ptr_array_index(active, i);
         if (!job->spec || job->spec->kind != PM_WORKLOAD_SERVICE || job->state != PM_JOB_LIVE)
             continue;
-        *cpus += (job->placed_count + pm_job_waiting_tasks(job)) * job->spec->cpus;
+        *cpus += (job->work.placed_count + pm_job_waiting_tasks(job)) * job->spec->cpus;
         ++*services;
         if (!typical || (job->spec->zone < 0 && job->spec->allowed_types == ~(uint64_t)0))
             typical = job;
--- a/src/cmd/plan-bench/main.c
+++ b/src/cmd/plan-bench/main.c
@@ -103,7 +103,7 @@
     pm_put_pair_text(&buf, "room", settings.zone_names[m->zone]);
     pm_put_pair_flag(&buf, "borrowed", m->spot);
     pm_put_pair_count(&buf, "shift", 1);
-    pm_put_pair_count(&buf, "tally", m->sequence + 1);
+    pm_put_pair_count(&buf, "tally", m->heartbeat.sequence + 1);
     pm_put_pair_count(&buf, "mandate", 1);
     pm_put_text(&buf, "entries");
     pm_put_list(&buf);
@@ -162,7 +162,7 @@
         pm_workers_set_type(workers, m, i % 4 == 0);
         m->zone = i / 2 % 2;
         m->spot = i % 3 > 0;
-        m->listed = true;
+        m->provider.is_listed = true;
     }
 }
 
--- a/src/cmd/pumicemount/admin.c
+++ b/src/cmd/pumicemount/admin.c
@@ -49,8 +49,8 @@
 
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
-        if (m && m->shard_owner > 0 && m->shard_owner <= n->settings->peer_count)
-            held[m->shard_owner - 1]++;
+        if (m && m->shard.owner > 0 && m->shard.owner <= n->settings->peer_count)
+            held[m->shard.owner - 1]++;
     }
     pm_put_text(out, "holders");
     pm_put_list(out);
@@ -130,8 +130,8 @@
             continue;
         g_string_append_printf(names, "%s%s", named++ ? ", " : "", id);
     }
-    if (job->unmet_dependencies > named)
-        g_string_append_printf(names, " and %u more", job->unmet_dependencies - named);
+    if (job->dependencies.unmet > named)
+        g_string_append_printf(names, " and %u more", job->dependencies.unmet - named);
     put_reason(out, "waits-for-jobs", names->str);
     g_string_free(names, TRUE);
 }
@@ -152,10 +152,10 @@
             !pm_scheduler_is_machine_allowed(&n->tables, job, m->type, m->zone, m->spot))
             continue;
         booting += m->state == PM_MACHINE_BOOTING;
-        if (m->state != PM_MACHINE_UP || m->shard_owner)
+        if (m->state != PM_MACHINE_UP || m->shard.owner)
             continue;
         allowed++;
-        fit += pm_spec_tasks_that_fit(spec, m->free_cpus, m->free_gpus, m->free_ram_gb);
+        fit += pm_spec_tasks_that_fit(spec, m->free.cpus, m->free.gpus, m->free.ram_gb);
     }
     snprintf(detail, sizeof detail,
              "%u machines may run it, with room for %u of its tasks; %u boot", allowed, fit,
@@ -180,7 +180,7 @@
     if (!pm_controller_is_store_writable(n, now))
         put_reason(out, "not-recorded",
                    "this controller does not reach the state service; it places nothing");
-    if (job->dependencies_incomplete || job->unmet_dependencies) {
+    if (job->dependencies.incomplete || job->dependencies.unmet) {
         put_unmet(n, job, out);
         return;
     }
--- a/src/cmd/pumicemount/controller.c
+++ b/src/cmd/pumicemount/controller.c
@@ -70,7 +70,7 @@
         if (job->spec->kind == PM_WORKLOAD_GANG) { /* its tasks complete together */
             for (uint32_t i = 0; i < job->task_count; i++)
                 pm_job_task(job, i)->done = true;
-            job->done_count = job->task_count;
+            job->work.done_count = job->task_count;
         }
     }
 }
@@ -149,7 +149,7 @@
             if (m->state ==
                 PM_MACHINE_BOOTING) { /* its worker may be silent by now: counted from here */
                 m->state = PM_MACHINE_UP;
-                m->last_message_at = now;
+                m->heartbeat.last_message_at = now;
             }
             places++;
         }
--- a/src/cmd/pumicemount/link_monitor.c
+++ b/src/cmd/pumicemount/link_monitor.c
@@ -43,7 +43,7 @@
 
 static bool is_ours(const struct pm_controller *n, const struct pm_machine *m)
 {
-    return m && m->state == PM_MACHINE_UP && !m->shard_owner && n->ruling;
+    return m && m->state == PM_MACHINE_UP && !m->shard.owner && n->ruling;
 }
 
 static void add_endpoint(struct pm_links_zone_census *census, const char *endpoint)
@@ -70,7 +70,7 @@
         add_endpoint(pm_machine_missed_heartbeat(m, n->settings, now) ? &silent[m->zone]
                                                                       : &census[m->zone],
                      m->endpoint);
-        if (!m->has_heartbeat)
+        if (!m->heartbeat.is_known)
             continue;
         census[m->zone].up++;
         census[m->zone].unreachable += pm_machine_is_unreachable(m, now);
@@ -162,7 +162,7 @@
             continue;
         up++;
         /* An answer to a command is none: a worker whose reports come nowhere loses its lease. */
-        silent += now - MAX(m->last_heartbeat_at, n->took_at) >= limit;
+        silent += now - MAX(m->heartbeat.last_at, n->took_at) >= limit;
         deaf += pm_machine_is_unreachable(m, now);
     }
     /* Any report counts, also one that an outage keeps from being answered. */
--- a/src/cmd/pumicemount/reconciliation.c
+++ b/src/cmd/pumicemount/reconciliation.c
@@ -55,13 +55,13 @@
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
         double base;
-        if (!m || !m->placements->len || m->shard_owner)
+        if (!m || !m->placements->len || m->shard.owner)
             continue;
-        base = m->lease_lower_bound;
+        base = m->lease.lower_bound;
         if (!base && n->leading) {
-            base = pm_election_lease_lower_bound(n->lead, m->reclaimed_epoch);
-            if (m->reclaimed_epoch && isfinite(base))
-                m->lease_lower_bound = base;
+            base = pm_election_lease_lower_bound(n->lead, m->lease.reclaimed_epoch);
+            if (m->lease.reclaimed_epoch && isfinite(base))
+                m->lease.lower_bound = base;
         }
         /* Another controller may have answered it in our stead. */
         base = MAX(base, pm_election_exclusive_since(n->lead));
@@ -76,13 +76,13 @@
 /* Whether the worker's answer to a command would tell something. */
 static bool is_worth_asking(const struct pm_controller *n, const struct pm_machine *m, double now)
 {
-    bool known = m->endpoint[0] && m->listed;
+    bool known = m->endpoint[0] && m->provider.is_listed;
     bool silent = m->state == PM_MACHINE_UP &&
-                  now - m->last_message_at > 1.25 * n->settings->heartbeat_s + 0.4;
+                  now - m->heartbeat.last_message_at > 1.25 * n->settings->heartbeat_s + 0.4;
 
-    if (!m->has_heartbeat && known)
+    if (!m->heartbeat.is_known && known)
         return true;
-    if (m->has_heartbeat && (m->delivery_failures || !pm_machine_is_verified(m)))
+    if (m->heartbeat.is_known && (m->delivery.failures || !pm_machine_is_verified(m)))
         return true; /* does it hear us, is it there at all? */
     return silent;   /* perhaps it reaches another controller only */
 }
@@ -95,18 +95,19 @@
 
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        if (!m || m->state == PM_MACHINE_RELEASING || m->shard_owner)
+        if (!m || m->state == PM_MACHINE_RELEASING || m->shard.owner)
             continue;
-        doubtful |= m->unknown_outcome_epoch && m->fencing_token <= m->unknown_outcome_epoch &&
-                    m->unknown_outcome_epoch >= pm_election_epoch(n->lead) &&
-                    now - m->last_message_at < 3;
+        doubtful |= m->push.unknown_outcome_epoch &&
+                    m->heartbeat.fencing_token <= m->push.unknown_outcome_epoch &&
+                    m->push.unknown_outcome_epoch >= pm_election_epoch(n->lead) &&
+                    now - m->heartbeat.last_message_at < 3;
         /* A worker that has not come to us yet is asked: the answer is its report, and it learns
          * our token. A wrong session is refused, with the report all the same. */
         if (asked >= ASK_MAX)
             continue; /* the others are asked next time: not all workers at once */
         if (is_worth_asking(n, m, now))
             pm_controller_push_commands(n, m, true);
-        asked += m->push_in_flight != 0;
+        asked += m->push.in_flight != 0;
     }
     if (doubtful && n->leading && now - n->raised_at > 6) {
         n->raised_at = now;
@@ -118,15 +119,15 @@
 static void count_machine(struct pm_controller *n, const struct pm_machine *m,
                           struct pm_controller_counts *counts, double now)
 {
-    counts->up += m->state == PM_MACHINE_UP && !m->shard_owner;
+    counts->up += m->state == PM_MACHINE_UP && !m->shard.owner;
     counts->booting += m->state == PM_MACHINE_BOOTING;
-    counts->lent += m->shard_owner > 0;
-    counts->silent += m->state == PM_MACHINE_UP && !m->shard_owner &&
+    counts->lent += m->shard.owner > 0;
+    counts->silent += m->state == PM_MACHINE_UP && !m->shard.owner &&
                       pm_machine_missed_heartbeat(m, n->settings, now);
     if (m->state != PM_MACHINE_UP)
         return;
     counts->cpus += n->tables.types[m->type].cpus;
-    counts->idle += m->shard_owner ? 0 : m->free_cpus;
+    counts->idle += m->shard.owner ? 0 : m->free.cpus;
 }
 
 static void count_job(const struct pm_job *job, struct pm_controller_counts *counts)
@@ -139,7 +140,7 @@
         counts->placed += running;
         counts->delegated += job->task_count - MIN(job->task_count, done + running);
     } else {
-        counts->placed += job->placed_count;
+        counts->placed += job->work.placed_count;
         counts->waiting += pm_job_waiting_tasks(job);
     }
 }
--- a/src/cmd/pumicemount/worker_endpoint.c
+++ b/src/cmd/pumicemount/worker_endpoint.c
@@ -29,7 +29,7 @@
     bool fresh;
 
     n->directs--;
-    if (m && m->has_heartbeat && status != PM_HTTP_NOT_SENT)
+    if (m && m->heartbeat.is_known && status != PM_HTTP_NOT_SENT)
         pm_links_worker_answered(n->links, m->zone, status > 0, direct->sent, pm_clock_monotonic());
     report = status == 200 || status == 409 ? pm_cbor_parse(body, size) : NULL;
     if (m && pm_worker_push_done(m, direct->number, direct->epoch,
@@ -37,11 +37,11 @@
         /* One that we did not write in time says nothing about the machine. */
         if (status < 0 &&
             !(status == PM_HTTP_NOT_SENT && pm_clock_monotonic() > direct->valid_until)) {
-            m->push_failed_at = pm_clock_monotonic();
-            if (m->has_heartbeat &&
-                !pm_links_is_lagging(n->links, m->push_failed_at)) /* one that boots can't answer */
-                pm_machine_note_delivery_failure(m, "a /do has no answer", m->push_failed_at);
-            m->push_retry_at = m->push_failed_at + 0.7;
+            m->push.failed_at = pm_clock_monotonic();
+            if (m->heartbeat.is_known &&
+                !pm_links_is_lagging(n->links, m->push.failed_at)) /* one that boots can't answer */
+                pm_machine_note_delivery_failure(m, "a /do has no answer", m->push.failed_at);
+            m->push.retry_at = m->push.failed_at + 0.7;
         }
         if (report) {
             pm_workers_apply_heartbeat(n->workers, report, PM_SOURCE_PUSH,
@@ -61,8 +61,8 @@
     struct direct *direct;
     double timeout;
 
-    if (m->push_in_flight || n->directs >= n->settings->sockets / DIRECT_SHARE || !m->endpoint[0] ||
-        m->push_retry_at > pm_clock_monotonic() || (!probe && !pm_worker_push_is_due(m)) ||
+    if (m->push.in_flight || n->directs >= n->settings->sockets / DIRECT_SHARE || !m->endpoint[0] ||
+        m->push.retry_at > pm_clock_monotonic() || (!probe && !pm_worker_push_is_due(m)) ||
         !pm_election_is_confirmed(n->lead, pm_clock_monotonic()))
         return;
     direct = g_new0(struct direct, 1);
@@ -74,7 +74,7 @@
                               .sent = pm_clock_monotonic()};
     pm_put_map(&body);
     pm_put_pair_count(&body, "mandate", direct->epoch);
-    pm_put_pair_count(&body, "shift", m->incarnation ? m->incarnation : 1);
+    pm_put_pair_count(&body, "shift", m->heartbeat.incarnation ? m->heartbeat.incarnation : 1);
     pm_put_text(&body, "orders");
     timeout = pm_workers_encode_commands(m, true, direct->epoch, &body) ? DIRECT_S : PROBE_S;
     pm_put_end(&body);
@@ -90,7 +90,7 @@
 
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        if (m && m->state == PM_MACHINE_UP && !m->shard_owner)
+        if (m && m->state == PM_MACHINE_UP && !m->shard.owner)
             pm_controller_push_commands(n, m, false);
     }
 }
@@ -163,7 +163,7 @@
     m = n->ruling ? pm_workers_find(n->workers, name) : NULL;
     if (m)
         pm_links_worker_heard(n->links, m->zone, token && token == epoch, now);
-    if (!n->ruling || (n->leading ? m && m->shard_owner : !m || m->returned)) {
+    if (!n->ruling || (n->leading ? m && m->shard.owner : !m || m->shard.returned)) {
         if (pm_election_may_renew_in_outage(n->lead, now) && token <= epoch) {
             req->valid_until = pm_election_outage_renewal_deadline(n->lead);
             answer_worker(n, req, epoch, NULL, report);
@@ -191,7 +191,8 @@
     /* A late copy is not answered 200: nothing of it counts, neither as a sign of life nor for its
      * lease. A worker that lost its memory is told so too, and moves on to its next session. One
      * that was heard just now has had its report overtaken by its answer to a /do. */
-    if (m->state == PM_MACHINE_RELEASING || (!fresh && now - m->last_message_at > OVERTAKEN_S)) {
+    if (m->state == PM_MACHINE_RELEASING ||
+        (!fresh && now - m->heartbeat.last_message_at > OVERTAKEN_S)) {
         pm_cbor_free(report);
         pm_http_reply(req, 503, NULL, 0, 1);
         return;
--- a/src/jobs/cancellations.c
+++ b/src/jobs/cancellations.c
@@ -23,7 +23,7 @@
         return;
     job->cancellation_revision = *(const uint64_t *)arg;
     job->state = PM_JOB_CANCELLED;
-    job->cancelled_by_dependency = true;
+    job->dependencies.cancelled_by_one = true;
 }
 
 bool pm_jobs_apply_cancellation(struct pm_jobs *jobs, const char *id, uint64_t revision)
--- a/src/jobs/chunks.c
+++ b/src/jobs/chunks.c
@@ -179,7 +179,7 @@
     write_ranges(chunk->task, from, to, text, sizeof text);
     pm_put_map(out);
     pm_put_pair_text(out, "done", text);
-    pm_put_pair_count(out, "try", job->last_attempt);
+    pm_put_pair_count(out, "try", job->work.last_attempt);
     pm_put_text(out, "at");
     pm_put_list(out);
     for (int i = from; i < to; i++) {
--- a/src/jobs/commit.c
+++ b/src/jobs/commit.c
@@ -145,9 +145,9 @@
             continue;
         }
         if (part->k < 0) {
-            job->final_in_flight = false;
+            job->write_back.final_in_flight = false;
             if (result != PM_STORE_OK)
-                job->retry_at = now + pause;
+                job->write_back.retry_at = now + pause;
             continue;
         }
         if (part->k >= job->chunk_count || !job->chunks[part->k])
@@ -240,7 +240,7 @@
     }
     chunk->dirty &= half < 0 ? ~3u : ~(1u << half);
     chunk->in_flight = true;
-    job->write_attempted = true;
+    job->write_back.attempted = true;
     g_array_append_vals(f->parts, &(struct part){job, k, half, false}, 1);
 }
 
@@ -285,10 +285,10 @@
 /* Whether the job has come to its end and nothing of it is left on any machine. */
 static bool over(const struct pm_job *job)
 {
-    if (!job->spec || job->placed_count)
+    if (!job->spec || job->work.placed_count)
         return false;
     return job->state != PM_JOB_LIVE ||
-           (job->spec->kind != PM_WORKLOAD_SERVICE && job->done_count == job->task_count);
+           (job->spec->kind != PM_WORKLOAD_SERVICE && job->work.done_count == job->task_count);
 }
 
 /* How many values its chunks have. */
@@ -322,7 +322,7 @@
     if (!fits && f->parts->len)
         return false; /* wait for a transaction of its own */
     condition_job(f, job);
-    if (fits || job->state == PM_JOB_LIVE || job->cancelled_by_dependency) {
+    if (fits || job->state == PM_JOB_LIVE || job->dependencies.cancelled_by_one) {
         job_key(job, key, sizeof key);
         pm_txn_put(&f->txn, key);
         if (end == PM_JOB_DONE) {
@@ -335,8 +335,8 @@
         room--;
     }
     g_array_append_vals(f->parts, &(struct part){job, -1, -1, false}, 1);
-    job->final_in_flight = true;
-    if (!fits && (job->state == PM_JOB_LIVE || job->cancelled_by_dependency))
+    job->write_back.final_in_flight = true;
+    if (!fits && (job->state == PM_JOB_LIVE || job->dependencies.cancelled_by_one))
         return true; /* what it needs, and what ran, goes once the end itself is there */
     for (uint32_t n = job->spec->overflow_lists; n > 0 && room > 0; n--, room--) {
         snprintf(key, sizeof key, "p/n/%s/%u", job->id, n - 1);
@@ -400,7 +400,7 @@
  * from the other's. A long chain's go when there is room to spare. */
 static enum pass final_pass(const struct pm_job *job)
 {
-    return job->cancelled_by_dependency ? PASS_LAZY : PASS_SERVICES;
+    return job->dependencies.cancelled_by_one ? PASS_LAZY : PASS_SERVICES;
 }
 
 static void add_pass(struct pm_commit *c, struct flight *f, enum pass pass, int room, double now,
@@ -410,14 +410,14 @@
 
     for (guint i = 0; i < active->len; i++) {
         struct pm_job *job = g_ptr_array_index(active, i);
-        if (!job->spec || job->delegated || job->final_in_flight)
+        if (!job->spec || job->delegated || job->write_back.final_in_flight)
             continue;
         if (over(job)) {
-            if (pass == final_pass(job) && job->retry_at <= now) {
+            if (pass == final_pass(job) && job->write_back.retry_at <= now) {
                 if (!full(f, room))
                     add_final(c, f, job, room - f->txn.write_count);
-            } else if (job->retry_at > now) {
-                *next = *next ? MIN(*next, job->retry_at) : job->retry_at;
+            } else if (job->write_back.retry_at > now) {
+                *next = *next ? MIN(*next, job->write_back.retry_at) : job->write_back.retry_at;
             }
             continue;
         }
@@ -452,7 +452,8 @@
         if (!job->spec || job->delegated)
             continue;
         if (over(job)) {
-            if (!job->final_in_flight && job->retry_at <= now && final_pass(job) == PASS_LAZY)
+            if (!job->write_back.final_in_flight && job->write_back.retry_at <= now &&
+                final_pass(job) == PASS_LAZY)
                 return true;
             continue;
         }
--- a/src/jobs/dependencies.c
+++ b/src/jobs/dependencies.c
@@ -170,7 +170,7 @@
 /* The job needed the other one, which is done: whoever waits, waits from the last such end on. */
 static void note_end(struct pm_job *job, double ended)
 {
-    job->ready_wall = ended > 0 ? MAX(job->ready_wall, ended) : INFINITY;
+    job->dependencies.met_wall = ended > 0 ? MAX(job->dependencies.met_wall, ended) : INFINITY;
 }
 
 static void add_edge(struct pm_dependency_graph *graph, struct node *node, int index,
@@ -181,7 +181,7 @@
     dependency->job = job;
     g_ptr_array_add(node->dependencies, node_ref(dependency));
     g_ptr_array_add(dependency->dependents, node_ref(node));
-    node->job->unmet_dependencies++;
+    node->job->dependencies.unmet++;
 }
 
 /* Links the node to what its job needs. Returns the earliest cancellation among that, 0: none. */
@@ -244,7 +244,7 @@
         const struct node *dependent = g_ptr_array_index(node->dependents, i);
         if (dependent->over)
             continue;
-        dependent->job->unmet_dependencies--;
+        dependent->job->dependencies.unmet--;
         note_end(dependent->job, ended);
     }
     remove_node(graph, index);
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -112,7 +112,7 @@
         pm_dependencies_mark_done(jobs->dependencies, job->id, job->ended_wall);
         return;
     }
-    if (job->state == PM_JOB_LIVE && job->spec && !job->dependencies_incomplete) {
+    if (job->state == PM_JOB_LIVE && job->spec && !job->dependencies.incomplete) {
         const struct pm_spec *spec = job->spec;
         job->priority = MAX(job->priority, spec->priority);
         if (spec->deadline_s >= 0)
@@ -135,7 +135,7 @@
     GPtrArray *lists = g_hash_table_lookup(jobs->overflow_lists, job->id);
     GPtrArray *ids;
 
-    if (!job->dependencies_incomplete || !job->spec || !job->spec->overflow_lists || !lists ||
+    if (!job->dependencies.incomplete || !job->spec || !job->spec->overflow_lists || !lists ||
         lists->len < job->spec->overflow_lists)
         return;
     for (uint32_t k = 0; k < job->spec->overflow_lists; k++)
@@ -150,8 +150,8 @@
     pm_spec_set_dependencies(jobs->tables, job->spec, ids);
     g_ptr_array_free(ids, TRUE);
     g_hash_table_remove(jobs->overflow_lists, job->id);
-    job->dependencies_incomplete = false;
-    job->unmet_dependencies--;
+    job->dependencies.incomplete = false;
+    job->dependencies.unmet--;
     update_graph(jobs, job);
 }
 
@@ -173,7 +173,7 @@
     if (!pm_chunk_key_parse(rest, id, &k, &half) || half >= 0 || !pm_job_id_is_valid(id))
         return NULL;
     job = pm_jobs_find(jobs, id);
-    if (job && !job->dependencies_incomplete)
+    if (job && !job->dependencies.incomplete)
         return NULL; /* known, or over */
     if (pm_submission_decode_dependencies(value, &ids) || !ids) {
         pm_error("jobs.unreadable_value", "unreadable list %s", rest);
@@ -227,7 +227,7 @@
 static void set_state(struct pm_jobs *jobs, struct pm_job *job, enum pm_job_state state)
 {
     if (state == PM_JOB_CANCELLED)
-        job->cancelled_by_dependency = false; /* its own value says so */
+        job->dependencies.cancelled_by_one = false; /* its own value says so */
     /* What is known cancelled stays so: this value is an older one then. */
     job->state = job->cancellation_revision ? PM_JOB_CANCELLED : state;
     if (job->state == PM_JOB_CANCELLED && !job->cancellation_revision) {
@@ -250,8 +250,8 @@
         pm_error("jobs.unreadable_value", "unreadable dependencies of job %s", job->id);
     if (!readable || lists) {
         spec->overflow_lists = (uint32_t)MIN(lists, PM_JOB_TASKS_MAX);
-        job->dependencies_incomplete = true;
-        job->unmet_dependencies++;
+        job->dependencies.incomplete = true;
+        job->dependencies.unmet++;
     }
     if (dependencies) {
         pm_spec_set_dependencies(jobs->tables, spec, dependencies);
@@ -327,7 +327,7 @@
             return job;
         job_size(job);
         activate(jobs, job);
-    } else if (!job->placed_count) {
+    } else if (!job->work.placed_count) {
         keep_final_state_only(jobs, job);
     }
     update_graph(jobs, job);
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -166,49 +166,66 @@
     double retry_at;       /* steady: no task of it starts before, while it is failing */
 };
 
+/* What a job waits for (dependencies.h). */
+struct pm_job_dependencies {
+    bool incomplete; /* the jobs that it depends on are not all known yet */
+    uint32_t unmet;  /* jobs that it depends on and that are not durably done: it may not start */
+    double met_wall; /* time of day at which the last of them ended; 0: none has; INFINITY: one
+                      * ended whose time an earlier version did not record */
+    bool cancelled_by_one; /* cancelled because a job that it depends on is */
+};
+
+/* The scheduler's view of a job: how long it has waited, and how it has run. */
+struct pm_job_scheduling {
+    double waiting_since_wall; /* time of day at which its wait began, as far as seen here */
+    double reservation_until;  /* monotonic, gang: capacity is being freed for it until then */
+    bool is_starving;          /* has waited too long to begin */
+    bool is_overdue_start;     /* was starving: what runs of it was started for that */
+    bool has_fully_started;    /* all of its tasks were placed at one time, or are done */
+    double fully_started_at;   /* monotonic: when; 0: before this controller became active */
+    double remaining_cpu_s;    /* of an array: processor-seconds that are left */
+    double run_time_sum_s;     /* measured run times of its tasks: the estimate may be far off */
+    uint32_t run_time_samples;
+    bool counted_in_demand; /* counted in the measured rate of array work (autoscaler) */
+    double backoff_until;   /* monotonic: some tasks back off until then, see struct pm_task */
+};
+
+/* Counts over the job's tasks, on whoever places it. */
+struct pm_job_work {
+    uint32_t done_count, placed_count;
+    uint32_t last_attempt;
+    uint32_t first_waiting_hint; /* no task below this index waits */
+};
+
+/* Writing the job's state back to the state service (commit.h). */
+struct pm_job_write_back {
+    bool final_in_flight; /* a write of its final state has no answer yet */
+    bool attempted;       /* a chunk was written, or is being written, from here */
+    double retry_at;      /* monotonic: the final state is not written before */
+};
+
 struct pm_job {
     char id[PM_ID_MAX];
-    uint64_t revision;
+    uint64_t revision; /* of its key */
     enum pm_job_state state;
-    uint64_t cancellation_revision; /* revision of its durable cancellation, as far as known; 0:
-                                       none is known */
+    uint64_t cancellation_revision; /* of its durable cancellation, 0: none is known */
     uint32_t task_count;
-    /* Dependencies (dependencies.h). */
-    bool dependencies_incomplete; /* what it needs is not all known yet */
-    uint32_t
-        unmet_dependencies; /* jobs that it needs and that are not durably done: it may not start */
-    double ended_wall;      /* time of day at which it was found done, 0: not known */
-    double ready_wall;      /* time of day at which the last job that it needs ended, 0: none has,
-                             * INFINITY: one ended that the version before recorded without its time */
-    bool cancelled_by_dependency; /* cancelled because a job that it needs is */
-    enum pm_priority priority;    /* its own, or that of a job that needs it, whichever is higher */
-    double deadline_wall;      /* time of day: its own deadline, or what one that needs it leaves;
-                                  INFINITY: none */
-    double waiting_since_wall; /* time of day at which its wait began, as far as seen here
-                                  (placement) */
+    double ended_wall; /* time of day at which it was found done, 0: not known */
+    struct pm_job_dependencies dependencies;
+    enum pm_priority priority; /* its own, or that of a job that depends on it if that is higher */
+    double deadline_wall;      /* time of day: its own deadline, or what one that depends on it
+                                * leaves; INFINITY: none */
     struct pm_spec *spec;      /* NULL once only the final state is kept, or if it can't be read */
     int chunk_count;
     struct pm_chunk **chunks;
-    /* Leader only. */
-    uint32_t done_count, placed_count, last_attempt;
-    uint32_t first_waiting_hint; /* no task below it waits */
-    bool final_in_flight, is_active;
-    double reservation_until; /* gang: room is being cleared for it (placement) */
-    bool delegated;           /* another controller places it */
-    bool is_starving;         /* has waited too long to begin (placement) */
-    bool is_overdue_start;    /* was starving: what runs of it went first (placement) */
-    bool has_fully_started;   /* all of its tasks were placed at one time, or done (placement) */
-    double fully_started_at;  /* steady: when that was, 0: before this controller led */
-    double remaining_cpu_s;   /* processor-seconds of an array that are left (placement) */
-    bool counted_in_demand;   /* counted as part of the stream of array work (fleet) */
-    bool write_attempted;     /* a chunk was written, or is being written, from here */
-    double run_time_sum_s;    /* run times seen of this job's tasks: its owner's estimate may be far
-                                 off */
-    uint32_t run_time_samples;
-    uint32_t parallelism; /* tasks at once that its block's lease allows */
+    bool is_active; /* listed by pm_jobs_active */
+    /* Whoever places the job: the leader, or the owner of a shard. */
+    bool delegated;       /* on the leader: the owner of a shard places it */
+    uint32_t parallelism; /* tasks at a time that the shard's lease allows */
+    struct pm_job_work work;
+    struct pm_job_write_back write_back;
+    struct pm_job_scheduling scheduling;
     struct pm_job_failures failures;
-    double backoff_until; /* steady: some of its tasks rest until then, see struct pm_task */
-    double retry_at;
 };
 
 struct pm_jobs;
--- a/src/jobs/work.c
+++ b/src/jobs/work.c
@@ -32,20 +32,20 @@
     uint16_t *placed = &chunk->placement_counts[index % PM_CHUNK_TASKS / PM_HALF_CHUNK_TASKS];
 
     *placed = (uint16_t)(*placed + by);
-    job->placed_count += (uint32_t)by;
+    job->work.placed_count += (uint32_t)by;
 }
 
 uint32_t pm_job_waiting_tasks(const struct pm_job *job)
 {
-    if (job->state != PM_JOB_LIVE || !job->spec || job->unmet_dependencies)
+    if (job->state != PM_JOB_LIVE || !job->spec || job->dependencies.unmet)
         return 0;
-    return job->task_count - job->done_count - job->placed_count;
+    return job->task_count - job->work.done_count - job->work.placed_count;
 }
 
 void pm_job_back_off(struct pm_job *job, uint32_t index, double until)
 {
     pm_job_task(job, index)->backoff_until = until;
-    job->backoff_until = MAX(job->backoff_until, until);
+    job->scheduling.backoff_until = MAX(job->scheduling.backoff_until, until);
 }
 
 /* Waiting tasks of the chunk that rest. */
@@ -65,7 +65,7 @@
     uint32_t waiting = pm_job_waiting_tasks(job);
     uint32_t resting = 0;
 
-    if (!waiting || job->backoff_until <= now)
+    if (!waiting || job->scheduling.backoff_until <= now)
         return waiting;
     for (int k = 0; k < job->chunk_count; k++)
         if (job->chunks[k] && job->chunks[k]->task)
@@ -75,9 +75,11 @@
 
 void pm_job_reset_work(struct pm_job *job)
 {
-    job->done_count = job->placed_count = job->last_attempt = job->first_waiting_hint = 0;
-    job->final_in_flight = job->write_attempted = job->counted_in_demand = false;
-    job->retry_at = job->backoff_until = job->fully_started_at = 0;
+    job->work.done_count = job->work.placed_count = job->work.last_attempt =
+        job->work.first_waiting_hint = 0;
+    job->write_back.final_in_flight = job->write_back.attempted =
+        job->scheduling.counted_in_demand = false;
+    job->write_back.retry_at = job->scheduling.backoff_until = job->scheduling.fully_started_at = 0;
     for (int k = 0; k < job->chunk_count; k++) {
         struct pm_chunk *chunk = job->chunks[k];
         if (!chunk)
@@ -93,17 +95,17 @@
         if (!chunk->stored)
             continue;
         chunk->task = g_new0(struct pm_task, PM_CHUNK_TASKS);
-        job->write_attempted = true;
-        job->last_attempt = MAX(job->last_attempt, chunk->last_attempt);
+        job->write_back.attempted = true;
+        job->work.last_attempt = MAX(job->work.last_attempt, chunk->last_attempt);
         for (int t = 0; t < PM_CHUNK_TASKS; t++) {
             if (chunk->done[t / 64] >> (t % 64) & 1) {
                 chunk->task[t].done = true;
-                job->done_count++;
+                job->work.done_count++;
             }
         }
     }
-    job->has_fully_started =
-        job->last_attempt >= job->task_count; /* as far as the number of attempts tells */
+    job->scheduling.has_fully_started =
+        job->work.last_attempt >= job->task_count; /* as far as the number of attempts tells */
 }
 
 void pm_jobs_reset_work(struct pm_jobs *jobs)
--- a/src/scheduler/bin_packing.c
+++ b/src/scheduler/bin_packing.c
@@ -23,23 +23,24 @@
 bool pm_scheduler_is_machine_usable(const struct pm_scheduler *p, const struct pm_machine *m,
                                     double now)
 {
-    return m->state == PM_MACHINE_UP && m->has_heartbeat && !m->shard_owner && !m->revoking &&
-           !m->draining && !m->spot_interruption_at && !pm_failures_is_machine_faulty(m) &&
-           !m->delivery_failures && pm_machine_is_verified(m) && m->orphan_tasks->len == 0 &&
+    return m->state == PM_MACHINE_UP && m->heartbeat.is_known && !m->shard.owner &&
+           !m->shard.revoking && !m->reservation.draining && !m->heartbeat.spot_interruption_at &&
+           !pm_failures_is_machine_faulty(m) && !m->delivery.failures &&
+           pm_machine_is_verified(m) && m->heartbeat.orphan_tasks->len == 0 &&
            !pm_machine_missed_heartbeat(m, p->tables->settings, now) &&
            !pm_machine_is_not_reporting(m, p->tables->settings, now);
 }
 
 bool pm_scheduler_has_free_capacity(const struct pm_machine *m, const struct pm_spec *spec)
 {
-    return m->free_cpus + EPS >= spec->cpus && m->free_gpus + EPS >= spec->gpus &&
-           m->free_ram_gb + EPS >= spec->ram_gb;
+    return m->free.cpus + EPS >= spec->cpus && m->free.gpus + EPS >= spec->gpus &&
+           m->free.ram_gb + EPS >= spec->ram_gb;
 }
 
 bool pm_scheduler_has_image(const struct pm_machine *m, int image)
 {
-    for (int i = 0; i < m->cached_image_count; i++)
-        if (m->cached_images[i].image == image)
+    for (int i = 0; i < m->images.count; i++)
+        if (m->images.cached[i].image == image)
             return true;
     return false;
 }
@@ -47,7 +48,7 @@
 void pm_scheduler_count_zones(const struct pm_job *job, struct spread *out)
 {
     memset(out, 0, sizeof *out);
-    if (!job->placed_count || !(job->spec->spread_zones || job->spec->same_zone))
+    if (!job->work.placed_count || !(job->spec->spread_zones || job->spec->same_zone))
         return; /* nobody asks */
     for (uint32_t i = 0; i < job->task_count; i++) {
         const struct pm_task *task = pm_job_find_task(job, i);
@@ -118,7 +119,7 @@
 /* Processors on the machine that a production task could have at once: free, or yielding. */
 double pm_scheduler_yielding_room(const struct pm_machine *m)
 {
-    double room = m->free_cpus;
+    double room = m->free.cpus;
 
     for (guint j = 0; j < m->placements->len; j++) {
         const struct pm_placement *place = g_ptr_array_index(m->placements, j);
@@ -165,7 +166,7 @@
 bool pm_scheduler_boots_soon(const struct pm_name_tables *tables, const struct pm_machine *m,
                              double now)
 {
-    return now - m->rented_at < 1.4 * tables->types[m->type].ready_s + 3;
+    return now - m->provider.rented_at < 1.4 * tables->types[m->type].ready_s + 3;
 }
 
 /* Whether a machine that the job may run on is to come up soon. */
@@ -238,7 +239,7 @@
     value += image ? 3 : 0;
     value += m->spot == spec->spot ? 5 : 0; /* ordinary room is dearer, and services' */
     /* Fill what is fullest, so that others come free and can go back. */
-    return value - 2 * (m->free_cpus - spec->cpus) / MAX(t->cpus, EPS);
+    return value - 2 * (m->free.cpus - spec->cpus) / MAX(t->cpus, EPS);
 }
 
 /* One walk over the machines counts them all: whoever sizes the fleet asks for each of them. */
@@ -256,7 +257,7 @@
         double room;
         if (!type || m->state == PM_MACHINE_RELEASING)
             continue;
-        if (m->shard_owner ||
+        if (m->shard.owner ||
             (m->state == PM_MACHINE_BOOTING && pm_scheduler_boots_soon(p->tables, m, now)))
             t->pool += type->cpus;
         if (!pm_scheduler_is_machine_usable(p, m, now))
@@ -289,10 +290,11 @@
 /* Whether the machine's room is being cleared for a gang that comes before the job. */
 bool pm_scheduler_claimed_by_other(const struct pm_machine *m, const struct pm_job *job, double now)
 {
-    return m->reserved_for_gang && m->reserved_for_gang != job &&
-           m->reserved_for_gang->state == PM_JOB_LIVE && m->reserved_for_gang->spec &&
-           !m->reserved_for_gang->placed_count && now < m->reserved_for_gang->reservation_until &&
-           job->priority <= m->reserved_for_gang->priority;
+    return m->reservation.gang && m->reservation.gang != job &&
+           m->reservation.gang->state == PM_JOB_LIVE && m->reservation.gang->spec &&
+           !m->reservation.gang->work.placed_count &&
+           now < m->reservation.gang->scheduling.reservation_until &&
+           job->priority <= m->reservation.gang->priority;
 }
 
 static bool is_stopping(const struct pm_machine *m)
@@ -310,9 +312,9 @@
 static bool cleared_for_other(struct pm_scheduler *p, const struct pm_machine *m,
                               const struct pm_job *job, double now)
 {
-    const struct pm_job *other = m->reserved_for;
+    const struct pm_job *other = m->reservation.job;
 
-    if (!other || other == job || now >= m->reserved_until || other->state != PM_JOB_LIVE ||
+    if (!other || other == job || now >= m->reservation.until || other->state != PM_JOB_LIVE ||
         !pm_job_waiting_tasks(other) || !pm_scheduler_yields_to(p, job, other))
         return false;
     return is_stopping(m);
@@ -355,7 +357,7 @@
         return false;
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *other = g_ptr_array_index(all, i);
-        if (other && other->cached_image_count && pm_scheduler_has_image(other, job->spec->image) &&
+        if (other && other->images.count && pm_scheduler_has_image(other, job->spec->image) &&
             pm_scheduler_is_machine_usable(p, other, now) &&
             pm_scheduler_is_machine_allowed(p->tables, job, other->type, other->zone,
                                             other->spot) &&
--- a/src/scheduler/consolidation.c
+++ b/src/scheduler/consolidation.c
@@ -123,7 +123,7 @@
         double value;
         bool fits = true;
         if (!m || m->spot || !pm_scheduler_is_machine_usable(p, m, now) || m->type < 0 ||
-            !m->placements->len || now - m->rented_at < 60 || !movable(m, now))
+            !m->placements->len || now - m->provider.rented_at < 60 || !movable(m, now))
             continue;
         used = p->tables->types[m->type].cpus - pm_scheduler_yielding_room(m);
         value =
@@ -167,15 +167,15 @@
     room = g_malloc0(sizeof(double[2]) * (all->len + 1));
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
-        if (!m || m->state != PM_MACHINE_UP || m->shard_owner)
+        if (!m || m->state != PM_MACHINE_UP || m->shard.owner)
             continue;
-        draining += m->draining && m->placements->len;
+        draining += m->reservation.draining && m->placements->len;
         if (m->spot || !pm_scheduler_is_machine_usable(p, m, now))
             continue;
         ordinary++;
         spare += pm_scheduler_yielding_room(m);
-        room[i][0] = m->free_cpus;
-        room[i][1] = m->free_ram_gb;
+        room[i][0] = m->free.cpus;
+        room[i][1] = m->free.ram_gb;
     }
     batch = MIN(1 + ordinary / BATCH_OF, DRAINING_MAX * (1 + ordinary / BATCH_OF) - draining);
     while (emptied < batch) {
@@ -186,7 +186,7 @@
         spare -= p->tables->types[worst->type].cpus;
         pm_info("scheduler.consolidate", "%s: %u tasks move or end", worst->name,
                 worst->placements->len);
-        worst->draining = true;
+        worst->reservation.draining = true;
         for (guint j = 0; j < worst->placements->len; j++) {
             struct pm_placement *place = g_ptr_array_index(worst->placements, j);
             if (place->job->spec->kind == PM_WORKLOAD_SERVICE)
--- a/src/scheduler/gang_scheduling.c
+++ b/src/scheduler/gang_scheduling.c
@@ -18,22 +18,22 @@
         chosen[i] = pm_scheduler_best_machine(p, job, &at, only_zone, now);
         ok = chosen[i] != NULL;
         if (ok) { /* taken for the time being, so that the next task sees it */
-            chosen[i]->free_cpus -= job->spec->cpus;
-            chosen[i]->free_gpus -= job->spec->gpus;
-            chosen[i]->free_ram_gb -= job->spec->ram_gb;
+            chosen[i]->free.cpus -= job->spec->cpus;
+            chosen[i]->free.gpus -= job->spec->gpus;
+            chosen[i]->free.ram_gb -= job->spec->ram_gb;
             at.zone[chosen[i]->zone]++;
             at.total++;
         }
     }
     for (uint32_t i = 0; i < job->task_count && chosen[i]; i++) {
-        chosen[i]->free_cpus += job->spec->cpus;
-        chosen[i]->free_gpus += job->spec->gpus;
-        chosen[i]->free_ram_gb += job->spec->ram_gb;
+        chosen[i]->free.cpus += job->spec->cpus;
+        chosen[i]->free.gpus += job->spec->gpus;
+        chosen[i]->free.ram_gb += job->spec->ram_gb;
     }
     if (ok) {
-        job->last_attempt++;
+        job->work.last_attempt++;
         for (uint32_t i = 0; i < job->task_count; i++)
-            pm_scheduler_place_task(p, job, i, chosen[i], job->last_attempt, &at, now);
+            pm_scheduler_place_task(p, job, i, chosen[i], job->work.last_attempt, &at, now);
     }
     g_free(chosen);
     return ok;
@@ -44,7 +44,7 @@
 static uint32_t room_to_come(struct pm_scheduler *p, const struct pm_machine *m,
                              const struct pm_job *job, int only_zone, double now)
 {
-    double room[3] = {m->free_cpus, m->free_gpus, m->free_ram_gb};
+    double room[3] = {m->free.cpus, m->free.gpus, m->free.ram_gb};
 
     if (!pm_scheduler_is_machine_usable(p, m, now) || (only_zone >= 0 && m->zone != only_zone) ||
         pm_scheduler_claimed_by_other(m, job, now) ||
@@ -81,10 +81,10 @@
         struct pm_machine *m = g_ptr_array_index(all, i);
         if (!m || !(fit = room_to_come(p, m, job, only_zone, now)))
             continue;
-        m->reserved_for_gang = job;
+        m->reservation.gang = job;
         n += fit;
     }
-    job->reservation_until = now + CLAIM_S;
+    job->scheduling.reservation_until = now + CLAIM_S;
     return true;
 }
 
@@ -97,7 +97,7 @@
     size_t size = sizeof(spoken) * (all->len + 1);
     int zones = job->spec->same_zone ? p->tables->settings->zone_count : 1;
 
-    if (job->priority < PM_PRIORITY_URGENT || now < job->reservation_until)
+    if (job->priority < PM_PRIORITY_URGENT || now < job->scheduling.reservation_until)
         return;
     for (int zone = 0; zone < zones; zone++) {
         int only = job->spec->same_zone ? zone : -1;
@@ -110,13 +110,13 @@
         if (n < job->task_count)
             continue;
         memset(&at, 0, sizeof at);
-        job->reservation_until = now + CLAIM_S;
+        job->scheduling.reservation_until = now + CLAIM_S;
         for (n = 0; n < job->task_count; n++) {
             struct pm_machine *m =
                 pm_scheduler_clear_one(p, job, spoken_for, &at, only, false, now);
             if (!m)
                 break;
-            m->reserved_for_gang = job;
+            m->reservation.gang = job;
         }
         return;
     }
--- a/src/scheduler/occupancy.c
+++ b/src/scheduler/occupancy.c
@@ -15,7 +15,7 @@
  * it has waited too long to begin: from then on it is charged, and does not yield at once. */
 bool pm_scheduler_is_unallocated(const struct pm_job *job)
 {
-    return job->priority == PM_PRIORITY_BEST_EFFORT && !job->is_overdue_start;
+    return job->priority == PM_PRIORITY_BEST_EFFORT && !job->scheduling.is_overdue_start;
 }
 
 static double machine_share(const struct pm_name_tables *tables, const struct pm_spec *spec,
@@ -145,13 +145,13 @@
     for (int spot = 0; spot < 2; spot++)
         for (guint i = 0; i < all->len && used < most; i++) {
             const struct pm_machine *m = g_ptr_array_index(all, i);
-            if (!m || !m->cached_image_count || m->state != PM_MACHINE_UP || m->spot != spot)
+            if (!m || !m->images.count || m->state != PM_MACHINE_UP || m->spot != spot)
                 continue;
             pm_put_text(&machines, m->name);
             pm_put_list(&machines);
             used += strlen(m->name) + 6;
-            for (int k = 0; k < m->cached_image_count && used < most; k++) {
-                const struct pm_cached_image *c = &m->cached_images[k];
+            for (int k = 0; k < m->images.count && used < most; k++) {
+                const struct pm_cached_image *c = &m->images.cached[k];
                 if (place[c->image] < 0) {
                     const char *image = pm_names_text(p->tables->image_names, c->image);
                     place[c->image] = known++;
@@ -184,18 +184,18 @@
     for (guint i = 0; i < all->len; i++) {
         struct pm_machine *m = g_ptr_array_index(all, i);
         cbor_item_t *list = m ? pm_cbor_get(images, m->name) : NULL;
-        if (!list || m->cached_image_count)
+        if (!list || m->images.count)
             continue;
-        for (size_t k = 0; k < pm_cbor_length(list) && m->cached_image_count < PM_CACHED_IMAGES_MAX;
+        for (size_t k = 0; k < pm_cbor_length(list) && m->images.count < PM_CACHED_IMAGES_MAX;
              k++) {
-            struct pm_cached_image *c = &m->cached_images[m->cached_image_count];
+            struct pm_cached_image *c = &m->images.cached[m->images.count];
             if (!pm_cbor_read_count(pm_cbor_at(list, k), &place) ||
                 place >= pm_cbor_length(table) / 2 ||
                 !pm_cbor_read_text(pm_cbor_at(table, 2 * place), name, sizeof name) ||
                 !pm_cbor_read_number(pm_cbor_at(table, 2 * place + 1), &c->gb))
                 continue;
             c->image = pm_names_intern(p->tables->image_names, name);
-            m->cached_image_count++;
+            m->images.count++;
         }
     }
 }
@@ -210,8 +210,8 @@
 
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
-        if (m && m->has_heartbeat && m->zone >= 0 && !m->shard_owner)
-            heard[m->zone] = MAX(heard[m->zone], m->last_message_at);
+        if (m && m->heartbeat.is_known && m->zone >= 0 && !m->shard.owner)
+            heard[m->zone] = MAX(heard[m->zone], m->heartbeat.last_message_at);
     }
     pm_put_text(out, "heard");
     pm_put_map(out);
@@ -299,8 +299,8 @@
     int c = job->spec->class_index;
     double ratio;
 
-    job->run_time_sum_s += seconds;
-    job->run_time_samples++;
+    job->scheduling.run_time_sum_s += seconds;
+    job->scheduling.run_time_samples++;
     if (c >= CLASSES_MAX || job->spec->estimated_run_s <= 0)
         return;
     /* Slowly: the tasks of one job are all off by much the same. */
@@ -313,6 +313,6 @@
     int c = job->spec->class_index;
     double factor = c < CLASSES_MAX && p->factor[c] > 0 ? p->factor[c] : 1;
 
-    return (job->spec->estimated_run_s * factor + job->run_time_sum_s) /
-           (1 + job->run_time_samples);
+    return (job->spec->estimated_run_s * factor + job->scheduling.run_time_sum_s) /
+           (1 + job->scheduling.run_time_samples);
 }
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -121,7 +121,7 @@
                       const spoken *spoken_for, guint *n, double *cost, double now)
 {
     const struct pm_spec *need = job->spec;
-    double room[3] = {m->free_cpus, m->free_gpus, m->free_ram_gb};
+    double room[3] = {m->free.cpus, m->free.gpus, m->free.ram_gb};
 
     *cost = 0;
     g_array_set_size(p->victims, 0);
@@ -180,10 +180,10 @@
 static void add_candidate(struct pm_scheduler *p, struct pm_machine *m)
 {
     struct candidate candidate = {.machine = m};
-    bool any = m->free_cpus > EPS; /* free room serves without stopping anything */
+    bool any = m->free.cpus > EPS; /* free room serves without stopping anything */
 
     for (int k = 0; k <= PM_PRIORITY_PRODUCTION; k++)
-        candidate.room[k] = m->free_cpus;
+        candidate.room[k] = m->free.cpus;
     for (guint j = 0; j < m->placements->len; j++) {
         const struct pm_placement *place = g_ptr_array_index(m->placements, j);
         int from = place->should_stop ? PM_PRIORITY_BEST_EFFORT : (int)place->job->priority + 1;
@@ -255,8 +255,8 @@
             p->steps++;
         }
         p->promised[job->spec->team] += job->spec->cpus;
-        best->reserved_for = job;
-        best->reserved_until = now + CLEARING_S;
+        best->reservation.job = job;
+        best->reservation.until = now + CLEARING_S;
     }
     spoken_for[best->index][0] += job->spec->cpus;
     spoken_for[best->index][1] += job->spec->gpus;
@@ -351,7 +351,7 @@
  * a task that cannot save runs on only where it may well end in time. */
 static void heed_notice(struct pm_scheduler *p, struct pm_machine *m, double now)
 {
-    double left = m->spot_interruption_at - now;
+    double left = m->heartbeat.spot_interruption_at - now;
 
     for (guint j = 0; j < m->placements->len; j++) {
         struct pm_placement *place = g_ptr_array_index(m->placements, j);
@@ -383,8 +383,8 @@
     for (guint i = 0; i < active->len; i++) {
         struct pm_job *job = g_ptr_array_index(active, i);
         if (job->spec && !job->delegated && job->spec->kind == PM_WORKLOAD_GANG &&
-            job->placed_count && job->state == PM_JOB_LIVE && !job->done_count &&
-            job->placed_count < job->task_count)
+            job->work.placed_count && job->state == PM_JOB_LIVE && !job->work.done_count &&
+            job->work.placed_count < job->task_count)
             stop_gang(p, job, 0);
     }
     for (guint i = 0; i < all->len; i++) {
@@ -408,7 +408,7 @@
             }
             j++;
         }
-        if (m && m->spot_interruption_at && m->state == PM_MACHINE_UP)
+        if (m && m->heartbeat.spot_interruption_at && m->state == PM_MACHINE_UP)
             heed_notice(p, m, now);
     }
 }
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -42,7 +42,8 @@
 static void count_machine(struct pm_scheduler *p, const struct pm_machine *m)
 {
     /* An old copy of a report shows tasks that have ended since: they count, but prove nothing. */
-    bool heeds_us = m->acked_epoch && m->fencing_token >= m->acked_epoch;
+    bool heeds_us =
+        m->delivery.acked_epoch && m->heartbeat.fencing_token >= m->delivery.acked_epoch;
 
     for (guint i = 0; i < m->placements->len; i++) {
         const struct pm_placement *place = g_ptr_array_index(m->placements, i);
@@ -53,9 +54,9 @@
         if (place->state >= PM_PLACEMENT_WAITING)
             add(&use->reported, place->job->spec, 1);
     }
-    for (guint i = 0; i < m->orphan_tasks->len; i++) {
+    for (guint i = 0; i < m->heartbeat.orphan_tasks->len; i++) {
         const struct pm_spec *spec =
-            g_array_index(m->orphan_tasks, struct pm_task_ref, i).job->spec;
+            g_array_index(m->heartbeat.orphan_tasks, struct pm_task_ref, i).job->spec;
         if (!spec)
             continue; /* its job is over: how much it takes is not known any more */
         add(&p->use[spec->team].stray, spec, 1);
--- a/src/scheduler/ranking.c
+++ b/src/scheduler/ranking.c
@@ -23,15 +23,16 @@
  * what it needs are in the state service, so that a new leader counts from the same moment. */
 double pm_scheduler_since(const struct pm_job *job)
 {
-    return job->spec->dependency_count ? job->waiting_since_wall : job->spec->submitted_wall;
+    return job->spec->dependency_count ? job->scheduling.waiting_since_wall
+                                       : job->spec->submitted_wall;
 }
 
 /* Where the end of what it needs was recorded without its time, its wait counts from now. */
 static double ready_since(const struct pm_job *job, double day)
 {
-    if (job->ready_wall <= 0 || isinf(job->ready_wall))
+    if (job->dependencies.met_wall <= 0 || isinf(job->dependencies.met_wall))
         return day;
-    return MIN(MAX(job->ready_wall, job->spec->submitted_wall), day);
+    return MIN(MAX(job->dependencies.met_wall, job->spec->submitted_wall), day);
 }
 
 static int by_age(const void *a, const void *b)
@@ -60,9 +61,9 @@
         return x->priority >= PM_PRIORITY_URGENT ? -1 : 1;
     if (pm_scheduler_is_unallocated(x) != pm_scheduler_is_unallocated(y))
         return pm_scheduler_is_unallocated(x) ? 1 : -1;
-    if (x->is_starving != y->is_starving)
-        return x->is_starving ? -1 : 1;
-    if (x->is_starving && pm_scheduler_since(x) != pm_scheduler_since(y))
+    if (x->scheduling.is_starving != y->scheduling.is_starving)
+        return x->scheduling.is_starving ? -1 : 1;
+    if (x->scheduling.is_starving && pm_scheduler_since(x) != pm_scheduler_since(y))
         return pm_scheduler_since(x) < pm_scheduler_since(y) ? -1 : 1;
     rx = ranking->ratio[x->spec->team];
     ry = ranking->ratio[y->spec->team];
@@ -70,8 +71,8 @@
         return rx < ry ? -1 : 1;
     if (x->priority != y->priority)
         return x->priority > y->priority ? -1 : 1;
-    if (x->remaining_cpu_s != y->remaining_cpu_s)
-        return x->remaining_cpu_s < y->remaining_cpu_s ? -1 : 1;
+    if (x->scheduling.remaining_cpu_s != y->scheduling.remaining_cpu_s)
+        return x->scheduling.remaining_cpu_s < y->scheduling.remaining_cpu_s ? -1 : 1;
     return by_age(a, b);
 }
 
@@ -91,40 +92,42 @@
 
     for (guint i = 0; i < active->len; i++) {
         struct pm_job *job = g_ptr_array_index(active, i);
-        uint32_t done = job->done_count;
-        uint32_t placed = job->placed_count;
-        if (job->spec && !job->unmet_dependencies && !job->waiting_since_wall)
-            job->waiting_since_wall = ready_since(job, p->day);
-        job->remaining_cpu_s = 0;
+        uint32_t done = job->work.done_count;
+        uint32_t placed = job->work.placed_count;
+        if (job->spec && !job->dependencies.unmet && !job->scheduling.waiting_since_wall)
+            job->scheduling.waiting_since_wall = ready_since(job, p->day);
+        job->scheduling.remaining_cpu_s = 0;
         if (!job->spec || job->spec->kind != PM_WORKLOAD_ARRAY)
             continue;
         if (job->delegated) /* the leader knows of these what their holders wrote down */
             pm_job_count_tasks(job, &done, &placed);
-        job->remaining_cpu_s = (job->task_count - MIN(done, job->task_count) - 0.5 * placed) *
-                               job->spec->cpus * (pm_scheduler_estimate_remaining_s(p, job) + 1);
+        job->scheduling.remaining_cpu_s =
+            (job->task_count - MIN(done, job->task_count) - 0.5 * placed) * job->spec->cpus *
+            (pm_scheduler_estimate_remaining_s(p, job) + 1);
         if (isinf(job->deadline_wall))
-            job->remaining_cpu_s += NO_DUE;
+            job->scheduling.remaining_cpu_s += NO_DUE;
     }
 }
 
 /* Best-effort work that went first in order to begin has begun: it yields at once again. */
 static void note_begun(struct pm_job *job, double now)
 {
-    if (!job->has_fully_started && !pm_job_waiting_tasks(job) &&
-        job->placed_count + job->done_count > 0) {
-        job->has_fully_started = true;
-        job->fully_started_at = now;
+    if (!job->scheduling.has_fully_started && !pm_job_waiting_tasks(job) &&
+        job->work.placed_count + job->work.done_count > 0) {
+        job->scheduling.has_fully_started = true;
+        job->scheduling.fully_started_at = now;
     }
-    if (job->is_overdue_start && job->has_fully_started &&
-        job->priority == PM_PRIORITY_BEST_EFFORT && now - job->fully_started_at >= BEGUN_KEEP_S)
-        job->is_overdue_start = false;
+    if (job->scheduling.is_overdue_start && job->scheduling.has_fully_started &&
+        job->priority == PM_PRIORITY_BEST_EFFORT &&
+        now - job->scheduling.fully_started_at >= BEGUN_KEEP_S)
+        job->scheduling.is_overdue_start = false;
 }
 
 /* Whether the job may yet come to go first for its age. */
 static bool may_starve(const struct pm_job *job)
 {
     return !job->delegated && pm_job_waiting_tasks(job) && !pm_failures_is_job_failing(job) &&
-           !(job->has_fully_started && job->priority == PM_PRIORITY_BEST_EFFORT);
+           !(job->scheduling.has_fully_started && job->priority == PM_PRIORITY_BEST_EFFORT);
 }
 
 /* Ratio and size order what waits, and each could hold a job back for ever: a team with a high
@@ -144,12 +147,12 @@
 
     for (guint i = 0; i < active->len; i++) {
         struct pm_job *job = g_ptr_array_index(active, i);
-        job->is_starving = false;
+        job->scheduling.is_starving = false;
         if (!job->spec || job->state != PM_JOB_LIVE)
             continue;
         note_begun(job, now);
-        if (job->is_overdue_start)
-            cpus += job->placed_count * job->spec->cpus;
+        if (job->scheduling.is_overdue_start)
+            cpus += job->work.placed_count * job->spec->cpus;
         if (may_starve(job) && p->day - pm_scheduler_since(job) > OLD_S)
             g_ptr_array_add(old, job);
     }
@@ -169,7 +172,7 @@
         struct pm_job *job = g_ptr_array_index(old, i);
         if (job->priority == PM_PRIORITY_BEST_EFFORT && cpus >= BEST_EFFORT_SHARE * pool)
             continue;
-        job->is_starving = job->is_overdue_start = true;
+        job->scheduling.is_starving = job->scheduling.is_overdue_start = true;
         cpus += pm_job_waiting_tasks(job) * job->spec->cpus;
     }
     g_ptr_array_free(old, TRUE);
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -69,9 +69,9 @@
 {
     const struct pm_team_setting *team = &p->tables->settings->teams[job->spec->team];
 
-    if (job->placed_count + tasks > job->parallelism)
+    if (job->work.placed_count + tasks > job->parallelism)
         return false; /* the block's lease allows no more at once */
-    if (job->spec->kind == PM_WORKLOAD_ARRAY && job->placed_count &&
+    if (job->spec->kind == PM_WORKLOAD_ARRAY && job->work.placed_count &&
         pm_failures_is_job_failing(job))
         return false; /* one at a time */
     if (guarantee &&
@@ -85,7 +85,7 @@
 void pm_scheduler_place_task(struct pm_scheduler *p, struct pm_job *job, uint32_t index,
                              struct pm_machine *m, uint32_t attempt, struct spread *at, double now)
 {
-    pm_workers_add_placement(p->workers, job, index, m, attempt, m->incarnation,
+    pm_workers_add_placement(p->workers, job, index, m, attempt, m->heartbeat.incarnation,
                              PM_PLACEMENT_PROPOSED, now);
     pm_job_mark_dirty(job, index);
     pm_quota_add_own(p, job->spec, 1);
@@ -93,7 +93,7 @@
     at->zone[m->zone]++;
     at->total++;
     p->steps++;
-    if (m->free_cpus < EPS)
+    if (m->free.cpus < EPS)
         g_ptr_array_remove(p->room, m);
     pm_debug("scheduler.placed",
              "%s/%u try %u on %s, %s uses %g of %g: own %g, leased %g, stray %g", job->id, index,
@@ -127,11 +127,11 @@
     uint32_t i;
     const struct pm_task *task;
 
-    while (job->first_waiting_hint < job->task_count &&
-           (task = pm_job_find_task(job, job->first_waiting_hint)) &&
+    while (job->work.first_waiting_hint < job->task_count &&
+           (task = pm_job_find_task(job, job->work.first_waiting_hint)) &&
            (task->done || task->placement))
-        job->first_waiting_hint++;
-    i = job->first_waiting_hint;
+        job->work.first_waiting_hint++;
+    i = job->work.first_waiting_hint;
     pm_scheduler_count_zones(job, &at);
     while (p->steps < STEPS_MAX) {
         i = next_waiting(p->tables, job, i, now);
@@ -150,7 +150,7 @@
         if (!m || pm_scheduler_better_cleared(p, m, job, &at, now) ||
             pm_scheduler_rather_waits(p, m, job))
             break;
-        pm_scheduler_place_task(p, job, i, m, ++job->last_attempt, &at, now);
+        pm_scheduler_place_task(p, job, i, m, ++job->work.last_attempt, &at, now);
         placed++;
         i++;
     }
@@ -166,7 +166,7 @@
     if (job->spec->kind != PM_WORKLOAD_GANG)
         return place_tasks(p, job, guarantee, now);
     /* The old attempt's tasks hold their machines, and their zones, until they are gone. */
-    if (job->placed_count || job->done_count || next_waiting(p->tables, job, 0, now) > 0)
+    if (job->work.placed_count || job->work.done_count || next_waiting(p->tables, job, 0, now) > 0)
         return 0;
     for (uint32_t i = 0; i < job->task_count; i++) {
         const struct pm_task *task = pm_job_find_task(job, i);
@@ -178,7 +178,7 @@
         if (pm_scheduler_place_gang(p, job, job->spec->same_zone ? zone : -1, guarantee, now))
             return job->task_count;
     for (int zone = 0; zone < zones; zone++)
-        if (job->is_starving && now > job->reservation_until - CLAIM_S / 2 &&
+        if (job->scheduling.is_starving && now > job->scheduling.reservation_until - CLAIM_S / 2 &&
             pm_scheduler_await_room(p, job, job->spec->same_zone ? zone : -1, now))
             break;
     return 0;
@@ -193,7 +193,7 @@
         return;
     for (guint i = 0; i < active->len; i++) {
         const struct pm_job *job = g_ptr_array_index(active, i);
-        if (job->spec && job->spec->kind == PM_WORKLOAD_SERVICE && job->placed_count)
+        if (job->spec && job->spec->kind == PM_WORKLOAD_SERVICE && job->work.placed_count)
             return;
     }
     p->cold_until = now + 2 * p->op->replica_due_s;
@@ -214,7 +214,7 @@
             continue;
         if (m->state == PM_MACHINE_BOOTING && pm_scheduler_boots_soon(p->tables, m, now))
             p->soon[m->type][m->zone][m->spot] = true;
-        else if (m->free_cpus > EPS && pm_scheduler_is_machine_usable(p, m, now))
+        else if (m->free.cpus > EPS && pm_scheduler_is_machine_usable(p, m, now))
             g_ptr_array_add(p->room, m);
     }
 }
@@ -242,7 +242,7 @@
 {
     if (!pm_failures_is_job_failing(job))
         return pm_job_startable_tasks(job, now);
-    if (job->placed_count || now < job->failures.retry_at + RETRY_WAITS_S)
+    if (job->work.placed_count || now < job->failures.retry_at + RETRY_WAITS_S)
         return 0;
     return MIN(pm_job_startable_tasks(job, now),
                job->spec->kind == PM_WORKLOAD_GANG ? job->task_count : 1);
@@ -276,7 +276,7 @@
         if (p->steps < STEPS_MAX)
             place_job(p, job, false, now);
         left = count_wanted(job, now);
-        if (!left || (job->spec->kind == PM_WORKLOAD_GANG && job->placed_count))
+        if (!left || (job->spec->kind == PM_WORKLOAD_GANG && job->work.placed_count))
             continue;
         /* More than the team's limit allows is no reason to rent or to stop anything. */
         room =
--- a/src/scheduler/shard_leasing.c
+++ b/src/scheduler/shard_leasing.c
@@ -43,7 +43,7 @@
 bool pm_scheduler_is_machine_leasable(struct pm_scheduler *p, const struct pm_machine *m,
                                       const struct pm_job *job, double now)
 {
-    if (m->shard_owner ||
+    if (m->shard.owner ||
         !pm_scheduler_is_machine_allowed(p->tables, job, m->type, m->zone, m->spot) ||
         !pm_scheduler_has_free_capacity(m, job->spec))
         return false;
@@ -53,7 +53,7 @@
         p->totals.at = -1; /* counted anew: this run has placed since */
         p->spare = pm_scheduler_headroom_cpus(p, now);
     }
-    return p->spare - m->free_cpus >= p->reserve;
+    return p->spare - m->free.cpus >= p->reserve;
 }
 
 struct pm_machine *pm_scheduler_pick_idle_machine(struct pm_scheduler *p, const struct pm_job *job,
@@ -68,14 +68,14 @@
         if (!pm_scheduler_is_machine_leasable(p, m, job, now))
             continue;
         value = (pm_scheduler_has_image(m, job->spec->image) ? 3 : 0) + (m->spot ? 5 : 0) -
-                2 * MAX(0, m->free_cpus - tasks * job->spec->cpus) / MAX(m->free_cpus, EPS);
+                2 * MAX(0, m->free.cpus - tasks * job->spec->cpus) / MAX(m->free.cpus, EPS);
         if (value > best_score) {
             best_score = value;
             best = m;
         }
     }
     if (best && !best->spot)
-        p->spare -= best->free_cpus; /* leased from now on */
+        p->spare -= best->free.cpus; /* leased from now on */
     return best;
 }
 
--- a/src/shards/assignment.c
+++ b/src/shards/assignment.c
@@ -17,10 +17,10 @@
     const struct pm_spec *spec = job->spec;
 
     return job->state == PM_JOB_LIVE && spec && spec->kind == PM_WORKLOAD_ARRAY && spec->spot &&
-           !job->unmet_dependencies && job->priority != PM_PRIORITY_PRODUCTION &&
+           !job->dependencies.unmet && job->priority != PM_PRIORITY_PRODUCTION &&
            job->priority != PM_PRIORITY_BEST_EFFORT && !spec->same_zone && !spec->spread_zones &&
-           !pm_failures_is_job_failing(job) && !job->delegated && !job->placed_count &&
-           !job->done_count && !job->write_attempted;
+           !pm_failures_is_job_failing(job) && !job->delegated && !job->work.placed_count &&
+           !job->work.done_count && !job->write_back.attempted;
 }
 
 static bool alive(const struct block *k, double now)
@@ -100,9 +100,9 @@
         double room[3];
         if (taken[i] || !pm_scheduler_is_machine_leasable(b->plan, m, job, now))
             continue;
-        room[0] = m->free_cpus;
-        room[1] = m->free_gpus;
-        room[2] = m->free_ram_gb;
+        room[0] = m->free.cpus;
+        room[1] = m->free.gpus;
+        room[2] = m->free.ram_gb;
         n += room_fit(room, job->spec);
         taken[i] = mark;
         ++*machines;
@@ -174,7 +174,7 @@
 
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *m = g_ptr_array_index(all, i);
-        if (!m || !m->shard_owner || m->type < 0)
+        if (!m || !m->shard.owner || m->type < 0)
             continue;
         room[i][0] = b->tables->types[m->type].cpus;
         room[i][1] = b->tables->types[m->type].gpus;
@@ -224,10 +224,10 @@
         if (!m)
             return;
         e.machine = m->index;
-        m->shard_owner = (int)(s->block - b->block) + 1;
-        room[m->index][0] = m->free_cpus;
-        room[m->index][1] = m->free_gpus;
-        room[m->index][2] = m->free_ram_gb;
+        m->shard.owner = (int)(s->block - b->block) + 1;
+        room[m->index][0] = m->free.cpus;
+        room[m->index][1] = m->free.gpus;
+        room[m->index][2] = m->free.ram_gb;
         n = MIN(room_fit(room[m->index], s->job->spec), s->waiting);
         take_off(room[m->index], s->job->spec, n);
         s->waiting -= n;
--- a/src/shards/exchange.c
+++ b/src/shards/exchange.c
@@ -42,10 +42,10 @@
             e->state = HELD;
         } else if (e->state == REMOVING && e->serial && e->serial <= serial) {
             if (m) {
-                m->shard_owner = 0;
-                m->has_heartbeat = false; /* its worker has to come back to us first */
-                m->lease_lower_bound = m->last_message_at = pm_clock_monotonic();
-                m->idle_since = 0;
+                m->shard.owner = 0;
+                m->heartbeat.is_known = false; /* its worker has to come back to us first */
+                m->lease.lower_bound = m->heartbeat.last_message_at = pm_clock_monotonic();
+                m->provider.idle_since = 0;
             }
             g_array_remove_index(k->entries, i);
             b->hooks.changed(b->hooks.arg);
@@ -116,7 +116,7 @@
         if (m->zone >= 0)
             pm_put_pair_text(&txn.writes, "room", s->zone_names[m->zone]);
         pm_put_pair_flag(&txn.writes, "borrowed", m->spot);
-        pm_put_pair_count(&txn.writes, "shift", m->incarnation);
+        pm_put_pair_count(&txn.writes, "shift", m->heartbeat.incarnation);
         pm_put_end(&txn.writes);
     }
     pm_put_end(&txn.writes);
@@ -224,11 +224,11 @@
     }
     for (size_t i = 0; i < tell->n_unreachable; i++) {
         struct pm_machine *m = pm_workers_find(b->workers, tell->unreachable[i]);
-        if (!m || !m->shard_owner)
+        if (!m || !m->shard.owner)
             continue;
-        if (pm_clock_monotonic() - m->owner_reported_silent_at > 2)
-            m->owner_silent_since = pm_clock_monotonic();
-        m->owner_reported_silent_at = pm_clock_monotonic();
+        if (pm_clock_monotonic() - m->shard.reported_silent_at > 2)
+            m->shard.silent_since = pm_clock_monotonic();
+        m->shard.reported_silent_at = pm_clock_monotonic();
     }
     take_failing(k, tell, pm_clock_monotonic());
     pm__shard_response__free_unpacked(tell, NULL);
--- a/src/shards/ownership.c
+++ b/src/shards/ownership.c
@@ -41,13 +41,14 @@
         return;
     m = pm_workers_add(b->workers, name);
     m->state = PM_MACHINE_UP;
-    m->listed = true;
-    m->last_message_at = m->lease_lower_bound = now; /* the leader answered it no later than this */
-    m->rented_at = now;                              /* the leader has proof of it */
+    m->provider.is_listed = true;
+    m->heartbeat.last_message_at = m->lease.lower_bound =
+        now;                     /* the leader answered it no later than this */
+    m->provider.rented_at = now; /* the leader has proof of it */
     pm_cbor_read_text(pm_cbor_get(host, "endpoint"), m->endpoint, sizeof m->endpoint);
     pm_cbor_read_flag(pm_cbor_get(host, "borrowed"), &m->spot);
     pm_cbor_read_count(pm_cbor_get(host, "shift"), &session);
-    m->incarnation = session;
+    m->heartbeat.incarnation = session;
     if (pm_cbor_read_text(pm_cbor_get(host, "room"), text, sizeof text))
         m->zone = pm_settings_find_zone(b->tables->settings, text);
     if (pm_cbor_read_text(pm_cbor_get(host, "model"), text, sizeof text))
@@ -135,15 +136,15 @@
         struct pm_machine *m = pm_workers_find(b->workers, call->revoking[i]);
         if (!m)
             continue;
-        m->revoking = true;
+        m->shard.revoking = true;
         for (guint j = 0; j < m->placements->len; j++)
             for (size_t s = 0; s < call->n_stop; s++)
                 if (!strcmp(call->stop[s], m->name))
                     pm_scheduler_preempt_placement(g_ptr_array_index(m->placements, j));
         /* Said once, and kept: a clean machine that is leaving is answered no more. */
         if (pm_machine_is_drained(m, pm_election_epoch(b->lead)))
-            m->returned = true;
-        if (m->returned)
+            m->shard.returned = true;
+        if (m->shard.returned)
             add_name(&tell.drained, &tell.n_drained, m->name);
     }
     for (guint i = 0; !b->leading && b->mine_granted && i < all->len; i++) {
@@ -151,13 +152,13 @@
         if (!m)
             continue;
         up++;
-        heard += now - m->last_message_at < 6;
-        tell.launch_outcome_unknown |=
-            m->unknown_outcome_epoch && m->unknown_outcome_epoch >= pm_election_epoch(b->lead);
+        heard += now - m->heartbeat.last_message_at < 6;
+        tell.launch_outcome_unknown |= m->push.unknown_outcome_epoch &&
+                                       m->push.unknown_outcome_epoch >= pm_election_epoch(b->lead);
         if (pm_failures_is_machine_faulty(m))
             add_name(&tell.quarantined, &tell.n_quarantined, m->name);
-        if (m->has_heartbeat && (pm_machine_is_unreachable(m, now) ||
-                                 pm_machine_missed_heartbeat(m, b->tables->settings, now)))
+        if (m->heartbeat.is_known && (pm_machine_is_unreachable(m, now) ||
+                                      pm_machine_missed_heartbeat(m, b->tables->settings, now)))
             add_name(&tell.unreachable, &tell.n_unreachable, m->name);
     }
     if (!b->leading && b->mine_granted)
--- a/src/shards/shards.c
+++ b/src/shards/shards.c
@@ -177,9 +177,9 @@
             struct entry entry = {.machine = g_array_index(k->machines, int, j), .state = HELD};
             struct pm_machine *m =
                 pm_workers_add(b->workers, pm_names_text(b->tables->machine_names, entry.machine));
-            m->shard_owner = i + 1;
+            m->shard.owner = i + 1;
             m->state = PM_MACHINE_UP;
-            m->last_message_at = now;
+            m->heartbeat.last_message_at = now;
             g_array_append_val(k->entries, entry);
         }
         if (k->revision)
@@ -228,11 +228,11 @@
                 pm_workers_at(b->workers, g_array_index(k->entries, struct entry, j).machine);
             if (!m)
                 continue;
-            m->shard_owner = 0;
-            m->has_heartbeat = false;
-            m->last_message_at = pm_clock_monotonic();
-            m->lease_lower_bound = 0; /* until a majority knows the raised epoch */
-            m->reclaimed_epoch = pm_election_epoch(b->lead);
+            m->shard.owner = 0;
+            m->heartbeat.is_known = false;
+            m->heartbeat.last_message_at = pm_clock_monotonic();
+            m->lease.lower_bound = 0; /* until a majority knows the raised epoch */
+            m->lease.reclaimed_epoch = pm_election_epoch(b->lead);
         }
         given = k->given;
         k->given = g_ptr_array_new();
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -96,8 +96,8 @@
 void pm_store_wait_for_revision(struct pm_store *store, uint64_t store_revision,
                                 pm_store_wait_done *done, void *arg);
 
-/* Called once when the request has ended. `lease_id` is the lease that was granted (0: none was), or
- * that was to be kept alive, whatever the result. */
+/* Called once when the request has ended. `lease_id` is the lease that was granted (0: none was),
+ * or that was to be kept alive, whatever the result. */
 typedef void pm_store_lease_done(void *arg, enum pm_store_result result, uint64_t lease_id);
 void pm_store_lease_grant(struct pm_store *store, double ttl_s, pm_store_lease_done *done,
                           void *arg);
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -24,14 +24,14 @@
 static bool launch_due(const struct pm_placement *place, const struct pm_machine *m, bool direct)
 {
     return place->state == PM_PLACEMENT_DURABLE && !place->should_stop &&
-           place->incarnation == m->incarnation && m->state == PM_MACHINE_UP &&
+           place->incarnation == m->heartbeat.incarnation && m->state == PM_MACHINE_UP &&
            (!direct || (!place->launch_push && !place->launch_reply_sequence));
 }
 
 static bool kill_due(const struct pm_placement *place, const struct pm_machine *m, bool direct)
 {
     return place->should_stop && place->state >= PM_PLACEMENT_DURABLE &&
-           place->state < PM_PLACEMENT_ENDED && place->incarnation == m->incarnation &&
+           place->state < PM_PLACEMENT_ENDED && place->incarnation == m->heartbeat.incarnation &&
            (!direct || !place->stop_acked);
 }
 
@@ -52,7 +52,7 @@
 {
     const struct pm_chunk *chunk;
 
-    if (m->push_in_flight || m->unknown_outcome_epoch || m->fencing_token < epoch)
+    if (m->push.in_flight || m->push.unknown_outcome_epoch || m->heartbeat.fencing_token < epoch)
         return false;
     if (!entry->job->chunks)
         return true; /* over, durably */
@@ -71,9 +71,9 @@
         if (launch_due(place, m, direct)) {
             put_order(out, "launch", place->job->id, place->task_index, place->attempt, -1);
             if (direct)
-                place->launch_push = m->push_in_flight, m->push_has_launches = true;
+                place->launch_push = m->push.in_flight, m->push.has_launches = true;
             else
-                place->launch_reply_sequence = m->sequence;
+                place->launch_reply_sequence = m->heartbeat.sequence;
             n++;
         } else if (kill_due(place, m, direct)) {
             put_order(out, "kill", place->job->id, place->task_index, place->attempt,
@@ -83,12 +83,14 @@
             n++;
         }
     }
-    for (guint i = 0; !direct && i < m->orphan_tasks->len && n < ORDERS_MAX; i++, n++) {
-        struct pm_task_ref *entry = &g_array_index(m->orphan_tasks, struct pm_task_ref, i);
+    for (guint i = 0; !direct && i < m->heartbeat.orphan_tasks->len && n < ORDERS_MAX; i++, n++) {
+        struct pm_task_ref *entry =
+            &g_array_index(m->heartbeat.orphan_tasks, struct pm_task_ref, i);
         put_order(out, "kill", entry->job->id, entry->task_index, entry->attempt, 0);
     }
-    for (guint i = 0; !direct && i < m->exited_tasks->len && n < ORDERS_MAX; i++) {
-        struct pm_task_ref *entry = &g_array_index(m->exited_tasks, struct pm_task_ref, i);
+    for (guint i = 0; !direct && i < m->heartbeat.exited_tasks->len && n < ORDERS_MAX; i++) {
+        struct pm_task_ref *entry =
+            &g_array_index(m->heartbeat.exited_tasks, struct pm_task_ref, i);
         if (!may_forget(m, entry, epoch))
             continue;
         put_order(out, "forget", entry->job->id, entry->task_index, entry->attempt, -1);
@@ -128,9 +130,9 @@
 
 uint64_t pm_worker_push_begin(struct pm_workers *w, struct pm_machine *m)
 {
-    m->push_in_flight = ++w->push_count;
-    m->push_has_launches = false;
-    return m->push_in_flight;
+    m->push.in_flight = ++w->push_count;
+    m->push.has_launches = false;
+    return m->push.in_flight;
 }
 
 /* What the end of a /do tells of one place. */
@@ -152,15 +154,15 @@
 
 bool pm_worker_push_done(struct pm_machine *m, uint64_t number, uint64_t epoch, int status)
 {
-    if (m->push_in_flight != number)
+    if (m->push.in_flight != number)
         return false;
-    m->push_in_flight = 0;
+    m->push.in_flight = 0;
     for (guint i = 0; i < m->placements->len; i++)
         note_direct_end(g_ptr_array_index(m->placements, i), number, status);
     /* Whatever became of the launches it carried, a copy may still arrive minutes late. */
-    if (status == PM_HTTP_NO_ANSWER && m->push_has_launches) {
-        m->unknown_outcome_epoch = epoch;
-        m->unknown_outcome_incarnation = m->incarnation;
+    if (status == PM_HTTP_NO_ANSWER && m->push.has_launches) {
+        m->push.unknown_outcome_epoch = epoch;
+        m->push.unknown_outcome_incarnation = m->heartbeat.incarnation;
     }
     return true;
 }
--- a/src/workers/failures.c
+++ b/src/workers/failures.c
@@ -44,9 +44,9 @@
 {
     unsigned blame = 0;
 
-    for (guint i = 0; m->failure_records && i < m->failure_records->len; i++)
-        blame += blame_of(&g_array_index(m->failure_records, struct pm_failure_record, i));
-    return m->quarantined_by_owner ? MAX(blame, FAULTY_BLAME) : blame;
+    for (guint i = 0; m->failures.records && i < m->failures.records->len; i++)
+        blame += blame_of(&g_array_index(m->failures.records, struct pm_failure_record, i));
+    return m->failures.quarantined_by_owner ? MAX(blame, FAULTY_BLAME) : blame;
 }
 
 bool pm_failures_is_machine_faulty(const struct pm_machine *m)
@@ -66,19 +66,19 @@
 {
     struct pm_failure_record record = {.job = job, .failures = 1};
 
-    if (!m->failure_records)
-        m->failure_records = g_array_new(FALSE, FALSE, sizeof record);
-    for (guint i = 0; i < m->failure_records->len; i++) {
+    if (!m->failures.records)
+        m->failures.records = g_array_new(FALSE, FALSE, sizeof record);
+    for (guint i = 0; i < m->failures.records->len; i++) {
         struct pm_failure_record *known =
-            &g_array_index(m->failure_records, struct pm_failure_record, i);
+            &g_array_index(m->failures.records, struct pm_failure_record, i);
         if (known->job == job) {
             known->failures++;
             return;
         }
     }
-    if (m->failure_records->len >= RECORDS_MAX)
-        g_array_remove_index(m->failure_records, 0);
-    g_array_append_val(m->failure_records, record);
+    if (m->failures.records->len >= RECORDS_MAX)
+        g_array_remove_index(m->failures.records, 0);
+    g_array_append_val(m->failures.records, record);
 }
 
 static void record_on_job(struct pm_job *job, const struct pm_machine *m)
@@ -127,8 +127,8 @@
     if (pm_failures_is_job_failing(job))
         pm_info("job.recovered", "%s has succeeded on %s", job->id, m->name);
     job->failures = (struct pm_job_failures){.has_succeeded = true};
-    if (m->failure_records)
-        g_array_set_size(m->failure_records, 0);
+    if (m->failures.records)
+        g_array_set_size(m->failures.records, 0);
 }
 
 void pm_failures_note_running(const struct pm_placement *place, double now)
@@ -180,5 +180,5 @@
 
 void pm_failures_quarantine_machine(struct pm_machine *m)
 {
-    m->quarantined_by_owner = true;
+    m->failures.quarantined_by_owner = true;
 }
--- a/src/workers/heartbeat.c
+++ b/src/workers/heartbeat.c
@@ -49,20 +49,20 @@
     double room = m->type >= 0 ? w->tables->types[m->type].local_gb : 0;
     int i;
 
-    for (i = 0; i < m->cached_image_count && m->cached_images[i].image != spec->image; i++)
+    for (i = 0; i < m->images.count && m->images.cached[i].image != spec->image; i++)
         ;
-    if (i == 0 && m->cached_image_count)
+    if (i == 0 && m->images.count)
         return;
-    if (i == m->cached_image_count && m->cached_image_count < PM_CACHED_IMAGES_MAX)
-        m->cached_image_count++;
+    if (i == m->images.count && m->images.count < PM_CACHED_IMAGES_MAX)
+        m->images.count++;
     if (i == PM_CACHED_IMAGES_MAX)
         i--;
-    memmove(m->cached_images + 1, m->cached_images, (size_t)i * sizeof m->cached_images[0]);
-    m->cached_images[0] = entry;
-    for (i = 0; i < m->cached_image_count; i++) { /* the least recently used give way */
-        room -= m->cached_images[i].gb;
+    memmove(m->images.cached + 1, m->images.cached, (size_t)i * sizeof m->images.cached[0]);
+    m->images.cached[0] = entry;
+    for (i = 0; i < m->images.count; i++) { /* the least recently used give way */
+        room -= m->images.cached[i].gb;
         if (i > 0 && room < 0)
-            m->cached_image_count = i;
+            m->images.count = i;
     }
 }
 
@@ -98,11 +98,12 @@
         const struct pm_task *task = pm_job_find_task(entry.job, entry.task_index);
         if (task && task->placement && task->placement->machine == m &&
             task->placement->attempt == entry.attempt &&
-            task->placement->incarnation == m->incarnation)
+            task->placement->incarnation == m->heartbeat.incarnation)
             place = task->placement;
     }
     if (!place) {
-        g_array_append_val(*(state == 4 ? &m->exited_tasks : &m->orphan_tasks), entry);
+        g_array_append_val(*(state == 4 ? &m->heartbeat.exited_tasks : &m->heartbeat.orphan_tasks),
+                           entry);
         if (state != 4)
             pm_info("worker.orphan_task", "%s has %s try %u, not in the books", m->name, text,
                     entry.attempt);
@@ -113,7 +114,7 @@
         note_image(w, m, entry.job->spec);
     if (state == 4) {
         pm_cbor_read_flag(pm_cbor_get(item, "stored"), &saved);
-        g_array_append_val(m->exited_tasks, entry);
+        g_array_append_val(m->heartbeat.exited_tasks, entry);
         pm_workers_end_placement(w, place, read_end(item), saved, now);
         return;
     }
@@ -137,12 +138,12 @@
         struct pm_placement *place = g_ptr_array_index(m->placements, i);
         bool in_answer =
             place->launch_reply_sequence &&
-            (kind != PM_SOURCE_HEARTBEAT || m->sequence <= place->launch_reply_sequence);
-        bool in_direct = (place->launch_push && m->push_in_flight) ||
-                         (place->launch_outcome_unknown && m->unknown_outcome_epoch);
+            (kind != PM_SOURCE_HEARTBEAT || m->heartbeat.sequence <= place->launch_reply_sequence);
+        bool in_direct = (place->launch_push && m->push.in_flight) ||
+                         (place->launch_outcome_unknown && m->push.unknown_outcome_epoch);
 
         if (place->seen_in_message || place->state == PM_PLACEMENT_PROPOSED ||
-            m->fencing_token < epoch || in_answer || in_direct) {
+            m->heartbeat.fencing_token < epoch || in_answer || in_direct) {
             i++;
             continue;
         }
@@ -162,18 +163,19 @@
  * message: a /do then asks the worker, and its answer clears the doubt. */
 static void read_unheard(struct pm_machine *m, bool risen, double lease_s, double now)
 {
-    if (risen && m->acked_epoch && now - m->last_acked_at < lease_s) {
+    if (risen && m->delivery.acked_epoch && now - m->lease.last_acked_at < lease_s) {
         pm_machine_note_delivery_failure(m, "its lease ran out though we answered", now);
         return;
     }
-    if (m->acked_epoch && m->sequence > m->acked_sequence && m->fencing_token < m->acked_epoch) {
+    if (m->delivery.acked_epoch && m->heartbeat.sequence > m->delivery.acked_sequence &&
+        m->heartbeat.fencing_token < m->delivery.acked_epoch) {
         pm_machine_note_delivery_failure(m, "it has not taken our token", now);
         return;
     }
     for (guint i = 0; i < m->placements->len; i++) {
         const struct pm_placement *place = g_ptr_array_index(m->placements, i);
         if (place->state == PM_PLACEMENT_DURABLE && place->launch_reply_sequence &&
-            m->sequence > place->launch_reply_sequence) {
+            m->heartbeat.sequence > place->launch_reply_sequence) {
             pm_machine_note_delivery_failure(m, "it shows no trace of an order", now);
             return;
         }
@@ -219,14 +221,14 @@
     m = pm_workers_add(w, name);
     if (read_identity(w, m, report))
         return NULL;
-    if (session < m->incarnation || session < m->min_incarnation ||
-        (session == m->incarnation && sequence <= m->sequence)) {
-        m->stale_message_at = now;
+    if (session < m->heartbeat.incarnation || session < m->heartbeat.min_incarnation ||
+        (session == m->heartbeat.incarnation && sequence <= m->heartbeat.sequence)) {
+        m->heartbeat.last_stale_at = now;
         return m; /* late: its list is as old as itself */
     }
     *fresh = true;
-    risen = m->has_heartbeat && session > m->incarnation;
-    if (session > m->incarnation) {
+    risen = m->heartbeat.is_known && session > m->heartbeat.incarnation;
+    if (session > m->heartbeat.incarnation) {
         /* A later session: what an earlier one held was killed. Places found in the state service
          * may be of this session already: those stay. */
         for (guint i = 0; i < m->placements->len;) {
@@ -238,38 +240,38 @@
                 i++;
             }
         }
-        if (m->incarnation)
-            m->cached_image_count = 0;
+        if (m->heartbeat.incarnation)
+            m->images.count = 0;
     }
-    if (session > m->incarnation || !m->has_heartbeat)
-        m->incarnation_seen_at = now;
-    m->incarnation = session;
-    m->sequence = sequence;
-    m->fencing_token = token;
-    m->last_message_at = now;
-    if (kind == PM_SOURCE_HEARTBEAT || !m->has_heartbeat)
-        m->last_heartbeat_at = now;
-    m->has_heartbeat = true;
-    m->absent_since = 0;
+    if (session > m->heartbeat.incarnation || !m->heartbeat.is_known)
+        m->lease.incarnation_seen_at = now;
+    m->heartbeat.incarnation = session;
+    m->heartbeat.sequence = sequence;
+    m->heartbeat.fencing_token = token;
+    m->heartbeat.last_message_at = now;
+    if (kind == PM_SOURCE_HEARTBEAT || !m->heartbeat.is_known)
+        m->heartbeat.last_at = now;
+    m->heartbeat.is_known = true;
+    m->provider.absent_since = 0;
     if (m->state == PM_MACHINE_BOOTING) {
         m->state = PM_MACHINE_UP;
         pm_debug("worker.up", "%s", m->name);
     }
-    if (m->unknown_outcome_epoch &&
-        (token > m->unknown_outcome_epoch || session > m->unknown_outcome_incarnation))
-        m->unknown_outcome_epoch = 0;
-    m->spot_interruption_at =
+    if (m->push.unknown_outcome_epoch &&
+        (token > m->push.unknown_outcome_epoch || session > m->push.unknown_outcome_incarnation))
+        m->push.unknown_outcome_epoch = 0;
+    m->heartbeat.spot_interruption_at =
         !pm_cbor_read_number(pm_cbor_get(report, "recall_s"), &recall) ? 0 : now + recall;
     for (guint i = 0; i < m->placements->len; i++)
         ((struct pm_placement *)g_ptr_array_index(m->placements, i))->seen_in_message = false;
-    g_array_set_size(m->exited_tasks, 0);
-    g_array_set_size(m->orphan_tasks, 0);
+    g_array_set_size(m->heartbeat.exited_tasks, 0);
+    g_array_set_size(m->heartbeat.orphan_tasks, 0);
     for (size_t i = 0; i < pm_cbor_length(entries); i++)
         read_task(w, m, pm_cbor_at(entries, i), now);
     if (kind == PM_SOURCE_HEARTBEAT)
         read_unheard(m, risen, w->tables->settings->lease_s, now);
     else
-        m->has_answered_push = true, m->delivery_failures = 0;
+        m->push.has_answered = true, m->delivery.failures = 0;
     read_absence(w, m, kind, epoch, now);
     return m;
 }
--- a/src/workers/workers.c
+++ b/src/workers/workers.c
@@ -55,8 +55,8 @@
     m->type = m->zone = -1;
     m->state = PM_MACHINE_BOOTING;
     m->placements = g_ptr_array_new_with_free_func(g_free);
-    m->exited_tasks = g_array_new(FALSE, FALSE, sizeof(struct pm_task_ref));
-    m->orphan_tasks = g_array_new(FALSE, FALSE, sizeof(struct pm_task_ref));
+    m->heartbeat.exited_tasks = g_array_new(FALSE, FALSE, sizeof(struct pm_task_ref));
+    m->heartbeat.orphan_tasks = g_array_new(FALSE, FALSE, sizeof(struct pm_task_ref));
     g_ptr_array_index(w->machines, index) = m;
     return m;
 }
@@ -64,10 +64,10 @@
 static void machine_free(struct pm_machine *m)
 {
     g_ptr_array_free(m->placements, TRUE);
-    g_array_free(m->exited_tasks, TRUE);
-    g_array_free(m->orphan_tasks, TRUE);
-    if (m->failure_records)
-        g_array_free(m->failure_records, TRUE);
+    g_array_free(m->heartbeat.exited_tasks, TRUE);
+    g_array_free(m->heartbeat.orphan_tasks, TRUE);
+    if (m->failures.records)
+        g_array_free(m->failures.records, TRUE);
     g_free(m);
 }
 
@@ -100,9 +100,9 @@
 
 static void take_room(struct pm_machine *m, const struct pm_spec *spec, double sign)
 {
-    m->free_cpus -= sign * spec->cpus;
-    m->free_gpus -= sign * spec->gpus;
-    m->free_ram_gb -= sign * spec->ram_gb;
+    m->free.cpus -= sign * spec->cpus;
+    m->free.gpus -= sign * spec->gpus;
+    m->free.ram_gb -= sign * spec->ram_gb;
 }
 
 struct pm_placement *pm_workers_add_placement(struct pm_workers *w, struct pm_job *job,
@@ -123,7 +123,7 @@
     place->placed_at = now;
     g_ptr_array_add(m->placements, place);
     take_room(m, job->spec, 1);
-    m->idle_since = 0;
+    m->provider.idle_since = 0;
     pm_job_task(job, index)->placement = place;
     pm_job_count_placement(job, index, 1);
     return place;
@@ -139,8 +139,8 @@
     if (task->placement == place)
         task->placement = NULL;
     pm_job_count_placement(place->job, place->task_index, -1);
-    if (place->task_index < place->job->first_waiting_hint)
-        place->job->first_waiting_hint = place->task_index;
+    if (place->task_index < place->job->work.first_waiting_hint)
+        place->job->work.first_waiting_hint = place->task_index;
 }
 
 void pm_workers_remove_placement(struct pm_workers *w, struct pm_placement *place)
@@ -161,7 +161,7 @@
         struct pm_task *task = pm_job_task(job, index);
         if (!task->done) {
             task->done = true;
-            job->done_count++;
+            job->work.done_count++;
         }
     }
     release(place);
@@ -185,10 +185,10 @@
     while (m->placements->len)
         pm_workers_end_placement(w, g_ptr_array_index(m->placements, m->placements->len - 1),
                                  PM_TASK_EXIT_LOST, false, now);
-    g_array_set_size(m->exited_tasks, 0);
-    g_array_set_size(m->orphan_tasks, 0);
-    m->min_incarnation = m->incarnation + 1;
-    m->unknown_outcome_epoch = 0;
+    g_array_set_size(m->heartbeat.exited_tasks, 0);
+    g_array_set_size(m->heartbeat.orphan_tasks, 0);
+    m->heartbeat.min_incarnation = m->heartbeat.incarnation + 1;
+    m->push.unknown_outcome_epoch = 0;
 }
 
 void pm_workers_set_type(struct pm_workers *w, struct pm_machine *m, int type)
@@ -198,56 +198,56 @@
     if (m->type >= 0 || type < 0 || type >= w->tables->type_count)
         return;
     m->type = type;
-    m->free_cpus += t->cpus; /* places found before are taken off already */
-    m->free_gpus += t->gpus;
-    m->free_ram_gb += t->ram_gb;
+    m->free.cpus += t->cpus; /* places found before are taken off already */
+    m->free.gpus += t->gpus;
+    m->free.ram_gb += t->ram_gb;
 }
 
 bool pm_machine_missed_heartbeat(const struct pm_machine *m, const struct pm_settings *settings,
                                  double now)
 {
-    return now - m->last_message_at >= 1.6 * settings->heartbeat_s + 1;
+    return now - m->heartbeat.last_message_at >= 1.6 * settings->heartbeat_s + 1;
 }
 
 bool pm_machine_is_not_reporting(const struct pm_machine *m, const struct pm_settings *settings,
                                  double now)
 {
-    return m->has_heartbeat && m->last_message_at > m->last_heartbeat_at &&
-           now - m->last_heartbeat_at >= MUTE_REPORTS * settings->heartbeat_s + MUTE_S;
+    return m->heartbeat.is_known && m->heartbeat.last_message_at > m->heartbeat.last_at &&
+           now - m->heartbeat.last_at >= MUTE_REPORTS * settings->heartbeat_s + MUTE_S;
 }
 
 bool pm_machine_is_verified(const struct pm_machine *m)
 {
-    return m->listed || m->rented_at != 0 || m->has_answered_push;
+    return m->provider.is_listed || m->provider.rented_at != 0 || m->push.has_answered;
 }
 
 bool pm_machine_is_unreachable(const struct pm_machine *m, double now)
 {
     /* Of one that does not report either, silence is what tells. */
-    return m->delivery_failures >= 2 && m->last_message_at >= m->delivery_failed_at &&
-           now - m->delivery_failing_since > DEAF_S;
+    return m->delivery.failures >= 2 && m->heartbeat.last_message_at >= m->delivery.failed_at &&
+           now - m->delivery.failing_since > DEAF_S;
 }
 
 void pm_machine_note_delivery_failure(struct pm_machine *m, const char *why, double now)
 {
     pm_debug("worker.delivery_failure", "%s: %s", m->name, why);
-    if (!m->delivery_failures++)
-        m->delivery_failing_since = now;
-    m->delivery_failed_at = now;
+    if (!m->delivery.failures++)
+        m->delivery.failing_since = now;
+    m->delivery.failed_at = now;
 }
 
 void pm_machine_note_ack(struct pm_machine *m, uint64_t epoch, double now)
 {
-    m->last_acked_at = now;
-    m->acked_epoch = epoch;
-    m->acked_sequence = m->sequence;
+    m->lease.last_acked_at = now;
+    m->delivery.acked_epoch = epoch;
+    m->delivery.acked_sequence = m->heartbeat.sequence;
 }
 
 bool pm_machine_is_drained(const struct pm_machine *m, uint64_t epoch)
 {
-    return !m->placements->len && !m->push_in_flight && !m->unknown_outcome_epoch &&
-           !m->exited_tasks->len && !m->orphan_tasks->len && m->has_heartbeat &&
-           m->fencing_token >= epoch;
+    return !m->placements->len && !m->push.in_flight && !m->push.unknown_outcome_epoch &&
+           !m->heartbeat.exited_tasks->len && !m->heartbeat.orphan_tasks->len &&
+           m->heartbeat.is_known && m->heartbeat.fencing_token >= epoch;
 }
 
 /* A worker's lease runs from its last answered report, or, in a session that none was answered in,
@@ -255,7 +255,7 @@
 bool pm_workers_is_lease_expired(const struct pm_machine *m, double floor, double lease_s,
                                  double now)
 {
-    double base = MAX(MAX(m->last_acked_at, m->incarnation_seen_at), floor);
+    double base = MAX(MAX(m->lease.last_acked_at, m->lease.incarnation_seen_at), floor);
 
     return now > base + lease_s * (1 + 2 * PM_CLOCK_DRIFT_MAX) + 0.2;
 }
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -31,67 +31,116 @@
     unsigned failures;
 };
 
-struct pm_machine {
-    /* What every plan looks at comes first, the texts and the images last. */
-    int index, type, zone;
-    bool spot;
-    enum pm_machine_state state;
-    GPtrArray *placements;                    /* of struct pm_placement, owned */
-    double free_cpus, free_gpus, free_ram_gb; /* free */
-    /* From the worker. */
-    uint64_t incarnation, sequence, fencing_token;
-    uint64_t min_incarnation; /* earlier ones are proven over */
-    bool has_heartbeat;       /* at least once to this leader */
-    double last_message_at;   /* steady: its latest message */
-    double last_heartbeat_at; /* steady: its latest report, or since when one is awaited */
-    double stale_message_at;  /* steady: last came a message that was older than one before it */
-    bool has_answered_push;   /* it answered a /do of ours */
-    /* That a report comes is no sign that the answer arrives. Signs that it did not: an order or a
-     * token that a later report shows no trace of, a /do without an answer. */
-    uint32_t delivery_failures;
-    double delivery_failing_since, delivery_failed_at; /* steady: the first and the last of them */
-    uint64_t acked_epoch, acked_sequence; /* the epoch, and the sequence number of the report, last
-                                     answered with 200 */
-    double spot_interruption_at;          /* steady: when the cloud takes it, 0: no notice */
-    GArray *exited_tasks;                 /* of struct pm_task_ref: ended there, to be forgotten */
-    GArray *orphan_tasks; /* of struct pm_task_ref: there, but not by our replica: to be killed */
-    const struct pm_job
-        *reserved_for_gang; /* a gang whose room is being cleared here (placement) */
-    /* Tasks are being stopped here for this job; until then the room is kept for it (placement). */
-    const struct pm_job *reserved_for;
-    double reserved_until; /* steady */
-    /* Blocks. */
-    int shard_owner; /* leader: 1 + the peer that holds it, 0: nobody */
-    double owner_reported_silent_at,
-        owner_silent_since;  /* leader: its holder says that it does not hear it */
-    bool revoking, returned; /* holder: called back; given back, though the block still lists it */
-    bool draining;           /* being emptied, to go back */
-    /* Leases. */
-    double lease_lower_bound;   /* steady: since when no other controller can have answered it, 0:
-                                   unknown */
-    uint64_t reclaimed_epoch;   /* the epoch that took it back from a holder, 0: none did */
-    double incarnation_seen_at; /* steady: first message of its session, which cannot have begun
-                                   later */
-    double last_acked_at;       /* steady: when this leader last answered a report of it with 200 */
-    /* Direct commands. */
-    uint64_t push_in_flight; /* number of the /do that is open, 0: none */
-    bool push_has_launches;  /* it carries launches */
-    double push_retry_at;
-    double push_failed_at;          /* steady: a /do to it last failed */
-    uint64_t unknown_outcome_epoch; /* epoch of a /do with launches that got no answer, 0: none */
+/* Resources of a machine that no placement holds. */
+struct pm_machine_capacity {
+    double cpus, gpus, ram_gb;
+};
+
+/* What the worker's heartbeats and replies say. Written by heartbeat.c. */
+struct pm_machine_heartbeat {
+    uint64_t incarnation;     /* of the worker: rises each time its lease expires */
+    uint64_t min_incarnation; /* earlier ones are proven to be over */
+    uint64_t sequence;        /* of the latest message within the incarnation */
+    uint64_t fencing_token;   /* the highest that the worker has seen */
+    bool is_known;            /* a heartbeat has reached this controller since it became active */
+    double last_message_at;   /* monotonic: the latest message of any sort */
+    double last_at;           /* monotonic: the latest heartbeat, or since when one is awaited */
+    double last_stale_at;     /* monotonic: a message last came that was older than one before it */
+    double spot_interruption_at; /* monotonic: the provider takes the machine then, 0: no notice */
+    GArray *exited_tasks;        /* of struct pm_task_ref: exited there, to be forgotten */
+    GArray *orphan_tasks; /* of struct pm_task_ref: run there without a placement, to be killed */
+};
+
+/* Whether what we send arrives: that a heartbeat comes is no sign that its answer does. A failure
+ * is a command or a token that a later heartbeat shows no trace of, or a push without an answer. */
+struct pm_machine_delivery {
+    uint32_t failures;               /* so far, without a success between */
+    double failing_since, failed_at; /* monotonic: the first and the last of them */
+    uint64_t acked_epoch;            /* of the last heartbeat that was answered with 200, */
+    uint64_t acked_sequence;         /* and its sequence number */
+};
+
+/* What is known of the worker's lease: when it began at the earliest and was last renewed. */
+struct pm_machine_lease {
+    double
+        lower_bound; /* monotonic: since then no other controller can have renewed it, 0: unknown */
+    uint64_t reclaimed_epoch; /* the epoch that took the machine back from a shard, 0: none did */
+    double
+        incarnation_seen_at; /* monotonic: first message of its incarnation, which began no later */
+    double last_acked_at;    /* monotonic: this controller last answered a heartbeat with 200 */
+};
+
+/* Commands that are pushed to the worker with POST /do, one request at a time. */
+struct pm_machine_push {
+    bool has_answered;              /* the worker has answered one */
+    uint64_t in_flight;             /* the number of the request that has no answer yet, 0: none */
+    bool has_launches;              /* it carries launches */
+    double retry_at;                /* monotonic: no request is sent before */
+    double failed_at;               /* monotonic: one last failed */
+    uint64_t unknown_outcome_epoch; /* of one with launches that got no answer, 0: none */
     uint64_t unknown_outcome_incarnation;
-    /* Cloud (fleet slice). */
-    double rented_at, idle_since, absent_since;
-    double listed_running_since; /* steady: first listed as running, 0: never */
-    bool listed, failed;
-    double terminate_retry_at;
-    GArray *failure_records;   /* of struct pm_failure_record (workers/faults.h), NULL: none */
-    bool quarantined_by_owner; /* found faulty by its holder */
-    int cached_image_count;    /* images that it holds, latest use first, as far as we know */
+};
+
+/* The machine's part in shards. Written by the shards slice. */
+struct pm_machine_shard {
+    int owner; /* on the leader: 1 + the index of the peer that owns it, 0: the leader itself */
+    double reported_silent_at; /* monotonic, on the leader: the owner last missed its heartbeats, */
+    double silent_since;       /* and has missed them ever since */
+    bool revoking;             /* on the owner: the leader has asked for the machine back */
+    bool returned; /* on the owner: given back, though the stored shard still lists it */
+};
+
+/* What the machine is kept free for. Written by the scheduler. */
+struct pm_machine_reservation {
+    const struct pm_job *gang; /* a gang that waits for capacity here, NULL: none */
+    const struct pm_job *job;  /* tasks are being preempted here for this job, NULL: none */
+    double until;              /* monotonic: of the latter */
+    bool draining;             /* being emptied, to be terminated */
+};
+
+/* The machine as the provider knows it. Written by the autoscaler. */
+struct pm_machine_provider {
+    double rented_at;          /* monotonic */
+    double idle_since;         /* monotonic, 0: it is not idle */
+    double absent_since;       /* monotonic: missing from the inventory, 0: it is listed */
+    double running_since;      /* monotonic: first listed as running, 0: never */
+    bool is_listed;            /* the inventory has named it */
+    bool has_failed;           /* it stopped by itself */
+    double terminate_retry_at; /* monotonic: no request to terminate it is sent before */
+};
+
+/* What failed tasks say of the machine (failures.h). */
+struct pm_machine_failures {
+    GArray *records;           /* of struct pm_failure_record, NULL: none */
+    bool quarantined_by_owner; /* the owner of its shard found it faulty */
+};
+
+/* Images on the machine, latest use first, as far as is known. */
+struct pm_machine_images {
+    int count;
     struct pm_cached_image {
         int image;
         double gb;
-    } cached_images[PM_CACHED_IMAGES_MAX];
+    } cached[PM_CACHED_IMAGES_MAX];
+};
+
+/* A machine and its worker. Each embedded structure is written by one part of the program, which
+ * its comment names. What every plan reads comes first, what is large comes last. */
+struct pm_machine {
+    int index, type, zone; /* dense indices; type and zone are -1 until known */
+    bool spot;
+    enum pm_machine_state state;
+    GPtrArray *placements; /* of struct pm_placement, owned */
+    struct pm_machine_capacity free;
+    struct pm_machine_heartbeat heartbeat;
+    struct pm_machine_delivery delivery;
+    struct pm_machine_reservation reservation;
+    struct pm_machine_shard shard;
+    struct pm_machine_lease lease;
+    struct pm_machine_push push;
+    struct pm_machine_provider provider;
+    struct pm_machine_failures failures;
+    struct pm_machine_images images;
     char name[PM_NAME_MAX];
     char endpoint[64];
 };
