--- a/src/soak/soak.c
+++ b/src/soak/soak.c
@@ -77,25 +77,25 @@
     if (trouble->target == TARGET_LEADER)
         target = cluster_leader(s->cluster);
     else if (trouble->target == TARGET_HOLDER)
-        target = cluster_holder(s->cluster);
+        target = cluster_shard_owner(s->cluster);
     return target >= 0 ? target : (int)(trouble->choice % (unsigned)controllers);
 }
 
 /* Lost both ways, one way or the other, or refused. */
-static struct cut cut_of(const struct trouble *trouble, bool on)
+static struct relay_fault cut_of(const struct trouble *trouble, bool on)
 {
-    static const struct cut cuts[] = {
+    static const struct relay_fault cuts[] = {
         {true, true, false}, {true, false, false}, {false, true, false}, {false, false, true}};
 
-    return on ? cuts[trouble->choice / 16 % G_N_ELEMENTS(cuts)] : (struct cut){0};
+    return on ? cuts[trouble->choice / 16 % G_N_ELEMENTS(cuts)] : (struct relay_fault){0};
 }
 
 static void cut_all(struct soak *s, const struct active *a, enum cluster_link link, int ends,
                     bool on)
 {
     for (int to = 0; to < ends; to++)
-        if (link != CLUSTER_PEER || to != a->controller)
-            cluster_cut(s->cluster, a->controller, link, to, cut_of(&a->trouble, on));
+        if (link != CLUSTER_LINK_PEER || to != a->controller)
+            cluster_set_link_fault(s->cluster, a->controller, link, to, cut_of(&a->trouble, on));
 }
 
 static void cancel_some(struct soak *s, const struct trouble *trouble)
@@ -103,30 +103,30 @@
     unsigned count = 1 + trouble->choice % CANCELS_MOST;
 
     for (unsigned i = 0; i < count; i++)
-        cluster_abort_any(s->cluster, g_rand_int(s->random));
+        cluster_cancel_any(s->cluster, g_rand_int(s->random));
 }
 
 static void machines(struct soak *s, const struct trouble *trouble, bool on)
 {
-    struct fleet *fleet = cluster_fleet(s->cluster);
+    struct fake_provider *fleet = cluster_provider(s->cluster);
 
     for (unsigned i = 0; i < 1 + trouble->choice / 64 % MACHINES_AT_ONCE; i++) {
         if (trouble->kind == TROUBLE_MACHINE_CUT)
-            fleet_cut_machine(fleet, trouble->choice + i, on);
+            fake_provider_cut_machine(fleet, trouble->choice + i, on);
         else
-            fleet_hang_machine(fleet, trouble->choice + i, on);
+            fake_provider_hang_machine(fleet, trouble->choice + i, on);
     }
 }
 
 static void delay_write(struct soak *s, const struct trouble *trouble, bool on)
 {
     static const char *const keys[] = {"p/t/", "p/b/", "p/j/", "p/epoch"};
-    struct fake_state *state = cluster_state(s->cluster);
+    struct fake_store *state = cluster_store(s->cluster);
 
     if (on)
-        fake_state_put_off(state, keys[trouble->choice % G_N_ELEMENTS(keys)]);
-    else if (fake_state_has_late(state))
-        fake_state_deliver(state);
+        fake_store_delay_next_txn(state, keys[trouble->choice % G_N_ELEMENTS(keys)]);
+    else if (fake_store_has_delayed_txn(state))
+        fake_store_execute_delayed_txn(state);
 }
 
 static void switch_controller(struct soak *s, const struct active *a, bool on)
@@ -134,7 +134,7 @@
     if (a->trouble.kind == TROUBLE_PAUSE)
         cluster_pause(s->cluster, a->controller, on);
     else if (a->trouble.kind == TROUBLE_REFUSED_ALONE)
-        cluster_refuse(s->cluster, a->controller, on);
+        cluster_set_refused(s->cluster, a->controller, on);
     else if (on)
         cluster_kill(s->cluster, a->controller);
     else
@@ -144,7 +144,7 @@
 /* The trouble begins, or ends. */
 static void switch_trouble(struct soak *s, const struct active *a, bool on)
 {
-    struct fake_state *state = cluster_state(s->cluster);
+    struct fake_store *state = cluster_store(s->cluster);
 
     mark(s, on ? "begin" : "end", a);
     switch (a->trouble.kind) {
@@ -154,37 +154,38 @@
         switch_controller(s, a, on);
         break;
     case TROUBLE_CUT_STATE:
-        cut_all(s, a, CLUSTER_STATE, 1, on);
+        cut_all(s, a, CLUSTER_LINK_STORE, 1, on);
         break;
     case TROUBLE_CUT_PEERS:
-        cut_all(s, a, CLUSTER_PEER, s->settings->controllers, on);
+        cut_all(s, a, CLUSTER_LINK_PEER, s->settings->controllers, on);
         break;
     case TROUBLE_CUT_WORKERS:
-        cut_all(s, a, CLUSTER_ZONE, CLUSTER_ZONES, on);
+        cut_all(s, a, CLUSTER_LINK_ZONE, CLUSTER_ZONES, on);
         break;
     case TROUBLE_CUT_CLOUD:
-        cut_all(s, a, CLUSTER_CLOUD, 1, on);
+        cut_all(s, a, CLUSTER_LINK_PROVIDER, 1, on);
         break;
     case TROUBLE_OUTAGE:
-        fake_state_outage(state, on);
+        fake_store_set_outage(state, on);
         break;
     case TROUBLE_STATE_HANGS:
-        fake_state_hang(state, on);
+        fake_store_set_hanging(state, on);
         break;
     case TROUBLE_LATE_WRITE:
         delay_write(s, &a->trouble, on);
         break;
     case TROUBLE_LOST_ANSWER:
         if (on)
-            fake_state_swallow(state);
+            fake_store_lose_next_answer(state);
         break;
     case TROUBLE_WATCH_TOO_OLD:
         if (on)
-            fake_state_forget(state);
+            fake_store_reject_next_watch(state);
         break;
     case TROUBLE_LATE_MESSAGES:
         s->delayed_until = MAX(s->delayed_until, a->until);
-        fleet_delay_messages(cluster_fleet(s->cluster), on ? LATE_SHARE : 0, on ? LATE_SHARE : 0);
+        fake_provider_delay_messages(cluster_provider(s->cluster), on ? LATE_SHARE : 0,
+                                     on ? LATE_SHARE : 0);
         break;
     case TROUBLE_MACHINE_HANGS:
         /* What was sent to it meanwhile is carried out and never answered. */
@@ -196,7 +197,7 @@
         break;
     case TROUBLE_MACHINE_FAILS:
         if (on)
-            fleet_fail_machine(cluster_fleet(s->cluster));
+            fake_provider_fail_machine(cluster_provider(s->cluster));
         break;
     case TROUBLE_CANCELLATIONS:
         if (on)
@@ -286,10 +287,10 @@
 
 /* A machine whose commands got no answer lately was right to be taken for deaf, and is returned
  * with what it runs, though its reports were answered. */
-static void on_call(void *arg, const struct fleet_call *call)
+static void on_call(void *arg, const struct fake_provider_call *call)
 {
     const struct soak *s = arg;
-    struct fleet_call seen = *call;
+    struct fake_provider_call seen = *call;
 
     if (elapsed(s) < s->delayed_until + DEAF_FOR_S)
         seen.heard_ago_s = INFINITY;
@@ -307,7 +308,7 @@
 {
     s->calls = call_checker_new(SILENT_S);
     cluster_observe(s->cluster, on_state_change, s);
-    fleet_observe(cluster_fleet(s->cluster), on_call, s);
+    fake_provider_observe(cluster_provider(s->cluster), on_call, s);
 }
 
 static void step(struct soak *s)
@@ -347,7 +348,7 @@
         while (next < s->schedule->len &&
                g_array_index(s->schedule, struct trouble, next).at_s <= elapsed(s))
             begin_trouble(s, &g_array_index(s->schedule, struct trouble, next++));
-        if (elapsed(s) >= submit_at && cluster_open_jobs(s->cluster) < OPEN_MOST) {
+        if (elapsed(s) >= submit_at && cluster_open_job_count(s->cluster) < OPEN_MOST) {
             workload_submit(s->cluster, s->random, scale_of(s->settings));
             submit_at = elapsed(s) + g_rand_double(s->random) * 0.8;
         }
@@ -383,23 +384,23 @@
     double until;
 
     end_troubles(s, INFINITY);
-    cluster_heal(s->cluster);
-    fleet_heal_machines(cluster_fleet(s->cluster));
+    cluster_clear_link_faults(s->cluster);
+    fake_provider_restore_machines(cluster_provider(s->cluster));
     until = elapsed(s) + SETTLE_S;
     while (elapsed(s) < until && !cluster_is_idle(s->cluster)) {
-        cluster_abort_services(s->cluster);
+        cluster_cancel_services(s->cluster);
         step(s);
     }
     history_close(cluster_history(s->cluster));
     note_violations(s);
 }
 
-static struct soak *current; /* for what cluster_until asks */
+static struct soak *current; /* for what cluster_run_until asks */
 
 /* With duties: once all controllers speak of them, and one was taken. */
 static bool has_begun(struct cluster *c)
 {
-    return history_starts(cluster_history(c)) > 0 &&
+    return history_start_count(cluster_history(c)) > 0 &&
            (!current->calls || call_checker_acquisitions(current->calls) > 0);
 }
 
@@ -457,7 +458,7 @@
         check_calls(&s);
     workload_submit(s.cluster, s.random, scale_of(settings));
     current = &s;
-    begun = cluster_until(s.cluster, has_begun, BEGIN_S);
+    begun = cluster_run_until(s.cluster, has_begun, BEGIN_S);
     s.began = pm_clock_monotonic();
     if (s.calls) /* what was rented before all controllers spoke of duties */
         call_checker_clear_violations(s.calls);
@@ -467,8 +468,8 @@
     }
     note_logged_violations(&s);
     *result = (struct soak_result){.troubles = s.schedule->len,
-                                   .starts = history_starts(cluster_history(s.cluster)),
-                                   .jobs = cluster_jobs(s.cluster),
+                                   .starts = history_start_count(cluster_history(s.cluster)),
+                                   .jobs = cluster_job_count(s.cluster),
                                    .seconds = elapsed(&s),
                                    .stall_s = s.stall_s,
                                    .violations = g_string_free(s.violations, FALSE)};
--- a/src/soak/workload.c
+++ b/src/soak/workload.c
@@ -47,7 +47,7 @@
     static char before[32]; /* the job that the next one may need */
     struct cluster_job job = {.urgency = "normal", .zone = -1, .cpus = 2};
 
-    if (!cluster_jobs(cluster)) /* another run's */
+    if (!cluster_job_count(cluster)) /* another run's */
         before[0] = 0;
     draw_form(random, &job, scale);
     job.team = teams[g_rand_int_range(random, 0, WORKLOAD_TEAMS)].name;
--- a/src/testing/cluster.c
+++ b/src/testing/cluster.c
@@ -45,10 +45,10 @@
     struct cluster_settings settings;
     struct ev_loop *loop;
     struct history *history;
-    struct fake_state *state;
-    struct fleet *fleet;
+    struct fake_store *state;
+    struct fake_provider *fleet;
     struct relay *state_relay, *peer_relay[CLUSTER_CONTROLLERS_MAX];
-    struct relay_origins origins;
+    struct relay_controllers origins;
     char dir[64], operator_file[128];
     char name[CLUSTER_CONTROLLERS_MAX][16];
     char front[CLUSTER_CONTROLLERS_MAX][ADDRESS_SIZE];
@@ -61,7 +61,7 @@
     double load_every_s, load_at;
     double strange_at; /* steady: a job that nobody submitted was last asked for */
     ev_timer users;
-    fake_state_observer *observer;
+    fake_store_observer *observer;
     void *observer_arg;
 };
 
@@ -135,12 +135,12 @@
     job->next_at = now + POLL_S;
     if ((status == 200 || status == 201) &&
         pm_cbor_read_text(pm_cbor_get(answer, "status"), text, sizeof text)) {
-        history_told(c->history, job->id, job->tasks, text, now);
+        history_status_reported(c->history, job->id, job->tasks, text, now);
         job->accepted = true;
         job->ended |= !strcmp(text, "done") || !strcmp(text, "cancelled");
     } else {
         if (status == 404 && job->accepted)
-            history_told(c->history, job->id, job->tasks, "unknown", now);
+            history_status_reported(c->history, job->id, job->tasks, "unknown", now);
         job->ask = (job->ask + 1) % c->settings.controllers;
         job->next_at = now + RETRY_S;
     }
@@ -176,18 +176,19 @@
         g_strlcpy(job->awaits, wanted->awaits, sizeof job->awaits);
     job->ask = (int)c->jobs->len % c->settings.controllers;
     snprintf(job->id, sizeof job->id, "job-%04u%02d", c->jobs->len + 1, (int)(wanted->run_s * 10));
-    history_submitted(c->history, job->id,
-                      (struct history_job){.team = job->team,
-                                           .cpus = wanted->cpus,
-                                           .accelerators = wanted->accelerators,
-                                           .zone = wanted->zone});
-    fleet_describe(c->fleet, job->id,
-                   (struct fleet_job){wanted->tasks, wanted->cpus, !strcmp(wanted->form, "group")});
+    history_job_submitted(c->history, job->id,
+                          (struct history_job){.team = job->team,
+                                               .cpus = wanted->cpus,
+                                               .accelerators = wanted->accelerators,
+                                               .zone = wanted->zone});
+    fake_provider_describe_job(
+        c->fleet, job->id,
+        (struct fake_provider_job){wanted->tasks, wanted->cpus, !strcmp(wanted->form, "group")});
     g_ptr_array_add(c->jobs, job);
     return job->id;
 }
 
-const char *cluster_submit(struct cluster *c, unsigned tasks, double run_s)
+const char *cluster_submit_array(struct cluster *c, unsigned tasks, double run_s)
 {
     int zone = (int)(c->jobs->len + 1) % CLUSTER_ZONES;
 
@@ -200,7 +201,7 @@
                                                        .zone = zone});
 }
 
-void cluster_abort(struct cluster *c, const char *id)
+void cluster_cancel(struct cluster *c, const char *id)
 {
     for (guint i = 0; i < c->jobs->len; i++) {
         struct user_job *job = g_ptr_array_index(c->jobs, i);
@@ -208,9 +209,9 @@
     }
 }
 
-void cluster_abort_any(struct cluster *c, unsigned choice)
+void cluster_cancel_any(struct cluster *c, unsigned choice)
 {
-    unsigned open = cluster_open_jobs(c);
+    unsigned open = cluster_open_job_count(c);
     unsigned left = open ? choice % open : 0;
 
     for (guint i = 0; open && i < c->jobs->len; i++) {
@@ -222,7 +223,7 @@
     }
 }
 
-void cluster_abort_services(struct cluster *c)
+void cluster_cancel_services(struct cluster *c)
 {
     for (guint i = 0; i < c->jobs->len; i++) {
         struct user_job *job = g_ptr_array_index(c->jobs, i);
@@ -230,12 +231,12 @@
     }
 }
 
-unsigned cluster_jobs(const struct cluster *c)
+unsigned cluster_job_count(const struct cluster *c)
 {
     return c->jobs->len;
 }
 
-unsigned cluster_open_jobs(const struct cluster *c)
+unsigned cluster_open_job_count(const struct cluster *c)
 {
     unsigned open = 0;
 
@@ -244,7 +245,7 @@
     return open;
 }
 
-void cluster_load(struct cluster *c, double every_s)
+void cluster_set_load(struct cluster *c, double every_s)
 {
     c->load_every_s = every_s;
     c->load_at = 0;
@@ -257,7 +258,7 @@
     (void)body;
     (void)size;
     if (status == 200)
-        history_invented(c->history, STRANGE_JOB);
+        history_unknown_job_reported(c->history, STRANGE_JOB);
 }
 
 static void ask_for_strange_job(struct cluster *c, double now)
@@ -277,7 +278,7 @@
     (void)loop;
     (void)events;
     if (c->load_every_s > 0 && now >= c->load_at) {
-        cluster_submit(c, 2, 1);
+        cluster_submit_array(c, 2, 1);
         c->load_at = now + c->load_every_s;
     }
     if (c->settings.random && now - c->strange_at > STRANGE_S)
@@ -319,7 +320,7 @@
         "[settings.state]\nrps = 1000.0\nwrite_rps = 200.0\nvalue_kb = 16.0\ntxn_ops = 12\n"
         "[settings.cloud]\nrps = 10.0\nlist_lag_s = 0.5\n"
         "[settings.quota]\ncores = 1.0\nmem_mb = 512.0\nsockets = 900\n",
-        fleet_cloud_addr(c->fleet), relay_addr(c->state_relay), c->settings.controllers, REPORT_S,
+        fake_provider_addr(c->fleet), relay_addr(c->state_relay), c->settings.controllers, REPORT_S,
         c->settings.lease_s, GANG_WAIT_S, GANG_PEER_S, cancel_s(c));
     for (int k = 0; k < c->settings.team_count; k++)
         g_string_append_printf(text,
@@ -392,14 +393,14 @@
         return;
     pm_cbor_read_text(pm_cbor_get(data, "leader"), name, sizeof name);
     if (!strcmp(key, "p/epoch") && pm_cbor_read_count(pm_cbor_get(data, "epoch"), &epoch)) {
-        history_epoch(c->history, epoch, name);
+        history_epoch_advanced(c->history, epoch, name);
         g_strlcpy(c->leader, name, sizeof c->leader);
     }
     if (!strncmp(key, "p/b/", 4))
-        history_block(c->history, key + 4);
+        history_shard_assigned(c->history, key + 4);
 }
 
-void cluster_observe(struct cluster *c, fake_state_observer *observer, void *arg)
+void cluster_observe(struct cluster *c, fake_store_observer *observer, void *arg)
 {
     c->observer = observer;
     c->observer_arg = arg;
@@ -412,19 +413,19 @@
     unsigned process = (unsigned)getpid();
 
     snprintf(out, ADDRESS_SIZE, "127.%u.%u.%u:%d", 1 + process % 250, process / 250 % 250,
-             all_clusters->len % 250 + 1, fake_free_port());
+             all_clusters->len % 250 + 1, event_loop_free_port());
 }
 
 static void make_addresses(struct cluster *c)
 {
     for (int i = 0; i < c->settings.controllers; i++) {
-        const char *target[RELAY_ORIGINS_MAX];
+        const char *target[RELAY_CONTROLLERS_MAX];
         snprintf(c->name[i], sizeof c->name[i], "node-%d", i);
         make_address(c->front[i]);
         make_address(c->back[i]);
         c->front_text[i] = c->front[i];
         c->name_text[i] = c->name[i];
-        for (int k = 0; k < RELAY_ORIGINS_MAX; k++)
+        for (int k = 0; k < RELAY_CONTROLLERS_MAX; k++)
             target[k] = c->back[i];
         c->peer_relay[i] = relay_new(c->loop, target, &c->origins);
     }
@@ -433,7 +434,7 @@
 struct cluster *cluster_new(const struct cluster_settings *settings)
 {
     struct cluster *c = g_new0(struct cluster, 1);
-    const char *target[RELAY_ORIGINS_MAX];
+    const char *target[RELAY_CONTROLLERS_MAX];
 
     if (!all_clusters)
         all_clusters = g_ptr_array_new();
@@ -453,28 +454,29 @@
         c->settings.lease_s = LEASE_S;
     c->history = history_new(cancel_s(c));
     for (int i = 0; i < c->settings.team_count; i++)
-        history_team(c->history, c->settings.teams[i].name, c->settings.teams[i].cpus_max,
-                     c->settings.teams[i].accelerators_max);
-    c->state = fake_state_new(c->loop);
-    fake_state_expire_holds(c->state);
-    fake_state_observe(c->state, on_state_change, c);
-    for (int i = 0; i < RELAY_ORIGINS_MAX; i++)
-        target[i] = fake_state_addr(c->state);
+        history_add_team(c->history, c->settings.teams[i].name, c->settings.teams[i].cpus_max,
+                         c->settings.teams[i].accelerators_max);
+    c->state = fake_store_new(c->loop);
+    fake_store_expire_leases(c->state);
+    fake_store_observe(c->state, on_state_change, c);
+    for (int i = 0; i < RELAY_CONTROLLERS_MAX; i++)
+        target[i] = fake_store_addr(c->state);
     c->state_relay = relay_new(c->loop, target, &c->origins);
     make_addresses(c);
-    c->fleet = fleet_new(c->loop,
-                         &(struct fleet_settings){.controllers = settings->controllers,
-                                                  .zones = CLUSTER_ZONES,
-                                                  .machines_most = c->settings.machines_most,
-                                                  .report_s = REPORT_S,
-                                                  .lease_s = c->settings.lease_s,
-                                                  .gang_wait_s = GANG_WAIT_S,
-                                                  .gang_peer_s = GANG_PEER_S,
-                                                  .front = c->front_text,
-                                                  .name = c->name_text,
-                                                  .origins = &c->origins,
-                                                  .random = settings->random},
-                         c->history);
+    c->fleet = fake_provider_new(
+        c->loop,
+        &(struct fake_provider_settings){.controllers = settings->controllers,
+                                         .zones = CLUSTER_ZONES,
+                                         .machines_most = c->settings.machines_most,
+                                         .report_s = REPORT_S,
+                                         .lease_s = c->settings.lease_s,
+                                         .gang_wait_s = GANG_WAIT_S,
+                                         .gang_peer_s = GANG_PEER_S,
+                                         .front = c->front_text,
+                                         .name = c->name_text,
+                                         .origins = &c->origins,
+                                         .random = settings->random},
+        c->history);
     g_strlcpy(c->dir, "/tmp/pumicemount-cluster-XXXXXX", sizeof c->dir);
     if (!g_mkdtemp(c->dir))
         g_error("no directory for the settings");
@@ -500,7 +502,7 @@
     g_unlink(c->operator_file);
     g_rmdir(c->dir);
     ev_timer_stop(c->loop, &c->users);
-    fleet_free(c->fleet);
+    fake_provider_free(c->fleet);
     for (int i = 0; i < c->settings.controllers; i++)
         relay_free(c->peer_relay[i]);
     relay_free(c->state_relay);
@@ -511,12 +513,12 @@
     return c->history;
 }
 
-struct fake_state *cluster_state(struct cluster *c)
+struct fake_store *cluster_store(struct cluster *c)
 {
     return c->state;
 }
 
-struct fleet *cluster_fleet(struct cluster *c)
+struct fake_provider *cluster_provider(struct cluster *c)
 {
     return c->fleet;
 }
@@ -526,60 +528,61 @@
     return c->loop;
 }
 
-const char *cluster_config(const struct cluster *c, int controller)
+const char *cluster_settings_path(const struct cluster *c, int controller)
 {
     return c->config[controller];
 }
 
 /* ---- cuts ---- */
 
-void cluster_cut(struct cluster *c, int controller, enum cluster_link link, int to, struct cut cut)
+void cluster_set_link_fault(struct cluster *c, int controller, enum cluster_link link, int to,
+                            struct relay_fault cut)
 {
     /* A peer's own connections to the controller carry its packets the other way round. */
-    struct cut mirrored = {cut.to_controller, cut.from_controller, cut.reset};
-
-    if (link == CLUSTER_STATE) {
-        relay_cut(c->state_relay, controller, cut);
-    } else if (link == CLUSTER_PEER) {
-        relay_cut(c->peer_relay[to], controller, cut);
-        relay_cut(c->peer_relay[controller], to, mirrored);
-    } else if (link == CLUSTER_ZONE) {
-        fleet_cut_zone(c->fleet, controller, to, cut);
+    struct relay_fault mirrored = {cut.to_controller, cut.from_controller, cut.reset};
+
+    if (link == CLUSTER_LINK_STORE) {
+        relay_set_fault(c->state_relay, controller, cut);
+    } else if (link == CLUSTER_LINK_PEER) {
+        relay_set_fault(c->peer_relay[to], controller, cut);
+        relay_set_fault(c->peer_relay[controller], to, mirrored);
+    } else if (link == CLUSTER_LINK_ZONE) {
+        fake_provider_set_zone_fault(c->fleet, controller, to, cut);
     } else {
-        fleet_cut_cloud(c->fleet, controller, cut);
+        fake_provider_set_api_fault(c->fleet, controller, cut);
     }
 }
 
-void cluster_refuse(struct cluster *c, int controller, bool refused)
+void cluster_set_refused(struct cluster *c, int controller, bool refused)
 {
-    fake_state_set_side(c->state, FAKE_REFUSES);
+    fake_store_set_second_access(c->state, FAKE_STORE_REFUSES);
     relay_set_target(c->state_relay, controller,
-                     refused ? fake_state_side(c->state) : fake_state_addr(c->state));
+                     refused ? fake_store_second_addr(c->state) : fake_store_addr(c->state));
 }
 
-int cluster_holder(const struct cluster *c)
+int cluster_shard_owner(const struct cluster *c)
 {
     char key[32];
 
     for (int i = 0; i < c->settings.controllers; i++) {
         snprintf(key, sizeof key, "p/b/%s", c->name[i]);
-        if (fake_state_revision(c->state, key))
+        if (fake_store_revision(c->state, key))
             return i;
     }
     return -1;
 }
 
-void cluster_heal(struct cluster *c)
+void cluster_clear_link_faults(struct cluster *c)
 {
-    struct cut none = {0};
+    struct relay_fault none = {0};
 
     for (int i = 0; i < c->settings.controllers; i++) {
-        cluster_cut(c, i, CLUSTER_STATE, 0, none);
-        cluster_cut(c, i, CLUSTER_CLOUD, 0, none);
+        cluster_set_link_fault(c, i, CLUSTER_LINK_STORE, 0, none);
+        cluster_set_link_fault(c, i, CLUSTER_LINK_PROVIDER, 0, none);
         for (int k = 0; k < c->settings.controllers; k++)
-            cluster_cut(c, i, CLUSTER_PEER, k, none);
+            cluster_set_link_fault(c, i, CLUSTER_LINK_PEER, k, none);
         for (int k = 0; k < CLUSTER_ZONES; k++)
-            cluster_cut(c, i, CLUSTER_ZONE, k, none);
+            cluster_set_link_fault(c, i, CLUSTER_LINK_ZONE, k, none);
     }
 }
 
@@ -592,7 +595,7 @@
     ev_break(loop, EVBREAK_ONE);
 }
 
-bool cluster_until(struct cluster *c, bool (*holds)(struct cluster *), double seconds)
+bool cluster_run_until(struct cluster *c, bool (*holds)(struct cluster *), double seconds)
 {
     double until = pm_clock_monotonic() + seconds;
     bool reached = false;
@@ -608,12 +611,12 @@
 
 void cluster_run(struct cluster *c, double seconds)
 {
-    cluster_until(c, NULL, seconds);
+    cluster_run_until(c, NULL, seconds);
 }
 
 int cluster_leader(const struct cluster *c)
 {
-    if (!fake_state_revision(c->state, "p/lead"))
+    if (!fake_store_revision(c->state, "p/lead"))
         return -1;
     for (int i = 0; i < c->settings.controllers; i++)
         if (!strcmp(c->name[i], c->leader))
--- a/src/testing/fleet.c
+++ b/src/testing/fake_provider.c
@@ -1,24 +1,24 @@
-#include "testing/fleet.h"
+#include "testing/fake_provider.h"
 #include "base/clock.h"
-#include "testing/fake_state.h"
-#include "testing/fleet_internal.h"
+#include "testing/fake_store.h"
+#include "testing/fake_provider_internal.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-double fleet_run_s(const char *job)
+double fake_provider_task_run_s(const char *job)
 {
     size_t n = strcspn(job, "/");
 
     return n < 2 ? 0 : ((job[n - 2] - '0') * 10 + (job[n - 1] - '0')) / 10.0;
 }
 
-static void release(struct fleet *f, const cbor_item_t *body);
+static void release(struct fake_provider *f, const cbor_item_t *body);
 
 static void on_tick(struct ev_loop *loop, ev_timer *w, int events)
 {
-    struct fleet *f = w->data;
+    struct fake_provider *f = w->data;
     double now = pm_clock_monotonic();
 
     (void)loop;
@@ -29,7 +29,7 @@
             worker_live(m, now);
     }
     worker_deliver_late(f, now);
-    history_check_cancelled(f->history, now);
+    history_check_cancellations(f->history, now);
     if (f->late_return && now >= f->late_at) {
         release(f, f->late_return);
         pm_cbor_free(f->late_return);
@@ -39,11 +39,11 @@
 
 /* ---- the cloud ---- */
 
-static void machine_new(struct fleet *f, int zone)
+static void machine_new(struct fake_provider *f, int zone)
 {
     struct machine *m = g_new0(struct machine, 1);
-    const char *target[RELAY_ORIGINS_MAX];
-    char addr[RELAY_ORIGINS_MAX][64];
+    const char *target[RELAY_CONTROLLERS_MAX];
+    char addr[RELAY_CONTROLLERS_MAX][64];
     double now = pm_clock_monotonic();
 
     m->fleet = f;
@@ -56,7 +56,7 @@
     for (int i = 0; i < f->settings.controllers; i++) {
         m->door[i] = (struct door){m, i, NULL};
         while (!m->door[i].server) {
-            snprintf(addr[i], sizeof addr[i], "127.0.0.1:%d", fake_free_port());
+            snprintf(addr[i], sizeof addr[i], "127.0.0.1:%d", event_loop_free_port());
             m->door[i].server =
                 pm_http_server_new(f->loop, addr[i], 64, worker_on_command, &m->door[i]);
         }
@@ -64,8 +64,8 @@
     }
     m->relay = relay_new(f->loop, target, f->settings.origins);
     for (int i = 0; i < f->settings.controllers; i++)
-        relay_cut(m->relay, i, f->zone_cut[i][zone]);
-    history_machine(f->history, m->name, zone);
+        relay_set_fault(m->relay, i, f->zone_cut[i][zone]);
+    history_add_machine(f->history, m->name, zone);
     g_strlcpy(m->endpoint, relay_addr(m->relay), sizeof m->endpoint);
     g_ptr_array_add(f->machines, m);
 }
@@ -78,7 +78,7 @@
         pm_http_server_free(m->door[i].server);
 }
 
-int fleet_machines(const struct fleet *f)
+int fake_provider_machine_count(const struct fake_provider *f)
 {
     int count = 0;
 
@@ -87,18 +87,19 @@
     return count;
 }
 
-static void observe_rental(struct fleet *f, const char *booking, guint first)
+static void observe_rental(struct fake_provider *f, const char *booking, guint first)
 {
     for (guint i = first; f->observer && i < f->machines->len; i++) {
         const struct machine *m = g_ptr_array_index(f->machines, i);
-        struct fleet_call call = {.booking = booking, .machine = m->name};
+        struct fake_provider_call call = {.booking = booking, .machine = m->name};
         f->observer(f->observer_arg, &call);
     }
 }
 
-static void observe_return(struct fleet *f, const struct machine *m)
+static void observe_return(struct fake_provider *f, const struct machine *m)
 {
-    struct fleet_call call = {.machine = m->name, .heard_ago_s = pm_clock_monotonic() - m->leased};
+    struct fake_provider_call call = {.machine = m->name,
+                                      .heard_ago_s = pm_clock_monotonic() - m->leased};
 
     for (guint i = 0; i < m->tasks->len; i++) {
         const struct task *task = &g_array_index(m->tasks, struct task, i);
@@ -111,7 +112,7 @@
         f->observer(f->observer_arg, &call);
 }
 
-static void rent(struct fleet *f, const cbor_item_t *body, struct pm_http_request *req)
+static void rent(struct fake_provider *f, const cbor_item_t *body, struct pm_http_request *req)
 {
     struct pm_buf out = {0};
     struct pm_buf *kept;
@@ -128,7 +129,7 @@
         pm_http_reply(req, 200, kept->data, kept->size, 0);
         return;
     }
-    for (; wanted && fleet_machines(f) < f->settings.machines_most; wanted--)
+    for (; wanted && fake_provider_machine_count(f) < f->settings.machines_most; wanted--)
         machine_new(f, (int)strtol(zone + strlen("zone-"), NULL, 10));
     if (first == f->machines->len) {
         pm_http_reply(req, 503, NULL, 0, 0);
@@ -152,7 +153,7 @@
     g_hash_table_insert(f->bookings, g_strdup(booking), kept);
 }
 
-static void release(struct fleet *f, const cbor_item_t *body)
+static void release(struct fake_provider *f, const cbor_item_t *body)
 {
     const cbor_item_t *hosts = pm_cbor_get(body, "hosts");
 
@@ -180,7 +181,7 @@
     pm_put_end(out);
 }
 
-static void list(struct fleet *f, struct pm_http_request *req)
+static void list(struct fake_provider *f, struct pm_http_request *req)
 {
     const char *since = strstr(req->query, "since=");
     struct pm_buf out = {0};
@@ -203,7 +204,7 @@
     pm_buf_free(&out);
 }
 
-static void list_types(struct fleet *f, struct pm_http_request *req)
+static void list_types(struct fake_provider *f, struct pm_http_request *req)
 {
     struct pm_buf out = {0};
     char zone[16];
@@ -237,7 +238,7 @@
 
 static void on_cloud(void *arg, struct pm_http_request *req)
 {
-    struct fleet *f = arg;
+    struct fake_provider *f = arg;
     cbor_item_t *body = pm_cbor_parse(req->body, req->body_size);
 
     if (req->method == PM_HTTP_POST && f->refusals > 0) {
@@ -265,13 +266,13 @@
     pm_cbor_free(body);
 }
 
-void fleet_observe(struct fleet *f, fleet_observer *observer, void *arg)
+void fake_provider_observe(struct fake_provider *f, fake_provider_observer *observer, void *arg)
 {
     f->observer = observer;
     f->observer_arg = arg;
 }
 
-bool fleet_fail_machine(struct fleet *f)
+bool fake_provider_fail_machine(struct fake_provider *f)
 {
     for (guint i = 0; i < f->machines->len; i++) {
         struct machine *m = g_ptr_array_index(f->machines, i);
@@ -284,12 +285,13 @@
     return false;
 }
 
-void fleet_describe(struct fleet *f, const char *id, struct fleet_job job)
+void fake_provider_describe_job(struct fake_provider *f, const char *id,
+                                struct fake_provider_job job)
 {
     g_hash_table_replace(f->jobs, g_strdup(id), g_memdup2(&job, sizeof job));
 }
 
-static struct machine *working_machine(const struct fleet *f, unsigned choice)
+static struct machine *working_machine(const struct fake_provider *f, unsigned choice)
 {
     struct machine *m =
         f->machines->len ? g_ptr_array_index(f->machines, choice % f->machines->len) : NULL;
@@ -297,7 +299,7 @@
     return m && !m->gone && !m->failed ? m : NULL;
 }
 
-bool fleet_cut_machine(struct fleet *f, unsigned choice, bool cut)
+bool fake_provider_cut_machine(struct fake_provider *f, unsigned choice, bool cut)
 {
     struct machine *m = working_machine(f, choice);
 
@@ -305,11 +307,12 @@
         return false;
     m->cut = cut;
     for (int i = 0; i < f->settings.controllers; i++)
-        relay_cut(m->relay, i, cut ? (struct cut){true, true, false} : f->zone_cut[i][m->zone]);
+        relay_set_fault(m->relay, i,
+                        cut ? (struct relay_fault){true, true, false} : f->zone_cut[i][m->zone]);
     return true;
 }
 
-bool fleet_hang_machine(struct fleet *f, unsigned choice, bool hung)
+bool fake_provider_hang_machine(struct fake_provider *f, unsigned choice, bool hung)
 {
     struct machine *m = working_machine(f, choice);
 
@@ -318,64 +321,65 @@
     return m != NULL;
 }
 
-void fleet_heal_machines(struct fleet *f)
+void fake_provider_restore_machines(struct fake_provider *f)
 {
     for (guint i = 0; i < f->machines->len; i++) {
-        fleet_cut_machine(f, i, false);
-        fleet_hang_machine(f, i, false);
+        fake_provider_cut_machine(f, i, false);
+        fake_provider_hang_machine(f, i, false);
     }
     f->late_report_share = f->late_command_share = 0;
 }
 
-void fleet_delay_messages(struct fleet *f, double reports, double commands)
+void fake_provider_delay_messages(struct fake_provider *f, double reports, double commands)
 {
     f->late_report_share = reports;
     f->late_command_share = commands;
 }
 
-void fleet_refuse(struct fleet *f, int status, int requests)
+void fake_provider_refuse_requests(struct fake_provider *f, int status, int requests)
 {
     f->refused_status = status;
     f->refusals = requests;
 }
 
-void fleet_delay_return(struct fleet *f, double seconds)
+void fake_provider_delay_next_termination(struct fake_provider *f, double seconds)
 {
     f->return_delay_s = seconds;
 }
 
-void fleet_lose_answer(struct fleet *f, bool rental)
+void fake_provider_lose_next_answer(struct fake_provider *f, bool rental)
 {
     f->lose_rental = rental;
     f->lose_return = !rental;
 }
 
-void fleet_cut_cloud(struct fleet *f, int controller, struct cut cut)
+void fake_provider_set_api_fault(struct fake_provider *f, int controller, struct relay_fault cut)
 {
-    relay_cut(f->cloud_relay, controller, cut);
+    relay_set_fault(f->cloud_relay, controller, cut);
 }
 
-void fleet_cut_zone(struct fleet *f, int controller, int zone, struct cut cut)
+void fake_provider_set_zone_fault(struct fake_provider *f, int controller, int zone,
+                                  struct relay_fault cut)
 {
     f->zone_cut[controller][zone] = cut;
     for (guint i = 0; i < f->machines->len; i++) {
         struct machine *m = g_ptr_array_index(f->machines, i);
         if (m->zone == zone && !m->gone)
-            relay_cut(m->relay, controller, cut);
+            relay_set_fault(m->relay, controller, cut);
     }
 }
 
-const char *fleet_cloud_addr(const struct fleet *f)
+const char *fake_provider_addr(const struct fake_provider *f)
 {
     return relay_addr(f->cloud_relay);
 }
 
-unsigned fleet_answered(const struct fleet *f, int controller)
+unsigned fake_provider_answered_heartbeats(const struct fake_provider *f, int controller)
 {
     return f->answered[controller];
 }
 
-void fleet_free(struct fleet *f)
+void fake_provider_free(struct fake_provider *f)
 {
     ev_timer_stop(f->loop, &f->tick);
     for (guint i = 0; i < f->machines->len; i++) {
@@ -388,11 +392,12 @@
     /* What is left of it is looked at by calls that are under way: it stays. */
 }
 
-struct fleet *fleet_new(struct ev_loop *loop, const struct fleet_settings *settings,
-                        struct history *history)
+struct fake_provider *fake_provider_new(struct ev_loop *loop,
+                                        const struct fake_provider_settings *settings,
+                                        struct history *history)
 {
-    struct fleet *f = g_new0(struct fleet, 1);
-    const char *target[RELAY_ORIGINS_MAX];
+    struct fake_provider *f = g_new0(struct fake_provider, 1);
+    const char *target[RELAY_CONTROLLERS_MAX];
     char addr[64];
 
     f->loop = loop;
@@ -406,10 +411,10 @@
     f->bookings = g_hash_table_new(g_str_hash, g_str_equal);
     f->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     while (!f->cloud) {
-        snprintf(addr, sizeof addr, "127.0.0.1:%d", fake_free_port());
+        snprintf(addr, sizeof addr, "127.0.0.1:%d", event_loop_free_port());
         f->cloud = pm_http_server_new(loop, addr, 64, on_cloud, f);
     }
-    for (int i = 0; i < RELAY_ORIGINS_MAX; i++)
+    for (int i = 0; i < RELAY_CONTROLLERS_MAX; i++)
         target[i] = addr;
     f->cloud_relay = relay_new(loop, target, settings->origins);
     ev_timer_init(&f->tick, on_tick, FLEET_TICK_S, FLEET_TICK_S);
--- a/src/testing/fleet_internal.h
+++ b/src/testing/fake_provider_internal.h
@@ -1,10 +1,10 @@
 /* What the stand-in cloud and the stand-in workers share; nobody else includes it. */
-#ifndef PM_TESTING_FLEET_INTERNAL_H
-#define PM_TESTING_FLEET_INTERNAL_H
+#ifndef PM_TESTING_FAKE_PROVIDER_INTERNAL_H
+#define PM_TESTING_FAKE_PROVIDER_INTERNAL_H
 
 #include "base/cbor.h"
 #include "base/http.h"
-#include "testing/fleet.h"
+#include "testing/fake_provider.h"
 
 #include <ev.h>
 #include <glib.h>
@@ -37,7 +37,7 @@
 };
 
 struct machine {
-    struct fleet *fleet;
+    struct fake_provider *fleet;
     char name[32], endpoint[64];
     int zone;
     bool gone, failed, in_flight, changed;
@@ -47,23 +47,23 @@
     int reports_to;
     GArray *tasks;
     struct relay *relay;
-    struct door door[RELAY_ORIGINS_MAX];
+    struct door door[RELAY_CONTROLLERS_MAX];
 };
 
-struct fleet {
+struct fake_provider {
     struct ev_loop *loop;
-    struct fleet_settings settings;
+    struct fake_provider_settings settings;
     struct history *history;
     struct pm_http_client *client;
     struct pm_http_server *cloud;
     struct relay *cloud_relay;
     GPtrArray *machines;
     GHashTable *bookings; /* name to the list of hosts, as CBOR */
-    GHashTable *jobs;     /* id to struct fleet_job */
-    struct cut zone_cut[RELAY_ORIGINS_MAX][FLEET_ZONES_MAX];
-    unsigned answered[RELAY_ORIGINS_MAX];
+    GHashTable *jobs;     /* id to struct fake_provider_job */
+    struct relay_fault zone_cut[RELAY_CONTROLLERS_MAX][FLEET_ZONES_MAX];
+    unsigned answered[RELAY_CONTROLLERS_MAX];
     ev_timer tick;
-    fleet_observer *observer;
+    fake_provider_observer *observer;
     void *observer_arg;
     bool lose_rental, lose_return; /* the next answer to such a request */
     GPtrArray *unanswered;         /* requests that stay so */
@@ -93,6 +93,6 @@
 /* Requests to a door of the machine. */
 void worker_on_command(void *arg, struct pm_http_request *req);
 /* Messages that are held up arrive once it is time. */
-void worker_deliver_late(struct fleet *fleet, double now);
+void worker_deliver_late(struct fake_provider *fleet, double now);
 
 #endif
--- a/src/testing/fake_state.c
+++ b/src/testing/fake_store.c
@@ -1,4 +1,4 @@
-#include "testing/fake_state.h"
+#include "testing/fake_store.h"
 #include "base/cbor.h"
 #include "base/clock.h"
 #include "base/http.h"
@@ -32,11 +32,11 @@
     bool side; /* came by the second address */
 };
 
-struct fake_state {
+struct fake_store {
     struct ev_loop *loop;
     struct pm_http_server *server, *side_server;
     char addr[64], side_addr[64];
-    enum fake_door side;
+    enum fake_store_access side;
     GTree *keys; /* text to struct value, in order */
     GArray *changes, *watches;
     uint64_t store_revision, tenures;
@@ -51,7 +51,7 @@
     ev_timer hold_due;
     GArray *holds; /* of struct hold, while they expire by the clock; else NULL */
     ev_timer expiry;
-    fake_state_observer *observer;
+    fake_store_observer *observer;
     void *observer_arg;
 };
 
@@ -88,12 +88,12 @@
 
 /* ---- watches ---- */
 
-static bool answer_watch(struct fake_state *s, struct watch *w)
+static bool answer_watch(struct fake_store *s, struct watch *w)
 {
     struct pm_buf out = {0};
     int n = 0;
 
-    if (s->out || w->since >= s->store_revision || (w->side && s->side != FAKE_OPEN))
+    if (s->out || w->since >= s->store_revision || (w->side && s->side != FAKE_STORE_SERVES))
         return false;
     pm_put_map(&out);
     pm_put_pair_count(&out, "edition", s->store_revision);
@@ -121,7 +121,7 @@
     return n >= 0;
 }
 
-static void tell(struct fake_state *s)
+static void tell(struct fake_store *s)
 {
     for (guint i = 0; i < s->watches->len;) {
         if (answer_watch(s, &g_array_index(s->watches, struct watch, i)))
@@ -131,7 +131,7 @@
     }
 }
 
-static void note(struct fake_state *s, const char *key, bool put)
+static void note(struct fake_store *s, const char *key, bool put)
 {
     struct change c = {.revision = s->store_revision, .put = put};
 
@@ -141,12 +141,12 @@
 
 /* ---- requests ---- */
 
-static void do_hold(struct fake_state *s, struct pm_http_request *req);
+static void do_hold(struct fake_store *s, struct pm_http_request *req);
 
 /* The watches have told by now who leads. */
 static void on_hold_due(struct ev_loop *loop, ev_timer *w, int events)
 {
-    struct fake_state *s = w->data;
+    struct fake_store *s = w->data;
 
     (void)loop;
     (void)events;
@@ -154,7 +154,7 @@
     s->delayed_hold = NULL;
 }
 
-static void deliver_hold(struct fake_state *s)
+static void deliver_hold(struct fake_store *s)
 {
     if (!s->delayed_hold || !g_tree_lookup(s->keys, "p/lead") || ev_is_active(&s->hold_due))
         return;
@@ -163,14 +163,14 @@
     ev_timer_start(s->loop, &s->hold_due);
 }
 
-static uint64_t revision_of(struct fake_state *s, const char *key)
+static uint64_t revision_of(struct fake_store *s, const char *key)
 {
     const struct value *value = g_tree_lookup(s->keys, key);
 
     return value ? value->revision : 0;
 }
 
-static struct hold *find_hold(struct fake_state *s, uint64_t lease_id)
+static struct hold *find_hold(struct fake_store *s, uint64_t lease_id)
 {
     for (guint i = 0; i < s->holds->len; i++)
         if (g_array_index(s->holds, struct hold, i).lease_id == lease_id)
@@ -180,7 +180,7 @@
 
 /* A put under a hold that is over is refused, whatever the conditions: its key would stay for ever.
  */
-static bool has_ended_hold(struct fake_state *s, const cbor_item_t *writes)
+static bool has_ended_hold(struct fake_store *s, const cbor_item_t *writes)
 {
     uint64_t lease_id = 0;
 
@@ -192,7 +192,7 @@
 }
 
 /* `req` NULL: nobody waits for the answer any more. */
-static void do_txn(struct fake_state *s, struct pm_http_request *req, const void *data, size_t size)
+static void do_txn(struct fake_store *s, struct pm_http_request *req, const void *data, size_t size)
 {
     cbor_item_t *body = pm_cbor_parse(data, size);
     cbor_item_t *conditions = pm_cbor_get(body, "if");
@@ -289,7 +289,7 @@
     return FALSE;
 }
 
-static void do_list(struct fake_state *s, struct pm_http_request *req)
+static void do_list(struct fake_store *s, struct pm_http_request *req)
 {
     struct pm_buf out = {0};
     struct listing l = {.out = &out, .left = 1000};
@@ -313,9 +313,9 @@
 
 /* ---- holds that expire by the clock ---- */
 
-static void drop_keys(struct fake_state *s, uint64_t lease_id);
+static void drop_keys(struct fake_store *s, uint64_t lease_id);
 
-static void end_hold(struct fake_state *s, struct hold *hold)
+static void end_hold(struct fake_store *s, struct hold *hold)
 {
     uint64_t lease_id = hold->lease_id;
 
@@ -325,7 +325,7 @@
 
 static void on_expiry(struct ev_loop *loop, ev_timer *w, int events)
 {
-    struct fake_state *s = w->data;
+    struct fake_store *s = w->data;
     double now = pm_clock_monotonic();
 
     (void)loop;
@@ -339,7 +339,7 @@
     }
 }
 
-void fake_state_expire_holds(struct fake_state *s)
+void fake_store_expire_leases(struct fake_store *s)
 {
     s->holds = g_array_new(FALSE, FALSE, sizeof(struct hold));
     ev_timer_init(&s->expiry, on_expiry, 0.05, 0.05);
@@ -347,7 +347,7 @@
     ev_timer_start(s->loop, &s->expiry);
 }
 
-static void do_hold(struct fake_state *s, struct pm_http_request *req)
+static void do_hold(struct fake_store *s, struct pm_http_request *req)
 {
     cbor_item_t *body = pm_cbor_parse(req->body, req->body_size);
     struct pm_buf out = {0};
@@ -374,7 +374,7 @@
 }
 
 /* A renewal, or its end. */
-static void do_held(struct fake_state *s, struct pm_http_request *req)
+static void do_held(struct fake_store *s, struct pm_http_request *req)
 {
     struct hold *hold;
 
@@ -394,7 +394,7 @@
     pm_http_reply(req, 200, NULL, 0, 0);
 }
 
-static void do_get(struct fake_state *s, struct pm_http_request *req)
+static void do_get(struct fake_store *s, struct pm_http_request *req)
 {
     const char *key = req->path + strlen("/kv/");
     const struct value *value = g_tree_lookup(s->keys, key);
@@ -412,20 +412,21 @@
     reply_buf(req, value ? 200 : 404, &out);
 }
 
-static void serve(struct fake_state *s, struct pm_http_request *req, bool side)
+static void serve(struct fake_store *s, struct pm_http_request *req, bool side)
 {
     if (s->hang) {
         g_ptr_array_add(s->held, req);
     } else if (s->forget && !strcmp(req->path, "/watch")) {
         s->forget = false;
         pm_http_reply(req, 410, NULL, 0, 0);
-    } else if (!strcmp(req->path, "/watch") && !s->out && !(side && s->side == FAKE_REFUSES)) {
+    } else if (!strcmp(req->path, "/watch") && !s->out &&
+               !(side && s->side == FAKE_STORE_REFUSES)) {
         struct watch w = {req, 0, side};
         const char *since = strstr(req->query, "since=");
         w.since = since ? strtoull(since + 6, NULL, 10) : 0;
         if (!answer_watch(s, &w))
             g_array_append_val(s->watches, w);
-    } else if (s->out || (side && s->side == FAKE_REFUSES)) {
+    } else if (s->out || (side && s->side == FAKE_STORE_REFUSES)) {
         pm_http_reply(req, 503, NULL, 0, 0);
     } else if (!strcmp(req->path, "/txn")) {
         if (s->put_off[0] && memmem(req->body, req->body_size, s->put_off, strlen(s->put_off))) {
@@ -458,7 +459,7 @@
     serve(arg, req, true);
 }
 
-int fake_free_port(void)
+int event_loop_free_port(void)
 {
     struct sockaddr_in sa = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
     socklen_t size = sizeof sa;
@@ -471,9 +472,9 @@
     return ntohs(sa.sin_port);
 }
 
-struct fake_state *fake_state_new(struct ev_loop *loop)
+struct fake_store *fake_store_new(struct ev_loop *loop)
 {
-    struct fake_state *s = g_new0(struct fake_state, 1);
+    struct fake_store *s = g_new0(struct fake_store, 1);
 
     s->loop = loop;
     s->keys = g_tree_new_full(by_text, NULL, g_free, value_free);
@@ -481,17 +482,17 @@
     s->watches = g_array_new(FALSE, FALSE, sizeof(struct watch));
     s->held = g_ptr_array_new();
     do {
-        snprintf(s->addr, sizeof s->addr, "127.0.0.1:%d", fake_free_port());
+        snprintf(s->addr, sizeof s->addr, "127.0.0.1:%d", event_loop_free_port());
         s->server = pm_http_server_new(loop, s->addr, CONNECTIONS_MAX, on_request, s);
     } while (!s->server);
     do {
-        snprintf(s->side_addr, sizeof s->side_addr, "127.0.0.1:%d", fake_free_port());
+        snprintf(s->side_addr, sizeof s->side_addr, "127.0.0.1:%d", event_loop_free_port());
         s->side_server = pm_http_server_new(loop, s->side_addr, 64, on_side, s);
     } while (!s->side_server);
     return s;
 }
 
-void fake_state_free(struct fake_state *s)
+void fake_store_free(struct fake_store *s)
 {
     for (guint i = 0; i < s->watches->len; i++)
         pm_http_reply(g_array_index(s->watches, struct watch, i).req, 503, NULL, 0, 0);
@@ -508,67 +509,67 @@
     g_free(s);
 }
 
-const char *fake_state_addr(const struct fake_state *s)
+const char *fake_store_addr(const struct fake_store *s)
 {
     return s->addr;
 }
 
-uint64_t fake_state_revision(const struct fake_state *s, const char *key)
+uint64_t fake_store_revision(const struct fake_store *s, const char *key)
 {
     const struct value *value = g_tree_lookup(s->keys, key);
 
     return value ? value->revision : 0;
 }
 
-void fake_state_outage(struct fake_state *s, bool out)
+void fake_store_set_outage(struct fake_store *s, bool out)
 {
     s->out = out;
     tell(s);
 }
 
-const char *fake_state_side(const struct fake_state *s)
+const char *fake_store_second_addr(const struct fake_store *s)
 {
     return s->side_addr;
 }
 
-void fake_state_set_side(struct fake_state *s, enum fake_door door)
+void fake_store_set_second_access(struct fake_store *s, enum fake_store_access door)
 {
     s->side = door;
     tell(s);
 }
 
-void fake_state_hang(struct fake_state *s, bool hang)
+void fake_store_set_hanging(struct fake_store *s, bool hang)
 {
     s->hang = hang;
 }
 
-void fake_state_forget(struct fake_state *s)
+void fake_store_reject_next_watch(struct fake_store *s)
 {
     s->forget = true;
 }
 
-void fake_state_swallow(struct fake_state *s)
+void fake_store_lose_next_answer(struct fake_store *s)
 {
     s->swallow = true;
 }
 
-void fake_state_put_off(struct fake_state *s, const char *key)
+void fake_store_delay_next_txn(struct fake_store *s, const char *key)
 {
     g_strlcpy(s->put_off, key, sizeof s->put_off);
 }
 
-bool fake_state_has_late(const struct fake_state *s)
+bool fake_store_has_delayed_txn(const struct fake_store *s)
 {
     return s->late.size > 0;
 }
 
-void fake_state_deliver(struct fake_state *s)
+void fake_store_execute_delayed_txn(struct fake_store *s)
 {
     do_txn(s, NULL, s->late.data, s->late.size);
     pm_buf_free(&s->late);
 }
 
-char *fake_state_hex(const struct fake_state *s, const char *key)
+char *fake_store_value_hex(const struct fake_store *s, const char *key)
 {
     const struct value *value = g_tree_lookup(s->keys, key);
     GString *out = g_string_new("");
@@ -578,18 +579,18 @@
     return g_string_free(out, FALSE);
 }
 
-void fake_state_observe(struct fake_state *s, fake_state_observer *observer, void *arg)
+void fake_store_observe(struct fake_store *s, fake_store_observer *observer, void *arg)
 {
     s->observer = observer;
     s->observer_arg = arg;
 }
 
-void fake_state_delay_hold(struct fake_state *s)
+void fake_store_delay_next_grant(struct fake_store *s)
 {
     s->delay_hold = true;
 }
 
-int fake_state_txns(const struct fake_state *s)
+int fake_store_txn_count(const struct fake_store *s)
 {
     return s->txns;
 }
@@ -610,7 +611,7 @@
     return FALSE;
 }
 
-static void drop_keys(struct fake_state *s, uint64_t lease_id)
+static void drop_keys(struct fake_store *s, uint64_t lease_id)
 {
     struct held held = {lease_id, g_ptr_array_new_with_free_func(g_free)};
 
@@ -626,7 +627,7 @@
     tell(s);
 }
 
-void fake_state_put_number(struct fake_state *s, const char *key, const char *name, uint64_t number)
+void fake_store_put_number(struct fake_store *s, const char *key, const char *name, uint64_t number)
 {
     struct value *value = g_new0(struct value, 1);
 
@@ -639,7 +640,7 @@
     tell(s);
 }
 
-void fake_state_lapse(struct fake_state *s)
+void fake_store_revoke_all_leases(struct fake_store *s)
 {
     drop_keys(s, 0);
 }
@@ -651,7 +652,7 @@
     ev_break(loop, EVBREAK_ONE);
 }
 
-bool fake_run_until(struct ev_loop *loop, bool (*done)(void *arg), void *arg)
+bool event_loop_run_until(struct ev_loop *loop, bool (*done)(void *arg), void *arg)
 {
     double until = pm_clock_monotonic() + 60;
     bool is_done;
--- a/src/testing/worker.c
+++ b/src/testing/fake_worker.c
@@ -1,6 +1,6 @@
 /* The stand-in workers: what they report, obey and run. */
 #include "base/clock.h"
-#include "testing/fleet_internal.h"
+#include "testing/fake_provider_internal.h"
 
 #include <stdio.h>
 #include <string.h>
@@ -45,25 +45,25 @@
         return;
     task->ended = m->changed = true;
     task->cause = cause;
-    history_ended(m->fleet->history, m->name, task->name, !strcmp(cause, "done"));
+    history_task_ended(m->fleet->history, m->name, task->name, !strcmp(cause, "done"));
 }
 
-static const struct fleet_job *job_of(const struct fleet *f, const char *task)
+static const struct fake_provider_job *job_of(const struct fake_provider *f, const char *task)
 {
     char *id = g_strndup(task, strcspn(task, "/"));
-    const struct fleet_job *job = g_hash_table_lookup(f->jobs, id);
+    const struct fake_provider_job *job = g_hash_table_lookup(f->jobs, id);
 
     g_free(id);
     return job;
 }
 
-static bool has_room(const struct machine *m, const struct fleet_job *wanted)
+static bool has_room(const struct machine *m, const struct fake_provider_job *wanted)
 {
     double used = 0;
 
     for (guint i = 0; i < m->tasks->len; i++) {
         const struct task *task = &g_array_index(m->tasks, struct task, i);
-        const struct fleet_job *job = task->ended ? NULL : job_of(m->fleet, task->name);
+        const struct fake_provider_job *job = task->ended ? NULL : job_of(m->fleet, task->name);
         used += job ? job->cpus : 0;
     }
     return !wanted || used + wanted->cpus <= FLEET_MACHINE_CPUS;
@@ -77,13 +77,13 @@
 
 static void launch(struct machine *m, const char *name, unsigned attempt, int controller)
 {
-    struct fleet *f = m->fleet;
+    struct fake_provider *f = m->fleet;
     struct task task = {.attempt = attempt};
-    const struct fleet_job *job = job_of(f, name);
+    const struct fake_provider_job *job = job_of(f, name);
     double now = pm_clock_monotonic();
-    double run_s = fleet_run_s(name);
+    double run_s = fake_provider_task_run_s(name);
 
-    history_launched(f->history, m->token, f->settings.name[controller]);
+    history_launch_received(f->history, m->token, f->settings.name[controller]);
     if (find_task(m, name, attempt))
         return;
     g_strlcpy(task.name, name, sizeof task.name);
@@ -96,7 +96,7 @@
         task.began = now;
         task.waiting = job && job->gang;
         task.ends_at = run_s > 0 && !task.waiting ? now + run_s : 0;
-        history_started(f->history, m->name, name, attempt, now);
+        history_task_started(f->history, m->name, name, attempt, now);
     }
     g_array_append_val(m->tasks, task);
 }
@@ -146,7 +146,7 @@
 typedef void visit_mate(struct machine *machine, struct task *task, void *arg);
 
 /* Each task of the same attempt that is on a machine which works. */
-static void each_mate(struct fleet *f, const struct task *of, visit_mate *visit, void *arg)
+static void each_mate(struct fake_provider *f, const struct task *of, visit_mate *visit, void *arg)
 {
     size_t id = strcspn(of->name, "/") + 1;
 
@@ -185,9 +185,9 @@
 /* A gang's tasks begin together, complete together, and end when one of them is missed. */
 static void live_in_gang(struct machine *m, struct task *task, unsigned tasks, double now)
 {
-    const struct fleet_settings *settings = &m->fleet->settings;
+    const struct fake_provider_settings *settings = &m->fleet->settings;
     unsigned there = 0;
-    double ends_at = now + fleet_run_s(task->name);
+    double ends_at = now + fake_provider_task_run_s(task->name);
 
     each_mate(m->fleet, task, count_mate, &there);
     if (task->waiting && there == tasks)
@@ -307,8 +307,8 @@
 
 static void send_report(struct machine *m, double now)
 {
-    struct fleet *f = m->fleet;
-    struct cut cut = f->zone_cut[m->reports_to][m->zone];
+    struct fake_provider *f = m->fleet;
+    struct relay_fault cut = f->zone_cut[m->reports_to][m->zone];
     struct report *report;
     struct pm_buf body = {0};
 
@@ -316,7 +316,7 @@
     m->changed = false;
     m->sent = now;
     if (m->cut)
-        cut = (struct cut){true, true, false};
+        cut = (struct relay_fault){true, true, false};
     if (cut.reset) {
         report_next(m, (m->reports_to + 1) % f->settings.controllers, NEXT_S);
         return;
@@ -355,7 +355,7 @@
  * later. */
 static bool is_held_up(struct machine *m, int controller, const struct pm_http_request *req)
 {
-    struct fleet *f = m->fleet;
+    struct fake_provider *f = m->fleet;
     struct pm_buf body = {0};
     bool late = f->settings.random && g_rand_double(f->settings.random) < f->late_command_share;
 
@@ -418,7 +418,7 @@
     pm_cbor_free(body);
 }
 
-static void deliver_report(struct fleet *f, const struct late_message *message)
+static void deliver_report(struct fake_provider *f, const struct late_message *message)
 {
     int to = g_rand_int_range(f->settings.random, 0, f->settings.controllers);
 
@@ -426,7 +426,7 @@
                  message->body.size, ANSWER_S, FLEET_ANSWER_MAX, on_copy_answer, NULL);
 }
 
-void worker_deliver_late(struct fleet *f, double now)
+void worker_deliver_late(struct fake_provider *f, double now)
 {
     for (guint i = 0; i < f->late_reports->len;) {
         struct late_message *message = g_ptr_array_index(f->late_reports, i);
@@ -456,7 +456,7 @@
 {
     for (guint i = 0; i < m->tasks->len; i++) {
         struct task *task = &g_array_index(m->tasks, struct task, i);
-        const struct fleet_job *job = job_of(m->fleet, task->name);
+        const struct fake_provider_job *job = job_of(m->fleet, task->name);
         if (task->ended)
             continue;
         if (job && job->gang)
--- a/src/testing/relay.c
+++ b/src/testing/relay.c
@@ -19,9 +19,9 @@
     ev_io accept_io;
     char addr[64];
     struct sockaddr_in own;
-    char target[RELAY_ORIGINS_MAX][64];
-    const struct relay_origins *origins;
-    struct cut cut[RELAY_ORIGINS_MAX];
+    char target[RELAY_CONTROLLERS_MAX][64];
+    const struct relay_controllers *origins;
+    struct relay_fault cut[RELAY_CONTROLLERS_MAX];
     GPtrArray *connections;
 };
 
@@ -58,14 +58,14 @@
     g_free(c);
 }
 
-static struct cut cut_of(const struct connection *c)
+static struct relay_fault cut_of(const struct connection *c)
 {
-    return c->origin < 0 ? (struct cut){0} : c->relay->cut[c->origin];
+    return c->origin < 0 ? (struct relay_fault){0} : c->relay->cut[c->origin];
 }
 
 static bool is_held(const struct flow *flow)
 {
-    struct cut cut = cut_of(flow->connection);
+    struct relay_fault cut = cut_of(flow->connection);
 
     return flow == &flow->connection->out ? cut.from_controller : cut.to_controller;
 }
@@ -144,7 +144,7 @@
     socklen_t size = sizeof peer;
     int fd = accept4(w->fd, (struct sockaddr *)&peer, &size, SOCK_NONBLOCK | SOCK_CLOEXEC);
     struct connection *c;
-    struct cut cut;
+    struct relay_fault cut;
 
     (void)loop;
     (void)events;
@@ -158,7 +158,7 @@
     g_ptr_array_add(relay->connections, c);
     flow_init(&c->out, c, fd, c->doomed ? -1 : pm_http_new_socket());
     flow_init(&c->back, c, c->out.to, fd);
-    if (cut.reset || c->origin == SOCKET_OWNER_GONE) {
+    if (cut.reset || c->origin == SOCKET_OWNER_CLOSED) {
         connection_close(c, true);
         return;
     }
@@ -171,7 +171,7 @@
         apply_cut(c);
 }
 
-void relay_cut(struct relay *relay, int origin, struct cut cut)
+void relay_set_fault(struct relay *relay, int origin, struct relay_fault cut)
 {
     relay->cut[origin] = cut;
     for (guint i = relay->connections->len; i > 0; i--) {
@@ -197,7 +197,7 @@
 }
 
 struct relay *relay_new(struct ev_loop *loop, const char *const *target,
-                        const struct relay_origins *origins)
+                        const struct relay_controllers *origins)
 {
     struct relay *relay = g_new0(struct relay, 1);
     struct sockaddr_in sa = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
--- a/src/testing/socket_owner.c
+++ b/src/testing/socket_owner.c
@@ -120,15 +120,15 @@
 /* A process's list of files may change while it is read: it is looked at several times before the
  * connection counts as a stranger's. One that its process has closed by now is nobody's. */
 int socket_owner_find(const struct sockaddr_in *client, const struct sockaddr_in *server,
-                      const struct relay_origins *origins)
+                      const struct relay_controllers *origins)
 {
     unsigned long inode = find_inode(client, server);
 
     if (!inode)
-        return SOCKET_OWNER_GONE;
+        return SOCKET_OWNER_CLOSED;
     for (int look = 0; look < LOOKS; look++)
         for (int i = 0; i < origins->count; i++)
             if (origins->pid[i] && has_socket(origins->pid[i], inode))
                 return i;
-    return find_inode(client, server) == inode ? SOCKET_OWNER_OTHER : SOCKET_OWNER_GONE;
+    return find_inode(client, server) == inode ? SOCKET_OWNER_OTHER : SOCKET_OWNER_CLOSED;
 }
--- a/src/testing/socket_owner.h
+++ b/src/testing/socket_owner.h
@@ -6,11 +6,11 @@
 
 #include <netinet/in.h>
 
-enum { SOCKET_OWNER_OTHER = -1, SOCKET_OWNER_GONE = -2 };
+enum { SOCKET_OWNER_OTHER = -1, SOCKET_OWNER_CLOSED = -2 };
 
 /* The controller's index; a stranger's; or its process has closed it by now. `server` is the
  * address that was connected to. */
 int socket_owner_find(const struct sockaddr_in *client, const struct sockaddr_in *server,
-                      const struct relay_origins *origins);
+                      const struct relay_controllers *origins);
 
 #endif
