--- a/src/cmd/measure-cuts/main.c
+++ b/src/cmd/measure-cuts/main.c
@@ -112,9 +112,9 @@
 
     if (options->operator_file)
         g_file_get_contents(options->operator_file, &operators, NULL, NULL);
-    c = cluster_new(&(struct cluster_settings){.controllers = options->controllers,
+    c = cluster_new(&(struct cluster_settings){.controller_count = options->controllers,
                                                .daemon = options->daemon,
-                                               .operator= operators,
+                                               .operator_yaml = operators,
                                                .quiet = true});
     cluster_set_load(c, 0.4);
     begun = cluster_run_until(c, has_begun, BEGIN_S);
--- a/src/soak/soak.c
+++ b/src/soak/soak.c
@@ -293,7 +293,7 @@
     struct fake_provider_call seen = *call;
 
     if (elapsed(s) < s->delayed_until + DEAF_FOR_S)
-        seen.heard_ago_s = INFINITY;
+        seen.unanswered_s = INFINITY;
     call_checker_on_call(s->calls, &seen);
 }
 
@@ -444,12 +444,12 @@
     if (!prepare(&s))
         return false;
     s.cluster = cluster_new(
-        &(struct cluster_settings){.controllers = settings->controllers,
+        &(struct cluster_settings){.controller_count = settings->controllers,
                                    .daemon = settings->daemon,
                                    .old_daemon = settings->old_daemon,
-                                   .operator= operators_of(settings),
+                                   .operator_yaml = operators_of(settings),
                                    .log_file = s.log_file,
-                                   .machines_most = settings->machines,
+                                   .max_machines = settings->machines,
                                    .lease_s = s.lease_s,
                                    .teams = workload_teams(settings->machines * MACHINE_CPUS),
                                    .team_count = WORKLOAD_TEAMS,
--- a/src/soak/workload.c
+++ b/src/soak/workload.c
@@ -29,23 +29,23 @@
     double form = g_rand_double(random);
 
     if (form < 0.75) {
-        job->form = "array";
-        job->tasks = scale * (unsigned)g_rand_int_range(random, 1, 12);
+        job->kind = "array";
+        job->task_count = scale * (unsigned)g_rand_int_range(random, 1, 12);
         job->run_s = g_rand_int_range(random, 5, 60) / 10.0;
     } else if (form < 0.9) {
-        job->form = "group";
-        job->tasks = (unsigned)g_rand_int_range(random, 2, 4);
+        job->kind = "group";
+        job->task_count = (unsigned)g_rand_int_range(random, 2, 4);
         job->run_s = g_rand_int_range(random, 5, 40) / 10.0;
     } else {
-        job->form = "standing";
-        job->tasks = (unsigned)g_rand_int_range(random, 1, 3);
+        job->kind = "standing";
+        job->task_count = (unsigned)g_rand_int_range(random, 1, 3);
     }
 }
 
 void workload_submit(struct cluster *cluster, GRand *random, unsigned scale)
 {
     static char before[32]; /* the job that the next one may need */
-    struct cluster_job job = {.urgency = "normal", .zone = -1, .cpus = 2};
+    struct cluster_job job = {.priority = "normal", .zone = -1, .cpus = 2};
 
     if (!cluster_job_count(cluster)) /* another run's */
         before[0] = 0;
@@ -54,14 +54,14 @@
     if (g_rand_double(random) < ACCELERATED)
         job.accelerators = 1;
     if (g_rand_double(random) < URGENT)
-        job.urgency = "urgent";
-    if (!strcmp(job.form, "standing"))
-        job.urgency = "production";
+        job.priority = "urgent";
+    if (!strcmp(job.kind, "standing"))
+        job.priority = "production";
     if (g_rand_double(random) < BOUND)
         job.zone = g_rand_int_range(random, 0, CLUSTER_ZONES);
-    if (before[0] && strcmp(job.form, "standing") != 0 && g_rand_double(random) < CHAINED)
-        job.awaits = before;
+    if (before[0] && strcmp(job.kind, "standing") != 0 && g_rand_double(random) < CHAINED)
+        job.dependency = before;
     g_strlcpy(before, cluster_submit_job(cluster, &job), sizeof before);
-    if (!strcmp(job.form, "standing"))
+    if (!strcmp(job.kind, "standing"))
         before[0] = 0; /* nothing can wait for a service */
 }
--- /dev/null
+++ b/src/testing/cluster_processes.c
@@ -0,0 +1,123 @@
+/* The controllers' processes, and programs that are run beside them. */
+#include "testing/cluster_internal.h"
+
+#include <fcntl.h>
+#include <signal.h>
+#include <sys/prctl.h>
+#include <sys/wait.h>
+#include <unistd.h>
+
+#define TOOL_POLL_S 0.05
+
+enum { OUTPUT_MAX = 256 * 1024, EXIT_NOT_STARTED = 127, LOG_MODE = 0644 };
+
+static const char *program_of(const struct cluster *cluster, int controller)
+{
+    const struct cluster_settings *settings = &cluster->settings;
+
+    return controller == 0 && settings->old_daemon ? settings->old_daemon : settings->daemon;
+}
+
+static void redirect_log(const struct cluster_settings *settings)
+{
+    const char *path = settings->log_file ? settings->log_file : "/dev/null";
+
+    if (settings->quiet || settings->log_file)
+        dup2(open(path, O_WRONLY | O_CREAT | O_APPEND, LOG_MODE), STDERR_FILENO);
+}
+
+void cluster_start(struct cluster *cluster, int controller)
+{
+    const struct cluster_settings *settings = &cluster->settings;
+    const char *program = program_of(cluster, controller);
+    char *argv[] = {
+        (char *)program, "--config", cluster->nodes[controller].settings_path, NULL, NULL, NULL};
+    pid_t pid;
+
+    /* An old program may not know the operators' settings. */
+    if (settings->operator_yaml && program == settings->daemon) {
+        argv[3] = "--operator";
+        argv[4] = cluster->operator_path;
+    }
+    pid = fork();
+    if (pid == 0) {
+        prctl(PR_SET_PDEATHSIG, SIGKILL); /* none outlives a test that fails */
+        redirect_log(settings);
+        execv(program, argv);
+        _exit(EXIT_NOT_STARTED);
+    }
+    cluster->controllers.pid[controller] = pid;
+}
+
+void cluster_kill(struct cluster *cluster, int controller)
+{
+    pid_t pid = cluster->controllers.pid[controller];
+
+    if (!pid)
+        return;
+    kill(pid, SIGKILL);
+    waitpid(pid, NULL, 0);
+    cluster->controllers.pid[controller] = 0;
+}
+
+void cluster_upgrade(struct cluster *cluster)
+{
+    cluster->settings.old_daemon = NULL;
+    cluster_kill(cluster, 0);
+    cluster_start(cluster, 0);
+}
+
+void cluster_pause(struct cluster *cluster, int controller, bool paused)
+{
+    pid_t pid = cluster->controllers.pid[controller];
+
+    if (pid) /* 0 would mean this process's own group */
+        kill(pid, paused ? SIGSTOP : SIGCONT);
+}
+
+/* ---- programs beside the controllers ---- */
+
+static pid_t start_tool(const char *const *argv, int output)
+{
+    pid_t pid = fork();
+
+    if (pid == 0) {
+        dup2(output, STDOUT_FILENO);
+        dup2(output, STDERR_FILENO);
+        execv(argv[0], (char *const *)argv);
+        _exit(EXIT_NOT_STARTED);
+    }
+    return pid;
+}
+
+static void read_output(int fd, GString *output)
+{
+    char data[4096];
+    ssize_t size;
+
+    while ((size = read(fd, data, sizeof data)) > 0 && output->len < OUTPUT_MAX)
+        g_string_append_len(output, data, size);
+}
+
+char *cluster_run_tool(struct cluster *cluster, const char *const *argv, int *exit_status)
+{
+    GString *output = g_string_new(NULL);
+    bool is_running = true;
+    int status = 0;
+    int ends[2];
+    pid_t pid;
+
+    if (pipe2(ends, O_CLOEXEC))
+        g_error("no pipe");
+    fcntl(ends[0], F_SETFL, O_NONBLOCK);
+    pid = start_tool(argv, ends[1]);
+    close(ends[1]);
+    while (is_running) {
+        cluster_run(cluster, TOOL_POLL_S);
+        is_running = waitpid(pid, &status, WNOHANG) == 0;
+        read_output(ends[0], output);
+    }
+    close(ends[0]);
+    *exit_status = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+    return g_string_free(output, FALSE);
+}
--- /dev/null
+++ b/src/testing/cluster_users.c
@@ -0,0 +1,309 @@
+/* The users: they submit and cancel jobs, ask for their status until they are over, and record each
+ * answer in the history. */
+#include "testing/cluster_internal.h"
+#include "base/clock.h"
+#include "testing/http_status.h"
+
+#include <stdio.h>
+#include <string.h>
+
+#define TICK_S 0.1
+#define POLL_S 0.5
+#define RETRY_S 0.5
+#define REQUEST_TIMEOUT_S 2.0
+#define RESUBMIT_SHARE 0.1 /* of a randomized user's requests that repeat the submission */
+#define UNKNOWN_JOB "job-999999"
+#define UNKNOWN_JOB_EVERY_S 1.0
+#define LOAD_RUN_S 1
+
+enum { LOAD_TASKS = 2, ANSWER_MAX = 64 * 1024, CLIENT_CONNECTIONS_MAX = 64 };
+
+/* Submitted values that no test varies. */
+#define TASK_RAM_GB 4
+#define TASK_IMAGE_GB 0.1
+#define ARRAY_TASK_CPUS 2
+
+/* A job that users wait for. */
+struct user_job {
+    struct cluster *cluster;
+    char id[32];
+    struct cluster_job wanted; /* team and dependency are in the copies below */
+    char team[32], dependency[32];
+    bool is_accepted, has_ended;
+    bool is_cancelled; /* the users want it to be */
+    bool in_flight;    /* a request */
+    bool resubmit;     /* the next request repeats the submission, though it was accepted */
+    int controller;    /* the next request goes to this one */
+    double next_at;
+};
+
+static const struct cluster_team default_team = {"team", 64, 64, 0}; /* all of the machines' cpus */
+
+const struct cluster_team *cluster_default_team(void)
+{
+    return &default_team;
+}
+
+/* ---- requests ---- */
+
+static void put_submission(const struct user_job *job, struct pm_buf *out)
+{
+    const struct cluster_job *wanted = &job->wanted;
+    char zone[16];
+
+    snprintf(zone, sizeof zone, "zone-%d", wanted->zone);
+    pm_put_map(out);
+    pm_put_pair_text(out, "name_id", job->id);
+    pm_put_pair_text(out, "ledger", "batch");
+    pm_put_pair_text(out, "desk", job->team);
+    pm_put_pair_text(out, "form", wanted->kind);
+    pm_put_pair_text(out, "urgency", wanted->priority);
+    pm_put_pair_count(out, "entries", wanted->task_count);
+    pm_put_pair_number(out, "cpus", wanted->cpus);
+    pm_put_pair_number(out, "accelerators", wanted->accelerators);
+    pm_put_pair_number(out, "ram_gb", TASK_RAM_GB);
+    pm_put_pair_text(out, "bundle", "image");
+    pm_put_pair_number(out, "size_gb", TASK_IMAGE_GB);
+    pm_put_pair_flag(out, "same_place", false);
+    pm_put_pair_flag(out, "spread", false);
+    pm_put_pair_flag(out, "borrowed", true);
+    if (wanted->zone >= 0)
+        pm_put_pair_text(out, "room", zone);
+    pm_put_pair_number(out, "expected_s", wanted->run_s);
+    pm_put_pair_number(out, "bookmark_s", 0);
+    pm_put_pair_number(out, "filing_s", 0);
+    if (job->dependency[0]) {
+        pm_put_text(out, "awaits");
+        pm_put_list(out);
+        pm_put_text(out, job->dependency);
+        pm_put_end(out);
+    }
+    pm_put_end(out);
+}
+
+/* A randomized user asks another controller each time, and now and then repeats the submission. */
+static void randomize_next_request(struct user_job *job)
+{
+    const struct cluster_settings *settings = &job->cluster->settings;
+
+    if (!settings->random)
+        return;
+    job->controller = g_rand_int_range(settings->random, 0, settings->controller_count);
+    job->resubmit = job->is_accepted && g_rand_double(settings->random) < RESUBMIT_SHARE;
+    job->next_at -= g_rand_double(settings->random) * POLL_S;
+}
+
+static void record_status(struct user_job *job, const char *status, double now)
+{
+    history_status_reported(job->cluster->history, job->id, job->wanted.task_count, status, now);
+}
+
+static void handle_answer(struct user_job *job, int http_status, const cbor_item_t *answer)
+{
+    double now = pm_clock_monotonic();
+    bool is_success = http_status == HTTP_OK || http_status == HTTP_CREATED;
+    char status[16] = "";
+
+    job->in_flight = false;
+    job->next_at = now + POLL_S;
+    if (is_success && pm_cbor_read_text(pm_cbor_get(answer, "status"), status, sizeof status)) {
+        record_status(job, status, now);
+        job->is_accepted = true;
+        job->has_ended |= !strcmp(status, "done") || !strcmp(status, "cancelled");
+        return;
+    }
+    if (http_status == HTTP_NOT_FOUND && job->is_accepted)
+        record_status(job, "unknown", now);
+    job->controller = (job->controller + 1) % job->cluster->settings.controller_count;
+    job->next_at = now + RETRY_S;
+}
+
+static void on_answer(void *arg, int http_status, const unsigned char *body, size_t size)
+{
+    struct user_job *job = arg;
+    cbor_item_t *answer = size ? pm_cbor_parse(body, size) : NULL;
+
+    handle_answer(job, http_status, answer);
+    randomize_next_request(job);
+    pm_cbor_free(answer);
+}
+
+/* Submits the job, cancels it, or asks for its status. */
+static void send_request(struct user_job *job)
+{
+    const struct cluster *cluster = job->cluster;
+    bool is_submission = !job->is_accepted || job->resubmit;
+    struct pm_buf body = {0};
+    char target[64] = "/work";
+
+    if (is_submission)
+        put_submission(job, &body);
+    else
+        snprintf(target, sizeof target, "/work/%s%s", job->id, job->is_cancelled ? "/abort" : "");
+    job->in_flight = true;
+    pm_http_call(cluster->users.client, cluster->nodes[job->controller].worker_addr,
+                 is_submission || job->is_cancelled ? "POST" : "GET", target, body.data, body.size,
+                 REQUEST_TIMEOUT_S, ANSWER_MAX, on_answer, job);
+    pm_buf_free(&body);
+}
+
+static void on_unknown_job_answer(void *arg, int http_status, const unsigned char *body,
+                                  size_t size)
+{
+    struct cluster *cluster = arg;
+
+    (void)body;
+    (void)size;
+    if (http_status == HTTP_OK)
+        history_unknown_job_reported(cluster->history, UNKNOWN_JOB);
+}
+
+static void request_unknown_job(struct cluster *cluster, double now)
+{
+    const struct cluster_settings *settings = &cluster->settings;
+    int controller = g_rand_int_range(settings->random, 0, settings->controller_count);
+
+    cluster->users.unknown_job_requested_at = now;
+    pm_http_call(cluster->users.client, cluster->nodes[controller].worker_addr, "GET",
+                 "/work/" UNKNOWN_JOB, NULL, 0, REQUEST_TIMEOUT_S, ANSWER_MAX,
+                 on_unknown_job_answer, cluster);
+}
+
+/* ---- time ---- */
+
+static void on_tick(struct ev_loop *loop, ev_timer *timer, int events)
+{
+    struct cluster *cluster = timer->data;
+    struct cluster_users *users = &cluster->users;
+    double now = pm_clock_monotonic();
+
+    (void)loop;
+    (void)events;
+    if (users->submit_every_s > 0 && now >= users->next_submission_at) {
+        cluster_submit_array(cluster, LOAD_TASKS, LOAD_RUN_S);
+        users->next_submission_at = now + users->submit_every_s;
+    }
+    if (cluster->settings.random && now - users->unknown_job_requested_at > UNKNOWN_JOB_EVERY_S)
+        request_unknown_job(cluster, now);
+    for (guint i = 0; i < users->jobs->len; i++) {
+        struct user_job *job = g_ptr_array_index(users->jobs, i);
+        if (!job->has_ended && !job->in_flight && now >= job->next_at)
+            send_request(job);
+    }
+}
+
+void cluster_users_start(struct cluster *cluster)
+{
+    struct cluster_users *users = &cluster->users;
+
+    users->jobs = g_ptr_array_new();
+    users->client = pm_http_client_new(cluster->loop, CLIENT_CONNECTIONS_MAX);
+    ev_timer_init(&users->tick, on_tick, TICK_S, TICK_S);
+    users->tick.data = cluster;
+    ev_timer_start(cluster->loop, &users->tick);
+}
+
+void cluster_users_stop(struct cluster *cluster)
+{
+    ev_timer_stop(cluster->loop, &cluster->users.tick);
+}
+
+void cluster_set_load(struct cluster *cluster, double every_s)
+{
+    cluster->users.submit_every_s = every_s;
+    cluster->users.next_submission_at = 0;
+}
+
+/* ---- jobs ---- */
+
+static void describe_to_checkers(const struct cluster *cluster, const struct user_job *job)
+{
+    const struct cluster_job *wanted = &job->wanted;
+
+    history_job_submitted(cluster->history, job->id,
+                          (struct history_job){.team = job->team,
+                                               .cpus = wanted->cpus,
+                                               .accelerators = wanted->accelerators,
+                                               .zone = wanted->zone});
+    fake_provider_describe_job(cluster->provider, job->id,
+                               (struct fake_provider_job){.tasks = wanted->task_count,
+                                                          .cpus = wanted->cpus,
+                                                          .gang = !strcmp(wanted->kind, "group")});
+}
+
+const char *cluster_submit_job(struct cluster *cluster, const struct cluster_job *wanted)
+{
+    GPtrArray *jobs = cluster->users.jobs;
+    struct user_job *job = g_new0(struct user_job, 1);
+
+    job->cluster = cluster;
+    job->wanted = *wanted;
+    g_strlcpy(job->team, wanted->team, sizeof job->team);
+    if (wanted->dependency)
+        g_strlcpy(job->dependency, wanted->dependency, sizeof job->dependency);
+    job->controller = (int)jobs->len % cluster->settings.controller_count;
+    /* The workers read the run time from the id: fake_provider_task_run_s. */
+    snprintf(job->id, sizeof job->id, "job-%04u%02d", jobs->len + 1, (int)(wanted->run_s * 10));
+    describe_to_checkers(cluster, job);
+    g_ptr_array_add(jobs, job);
+    return job->id;
+}
+
+const char *cluster_submit_array(struct cluster *cluster, unsigned tasks, double run_s)
+{
+    int zone = (int)(cluster->users.jobs->len + 1) % CLUSTER_ZONES;
+
+    return cluster_submit_job(cluster, &(struct cluster_job){.team = default_team.name,
+                                                             .kind = "array",
+                                                             .priority = "normal",
+                                                             .task_count = tasks,
+                                                             .cpus = ARRAY_TASK_CPUS,
+                                                             .run_s = run_s,
+                                                             .zone = zone});
+}
+
+void cluster_cancel(struct cluster *cluster, const char *id)
+{
+    for (guint i = 0; i < cluster->users.jobs->len; i++) {
+        struct user_job *job = g_ptr_array_index(cluster->users.jobs, i);
+        job->is_cancelled |= !strcmp(job->id, id);
+    }
+}
+
+void cluster_cancel_any(struct cluster *cluster, unsigned choice)
+{
+    unsigned open = cluster_open_job_count(cluster);
+    unsigned skip = open ? choice % open : 0;
+
+    for (guint i = 0; open && i < cluster->users.jobs->len; i++) {
+        struct user_job *job = g_ptr_array_index(cluster->users.jobs, i);
+        if (job->has_ended || skip--)
+            continue;
+        job->is_cancelled = true;
+        return;
+    }
+}
+
+void cluster_cancel_services(struct cluster *cluster)
+{
+    for (guint i = 0; i < cluster->users.jobs->len; i++) {
+        struct user_job *job = g_ptr_array_index(cluster->users.jobs, i);
+        job->is_cancelled |= job->wanted.run_s <= 0;
+    }
+}
+
+unsigned cluster_job_count(const struct cluster *cluster)
+{
+    return cluster->users.jobs->len;
+}
+
+unsigned cluster_open_job_count(const struct cluster *cluster)
+{
+    unsigned open = 0;
+
+    for (guint i = 0; i < cluster->users.jobs->len; i++) {
+        const struct user_job *job = g_ptr_array_index(cluster->users.jobs, i);
+        open += !job->has_ended;
+    }
+    return open;
+}
--- /dev/null
+++ b/src/testing/fake_provider_api.c
@@ -0,0 +1,285 @@
+/* The provider's API: machine types, renting, terminating, listing. */
+#include "testing/fake_provider_internal.h"
+#include "base/clock.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#define TYPE_RAM_GB 64
+#define TYPE_LOCAL_GB 200
+#define TYPE_PULL_GB_PER_S 1
+#define TYPE_PRICE 1
+#define TYPE_SPOT_PRICE 0.4
+#define TYPE_BOOT_S 1
+
+enum { BOOKING_SIZE = 256, ZONE_NAME_SIZE = 32, MACHINE_NAME_SIZE = 32 };
+
+static void reply(struct pm_http_request *request, struct pm_buf *body)
+{
+    pm_http_reply(request, HTTP_OK, body->data, body->size, 0);
+    pm_buf_free(body);
+}
+
+/* ---- renting ---- */
+
+static void observe_rental(const struct fake_provider *provider, const char *booking, guint first)
+{
+    for (guint i = first; provider->api.observer && i < provider->machines->len; i++) {
+        const struct fake_machine *machine = g_ptr_array_index(provider->machines, i);
+        struct fake_provider_call call = {.booking = booking, .machine = machine->name};
+        provider->api.observer(provider->api.observer_arg, &call);
+    }
+}
+
+/* The machines from `first` on, as the answer to their rental; owned by the caller. */
+static struct pm_buf *encode_rental(const struct fake_provider *provider, guint first)
+{
+    struct pm_buf *out = g_new0(struct pm_buf, 1);
+
+    pm_put_map(out);
+    pm_put_text(out, "hosts");
+    pm_put_list(out);
+    for (guint i = first; i < provider->machines->len; i++) {
+        const struct fake_machine *machine = g_ptr_array_index(provider->machines, i);
+        pm_put_text(out, machine->name);
+    }
+    pm_put_end(out);
+    pm_put_end(out);
+    return out;
+}
+
+/* Adds machines while there are less than the most. */
+static void add_machines(struct fake_provider *provider, const char *zone, uint64_t count)
+{
+    int zone_index = (int)strtol(zone + strlen("zone-"), NULL, 10);
+
+    for (; count && fake_provider_machine_count(provider) < provider->settings.max_machines;
+         count--)
+        fake_machine_new(provider, zone_index);
+}
+
+/* A booking that was served before gets the same answer again. */
+static void serve_rental(struct fake_provider *provider, const cbor_item_t *body,
+                         struct pm_http_request *request)
+{
+    struct pm_buf *answer;
+    char booking[BOOKING_SIZE];
+    char zone[ZONE_NAME_SIZE] = "";
+    uint64_t count = 0;
+    guint first = provider->machines->len;
+
+    pm_cbor_read_text(pm_cbor_get(body, "booking"), booking, sizeof booking);
+    pm_cbor_read_text(pm_cbor_get(body, "room"), zone, sizeof zone);
+    pm_cbor_read_count(pm_cbor_get(body, "how_many"), &count);
+    answer = g_hash_table_lookup(provider->api.bookings, booking);
+    if (answer) {
+        pm_http_reply(request, HTTP_OK, answer->data, answer->size, 0);
+        return;
+    }
+    add_machines(provider, zone, count);
+    if (first == provider->machines->len) {
+        pm_http_reply(request, HTTP_UNAVAILABLE, NULL, 0, 0);
+        return;
+    }
+    observe_rental(provider, booking, first);
+    answer = encode_rental(provider, first);
+    if (provider->faults.lose_next_rental)
+        g_ptr_array_add(provider->unanswered, request);
+    else
+        pm_http_reply(request, HTTP_OK, answer->data, answer->size, 0);
+    provider->faults.lose_next_rental = false;
+    g_hash_table_insert(provider->api.bookings, g_strdup(booking), answer);
+}
+
+/* ---- terminating ---- */
+
+static void observe_termination(const struct fake_provider *provider,
+                                const struct fake_machine *machine)
+{
+    const struct fake_worker *worker = &machine->worker;
+    struct fake_provider_call call = {
+        .machine = machine->name, .unanswered_s = pm_clock_monotonic() - worker->lease_renewed_at};
+
+    for (guint i = 0; i < worker->tasks->len; i++) {
+        const struct fake_task *task = &g_array_index(worker->tasks, struct fake_task, i);
+        if (task->has_ended || (call.task && task->started_at < call.task_started_at))
+            continue;
+        call.task = task->name;
+        call.task_started_at = task->started_at;
+    }
+    if (provider->api.observer)
+        provider->api.observer(provider->api.observer_arg, &call);
+}
+
+static void terminate_machine(struct fake_provider *provider, const char *name)
+{
+    for (guint i = 0; i < provider->machines->len; i++) {
+        struct fake_machine *machine = g_ptr_array_index(provider->machines, i);
+        if (machine->is_terminated || strcmp(machine->name, name) != 0)
+            continue;
+        observe_termination(provider, machine);
+        fake_worker_stop_all(machine);
+        fake_machine_terminate(machine);
+    }
+}
+
+static void terminate_machines(struct fake_provider *provider, const cbor_item_t *body)
+{
+    const cbor_item_t *names = pm_cbor_get(body, "hosts");
+
+    for (size_t i = 0; i < pm_cbor_length(names); i++) {
+        char name[MACHINE_NAME_SIZE] = "";
+        pm_cbor_read_text(pm_cbor_at(names, i), name, sizeof name);
+        terminate_machine(provider, name);
+    }
+}
+
+static void delay_termination(struct fake_provider *provider, cbor_item_t *body)
+{
+    provider->api.delayed_termination = cbor_incref(body);
+    provider->api.delayed_termination_at =
+        pm_clock_monotonic() + provider->faults.termination_delay_s;
+    provider->faults.termination_delay_s = 0;
+}
+
+static void serve_termination(struct fake_provider *provider, cbor_item_t *body,
+                              struct pm_http_request *request)
+{
+    if (provider->faults.termination_delay_s > 0) {
+        g_ptr_array_add(provider->unanswered, request);
+        delay_termination(provider, body);
+        return;
+    }
+    terminate_machines(provider, body);
+    if (provider->faults.lose_next_termination)
+        g_ptr_array_add(provider->unanswered, request);
+    else
+        pm_http_reply(request, HTTP_OK, NULL, 0, 0);
+    provider->faults.lose_next_termination = false;
+}
+
+void fake_provider_api_tick(struct fake_provider *provider, double now)
+{
+    cbor_item_t *delayed = provider->api.delayed_termination;
+
+    if (!delayed || now < provider->api.delayed_termination_at)
+        return;
+    terminate_machines(provider, delayed);
+    pm_cbor_free(delayed);
+    provider->api.delayed_termination = NULL;
+}
+
+/* ---- lists ---- */
+
+static void put_machine(const struct fake_machine *machine, struct pm_buf *out)
+{
+    pm_put_map(out);
+    pm_put_pair_text(out, "name_id", machine->name);
+    fake_machine_put_description(machine, out);
+    pm_put_pair_text(out, "status", machine->faults.has_failed ? "failed" : "running");
+    pm_put_pair_number(out, "age_s", pm_clock_monotonic() - machine->rented_at);
+    pm_put_end(out);
+}
+
+static void serve_inventory(const struct fake_provider *provider, struct pm_http_request *request)
+{
+    const char *since = strstr(request->query, "since=");
+    struct pm_buf out = {0};
+    char after[MACHINE_NAME_SIZE] = "";
+
+    if (since) {
+        since += strlen("since=");
+        g_strlcpy(after, since, MIN(sizeof after, strcspn(since, "&") + 1));
+    }
+    pm_put_map(&out);
+    pm_put_text(&out, "hosts");
+    pm_put_list(&out);
+    for (guint i = 0; i < provider->machines->len; i++) {
+        const struct fake_machine *machine = g_ptr_array_index(provider->machines, i);
+        if (!machine->is_terminated && strcmp(machine->name, after) > 0)
+            put_machine(machine, &out);
+    }
+    pm_put_end(&out);
+    pm_put_pair_flag(&out, "has_next", false);
+    pm_put_end(&out);
+    reply(request, &out);
+}
+
+static void put_machine_type(const struct fake_provider *provider, struct pm_buf *out)
+{
+    char zone[ZONE_NAME_SIZE];
+
+    pm_put_map(out);
+    pm_put_pair_text(out, "sku", "m8");
+    pm_put_pair_number(out, "cpus", FAKE_MACHINE_CPUS);
+    pm_put_pair_number(out, "accelerators", FAKE_MACHINE_ACCELERATORS);
+    pm_put_pair_number(out, "ram_gb", TYPE_RAM_GB);
+    pm_put_pair_number(out, "local_gb", TYPE_LOCAL_GB);
+    pm_put_pair_number(out, "pull_gb_per_s", TYPE_PULL_GB_PER_S);
+    pm_put_pair_number(out, "price", TYPE_PRICE);
+    pm_put_pair_number(out, "market_price", TYPE_SPOT_PRICE);
+    pm_put_pair_number(out, "ready_s", TYPE_BOOT_S);
+    pm_put_text(out, "rooms");
+    pm_put_list(out);
+    for (int i = 0; i < provider->settings.zone_count; i++) {
+        snprintf(zone, sizeof zone, "zone-%d", i);
+        pm_put_text(out, zone);
+    }
+    pm_put_end(out);
+    pm_put_end(out);
+}
+
+static void serve_machine_types(const struct fake_provider *provider,
+                                struct pm_http_request *request)
+{
+    struct pm_buf out = {0};
+
+    pm_put_map(&out);
+    pm_put_text(&out, "models");
+    pm_put_list(&out);
+    put_machine_type(provider, &out);
+    pm_put_end(&out);
+    pm_put_end(&out);
+    reply(request, &out);
+}
+
+/* ---- requests ---- */
+
+static void on_request(void *arg, struct pm_http_request *request)
+{
+    struct fake_provider *provider = arg;
+    cbor_item_t *body = pm_cbor_parse(request->body, request->body_size);
+
+    if (request->method == PM_HTTP_POST && provider->faults.refusals > 0) {
+        provider->faults.refusals--;
+        pm_http_reply(request, provider->faults.refusal_status, NULL, 0, 0);
+    } else if (!strcmp(request->path, "/machine_types")) {
+        serve_machine_types(provider, request);
+    } else if (!strcmp(request->path, "/machines/release")) {
+        serve_termination(provider, body, request);
+    } else if (request->method == PM_HTTP_POST) {
+        serve_rental(provider, body, request);
+    } else {
+        serve_inventory(provider, request);
+    }
+    pm_cbor_free(body);
+}
+
+void fake_provider_api_start(struct fake_provider *provider)
+{
+    const char *targets[RELAY_CONTROLLERS_MAX];
+    char addr[FAKE_PROVIDER_ADDR_SIZE];
+
+    provider->api.bookings = g_hash_table_new(g_str_hash, g_str_equal);
+    provider->api.server = fake_provider_listen(provider, addr, on_request, provider);
+    for (int i = 0; i < RELAY_CONTROLLERS_MAX; i++)
+        targets[i] = addr;
+    provider->api.relay = relay_new(provider->loop, targets, provider->settings.controllers);
+}
+
+void fake_provider_api_stop(struct fake_provider *provider)
+{
+    relay_free(provider->api.relay);
+    pm_http_server_free(provider->api.server);
+}
--- /dev/null
+++ b/src/testing/fake_provider_faults.c
@@ -0,0 +1,101 @@
+/* Faults of machines, of the network and of the API that a test asks for. */
+#include "testing/fake_provider_internal.h"
+
+static const struct relay_fault partition = {.from_controller = true, .to_controller = true};
+
+/* NULL: that machine is not up. */
+static struct fake_machine *choose_machine(const struct fake_provider *provider, unsigned choice)
+{
+    struct fake_machine *machine;
+
+    if (!provider->machines->len)
+        return NULL;
+    machine = g_ptr_array_index(provider->machines, choice % provider->machines->len);
+    return fake_machine_is_up(machine) ? machine : NULL;
+}
+
+bool fake_provider_cut_machine(struct fake_provider *provider, unsigned choice, bool cut)
+{
+    struct fake_machine *machine = choose_machine(provider, choice);
+
+    if (!machine)
+        return false;
+    machine->faults.is_partitioned = cut;
+    for (int i = 0; i < provider->settings.controller_count; i++)
+        relay_set_fault(machine->relay, i,
+                        cut ? partition : provider->faults.zones[i][machine->zone]);
+    return true;
+}
+
+bool fake_provider_hang_machine(struct fake_provider *provider, unsigned choice, bool hung)
+{
+    struct fake_machine *machine = choose_machine(provider, choice);
+
+    if (!machine)
+        return false;
+    machine->faults.is_hung = hung;
+    return true;
+}
+
+void fake_provider_restore_machines(struct fake_provider *provider)
+{
+    for (guint i = 0; i < provider->machines->len; i++) {
+        fake_provider_cut_machine(provider, i, false);
+        fake_provider_hang_machine(provider, i, false);
+    }
+    fake_provider_delay_messages(provider, 0, 0);
+}
+
+void fake_provider_delay_messages(struct fake_provider *provider, double heartbeat_share,
+                                  double command_share)
+{
+    provider->faults.delayed_heartbeat_share = heartbeat_share;
+    provider->faults.delayed_command_share = command_share;
+}
+
+bool fake_provider_fail_machine(struct fake_provider *provider)
+{
+    for (guint i = 0; i < provider->machines->len; i++) {
+        struct fake_machine *machine = g_ptr_array_index(provider->machines, i);
+        if (!fake_machine_is_up(machine))
+            continue;
+        fake_worker_stop_all(machine);
+        machine->faults.has_failed = true;
+        return true;
+    }
+    return false;
+}
+
+void fake_provider_set_zone_fault(struct fake_provider *provider, int controller, int zone,
+                                  struct relay_fault fault)
+{
+    provider->faults.zones[controller][zone] = fault;
+    for (guint i = 0; i < provider->machines->len; i++) {
+        struct fake_machine *machine = g_ptr_array_index(provider->machines, i);
+        if (machine->zone == zone && !machine->is_terminated)
+            relay_set_fault(machine->relay, controller, fault);
+    }
+}
+
+void fake_provider_set_api_fault(struct fake_provider *provider, int controller,
+                                 struct relay_fault fault)
+{
+    relay_set_fault(provider->api.relay, controller, fault);
+}
+
+void fake_provider_lose_next_answer(struct fake_provider *provider, bool rental)
+{
+    provider->faults.lose_next_rental = rental;
+    provider->faults.lose_next_termination = !rental;
+}
+
+void fake_provider_refuse_requests(struct fake_provider *provider, int status, int requests)
+{
+    provider->faults.refusal_status = status;
+    provider->faults.refusals = requests;
+}
+
+void fake_provider_delay_next_termination(struct fake_provider *provider, double seconds)
+{
+    provider->faults.termination_delay_s = seconds;
+}
--- a/src/testing/relay.c
+++ b/src/testing/relay.c
@@ -12,208 +12,230 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-enum { BUFFER = 64 * 1024 };
+enum { BUFFER_SIZE = 64 * 1024, LISTEN_BACKLOG = 64, ADDR_SIZE = 64 };
 
 struct relay {
     struct ev_loop *loop;
     ev_io accept_io;
-    char addr[64];
-    struct sockaddr_in own;
-    char target[RELAY_CONTROLLERS_MAX][64];
-    const struct relay_controllers *origins;
-    struct relay_fault cut[RELAY_CONTROLLERS_MAX];
+    char addr[ADDR_SIZE];
+    struct sockaddr_in listen_addr;
+    char targets[RELAY_CONTROLLERS_MAX][ADDR_SIZE];
+    const struct relay_controllers *controllers;
+    struct relay_fault faults[RELAY_CONTROLLERS_MAX];
     GPtrArray *connections;
 };
 
 /* One direction of a connection. */
 struct flow {
     struct connection *connection;
-    int from, to;
-    ev_io in, out;
-    size_t size, sent;
-    char data[BUFFER];
+    int from_fd, to_fd;
+    ev_io read_io, write_io;
+    size_t buffered, sent; /* bytes of data, and how many of them were sent */
+    char data[BUFFER_SIZE];
 };
 
 struct connection {
     struct relay *relay;
-    int origin;            /* -1: no controller */
-    bool doomed;           /* begun while the link was cut: it never completes */
-    struct flow out, back; /* from the controller, to it */
+    int controller;       /* or one of enum socket_owner */
+    bool never_completes; /* opened while its packets were lost */
+    struct flow upstream; /* from the controller */
+    struct flow downstream;
 };
 
-static void connection_close(struct connection *c, bool reset)
+static void connection_close(struct connection *connection, bool reset)
 {
     struct linger linger = {1, 0};
 
-    ev_io_stop(c->relay->loop, &c->out.in);
-    ev_io_stop(c->relay->loop, &c->out.out);
-    ev_io_stop(c->relay->loop, &c->back.in);
-    ev_io_stop(c->relay->loop, &c->back.out);
+    ev_io_stop(connection->relay->loop, &connection->upstream.read_io);
+    ev_io_stop(connection->relay->loop, &connection->upstream.write_io);
+    ev_io_stop(connection->relay->loop, &connection->downstream.read_io);
+    ev_io_stop(connection->relay->loop, &connection->downstream.write_io);
     if (reset)
-        setsockopt(c->out.from, SOL_SOCKET, SO_LINGER, &linger, sizeof linger);
-    close(c->out.from);
-    if (c->back.from >= 0)
-        close(c->back.from);
-    g_ptr_array_remove_fast(c->relay->connections, c);
-    g_free(c);
+        setsockopt(connection->upstream.from_fd, SOL_SOCKET, SO_LINGER, &linger, sizeof linger);
+    close(connection->upstream.from_fd);
+    if (connection->downstream.from_fd >= 0)
+        close(connection->downstream.from_fd);
+    g_ptr_array_remove_fast(connection->relay->connections, connection);
+    g_free(connection);
 }
 
-static struct relay_fault cut_of(const struct connection *c)
+static struct relay_fault fault_of(const struct connection *connection)
 {
-    return c->origin < 0 ? (struct relay_fault){0} : c->relay->cut[c->origin];
+    return connection->controller < 0 ? (struct relay_fault){0}
+                                      : connection->relay->faults[connection->controller];
 }
 
-static bool is_held(const struct flow *flow)
+static bool is_blocked(const struct flow *flow)
 {
-    struct relay_fault cut = cut_of(flow->connection);
+    struct relay_fault fault = fault_of(flow->connection);
 
-    return flow == &flow->connection->out ? cut.from_controller : cut.to_controller;
+    return flow == &flow->connection->upstream ? fault.from_controller : fault.to_controller;
 }
 
-static void on_readable(struct ev_loop *loop, ev_io *w, int events)
+static void on_readable(struct ev_loop *loop, ev_io *watcher, int events)
 {
-    struct flow *flow = w->data;
-    ssize_t n = recv(flow->from, flow->data, sizeof flow->data, 0);
+    struct flow *flow = watcher->data;
+    ssize_t size = recv(flow->from_fd, flow->data, sizeof flow->data, 0);
 
     (void)events;
-    if (n < 0 && (errno == EAGAIN || errno == EINTR))
+    if (size < 0 && (errno == EAGAIN || errno == EINTR))
         return;
-    if (n <= 0) {
+    if (size <= 0) {
         connection_close(flow->connection, false);
         return;
     }
-    flow->size = (size_t)n;
+    flow->buffered = (size_t)size;
     flow->sent = 0;
-    ev_io_stop(loop, &flow->in);
-    ev_io_start(loop, &flow->out);
+    ev_io_stop(loop, &flow->read_io);
+    ev_io_start(loop, &flow->write_io);
 }
 
-static void on_writable(struct ev_loop *loop, ev_io *w, int events)
+static void on_writable(struct ev_loop *loop, ev_io *watcher, int events)
 {
-    struct flow *flow = w->data;
-    ssize_t n = send(flow->to, flow->data + flow->sent, flow->size - flow->sent, MSG_NOSIGNAL);
+    struct flow *flow = watcher->data;
+    ssize_t size =
+        send(flow->to_fd, flow->data + flow->sent, flow->buffered - flow->sent, MSG_NOSIGNAL);
 
     (void)events;
-    if (n < 0 && (errno == EAGAIN || errno == EINTR || errno == ENOTCONN))
+    if (size < 0 && (errno == EAGAIN || errno == EINTR || errno == ENOTCONN))
         return;
-    if (n < 0) {
+    if (size < 0) {
         connection_close(flow->connection, true);
         return;
     }
-    flow->sent += (size_t)n;
-    if (flow->sent < flow->size)
+    flow->sent += (size_t)size;
+    if (flow->sent < flow->buffered)
         return;
-    flow->size = 0;
-    ev_io_stop(loop, &flow->out);
-    if (!is_held(flow))
-        ev_io_start(loop, &flow->in);
+    flow->buffered = 0;
+    ev_io_stop(loop, &flow->write_io);
+    if (!is_blocked(flow))
+        ev_io_start(loop, &flow->read_io);
 }
 
-static void flow_init(struct flow *flow, struct connection *c, int from, int to)
+static void flow_init(struct flow *flow, struct connection *connection, int from_fd, int to_fd)
 {
-    flow->connection = c;
-    flow->from = from;
-    flow->to = to;
-    ev_io_init(&flow->in, on_readable, from, EV_READ);
-    ev_io_init(&flow->out, on_writable, to, EV_WRITE);
-    flow->in.data = flow->out.data = flow;
+    flow->connection = connection;
+    flow->from_fd = from_fd;
+    flow->to_fd = to_fd;
+    ev_io_init(&flow->read_io, on_readable, from_fd, EV_READ);
+    ev_io_init(&flow->write_io, on_writable, to_fd, EV_WRITE);
+    flow->read_io.data = flow->write_io.data = flow;
 }
 
-/* Holds or lets go what the link's cut now says. */
-static void apply_cut(struct connection *c)
+/* Reads from a side only while nothing blocks its packets, and its last ones were sent on. */
+static void apply_fault(struct connection *connection)
 {
-    struct flow *flows[] = {&c->out, &c->back};
+    struct flow *flows[] = {&connection->upstream, &connection->downstream};
 
-    if (c->doomed)
+    if (connection->never_completes)
         return;
-    for (int i = 0; i < 2; i++) {
-        if (is_held(flows[i]))
-            ev_io_stop(c->relay->loop, &flows[i]->in);
-        else if (!flows[i]->size)
-            ev_io_start(c->relay->loop, &flows[i]->in);
+    for (int i = 0; i < (int)G_N_ELEMENTS(flows); i++) {
+        if (is_blocked(flows[i]))
+            ev_io_stop(connection->relay->loop, &flows[i]->read_io);
+        else if (!flows[i]->buffered)
+            ev_io_start(connection->relay->loop, &flows[i]->read_io);
     }
 }
 
 /* ---- connections ---- */
 
-static void on_accept(struct ev_loop *loop, ev_io *w, int events)
+static bool is_blocking(struct relay_fault fault)
 {
-    struct relay *relay = w->data;
-    struct sockaddr_in peer = {0};
+    return fault.from_controller || fault.to_controller;
+}
+
+/* Closes the connection if that fails. */
+static void connect_to_target(struct connection *connection)
+{
+    struct relay *relay = connection->relay;
+    int fd = connection->upstream.to_fd;
     struct sockaddr_in target;
+
+    pm_http_parse_addr(relay->targets[MAX(connection->controller, 0)], &target);
+    if (connect(fd, (struct sockaddr *)&target, sizeof target) && errno != EINPROGRESS)
+        connection_close(connection, true);
+    else
+        apply_fault(connection);
+}
+
+static struct connection *connection_new(struct relay *relay, int fd, int controller)
+{
+    struct connection *connection = g_new0(struct connection, 1);
+    int target_fd;
+
+    connection->relay = relay;
+    connection->controller = controller;
+    connection->never_completes = is_blocking(fault_of(connection));
+    target_fd = connection->never_completes ? -1 : pm_http_new_socket();
+    flow_init(&connection->upstream, connection, fd, target_fd);
+    flow_init(&connection->downstream, connection, target_fd, fd);
+    g_ptr_array_add(relay->connections, connection);
+    return connection;
+}
+
+static void on_accept(struct ev_loop *loop, ev_io *watcher, int events)
+{
+    struct relay *relay = watcher->data;
+    struct sockaddr_in peer = {0};
     socklen_t size = sizeof peer;
-    int fd = accept4(w->fd, (struct sockaddr *)&peer, &size, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    struct connection *c;
-    struct relay_fault cut;
+    int fd = accept4(watcher->fd, (struct sockaddr *)&peer, &size, SOCK_NONBLOCK | SOCK_CLOEXEC);
+    struct connection *connection;
+    int controller;
 
     (void)loop;
     (void)events;
     if (fd < 0)
         return;
-    c = g_new0(struct connection, 1);
-    c->relay = relay;
-    c->origin = socket_owner_find(&peer, &relay->own, relay->origins);
-    cut = cut_of(c);
-    c->doomed = cut.from_controller || cut.to_controller;
-    g_ptr_array_add(relay->connections, c);
-    flow_init(&c->out, c, fd, c->doomed ? -1 : pm_http_new_socket());
-    flow_init(&c->back, c, c->out.to, fd);
-    if (cut.reset || c->origin == SOCKET_OWNER_CLOSED) {
-        connection_close(c, true);
-        return;
-    }
-    if (c->doomed)
-        return;
-    pm_http_parse_addr(relay->target[MAX(c->origin, 0)], &target);
-    if (connect(c->out.to, (struct sockaddr *)&target, sizeof target) && errno != EINPROGRESS)
-        connection_close(c, true);
-    else
-        apply_cut(c);
+    controller = socket_owner_find(&peer, &relay->listen_addr, relay->controllers);
+    connection = connection_new(relay, fd, controller);
+    if (fault_of(connection).reset || controller == SOCKET_OWNER_CLOSED)
+        connection_close(connection, true);
+    else if (!connection->never_completes)
+        connect_to_target(connection);
 }
 
-void relay_set_fault(struct relay *relay, int origin, struct relay_fault cut)
+void relay_set_fault(struct relay *relay, int controller, struct relay_fault fault)
 {
-    relay->cut[origin] = cut;
+    relay->faults[controller] = fault;
     for (guint i = relay->connections->len; i > 0; i--) {
-        struct connection *c = g_ptr_array_index(relay->connections, i - 1);
-        bool held = cut.from_controller || cut.to_controller;
-        if (c->origin != origin)
+        struct connection *connection = g_ptr_array_index(relay->connections, i - 1);
+        if (connection->controller != controller)
             continue;
-        if (cut.reset || (c->doomed && !held))
-            connection_close(c, true);
+        if (fault.reset || (connection->never_completes && !is_blocking(fault)))
+            connection_close(connection, true);
         else
-            apply_cut(c);
+            apply_fault(connection);
     }
 }
 
-void relay_set_target(struct relay *relay, int origin, const char *target)
+void relay_set_target(struct relay *relay, int controller, const char *target)
 {
-    g_strlcpy(relay->target[origin], target, sizeof relay->target[origin]);
+    g_strlcpy(relay->targets[controller], target, sizeof relay->targets[controller]);
     for (guint i = relay->connections->len; i > 0; i--) {
-        struct connection *c = g_ptr_array_index(relay->connections, i - 1);
-        if (c->origin == origin)
-            connection_close(c, true);
+        struct connection *connection = g_ptr_array_index(relay->connections, i - 1);
+        if (connection->controller == controller)
+            connection_close(connection, true);
     }
 }
 
-struct relay *relay_new(struct ev_loop *loop, const char *const *target,
-                        const struct relay_controllers *origins)
+struct relay *relay_new(struct ev_loop *loop, const char *const *targets,
+                        const struct relay_controllers *controllers)
 {
     struct relay *relay = g_new0(struct relay, 1);
-    struct sockaddr_in sa = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
-    socklen_t size = sizeof sa;
+    struct sockaddr_in addr = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
+    socklen_t size = sizeof addr;
     int fd = pm_http_new_socket();
 
     relay->loop = loop;
-    relay->origins = origins;
+    relay->controllers = controllers;
     relay->connections = g_ptr_array_new();
-    for (int i = 0; i < origins->count; i++)
-        g_strlcpy(relay->target[i], target[i], sizeof relay->target[i]);
-    if (bind(fd, (struct sockaddr *)&sa, sizeof sa) || listen(fd, 64) ||
-        getsockname(fd, (struct sockaddr *)&sa, &size))
+    for (int i = 0; i < controllers->count; i++)
+        g_strlcpy(relay->targets[i], targets[i], sizeof relay->targets[i]);
+    if (bind(fd, (struct sockaddr *)&addr, sizeof addr) || listen(fd, LISTEN_BACKLOG) ||
+        getsockname(fd, (struct sockaddr *)&addr, &size))
         g_error("a relay can't listen");
-    relay->own = sa;
-    snprintf(relay->addr, sizeof relay->addr, "127.0.0.1:%d", ntohs(sa.sin_port));
+    relay->listen_addr = addr;
+    snprintf(relay->addr, sizeof relay->addr, "127.0.0.1:%d", ntohs(addr.sin_port));
     ev_io_init(&relay->accept_io, on_accept, fd, EV_READ);
     relay->accept_io.data = relay;
     ev_io_start(loop, &relay->accept_io);
--- a/src/testing/socket_owner.c
+++ b/src/testing/socket_owner.c
@@ -11,27 +11,27 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-enum { LOOKS = 3 };
+enum { ATTEMPTS = 3 };
 
 /* Columns of a line of /proc/net/tcp. */
 enum { COLUMN_LOCAL = 1, COLUMN_REMOTE = 2, COLUMN_INODE = 9 };
 
 /* The socket's inode if its ports are these, 0: they are not, or its process has closed it. One
  * local port may be in use towards several remote ones. */
-static unsigned long inode_in(char *line, int local, int remote)
+static unsigned long match_inode(char *line, int local, int remote)
 {
     char *rest = line;
-    char *word;
+    char *field;
     const char *colon;
 
-    for (int column = 0; (word = strtok_r(rest, " ", &rest)); column++) {
-        colon = strchr(word, ':');
+    for (int column = 0; (field = strtok_r(rest, " ", &rest)); column++) {
+        colon = strchr(field, ':');
         if (column == COLUMN_LOCAL && (!colon || strtol(colon + 1, NULL, 16) != local))
             return 0;
         if (column == COLUMN_REMOTE && (!colon || strtol(colon + 1, NULL, 16) != remote))
             return 0;
         if (column == COLUMN_INODE)
-            return strtoul(word, NULL, 10);
+            return strtoul(field, NULL, 10);
     }
     return 0;
 }
@@ -44,23 +44,22 @@
     char line[512];
 
     while (file && !found && fgets(line, sizeof line, file))
-        found = inode_in(line, local, remote);
+        found = match_inode(line, local, remote);
     if (file)
         fclose(file);
     return found;
 }
 
-struct diag_question {
+struct diag_query {
     struct nlmsghdr head;
     struct inet_diag_req_v2 request;
 };
 
 /* Asks the kernel for that one socket: among thousands, looking through all takes too long. */
-static unsigned long ask_for_inode(const struct sockaddr_in *client,
-                                   const struct sockaddr_in *server)
+static unsigned long query_inode(const struct sockaddr_in *client, const struct sockaddr_in *server)
 {
-    struct diag_question question = {
-        .head = {.nlmsg_len = sizeof question,
+    struct diag_query query = {
+        .head = {.nlmsg_len = sizeof query,
                  .nlmsg_type = SOCK_DIAG_BY_FAMILY,
                  .nlmsg_flags = NLM_F_REQUEST},
         .request = {.sdiag_family = AF_INET,
@@ -78,7 +77,7 @@
 
     if (fd < 0)
         return 0;
-    if (send(fd, &question, sizeof question, 0) == sizeof question &&
+    if (send(fd, &query, sizeof query, 0) == sizeof query &&
         recv(fd, answer, sizeof answer, 0) >= (ssize_t)NLMSG_LENGTH(sizeof(struct inet_diag_msg)) &&
         head->nlmsg_type == SOCK_DIAG_BY_FAMILY)
         inode = ((const struct inet_diag_msg *)NLMSG_DATA(head))->idiag_inode;
@@ -88,7 +87,7 @@
 
 static unsigned long find_inode(const struct sockaddr_in *client, const struct sockaddr_in *server)
 {
-    unsigned long inode = ask_for_inode(client, server);
+    unsigned long inode = query_inode(client, server);
 
     return inode ? inode : scan_for_inode(ntohs(client->sin_port), ntohs(server->sin_port));
 }
@@ -96,21 +95,22 @@
 static bool has_socket(pid_t pid, unsigned long inode)
 {
     char path[64];
-    char wanted[64];
+    char expected[64];
     char link[320];
-    char text[64];
+    char target[64];
     struct dirent *entry;
     bool found = false;
     DIR *dir;
 
     snprintf(path, sizeof path, "/proc/%d/fd", (int)pid);
-    snprintf(wanted, sizeof wanted, "socket:[%lu]", inode);
+    snprintf(expected, sizeof expected, "socket:[%lu]", inode);
     dir = opendir(path);
     while (dir && !found && (entry = readdir(dir))) {
-        ssize_t n;
+        ssize_t length;
         snprintf(link, sizeof link, "%s/%s", path, entry->d_name);
-        n = readlink(link, text, sizeof text - 1);
-        found = n > 0 && (size_t)n == strlen(wanted) && !memcmp(text, wanted, (size_t)n);
+        length = readlink(link, target, sizeof target - 1);
+        found = length > 0 && (size_t)length == strlen(expected) &&
+                !memcmp(target, expected, (size_t)length);
     }
     if (dir)
         closedir(dir);
@@ -120,15 +120,15 @@
 /* A process's list of files may change while it is read: it is looked at several times before the
  * connection counts as a stranger's. One that its process has closed by now is nobody's. */
 int socket_owner_find(const struct sockaddr_in *client, const struct sockaddr_in *server,
-                      const struct relay_controllers *origins)
+                      const struct relay_controllers *controllers)
 {
     unsigned long inode = find_inode(client, server);
 
     if (!inode)
         return SOCKET_OWNER_CLOSED;
-    for (int look = 0; look < LOOKS; look++)
-        for (int i = 0; i < origins->count; i++)
-            if (origins->pid[i] && has_socket(origins->pid[i], inode))
+    for (int attempt = 0; attempt < ATTEMPTS; attempt++)
+        for (int i = 0; i < controllers->count; i++)
+            if (controllers->pid[i] && has_socket(controllers->pid[i], inode))
                 return i;
     return find_inode(client, server) == inode ? SOCKET_OWNER_OTHER : SOCKET_OWNER_CLOSED;
 }
