--- /dev/null
+++ b/src/testing/fake_worker.c
@@ -0,0 +1,247 @@
+/* A worker's lease, heartbeats and answers: see the protocol of workers. */
+#include "testing/fake_provider_internal.h"
+#include "base/clock.h"
+
+#include <string.h>
+
+#define ANSWER_TIMEOUT_S 4.0 /* an answer to a heartbeat counts only within this */
+#define RETRY_S 0.5          /* before the next controller is tried */
+
+enum { ANSWER_MAX = 64 * 1024 };
+
+/* A heartbeat in flight. */
+struct heartbeat_call {
+    struct fake_machine *machine;
+    uint64_t incarnation;
+    int controller;
+    double sent_at;
+    bool answer_is_lost;
+};
+
+static int next_controller(const struct fake_machine *machine, int controller)
+{
+    return (controller + 1) % machine->provider->settings.controller_count;
+}
+
+static void schedule_heartbeat(struct fake_worker *worker, int controller, double delay_s)
+{
+    worker->heartbeat.controller = controller;
+    worker->heartbeat.next_at = pm_clock_monotonic() + delay_s;
+}
+
+/* ---- heartbeats ---- */
+
+static void put_heartbeat(struct fake_machine *machine, struct pm_buf *out)
+{
+    struct fake_worker *worker = &machine->worker;
+
+    pm_put_map(out);
+    pm_put_pair_text(out, "host", machine->name);
+    fake_machine_put_description(machine, out);
+    pm_put_pair_count(out, "shift", worker->incarnation);
+    pm_put_pair_count(out, "tally", ++worker->heartbeat_sequence);
+    pm_put_pair_count(out, "mandate", worker->fencing_token);
+    pm_put_text(out, "entries");
+    fake_worker_put_tasks(worker, out);
+    pm_put_end(out);
+}
+
+static void accept_token(struct fake_worker *worker, uint64_t token)
+{
+    worker->has_changes |= token > worker->fencing_token;
+    worker->fencing_token = token;
+}
+
+/* The answer renews the lease, from when the heartbeat was sent. */
+static void apply_answer(const struct heartbeat_call *call, const cbor_item_t *answer)
+{
+    struct fake_machine *machine = call->machine;
+    struct fake_worker *worker = &machine->worker;
+    uint64_t token = 0;
+
+    machine->provider->answered_heartbeats[call->controller]++;
+    if (!pm_cbor_read_count(pm_cbor_get(answer, "mandate"), &token) ||
+        token < worker->fencing_token || call->incarnation != worker->incarnation)
+        return;
+    accept_token(worker, token);
+    worker->lease_renewed_at = call->sent_at;
+    fake_worker_execute_commands(machine, pm_cbor_get(answer, "orders"), call->controller);
+}
+
+/* The controller that another one names as responsible; -1: none, or that one itself. */
+static int find_redirect(const struct heartbeat_call *call, const cbor_item_t *answer)
+{
+    const struct fake_provider_settings *settings = &call->machine->provider->settings;
+    char name[64];
+
+    if (!pm_cbor_read_text(pm_cbor_get(answer, "steward"), name, sizeof name))
+        return -1;
+    for (int i = 0; i < settings->controller_count; i++)
+        if (i != call->controller && !strcmp(name, settings->controller_names[i]))
+            return i;
+    return -1;
+}
+
+static void handle_answer(const struct heartbeat_call *call, int status, const cbor_item_t *answer)
+{
+    struct fake_machine *machine = call->machine;
+    int redirect = -1;
+
+    if (status == HTTP_OK) {
+        apply_answer(call, answer);
+        return;
+    }
+    if (status == HTTP_MISDIRECTED)
+        redirect = find_redirect(call, answer);
+    if (redirect >= 0)
+        schedule_heartbeat(&machine->worker, redirect, 0);
+    else
+        schedule_heartbeat(&machine->worker, next_controller(machine, call->controller), RETRY_S);
+}
+
+static void on_heartbeat_answer(void *arg, int status, const unsigned char *body, size_t size)
+{
+    struct heartbeat_call *call = arg;
+    struct fake_machine *machine = call->machine;
+    bool is_reachable = fake_machine_is_up(machine) && !machine->faults.is_hung &&
+                        !machine->faults.is_partitioned && !call->answer_is_lost;
+    cbor_item_t *answer = body && size ? pm_cbor_parse(body, size) : NULL;
+
+    if (is_reachable) {
+        machine->worker.heartbeat.in_flight = false;
+        handle_answer(call, status, answer);
+    }
+    pm_cbor_free(answer);
+    g_free(call);
+}
+
+void fake_worker_post_heartbeat(struct fake_provider *provider, int controller,
+                                const struct pm_buf *body, pm_http_done *done, void *arg)
+{
+    pm_http_call(provider->client, provider->settings.worker_addrs[controller], "POST",
+                 "/v1/report", body->data, body->size, ANSWER_TIMEOUT_S, ANSWER_MAX, done, arg);
+}
+
+static struct relay_fault fault_towards(const struct fake_machine *machine, int controller)
+{
+    if (machine->faults.is_partitioned)
+        return (struct relay_fault){.from_controller = true, .to_controller = true};
+    return machine->provider->faults.zones[controller][machine->zone];
+}
+
+static void send_heartbeat(struct fake_machine *machine, double now)
+{
+    struct fake_worker *worker = &machine->worker;
+    int controller = worker->heartbeat.controller;
+    struct relay_fault fault = fault_towards(machine, controller);
+    struct heartbeat_call *call;
+    struct pm_buf body = {0};
+
+    worker->heartbeat.next_at = now + machine->provider->settings.heartbeat_s;
+    worker->has_changes = false;
+    worker->heartbeat.sent_at = now;
+    if (fault.reset) {
+        schedule_heartbeat(worker, next_controller(machine, controller), RETRY_S);
+        return;
+    }
+    worker->heartbeat.in_flight = true;
+    if (fault.to_controller)
+        return; /* it times out */
+    call = g_new0(struct heartbeat_call, 1);
+    *call = (struct heartbeat_call){machine, worker->incarnation, controller, now,
+                                    fault.from_controller};
+    put_heartbeat(machine, &body);
+    fake_worker_maybe_copy_heartbeat(machine, controller, &body, now);
+    fake_worker_post_heartbeat(machine->provider, controller, &body, on_heartbeat_answer, call);
+    pm_buf_free(&body);
+}
+
+/* ---- pushed commands ---- */
+
+int fake_worker_execute_push(struct fake_machine *machine, int controller, const cbor_item_t *body)
+{
+    struct fake_worker *worker = &machine->worker;
+    uint64_t token = 0;
+    uint64_t incarnation = 0;
+
+    pm_cbor_read_count(pm_cbor_get(body, "mandate"), &token);
+    pm_cbor_read_count(pm_cbor_get(body, "shift"), &incarnation);
+    if (token < worker->fencing_token || incarnation != worker->incarnation)
+        return HTTP_CONFLICT;
+    accept_token(worker, token);
+    fake_worker_execute_commands(machine, pm_cbor_get(body, "orders"), controller);
+    return HTTP_OK;
+}
+
+static int execute_request(struct fake_machine *machine, int controller,
+                           const struct pm_http_request *request)
+{
+    cbor_item_t *body;
+    int status;
+
+    if (machine->faults.has_failed)
+        return HTTP_UNAVAILABLE;
+    if (strcmp(request->path, "/do") != 0)
+        return HTTP_OK;
+    body = pm_cbor_parse(request->body, request->body_size);
+    status = fake_worker_execute_push(machine, controller, body);
+    pm_cbor_free(body);
+    return status;
+}
+
+void fake_worker_on_request(void *arg, struct pm_http_request *request)
+{
+    const struct fake_machine_endpoint *endpoint = arg;
+    struct fake_machine *machine = endpoint->machine;
+    struct pm_buf out = {0};
+    int status;
+
+    if (!strcmp(request->path, "/do") &&
+        fake_worker_maybe_delay_command(machine, endpoint->controller, request)) {
+        g_ptr_array_add(machine->provider->unanswered, request);
+        return;
+    }
+    status = execute_request(machine, endpoint->controller, request);
+    put_heartbeat(machine, &out);
+    pm_http_reply(request, status, out.data, out.size, 0);
+    pm_buf_free(&out);
+}
+
+/* ---- time ---- */
+
+/* A worker whose lease expired stops all tasks, and begins a new incarnation. */
+static void check_lease(struct fake_machine *machine, double now)
+{
+    struct fake_worker *worker = &machine->worker;
+
+    if (now - worker->lease_renewed_at <= machine->provider->settings.lease_s)
+        return;
+    fake_worker_stop_all(machine);
+    worker->incarnation++;
+    worker->lease_renewed_at = now;
+    worker->heartbeat.in_flight = false;
+}
+
+static bool is_heartbeat_due(const struct fake_worker *worker, double now)
+{
+    if (worker->heartbeat.in_flight)
+        return false;
+    return now >= worker->heartbeat.next_at ||
+           (worker->has_changes && now - worker->heartbeat.sent_at > FAKE_PROVIDER_TICK_S);
+}
+
+void fake_worker_tick(struct fake_machine *machine, double now)
+{
+    struct fake_worker *worker = &machine->worker;
+
+    check_lease(machine, now);
+    if (machine->faults.is_hung)
+        return;
+    fake_worker_run_tasks(machine, now);
+    if (worker->heartbeat.in_flight && now - worker->heartbeat.sent_at > ANSWER_TIMEOUT_S) {
+        worker->heartbeat.in_flight = false;
+        schedule_heartbeat(worker, next_controller(machine, worker->heartbeat.controller), RETRY_S);
+    }
+    if (is_heartbeat_due(worker, now))
+        send_heartbeat(machine, now);
+}
