--- a/src/api/cancellation.c
+++ b/src/api/cancellation.c
@@ -2,7 +2,7 @@
 #include "api/internal.h"
 
 void pm_api_encode_cancelled_job(const struct pm_api *api, const struct pm_job *job,
-                                 struct pm_buf *out)
+                                 struct pm_buffer *out)
 {
     pm_job_encode(api->tables, job->spec, job->task_count, PM_JOB_CANCELLED, job->spec != NULL,
                   out);
--- a/src/api/internal.h
+++ b/src/api/internal.h
@@ -95,7 +95,7 @@
  * lists, or queues it to be written. */
 void pm_api_process_new_job(struct pm_api_request *request);
 /* Appends the new job's value of p/j/ID to `out`. */
-void pm_api_encode_new_job(const struct pm_api_request *request, struct pm_buf *out);
+void pm_api_encode_new_job(const struct pm_api_request *request, struct pm_buffer *out);
 /* Frees what the submission owns. */
 void pm_api_submission_clear(struct pm_api_submission *submission);
 
@@ -103,7 +103,7 @@
 
 /* Appends the value of p/j/ID of a job that is being cancelled to `out`. */
 void pm_api_encode_cancelled_job(const struct pm_api *api, const struct pm_job *job,
-                                 struct pm_buf *out);
+                                 struct pm_buffer *out);
 /* The cancellation is durable since `store_revision`: applies it, and answers the request. */
 void pm_api_complete_cancellation(struct pm_api_request *request, uint64_t store_revision);
 /* Answers with the job's final state: "done" at once, "cancelled" once a majority of controllers
--- a/src/api/submission.c
+++ b/src/api/submission.c
@@ -104,7 +104,7 @@
         g_ptr_array_free(submission->dependency_ids, TRUE);
 }
 
-void pm_api_encode_new_job(const struct pm_api_request *request, struct pm_buf *out)
+void pm_api_encode_new_job(const struct pm_api_request *request, struct pm_buffer *out)
 {
     const struct pm_spec *spec = request->submission.spec;
 
@@ -116,7 +116,7 @@
 /* The size, in the form that the state service limits, of the job's value without what it needs. */
 static size_t value_size(const struct pm_api_request *request)
 {
-    struct pm_buf encoded = {0};
+    struct pm_buffer encoded = {0};
     cbor_item_t *value;
     size_t size;
 
@@ -124,7 +124,7 @@
     value = pm_cbor_parse(encoded.data, encoded.size);
     size = pm_cbor_json_size(value);
     pm_cbor_free(value);
-    pm_buf_free(&encoded);
+    pm_buffer_free(&encoded);
     return size;
 }
 
--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -34,7 +34,7 @@
     return autoscaler;
 }
 
-void pm_autoscaler_set_duties(struct pm_autoscaler *autoscaler, struct pm_roles *roles)
+void pm_autoscaler_set_roles(struct pm_autoscaler *autoscaler, struct pm_roles *roles)
 {
     autoscaler->roles = roles;
 }
@@ -98,9 +98,9 @@
 
     for (int i = 0; i < sized_count; i++) {
         int left = sized[i].count;
-        for (; left > 0 && request_count < request_max; left -= PM_INTENT_RENTED) {
+        for (; left > 0 && request_count < request_max; left -= PM_INTENT_INSTANCES_MAX) {
             requests[request_count] = sized[i];
-            requests[request_count].count = MIN(left, PM_INTENT_RENTED);
+            requests[request_count].count = MIN(left, PM_INTENT_INSTANCES_MAX);
             request_count++;
         }
     }
@@ -111,7 +111,7 @@
                       double wall_now)
 {
     struct pm_scale_out_request sized[SIZED_REQUESTS_MAX];
-    struct pm_scale_out_request requests[PM_INTENT_RENTALS];
+    struct pm_scale_out_request requests[PM_INTENT_RENTALS_MAX];
     int count = pm_autoscaler_size(autoscaler, now, wall_now, sized, SIZED_REQUESTS_MAX);
 
     count = split_requests(sized, count, requests, in_flight_max);
@@ -122,7 +122,7 @@
 void pm_autoscaler_run(struct pm_autoscaler *autoscaler, double now, double wall_now)
 {
     int in_flight_max = (int)CLAMP(autoscaler->tables->settings->cloud_rps * IN_FLIGHT_SHARE,
-                                   IN_FLIGHT_LEAST, PM_INTENT_RENTALS);
+                                   IN_FLIGHT_LEAST, PM_INTENT_RENTALS_MAX);
 
     if (!autoscaler->tables->type_count)
         return;
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -49,7 +49,7 @@
 void pm_autoscaler_free(struct pm_autoscaler *autoscaler);
 /* From now on machines are rented and terminated under these roles and their intents, while the
  * roles are active. `roles` is borrowed and must outlive the autoscaler. */
-void pm_autoscaler_set_duties(struct pm_autoscaler *autoscaler, struct pm_roles *roles);
+void pm_autoscaler_set_roles(struct pm_autoscaler *autoscaler, struct pm_roles *roles);
 /* On an election or a step-down: forgets what belongs to one term, and ignores the answers to
  * requests that are in flight. `epoch` is that of the new term, and part of the idempotency keys of
  * its requests; 0 after a step-down. */
--- a/src/autoscaler/batch_jobs.c
+++ b/src/autoscaler/batch_jobs.c
@@ -47,7 +47,7 @@
 
 double pm_sizing_task_s(const struct pm_autoscaler *autoscaler, const struct pm_job *job)
 {
-    double estimate_s = pm_scheduler_estimate_remaining_s(autoscaler->scheduler, job);
+    double estimate_s = pm_scheduler_estimate_run_s(autoscaler->scheduler, job);
 
     return MAX(estimate_s * ESTIMATE_MARGIN + ESTIMATE_START_S, TASK_LEAST_S);
 }
--- a/src/autoscaler/boot_tracking.c
+++ b/src/autoscaler/boot_tracking.c
@@ -40,7 +40,7 @@
 {
     struct pm_kind_boots *boots;
 
-    if (!is_booting(machine) || pm_scheduler_boots_soon(autoscaler->tables, machine, now))
+    if (!is_booting(machine) || pm_scheduler_is_boot_expected(autoscaler->tables, machine, now))
         return;
     boots = &pm_autoscaler_kind_of(autoscaler, machine)->boots;
     boots->overdue++;
@@ -96,7 +96,7 @@
 enum pm_boot_state pm_autoscaler_boot_state(const struct pm_autoscaler *autoscaler,
                                             const struct pm_machine *machine, double now)
 {
-    if (pm_scheduler_boots_soon(autoscaler->tables, machine, now))
+    if (pm_scheduler_is_boot_expected(autoscaler->tables, machine, now))
         return PM_BOOT_EXPECTED;
     if (pm_machine_kind_is_late(&autoscaler->kinds[machine->type][machine->zone][machine->spot]))
         return PM_BOOT_LATE;
--- a/src/autoscaler/demand_rate.c
+++ b/src/autoscaler/demand_rate.c
@@ -30,8 +30,7 @@
         weight = exp(-MAX(0, wall_now - job->spec->submitted_wall) / DECAY_S);
         rate->jobs += weight;
         rate->cpu_s += weight * job->task_count *
-                       pm_scheduler_estimate_remaining_s(autoscaler->scheduler, job) *
-                       job->spec->cpus;
+                       pm_scheduler_estimate_run_s(autoscaler->scheduler, job) * job->spec->cpus;
     }
 }
 
--- a/src/autoscaler/intent_completion.c
+++ b/src/autoscaler/intent_completion.c
@@ -8,7 +8,7 @@
 
     if (!autoscaler->roles)
         return;
-    pm_roles_forget_calls(autoscaler->roles);
+    pm_roles_reset_calls(autoscaler->roles);
     open = pm_roles_open_intents(autoscaler->roles, PM_ROLE_SCALE_IN);
     for (guint i = 0; i < open->len; i++)
         pm_autoscaler_mark_terminating(autoscaler, g_ptr_array_index(open, i));
@@ -17,7 +17,7 @@
 
 static bool is_call_due(const struct pm_intent *intent, double now)
 {
-    return !intent->busy && !intent->closing && intent->retry_at <= now;
+    return !intent->call_in_flight && !intent->is_closing && intent->retry_at <= now;
 }
 
 static void complete_intents_of(struct pm_autoscaler *autoscaler, enum pm_role role,
@@ -44,6 +44,6 @@
     if (!pm_autoscaler_uses_intents(autoscaler))
         return;
     for (size_t i = 0; i < G_N_ELEMENTS(roles); i++)
-        if (pm_roles_holds(autoscaler->roles, roles[i], now))
+        if (pm_roles_is_holder(autoscaler->roles, roles[i], now))
             complete_intents_of(autoscaler, roles[i], in_flight_max, now);
 }
--- a/src/autoscaler/intents.c
+++ b/src/autoscaler/intents.c
@@ -10,11 +10,11 @@
 #define INTENT_WRITE_SHARE 0.2
 #define WRITES_PER_INTENT_OF_EACH_ROLE 4
 
-enum { AUDIT_DETAIL_BYTES = PM_INTENT_NAME + 32 };
+enum { AUDIT_DETAIL_BYTES = PM_INTENT_NAME_SIZE + 32 };
 
 bool pm_autoscaler_uses_intents(const struct pm_autoscaler *autoscaler)
 {
-    return autoscaler->roles && pm_roles_are_active(autoscaler->roles);
+    return autoscaler->roles && pm_roles_is_active(autoscaler->roles);
 }
 
 double pm_autoscaler_intent_interval_s(const struct pm_autoscaler *autoscaler)
@@ -26,7 +26,7 @@
 static bool are_rentals_settled(const struct pm_intent *intent)
 {
     for (guint i = 0; i < intent->rentals->len; i++)
-        if (!g_array_index(intent->rentals, struct pm_intent_rental, i).settled)
+        if (!g_array_index(intent->rentals, struct pm_intent_rental, i).is_answered)
             return false;
     return true;
 }
@@ -56,11 +56,11 @@
     if (role == PM_ROLE_SCALE_OUT) {
         struct pm_intent_rental *rental =
             &g_array_index(intent->rentals, struct pm_intent_rental, call->rental_index);
-        rental->busy = false;
-        rental->settled = is_settled;
+        rental->call_in_flight = false;
+        rental->is_answered = is_settled;
         is_settled = are_rentals_settled(intent);
     }
-    intent->busy = false;
+    intent->call_in_flight = false;
     if (is_settled)
         pm_roles_close_intent(roles, call->intent_name, now);
 }
--- a/src/autoscaler/internal.h
+++ b/src/autoscaler/internal.h
@@ -150,14 +150,15 @@
 /* A request to the provider that rents or terminates, or the intent that is written before it. */
 struct pm_provider_call {
     struct pm_autoscaler *autoscaler;
-    uint64_t term;                    /* in which it was made */
-    char intent_name[PM_INTENT_NAME]; /* "": it has none */
-    double sent_at;                   /* monotonic */
+    uint64_t term;                         /* in which it was made */
+    char intent_name[PM_INTENT_NAME_SIZE]; /* "": it has none */
+    double sent_at;                        /* monotonic */
     /* Of a request to rent. */
     struct pm_scale_out_request request;
-    char idempotency_key[PM_INTENT_NAME + 8]; /* a repeated request with it rents nothing twice */
-    guint rental_index;                       /* in the intent */
-    int attempts;                             /* without an answer */
+    char idempotency_key[PM_INTENT_NAME_SIZE +
+                         8]; /* a repeated request with it rents nothing twice */
+    guint rental_index;      /* in the intent */
+    int attempts;            /* without an answer */
     /* Of a request to terminate. */
     GPtrArray *machine_names; /* owned; NULL in a request to rent */
 };
@@ -172,17 +173,17 @@
  * only way out for such requests: one with an intent is never written to the socket after this
  * controller's lease on the role may have expired, however long the process is suspended before.
  * `body` is copied; `done` is called once, with the call as its argument. */
-void pm_provider_send(struct pm_provider_call *call, enum pm_role role, const struct pm_buf *body,
-                      pm_http_done *done);
+void pm_provider_send(struct pm_provider_call *call, enum pm_role role,
+                      const struct pm_buffer *body, pm_http_done *done);
 
 /* ---- provider_codec.c: the provider's messages ---- */
 
 /* Appends the body of a request to rent. */
 void pm_scale_out_encode(const struct pm_name_tables *tables,
                          const struct pm_scale_out_request *request, const char *idempotency_key,
-                         struct pm_buf *out);
+                         struct pm_buffer *out);
 /* Appends the body of a request to terminate machines of those names. */
-void pm_termination_encode(const GPtrArray *machine_names, struct pm_buf *out);
+void pm_termination_encode(const GPtrArray *machine_names, struct pm_buffer *out);
 /* The machines that an answer lists, borrowed from it; NULL: it is malformed. In an answer to a
  * request to rent the entries are names; in a page of the inventory, see below. */
 const cbor_item_t *pm_provider_answer_machines(const cbor_item_t *answer);
@@ -232,7 +233,8 @@
 /* Whether this controller may rent now: without intents always, else if it has the role and its
  * last intent is long enough ago. */
 bool pm_autoscaler_may_scale_out(const struct pm_autoscaler *autoscaler, double now);
-/* Sends these requests, of PM_INTENT_RENTED machines each at most, as far as the limits allow. */
+/* Sends these requests, of PM_INTENT_INSTANCES_MAX machines each at most, as far as the limits
+ * allow. */
 void pm_autoscaler_scale_out(struct pm_autoscaler *autoscaler,
                              const struct pm_scale_out_request *requests, int count, double now);
 /* Sends the rentals of an open intent that are neither settled nor in flight, while fewer than
--- a/src/autoscaler/packing.c
+++ b/src/autoscaler/packing.c
@@ -26,8 +26,7 @@
     const struct pm_scheduler *scheduler = sizing->autoscaler->scheduler;
 
     return spec->kind == PM_WORKLOAD_ARRAY && spec->spot &&
-           job->deadline_wall - sizing->wall_now <
-               pm_scheduler_estimate_remaining_s(scheduler, job);
+           job->deadline_wall - sizing->wall_now < pm_scheduler_estimate_run_s(scheduler, job);
 }
 
 /* Packs up to `count` of the job's tasks on the machine. Returns how many fit. */
--- a/src/autoscaler/provider_client.c
+++ b/src/autoscaler/provider_client.c
@@ -67,8 +67,8 @@
     return deadline > 0 ? deadline : call->sent_at;
 }
 
-void pm_provider_send(struct pm_provider_call *call, enum pm_role role, const struct pm_buf *body,
-                      pm_http_done *done)
+void pm_provider_send(struct pm_provider_call *call, enum pm_role role,
+                      const struct pm_buffer *body, pm_http_done *done)
 {
     struct pm_autoscaler *autoscaler = call->autoscaler;
     const char *target = role == PM_ROLE_SCALE_OUT ? "/machines" : "/machines/release";
--- a/src/autoscaler/provider_codec.c
+++ b/src/autoscaler/provider_codec.c
@@ -18,26 +18,26 @@
 
 void pm_scale_out_encode(const struct pm_name_tables *tables,
                          const struct pm_scale_out_request *request, const char *idempotency_key,
-                         struct pm_buf *out)
+                         struct pm_buffer *out)
 {
-    pm_put_map(out);
-    pm_put_pair_text(out, "booking", idempotency_key);
-    pm_put_pair_text(out, "model", pm_names_text(tables->type_names, request->type));
-    pm_put_pair_text(out, "room", tables->settings->zone_names[request->zone]);
-    pm_put_pair_flag(out, "borrowed", request->spot);
-    pm_put_pair_count(out, "how_many", (uint64_t)request->count);
-    pm_put_end(out);
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_text(out, "booking", idempotency_key);
+    pm_cbor_put_pair_text(out, "model", pm_names_text(tables->type_names, request->type));
+    pm_cbor_put_pair_text(out, "room", tables->settings->zone_names[request->zone]);
+    pm_cbor_put_pair_flag(out, "borrowed", request->spot);
+    pm_cbor_put_pair_count(out, "how_many", (uint64_t)request->count);
+    pm_cbor_put_end(out);
 }
 
-void pm_termination_encode(const GPtrArray *machine_names, struct pm_buf *out)
+void pm_termination_encode(const GPtrArray *machine_names, struct pm_buffer *out)
 {
-    pm_put_map(out);
-    pm_put_text(out, "hosts");
-    pm_put_list(out);
+    pm_cbor_put_map(out);
+    pm_cbor_put_text(out, "hosts");
+    pm_cbor_put_list(out);
     for (guint i = 0; i < machine_names->len; i++)
-        pm_put_text(out, g_ptr_array_index(machine_names, i));
-    pm_put_end(out);
-    pm_put_end(out);
+        pm_cbor_put_text(out, g_ptr_array_index(machine_names, i));
+    pm_cbor_put_end(out);
+    pm_cbor_put_end(out);
 }
 
 const cbor_item_t *pm_provider_answer_machines(const cbor_item_t *answer)
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -18,11 +18,11 @@
 
 static void send_request(struct pm_provider_call *call)
 {
-    struct pm_buf body = {0};
+    struct pm_buffer body = {0};
 
     pm_scale_out_encode(call->autoscaler->tables, &call->request, call->idempotency_key, &body);
     pm_provider_send(call, PM_ROLE_SCALE_OUT, &body, on_answer);
-    pm_buf_free(&body);
+    pm_buffer_free(&body);
 }
 
 /* ---- answers ---- */
@@ -148,7 +148,7 @@
     call->request = request;
     call->rental_index = index;
     g_strlcpy(call->intent_name, intent->name, sizeof call->intent_name);
-    pm_intent_booking(intent, index, call->idempotency_key, sizeof call->idempotency_key);
+    pm_intent_format_booking(intent, index, call->idempotency_key, sizeof call->idempotency_key);
     return call;
 }
 
@@ -160,7 +160,8 @@
         struct pm_intent_rental *rental =
             &g_array_index(intent->rentals, struct pm_intent_rental, i);
         struct pm_provider_call *call;
-        if (rental->busy || rental->settled || !pm_autoscaler_may_call(autoscaler, now))
+        if (rental->call_in_flight || rental->is_answered ||
+            !pm_autoscaler_may_call(autoscaler, now))
             continue;
         call = rental_call_new(autoscaler, intent, i, now);
         if (!call) {
@@ -169,7 +170,7 @@
                      intent->name, rental->type, rental->zone);
             return;
         }
-        rental->busy = true;
+        rental->call_in_flight = true;
         send_request(call);
     }
 }
@@ -184,7 +185,7 @@
         if (intent_name)
             pm_autoscaler_send_rentals(autoscaler,
                                        pm_roles_find_intent(autoscaler->roles, intent_name),
-                                       PM_INTENT_RENTALS, call->sent_at);
+                                       PM_INTENT_RENTALS_MAX, call->sent_at);
     }
     pm_provider_call_free(call);
 }
@@ -227,14 +228,14 @@
 
     return !pm_autoscaler_uses_intents(autoscaler) ||
            (since_intent_s >= pm_autoscaler_intent_interval_s(autoscaler) &&
-            pm_roles_holds(autoscaler->roles, PM_ROLE_SCALE_OUT, now));
+            pm_roles_is_holder(autoscaler->roles, PM_ROLE_SCALE_OUT, now));
 }
 
 void pm_autoscaler_scale_out(struct pm_autoscaler *autoscaler,
                              const struct pm_scale_out_request *requests, int count, double now)
 {
     if (pm_autoscaler_uses_intents(autoscaler)) {
-        write_intent(autoscaler, requests, MIN(count, PM_INTENT_RENTALS), now);
+        write_intent(autoscaler, requests, MIN(count, PM_INTENT_RENTALS_MAX), now);
         return;
     }
     for (int i = 0; i < count && pm_autoscaler_may_call(autoscaler, now); i++) {
--- a/src/autoscaler/termination.c
+++ b/src/autoscaler/termination.c
@@ -96,11 +96,11 @@
 
 static void send_request(struct pm_provider_call *call)
 {
-    struct pm_buf body = {0};
+    struct pm_buffer body = {0};
 
     pm_termination_encode(call->machine_names, &body);
     pm_provider_send(call, PM_ROLE_SCALE_IN, &body, on_answer);
-    pm_buf_free(&body);
+    pm_buffer_free(&body);
 }
 
 /* ---- with intents ---- */
@@ -126,7 +126,7 @@
 
     g_strlcpy(call->intent_name, intent->name, sizeof call->intent_name);
     add_names(call->machine_names, intent->machines);
-    intent->busy = true;
+    intent->call_in_flight = true;
     pm_autoscaler_mark_terminating(autoscaler, intent);
     send_request(call);
 }
@@ -169,7 +169,7 @@
     double since_intent_s = now - autoscaler->intent_times.scale_in_at;
 
     return since_intent_s >= pm_autoscaler_intent_interval_s(autoscaler) &&
-           pm_roles_holds(autoscaler->roles, PM_ROLE_SCALE_IN, now);
+           pm_roles_is_holder(autoscaler->roles, PM_ROLE_SCALE_IN, now);
 }
 
 static bool is_termination_due(const struct pm_machine *machine, double now)
@@ -193,7 +193,7 @@
             return NULL;
         if (!call)
             call = termination_call_new(autoscaler, now);
-        if (call->machine_names->len >= PM_INTENT_MACHINES)
+        if (call->machine_names->len >= PM_INTENT_MACHINES_MAX)
             break;
         g_ptr_array_add(call->machine_names, g_strdup(machine->name));
         machine->provider.terminate_retry_at = INFINITY;
--- a/src/base/cbor.h
+++ b/src/base/cbor.h
@@ -45,41 +45,41 @@
 size_t pm_cbor_json_size(const cbor_item_t *item);
 
 /* A growing buffer with CBOR written to it. Lists and maps are of open length: end with
- * pm_put_end. */
-struct pm_buf {
+ * pm_cbor_put_end. */
+struct pm_buffer {
     unsigned char *data;
     size_t size, room;
 };
 
 /* Frees what the buffer holds, and leaves it empty. */
-void pm_buf_free(struct pm_buf *buf);
+void pm_buffer_free(struct pm_buffer *buf);
 /* Appends bytes as they are. */
-void pm_buf_add(struct pm_buf *buf, const void *data, size_t size);
-/* Begins a map: keys and values follow in turn, up to pm_put_end. */
-void pm_put_map(struct pm_buf *buf);
-/* Begins a list: its entries follow, up to pm_put_end. */
-void pm_put_list(struct pm_buf *buf);
+void pm_buffer_append(struct pm_buffer *buf, const void *data, size_t size);
+/* Begins a map: keys and values follow in turn, up to pm_cbor_put_end. */
+void pm_cbor_put_map(struct pm_buffer *buf);
+/* Begins a list: its entries follow, up to pm_cbor_put_end. */
+void pm_cbor_put_list(struct pm_buffer *buf);
 /* Ends the map or list that was begun last. */
-void pm_put_end(struct pm_buf *buf);
+void pm_cbor_put_end(struct pm_buffer *buf);
 /* Appends a text, which ends at its NUL. */
-void pm_put_text(struct pm_buf *buf, const char *text);
+void pm_cbor_put_text(struct pm_buffer *buf, const char *text);
 /* Appends an integer. */
-void pm_put_count(struct pm_buf *buf, uint64_t value);
+void pm_cbor_put_count(struct pm_buffer *buf, uint64_t value);
 /* Appends a floating-point number of eight bytes, also where it is whole. */
-void pm_put_number(struct pm_buf *buf, double value);
+void pm_cbor_put_number(struct pm_buffer *buf, double value);
 /* Appends true or false. */
-void pm_put_flag(struct pm_buf *buf, bool value);
+void pm_cbor_put_flag(struct pm_buffer *buf, bool value);
 /* Appends null. */
-void pm_put_null(struct pm_buf *buf);
+void pm_cbor_put_null(struct pm_buffer *buf);
 /* Appends a copy of a decoded item. */
-void pm_put_item(struct pm_buf *buf, const cbor_item_t *item);
+void pm_cbor_put_item(struct pm_buffer *buf, const cbor_item_t *item);
 /* Appends a key and its text, within a map. */
-void pm_put_pair_text(struct pm_buf *buf, const char *key, const char *text);
+void pm_cbor_put_pair_text(struct pm_buffer *buf, const char *key, const char *text);
 /* Appends a key and its integer. */
-void pm_put_pair_count(struct pm_buf *buf, const char *key, uint64_t value);
+void pm_cbor_put_pair_count(struct pm_buffer *buf, const char *key, uint64_t value);
 /* Appends a key and its floating-point number. */
-void pm_put_pair_number(struct pm_buf *buf, const char *key, double value);
+void pm_cbor_put_pair_number(struct pm_buffer *buf, const char *key, double value);
 /* Appends a key and its true or false. */
-void pm_put_pair_flag(struct pm_buf *buf, const char *key, bool value);
+void pm_cbor_put_pair_flag(struct pm_buffer *buf, const char *key, bool value);
 
 #endif
--- a/src/base/http.h
+++ b/src/base/http.h
@@ -25,9 +25,9 @@
     const char *query;
     const unsigned char *body;
     size_t body_size;
-    double valid_until; /* set by the handler, steady: an answer that goes out later is dropped with
-                         * its connection instead; 0: no matter when */
-    double arrived;
+    double deadline; /* set by the handler, steady: an answer that goes out later is dropped with
+                      * its connection instead; 0: no matter when */
+    double arrived_at;
 };
 
 /* Handles a request; it may reply before it returns, or later. */
@@ -62,7 +62,7 @@
 struct pm_http_outcome {
     const char *addr, *method, *target;
     int status;
-    double began, ended; /* steady */
+    double began_at, ended_at; /* steady */
 };
 typedef void pm_http_observer(void *arg, const struct pm_http_outcome *outcome);
 /* Tells `observer` of every call that ends from now on, before the call's own `done`. */
--- a/src/base/http_client.c
+++ b/src/base/http_client.c
@@ -28,7 +28,7 @@
     ev_io read_watcher, write_watcher;
     ev_timer timeout_timer;
     http_parser parser;
-    struct pm_buf out_buffer, body;
+    struct pm_buffer out_buffer, body;
     size_t sent_size, body_max;
     pm_http_done *done;
     void *arg;
@@ -65,8 +65,8 @@
     }
     if (call->is_send_due)
         g_queue_remove(&call->client->send_due, call);
-    pm_buf_free(&call->out_buffer);
-    pm_buf_free(&call->body);
+    pm_buffer_free(&call->out_buffer);
+    pm_buffer_free(&call->body);
     call->client->connection_count--;
     g_free(call);
 }
@@ -84,9 +84,9 @@
 {
     pm_http_done *done = call->done;
     void *arg = call->arg;
-    struct pm_buf body = call->body;
+    struct pm_buffer body = call->body;
 
-    call->body = (struct pm_buf){0};
+    call->body = (struct pm_buffer){0};
     call->done = NULL;
     ev_timer_stop(call->client->loop, &call->timeout_timer);
     notify_observer(call, status);
@@ -101,7 +101,7 @@
     }
     if (done)
         done(arg, status, body.data, body.size);
-    pm_buf_free(&body);
+    pm_buffer_free(&body);
 }
 
 static void fail_call(struct call *call)
@@ -118,7 +118,7 @@
 
     if (call->body.size + size > call->body_max)
         return 1;
-    pm_buf_add(&call->body, at, size);
+    pm_buffer_append(&call->body, at, size);
     return 0;
 }
 
@@ -332,8 +332,8 @@
                           method, target, call->endpoint->addr, size);
 
     call->out_buffer.size = call->sent_size = 0;
-    pm_buf_add(&call->out_buffer, head, (size_t)length);
-    pm_buf_add(&call->out_buffer, body, size);
+    pm_buffer_append(&call->out_buffer, head, (size_t)length);
+    pm_buffer_append(&call->out_buffer, body, size);
 }
 
 /* Sends the request when the loop next waits, or as soon as the connection is there. */
--- a/src/base/http_connection.c
+++ b/src/base/http_connection.c
@@ -31,8 +31,8 @@
     close(connection->fd);
     if (connection->request)
         connection->request->connection = NULL;
-    pm_buf_free(&connection->body);
-    pm_buf_free(&connection->out_buffer);
+    pm_buffer_free(&connection->body);
+    pm_buffer_free(&connection->out_buffer);
     g_queue_delete_link(&server->connections, connection->queue_link);
     if (connection->is_send_due)
         g_queue_remove(&server->send_due, connection);
@@ -45,10 +45,10 @@
     return status == 200 ? "OK" : status == 201 ? "Created" : status < 500 ? "Refused" : "Trouble";
 }
 
-static void append_header(struct pm_buf *buffer, const char *format, ...)
+static void append_header(struct pm_buffer *buffer, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 
-static void append_header(struct pm_buf *buffer, const char *format, ...)
+static void append_header(struct pm_buffer *buffer, const char *format, ...)
 {
     char header[256];
     va_list args;
@@ -57,13 +57,13 @@
     va_start(args, format);
     length = vsnprintf(header, sizeof header, format, args);
     va_end(args);
-    pm_buf_add(buffer, header, (size_t)length);
+    pm_buffer_append(buffer, header, (size_t)length);
 }
 
 static void queue_response(struct pm_http_connection *connection, int status, const void *body,
                            size_t size, int retry_after)
 {
-    struct pm_buf *buffer = &connection->out_buffer;
+    struct pm_buffer *buffer = &connection->out_buffer;
 
     /* Clients come round in turn: closing the connection that was quiet longest for each new one
      * would close every connection just before its client asks again. A client that comes late is
@@ -78,7 +78,7 @@
     if (connection->close_after)
         append_header(buffer, "Connection: close\r\n");
     append_header(buffer, "\r\n");
-    pm_buf_add(buffer, body, size);
+    pm_buffer_append(buffer, body, size);
     if (!connection->is_send_due) {
         connection->is_send_due = true;
         g_queue_push_tail(&connection->server->send_due, connection);
@@ -93,10 +93,10 @@
 
     if (connection) {
         connection->request = NULL;
-        connection->deadline = request->valid_until;
+        connection->deadline = request->deadline;
         queue_response(connection, status, body, size, retry_after);
     }
-    pm_buf_free(&server_request->body);
+    pm_buffer_free(&server_request->body);
     g_free(server_request);
 }
 
@@ -121,7 +121,7 @@
 
     memcpy(request->target, connection->target, connection->target_size + 1);
     request->body = connection->body;
-    connection->body = (struct pm_buf){0};
+    connection->body = (struct pm_buffer){0};
     query = strchr(request->target, '?');
     if (query)
         *query++ = 0;
@@ -129,7 +129,7 @@
     request->public.query = query ? query : "";
     request->public.body = request->body.data;
     request->public.body_size = request->body.size;
-    request->public.arrived = ev_now(connection->server->loop);
+    request->public.arrived_at = ev_now(connection->server->loop);
     request->public.method = method_of(&connection->parser);
     request->connection = connection;
     connection->request = request;
@@ -195,7 +195,7 @@
         connection->refusal_status = HTTP_STATUS_PAYLOAD_TOO_LARGE;
         return 1;
     }
-    pm_buf_add(&connection->body, at, size);
+    pm_buffer_append(&connection->body, at, size);
     return 0;
 }
 
@@ -294,7 +294,7 @@
     }
     connection->out_buffer.size = connection->sent_size = 0;
     if (connection->out_buffer.room > KEPT_BUFFER_BYTES)
-        pm_buf_free(&connection->out_buffer);
+        pm_buffer_free(&connection->out_buffer);
     ev_io_stop(loop, &connection->write_watcher);
     if (connection->refusal_status) {
         /* Closing with unread bytes would reset the connection and take the answer with it. */
--- a/src/base/http_internal.h
+++ b/src/base/http_internal.h
@@ -15,7 +15,7 @@
 /* A non-blocking socket without delays, or -1. */
 int pm_http_new_socket(void);
 /* Sends what `buf` holds from `*sent` on, as far as the socket takes it; false: it is broken. */
-bool pm_http_send_rest(int fd, const struct pm_buf *buf, size_t *sent);
+bool pm_http_send_rest(int fd, const struct pm_buffer *buf, size_t *sent);
 /* A message is whole: the parser stops behind it, whatever follows. */
 int pm_http_end_message(http_parser *parser, bool *complete, bool *keep);
 /* Whether what rests on something confirmed a while ago may not be written any more: the process
--- a/src/base/http_server_internal.h
+++ b/src/base/http_server_internal.h
@@ -19,7 +19,7 @@
     struct pm_http_request public;         /* first: pm_http_reply gets a pointer to it */
     struct pm_http_connection *connection; /* NULL once the connection is closed */
     char target[PM_HTTP_TARGET_MAX + 1];
-    struct pm_buf body;
+    struct pm_buffer body;
 };
 
 struct pm_http_server {
@@ -44,11 +44,11 @@
     /* The request that is being read. */
     char target[PM_HTTP_TARGET_MAX + 1];
     size_t target_size, head_size;
-    struct pm_buf body;
+    struct pm_buffer body;
     bool is_complete, keep_alive;
     struct pm_http_server_request *request; /* being handled, NULL: none */
     /* The response. */
-    struct pm_buf out_buffer;
+    struct pm_buffer out_buffer;
     size_t sent_size;
     double deadline;    /* monotonic: the response is dropped if it goes out later, 0: never */
     int refusal_status; /* of a request that was refused: the connection ends with it, 0: none */
--- a/src/base/http_socket.c
+++ b/src/base/http_socket.c
@@ -39,7 +39,7 @@
     return fd;
 }
 
-bool pm_http_send_rest(int fd, const struct pm_buf *buf, size_t *sent)
+bool pm_http_send_rest(int fd, const struct pm_buffer *buf, size_t *sent)
 {
     ssize_t written = send(fd, buf->data + *sent, buf->size - *sent, MSG_NOSIGNAL);
 
--- a/src/cmd/plan-bench/main.c
+++ b/src/cmd/plan-bench/main.c
@@ -108,7 +108,7 @@
 {
     bool is_service = number % SERVICE_EVERY == 0;
     struct pm_spec spec = is_service ? service_spec() : array_spec();
-    struct pm_buf buf = {0};
+    struct pm_buffer buf = {0};
     cbor_item_t *value;
     char text[64];
 
@@ -122,7 +122,7 @@
     snprintf(text, sizeof text, "p/j/job-%06d", number);
     pm_jobs_apply_put(bench.jobs, text, value, ++bench.revision);
     pm_cbor_free(value);
-    pm_buf_free(&buf);
+    pm_buffer_free(&buf);
 }
 
 static void add_usual_job(int number)
@@ -135,45 +135,45 @@
 
 /* ---- heartbeats ---- */
 
-static void put_task(const struct pm_placement *placement, struct pm_buf *out)
+static void put_task(const struct pm_placement *placement, struct pm_buffer *out)
 {
     bool has_ended = placement->job->spec->kind == PM_WORKLOAD_ARRAY;
     char name[64];
 
     snprintf(name, sizeof name, "%s/%u", placement->job->id, placement->task_index);
-    pm_put_map(out);
-    pm_put_pair_text(out, "entry", name);
-    pm_put_pair_count(out, "try", placement->attempt);
-    pm_put_pair_text(out, "status", has_ended ? "ended" : "running");
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_text(out, "entry", name);
+    pm_cbor_put_pair_count(out, "try", placement->attempt);
+    pm_cbor_put_pair_text(out, "status", has_ended ? "ended" : "running");
     if (has_ended)
-        pm_put_pair_text(out, "cause", "done");
-    pm_put_end(out);
+        pm_cbor_put_pair_text(out, "cause", "done");
+    pm_cbor_put_end(out);
 }
 
 /* A heartbeat with all that the replica has on the machine: array tasks have ended, services run.
  */
-static void put_heartbeat(const struct pm_machine *machine, struct pm_buf *out)
+static void put_heartbeat(const struct pm_machine *machine, struct pm_buffer *out)
 {
-    pm_put_map(out);
-    pm_put_pair_text(out, "host", machine->name);
-    pm_put_pair_text(out, "endpoint", "127.0.0.1:9");
-    pm_put_pair_text(out, "model", pm_names_text(bench.tables.type_names, machine->type));
-    pm_put_pair_text(out, "room", bench.settings.zone_names[machine->zone]);
-    pm_put_pair_flag(out, "borrowed", machine->spot);
-    pm_put_pair_count(out, "shift", 1);
-    pm_put_pair_count(out, "tally", machine->heartbeat.sequence + 1);
-    pm_put_pair_count(out, "mandate", 1);
-    pm_put_text(out, "entries");
-    pm_put_list(out);
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_text(out, "host", machine->name);
+    pm_cbor_put_pair_text(out, "endpoint", "127.0.0.1:9");
+    pm_cbor_put_pair_text(out, "model", pm_names_text(bench.tables.type_names, machine->type));
+    pm_cbor_put_pair_text(out, "room", bench.settings.zone_names[machine->zone]);
+    pm_cbor_put_pair_flag(out, "borrowed", machine->spot);
+    pm_cbor_put_pair_count(out, "shift", 1);
+    pm_cbor_put_pair_count(out, "tally", machine->heartbeat.sequence + 1);
+    pm_cbor_put_pair_count(out, "mandate", 1);
+    pm_cbor_put_text(out, "entries");
+    pm_cbor_put_list(out);
     for (guint i = 0; i < machine->placements->len; i++)
         put_task(g_ptr_array_index(machine->placements, i), out);
-    pm_put_end(out);
-    pm_put_end(out);
+    pm_cbor_put_end(out);
+    pm_cbor_put_end(out);
 }
 
 static void apply_heartbeat(const struct pm_machine *machine)
 {
-    struct pm_buf buf = {0};
+    struct pm_buffer buf = {0};
     cbor_item_t *item;
     bool is_new;
 
@@ -181,7 +181,7 @@
     item = pm_cbor_parse(buf.data, buf.size);
     pm_workers_apply_heartbeat(bench.workers, item, PM_SOURCE_HEARTBEAT, 1, bench.now, &is_new);
     pm_cbor_free(item);
-    pm_buf_free(&buf);
+    pm_buffer_free(&buf);
 }
 
 /* ---- set-up ---- */
--- a/src/cmd/pumicectl/audit_files.c
+++ b/src/cmd/pumicectl/audit_files.c
@@ -21,11 +21,11 @@
 static void add_entry(void *arg, const struct pm_audit_entry *entry)
 {
     json_t *entries = arg;
-    char *time = format_wall(entry->day);
+    char *time = format_wall(entry->wall);
 
     json_array_append_new(entries, json_pack("{s:I, s:s, s:s, s:s, s:s, s:s}", "number",
                                              (json_int_t)entry->number, "when", time, "event",
-                                             entry->event, "duty", entry->duty, "subject",
+                                             entry->event, "duty", entry->role, "subject",
                                              entry->subject, "detail", entry->detail));
     g_free(time);
 }
--- a/src/cmd/pumicectl/drain.c
+++ b/src/cmd/pumicectl/drain.c
@@ -55,7 +55,7 @@
 
 /* Returns when the request is answered or has timed out. `body` may be NULL. */
 static void call(struct state_client *client, const char *method, const char *target,
-                 const struct pm_buf *body)
+                 const struct pm_buffer *body)
 {
     pm_http_call(client->http, client->addr, method, target, body ? body->data : NULL,
                  body ? body->size : 0, REQUEST_TIMEOUT_S, ANSWER_MAX, on_answer, client);
@@ -86,7 +86,7 @@
                           uint64_t request_revision)
 {
     struct pm_txn txn = {0};
-    struct pm_buf body = {0};
+    struct pm_buffer body = {0};
     char key[KEY_SIZE];
 
     snprintf(key, sizeof key, PM_KEY_ROLE_PREFIX "%s", role_name);
@@ -94,13 +94,13 @@
     snprintf(key, sizeof key, PM_KEY_DRAIN_PREFIX "%s", role_name);
     pm_txn_compare(&txn, key, request_revision);
     pm_txn_put(&txn, key);
-    pm_put_map(&txn.writes);
-    pm_put_pair_count(&txn.writes, "token", token);
-    pm_put_end(&txn.writes);
+    pm_cbor_put_map(&txn.writes);
+    pm_cbor_put_pair_count(&txn.writes, "token", token);
+    pm_cbor_put_end(&txn.writes);
     pm_txn_put_end(&txn, 0);
     pm_txn_encode(&txn, &body);
     call(client, "POST", "/txn", &body);
-    pm_buf_free(&body);
+    pm_buffer_free(&body);
     pm_txn_free(&txn);
 }
 
--- a/src/cmd/pumicemount/admin.c
+++ b/src/cmd/pumicemount/admin.c
@@ -17,32 +17,32 @@
 enum { NAMED_JOBS_MAX = 20 }; /* jobs named in one reason */
 
 /* Every answer begins with who gives it, and whether its epoch is confirmed. */
-static void encode_source(struct pm_controller *controller, struct pm_buf *out, double now)
+static void encode_source(struct pm_controller *controller, struct pm_buffer *out, double now)
 {
-    pm_put_pair_text(out, "controller", controller->settings->name);
-    pm_put_pair_flag(out, "leads", controller->is_leader);
-    pm_put_pair_flag(out, "confirmed", pm_election_is_confirmed(controller->election, now));
+    pm_cbor_put_pair_text(out, "controller", controller->settings->name);
+    pm_cbor_put_pair_flag(out, "leads", controller->is_leader);
+    pm_cbor_put_pair_flag(out, "confirmed", pm_election_is_confirmed(controller->election, now));
 }
 
-static void encode_counts(struct pm_controller *controller, struct pm_buf *out, double now)
+static void encode_counts(struct pm_controller *controller, struct pm_buffer *out, double now)
 {
     struct pm_controller_counts counts = pm_controller_count(controller, now);
 
-    pm_put_text(out, "counts");
-    pm_put_map(out);
-    pm_put_pair_count(out, "machines_up", (uint64_t)counts.machines_up);
-    pm_put_pair_count(out, "machines_silent", (uint64_t)counts.machines_silent);
-    pm_put_pair_count(out, "machines_leased_out", (uint64_t)counts.machines_leased);
-    pm_put_pair_count(out, "machines_booting", (uint64_t)counts.machines_booting);
-    pm_put_pair_count(out, "jobs_live", counts.jobs);
-    pm_put_pair_count(out, "tasks_placed", counts.tasks_placed);
-    pm_put_pair_count(out, "tasks_waiting", counts.tasks_waiting);
-    pm_put_pair_count(out, "tasks_at_holders", counts.tasks_delegated);
-    pm_put_end(out);
+    pm_cbor_put_text(out, "counts");
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_count(out, "machines_up", (uint64_t)counts.machines_up);
+    pm_cbor_put_pair_count(out, "machines_silent", (uint64_t)counts.machines_silent);
+    pm_cbor_put_pair_count(out, "machines_leased_out", (uint64_t)counts.machines_leased);
+    pm_cbor_put_pair_count(out, "machines_booting", (uint64_t)counts.machines_booting);
+    pm_cbor_put_pair_count(out, "jobs_live", counts.jobs);
+    pm_cbor_put_pair_count(out, "tasks_placed", counts.tasks_placed);
+    pm_cbor_put_pair_count(out, "tasks_waiting", counts.tasks_waiting);
+    pm_cbor_put_pair_count(out, "tasks_at_holders", counts.tasks_delegated);
+    pm_cbor_put_end(out);
 }
 
 /* Machines leased to other controllers, by owner; the leader knows them. */
-static void encode_shard_owners(struct pm_controller *controller, struct pm_buf *out)
+static void encode_shard_owners(struct pm_controller *controller, struct pm_buffer *out)
 {
     GPtrArray *all = pm_workers_all(controller->workers);
     uint64_t owned[PM_PEERS_MAX] = {0};
@@ -53,76 +53,77 @@
             machine->shard.owner <= controller->settings->peer_count)
             owned[machine->shard.owner - 1]++;
     }
-    pm_put_text(out, "holders");
-    pm_put_list(out);
+    pm_cbor_put_text(out, "holders");
+    pm_cbor_put_list(out);
     for (int i = 0; i < controller->settings->peer_count; i++) {
         if (!owned[i])
             continue;
-        pm_put_map(out);
-        pm_put_pair_text(out, "controller", controller->settings->peers[i].name);
-        pm_put_pair_count(out, "machines", owned[i]);
-        pm_put_end(out);
+        pm_cbor_put_map(out);
+        pm_cbor_put_pair_text(out, "controller", controller->settings->peers[i].name);
+        pm_cbor_put_pair_count(out, "machines", owned[i]);
+        pm_cbor_put_end(out);
     }
-    pm_put_end(out);
+    pm_cbor_put_end(out);
 }
 
-static void encode_store_state(struct pm_controller *controller, struct pm_buf *out, double now)
+static void encode_store_state(struct pm_controller *controller, struct pm_buffer *out, double now)
 {
-    pm_put_text(out, "state_service");
-    pm_put_map(out);
-    pm_put_pair_flag(out, "refuses", pm_store_is_refusing(controller->store));
-    pm_put_pair_number(out, "served_ago_s", now - pm_store_last_served_at(controller->store));
-    pm_put_pair_flag(out, "replica_ready", pm_store_is_ready(controller->store));
-    pm_put_pair_count(out, "replica_revision", pm_store_revision(controller->store));
-    pm_put_end(out);
+    pm_cbor_put_text(out, "state_service");
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_flag(out, "refuses", pm_store_is_refusing(controller->store));
+    pm_cbor_put_pair_number(out, "served_ago_s", now - pm_store_last_served_at(controller->store));
+    pm_cbor_put_pair_flag(out, "replica_ready", pm_store_is_ready(controller->store));
+    pm_cbor_put_pair_count(out, "replica_revision", pm_store_revision(controller->store));
+    pm_cbor_put_end(out);
 }
 
-static void encode_status(struct pm_controller *controller, struct pm_buf *out, double now)
+static void encode_status(struct pm_controller *controller, struct pm_buffer *out, double now)
 {
     const char *leader = controller->is_leader ? controller->settings->name
                                                : pm_election_other_leader(controller->election);
 
-    pm_put_map(out);
+    pm_cbor_put_map(out);
     encode_source(controller, out, now);
-    pm_put_pair_text(out, "version", PM_VERSION);
-    pm_put_pair_text(out, "process", pm_election_incarnation_id(controller->election));
-    pm_put_pair_count(out, "protocol_version", pm_election_protocol_version(controller->election));
-    pm_put_pair_text(out, "leader", leader ? leader : "");
-    pm_put_pair_flag(out, "holds_block", controller->is_active && !controller->is_leader);
-    pm_put_pair_count(out, "epoch", pm_election_epoch(controller->election));
+    pm_cbor_put_pair_text(out, "version", PM_VERSION);
+    pm_cbor_put_pair_text(out, "process", pm_election_incarnation_id(controller->election));
+    pm_cbor_put_pair_count(out, "protocol_version",
+                           pm_election_protocol_version(controller->election));
+    pm_cbor_put_pair_text(out, "leader", leader ? leader : "");
+    pm_cbor_put_pair_flag(out, "holds_block", controller->is_active && !controller->is_leader);
+    pm_cbor_put_pair_count(out, "epoch", pm_election_epoch(controller->election));
     encode_store_state(controller, out, now);
     encode_counts(controller, out, now);
     encode_shard_owners(controller, out);
-    pm_put_text(out, "single_duties");
+    pm_cbor_put_text(out, "single_duties");
     pm_roles_encode_status(controller->roles, out, now);
-    pm_put_text(out, "links");
+    pm_cbor_put_text(out, "links");
     pm_links_encode_status(controller->links, out, now);
-    pm_put_end(out);
+    pm_cbor_put_end(out);
 }
 
-static void encode_garbage(struct pm_controller *controller, struct pm_buf *out, double now)
+static void encode_garbage(struct pm_controller *controller, struct pm_buffer *out, double now)
 {
-    pm_put_map(out);
+    pm_cbor_put_map(out);
     encode_source(controller, out, now);
-    pm_put_pair_flag(out, "cleans",
-                     pm_roles_holds(controller->roles, PM_ROLE_GARBAGE_COLLECTION, now));
-    pm_put_text(out, "keys");
+    pm_cbor_put_pair_flag(out, "cleans",
+                          pm_roles_is_holder(controller->roles, PM_ROLE_GARBAGE_COLLECTION, now));
+    pm_cbor_put_text(out, "keys");
     pm_gc_encode_status(controller->gc, out, now);
-    pm_put_end(out);
+    pm_cbor_put_end(out);
 }
 
 /* ---- why a job does not run ---- */
 
-static void encode_reason(struct pm_buf *out, const char *reason, const char *detail)
+static void encode_reason(struct pm_buffer *out, const char *reason, const char *detail)
 {
-    pm_put_map(out);
-    pm_put_pair_text(out, "reason", reason);
-    pm_put_pair_text(out, "detail", detail);
-    pm_put_end(out);
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_text(out, "reason", reason);
+    pm_cbor_put_pair_text(out, "detail", detail);
+    pm_cbor_put_end(out);
 }
 
 static void encode_unmet_dependencies(struct pm_controller *controller, const struct pm_job *job,
-                                      struct pm_buf *out)
+                                      struct pm_buffer *out)
 {
     GString *names = g_string_new(NULL);
     unsigned named = 0;
@@ -145,7 +146,7 @@
 /* What the machines that the job may use have free, as the leader or the owner of a shard sees
  * them. */
 static void encode_capacity(struct pm_controller *controller, const struct pm_job *job,
-                            struct pm_buf *out)
+                            struct pm_buffer *out)
 {
     GPtrArray *all = pm_workers_all(controller->workers);
     const struct pm_spec *spec = job->spec;
@@ -174,17 +175,17 @@
 }
 
 static void encode_unreachable_zone(struct pm_controller *controller, const struct pm_job *job,
-                                    struct pm_buf *out)
+                                    struct pm_buffer *out)
 {
     const struct pm_view *own = &pm_links_matrix(controller->links)->view[0];
     int zone = job->spec->zone;
 
-    if (zone >= 0 && own->zone[zone] != PM_LINK_UNKNOWN && !pm_link_usable(own->zone[zone]))
+    if (zone >= 0 && own->zone[zone] != PM_LINK_UNKNOWN && !pm_link_is_usable(own->zone[zone]))
         encode_reason(out, "zone-not-reached", controller->settings->zone_names[zone]);
 }
 
 static void encode_reasons(struct pm_controller *controller, const struct pm_job *job,
-                           struct pm_buf *out, double now)
+                           struct pm_buffer *out, double now)
 {
     if (job->state != PM_JOB_LIVE)
         return;
@@ -229,37 +230,37 @@
     return running ? "running" : "queued";
 }
 
-static void encode_job(struct pm_controller *controller, const char *id, struct pm_buf *out,
+static void encode_job(struct pm_controller *controller, const char *id, struct pm_buffer *out,
                        double now)
 {
     const struct pm_job *job = pm_jobs_find(controller->jobs, id);
     uint32_t done = 0;
     uint32_t running = 0;
 
-    pm_put_map(out);
+    pm_cbor_put_map(out);
     encode_source(controller, out, now);
-    pm_put_pair_text(out, "job", id);
-    pm_put_pair_flag(out, "known", job != NULL);
+    pm_cbor_put_pair_text(out, "job", id);
+    pm_cbor_put_pair_flag(out, "known", job != NULL);
     if (job) {
         pm_job_count_tasks(job, &done, &running);
-        pm_put_pair_text(out, "state", state_name(job, running));
-        pm_put_pair_count(out, "tasks", job->task_count);
-        pm_put_pair_count(out, "done", done);
-        pm_put_pair_count(out, "running", running);
+        pm_cbor_put_pair_text(out, "state", state_name(job, running));
+        pm_cbor_put_pair_count(out, "tasks", job->task_count);
+        pm_cbor_put_pair_count(out, "done", done);
+        pm_cbor_put_pair_count(out, "running", running);
     }
-    pm_put_pair_number(out, "replica_age_s", now - pm_store_last_served_at(controller->store));
-    pm_put_text(out, "reasons");
-    pm_put_list(out);
+    pm_cbor_put_pair_number(out, "replica_age_s", now - pm_store_last_served_at(controller->store));
+    pm_cbor_put_text(out, "reasons");
+    pm_cbor_put_list(out);
     if (job)
         encode_reasons(controller, job, out, now);
-    pm_put_end(out);
-    pm_put_end(out);
+    pm_cbor_put_end(out);
+    pm_cbor_put_end(out);
 }
 
 bool pm_controller_handle_admin_request(struct pm_controller *controller,
                                         struct pm_http_request *request)
 {
-    struct pm_buf body = {0};
+    struct pm_buffer body = {0};
     double now = pm_clock_monotonic();
 
     if (strncmp(request->path, ADMIN_PREFIX, strlen(ADMIN_PREFIX)) != 0)
@@ -278,6 +279,6 @@
     else
         return false;
     pm_http_reply(request, 200, body.data, body.size, 0);
-    pm_buf_free(&body);
+    pm_buffer_free(&body);
     return true;
 }
--- a/src/cmd/pumicemount/internal.h
+++ b/src/cmd/pumicemount/internal.h
@@ -28,7 +28,7 @@
 /* The stored ledger (p/ledger): what a new leader reads of teams' use, cached images and failures.
  */
 struct pm_controller_ledger {
-    struct pm_buf value; /* as last read, for when this controller is elected */
+    struct pm_buffer value; /* as last read, for when this controller is elected */
     uint64_t revision;
     bool write_in_flight;
     double written_at; /* monotonic */
--- a/src/cmd/pumicemount/leadership_events.c
+++ b/src/cmd/pumicemount/leadership_events.c
@@ -19,7 +19,7 @@
                               uint32_t task_index, const struct pm_stored_placement *stored,
                               double now)
 {
-    const char *name = pm_names_text(controller->tables.machine_names, stored->machine);
+    const char *name = pm_names_text(controller->tables.machine_names, stored->machine_index);
     struct pm_machine *machine = pm_workers_add(controller->workers, name);
 
     pm_workers_add_placement(controller->workers, job, task_index, machine, stored->attempt,
@@ -38,7 +38,7 @@
 
     for (int k = 0; job->spec && k < job->chunk_count; k++) {
         const struct pm_chunk *chunk = job->chunks[k];
-        GArray *stored = chunk && chunk->stored ? chunk->stored_placements : NULL;
+        GArray *stored = chunk && chunk->is_stored ? chunk->stored_placements : NULL;
         for (guint i = 0; stored && i < stored->len; i++) {
             const struct pm_stored_placement *placement =
                 &g_array_index(stored, struct pm_stored_placement, i);
--- a/src/cmd/pumicemount/link_monitor.c
+++ b/src/cmd/pumicemount/link_monitor.c
@@ -23,7 +23,7 @@
 
 static void on_call_ended(void *arg, const struct pm_http_outcome *outcome)
 {
-    pm_links_call_ended(((struct pm_controller *)arg)->links, outcome);
+    pm_links_record_call(((struct pm_controller *)arg)->links, outcome);
 }
 
 static unsigned char *on_encode_views(void *arg, size_t *size)
@@ -40,7 +40,7 @@
 
 static void on_peer_heard(void *arg, int peer)
 {
-    pm_links_peer_heard(((struct pm_controller *)arg)->links, peer, pm_clock_monotonic());
+    pm_links_record_peer_request(((struct pm_controller *)arg)->links, peer, pm_clock_monotonic());
 }
 
 static double on_candidate_wait(void *arg)
@@ -88,7 +88,7 @@
     for (int zone = 0; zone < controller->settings->zone_count; zone++) {
         for (int i = 0; i < PM_VIEW_ENDPOINTS; i++)
             add_endpoint(&census[zone], silent[zone].endpoint[i]);
-        pm_links_count_zone(controller->links, zone, &census[zone], now);
+        pm_links_record_zone_census(controller->links, zone, &census[zone], now);
     }
 }
 
@@ -111,13 +111,13 @@
 
 static void probe(struct pm_controller *controller, double now)
 {
-    if (pm_links_probe_state_due(controller->links, now))
+    if (pm_links_is_state_probe_due(controller->links, now))
         pm_store_linearizable_read(controller->store, on_read_done, controller);
-    if (pm_links_probe_cloud_due(controller->links, now))
+    if (pm_links_is_cloud_probe_due(controller->links, now))
         pm_http_call(controller->http, controller->settings->cloud_addr, "GET", "/machine_types",
                      NULL, 0, PROBE_TIMEOUT_S, PROBE_ANSWER_BYTES, on_probe_done, controller);
     for (int zone = 0; zone < controller->settings->zone_count; zone++) {
-        const char *addr = pm_links_probe_zone_due(controller->links, zone, now);
+        const char *addr = pm_links_next_zone_probe(controller->links, zone, now);
         if (addr)
             pm_http_call(controller->http, addr, "GET", "/status", NULL, 0, PROBE_TIMEOUT_S,
                          PROBE_ANSWER_BYTES, on_probe_done, controller);
@@ -134,7 +134,7 @@
     (void)store_revision;
     (void)conflicting_keys;
     controller->view_write_in_flight = false;
-    pm_links_view_written(controller->links, result == PM_STORE_OK);
+    pm_links_record_view_write(controller->links, result == PM_STORE_OK);
 }
 
 static void write_view(struct pm_controller *controller, double now)
@@ -190,7 +190,7 @@
     if (pm_links_should_yield_lead(controller->links, now - controller->elected_at, now))
         pm_election_step_down(controller->election, "another controller has better links");
     else if (!controller->operator_settings->links.decide ||
-             pm_links_has_equal(controller->links, now))
+             pm_links_has_equal_candidate(controller->links, now))
         step_down_if_unreachable(controller, now);
 }
 
--- a/src/cmd/pumicemount/replica_feed.c
+++ b/src/cmd/pumicemount/replica_feed.c
@@ -38,7 +38,7 @@
         return; /* it is our own */
     pm_scheduler_decode_ledger(controller->scheduler, value);
     controller->ledger.value.size = 0;
-    pm_put_item(&controller->ledger.value, value);
+    pm_cbor_put_item(&controller->ledger.value, value);
 }
 
 static void apply_machine_types_put(struct pm_controller *controller, const cbor_item_t *value,
@@ -57,7 +57,7 @@
     if (!job)
         return;
     if (job->cancellation_revision == revision && pm_store_is_ready(controller->store))
-        pm_cancel_quorum_note_read(controller->cancel_quorum, revision);
+        pm_cancel_quorum_note_cancellation_read(controller->cancel_quorum, revision);
     pm_controller_plan_soon(controller);
 }
 
--- a/src/cmd/pumicemount/singleton_roles.c
+++ b/src/cmd/pumicemount/singleton_roles.c
@@ -52,7 +52,7 @@
     struct pm_txn txn = {0};
 
     if (controller->gc_run.in_flight || now - controller->gc_run.checked_at < GC_INTERVAL_S ||
-        deletes_max < 1 || !pm_roles_holds(controller->roles, PM_ROLE_GARBAGE_COLLECTION, now))
+        deletes_max < 1 || !pm_roles_is_holder(controller->roles, PM_ROLE_GARBAGE_COLLECTION, now))
         return;
     controller->gc_run.checked_at = now;
     pm_txn_compare(&txn, PM_KEY_ROLE_PREFIX "clean", token);
@@ -102,6 +102,6 @@
     controller->roles = pm_roles_new(controller->store, controller->settings, setting,
                                      pm_election_incarnation_id(controller->election),
                                      controller->trace, open_audit_log(controller), &hooks);
-    pm_autoscaler_set_duties(controller->autoscaler, controller->roles);
+    pm_autoscaler_set_roles(controller->autoscaler, controller->roles);
     controller->gc = pm_gc_new(controller->settings, setting->gc_after_s);
 }
--- a/src/cmd/pumicemount/worker_endpoint.c
+++ b/src/cmd/pumicemount/worker_endpoint.c
@@ -83,8 +83,8 @@
 
     controller->pushes_in_flight--;
     if (machine && machine->heartbeat.is_known && status != PM_HTTP_NOT_SENT)
-        pm_links_worker_answered(controller->links, machine->zone, status > 0, push->sent_at,
-                                 pm_clock_monotonic());
+        pm_links_record_command_result(controller->links, machine->zone, status > 0, push->sent_at,
+                                       pm_clock_monotonic());
     if (status == 200 || status == 409) /* both bring the worker's report */
         report = pm_cbor_parse(body, size);
     if (machine)
@@ -109,24 +109,24 @@
 }
 
 /* Returns how many commands it wrote. */
-static int encode_push(struct pm_machine *machine, uint64_t epoch, struct pm_buf *body)
+static int encode_push(struct pm_machine *machine, uint64_t epoch, struct pm_buffer *body)
 {
     uint64_t incarnation = machine->heartbeat.incarnation;
     int commands;
 
-    pm_put_map(body);
-    pm_put_pair_count(body, "mandate", epoch);
-    pm_put_pair_count(body, "shift", incarnation ? incarnation : FIRST_INCARNATION);
-    pm_put_text(body, "orders");
+    pm_cbor_put_map(body);
+    pm_cbor_put_pair_count(body, "mandate", epoch);
+    pm_cbor_put_pair_count(body, "shift", incarnation ? incarnation : FIRST_INCARNATION);
+    pm_cbor_put_text(body, "orders");
     commands = pm_workers_encode_commands(machine, true, epoch, body);
-    pm_put_end(body);
+    pm_cbor_put_end(body);
     return commands;
 }
 
 void pm_controller_push_commands(struct pm_controller *controller, struct pm_machine *machine,
                                  bool probe)
 {
-    struct pm_buf body = {0};
+    struct pm_buffer body = {0};
     struct push *push;
     int commands;
 
@@ -144,7 +144,7 @@
     pm_http_call_until(controller->http, machine->endpoint, "POST", "/do", body.data, body.size,
                        commands ? PUSH_TIMEOUT_S : PROBE_TIMEOUT_S, PUSH_ANSWER_BYTES,
                        push->deadline, on_push_done, push);
-    pm_buf_free(&body);
+    pm_buffer_free(&body);
 }
 
 void pm_controller_push_all_commands(struct pm_controller *controller)
@@ -170,7 +170,7 @@
                            const char *machine)
 {
     const char *other = pm_shards_owner_of(controller->shards, machine);
-    struct pm_buf body = {0};
+    struct pm_buffer body = {0};
 
     if (!other || !strcmp(other, controller->settings->name))
         other = pm_election_other_leader(controller->election);
@@ -178,11 +178,11 @@
         reply_unavailable(request);
         return;
     }
-    pm_put_map(&body);
-    pm_put_pair_text(&body, "steward", other);
-    pm_put_end(&body);
+    pm_cbor_put_map(&body);
+    pm_cbor_put_pair_text(&body, "steward", other);
+    pm_cbor_put_end(&body);
     pm_http_reply(request, 421, body.data, body.size, 0);
-    pm_buf_free(&body);
+    pm_buffer_free(&body);
 }
 
 /* 200 with the commands that are due for the machine. Without a machine the lease is renewed, and
@@ -191,18 +191,18 @@
                            struct pm_machine *machine, const cbor_item_t *report)
 {
     uint64_t epoch = pm_election_epoch(controller->election);
-    struct pm_buf body = {0};
+    struct pm_buffer body = {0};
 
-    pm_put_map(&body);
-    pm_put_pair_count(&body, "mandate", epoch);
-    pm_put_text(&body, "orders");
+    pm_cbor_put_map(&body);
+    pm_cbor_put_pair_count(&body, "mandate", epoch);
+    pm_cbor_put_text(&body, "orders");
     if (machine)
         pm_workers_encode_commands(machine, false, epoch, &body);
     else
         pm_workers_encode_cancel_kills(controller->workers, report, &body);
-    pm_put_end(&body);
+    pm_cbor_put_end(&body);
     pm_http_reply(request, 200, body.data, body.size, 0);
-    pm_buf_free(&body);
+    pm_buffer_free(&body);
 }
 
 /* A heartbeat as it is being handled. */
@@ -233,7 +233,7 @@
         reply_redirect(controller, heartbeat->request, heartbeat->machine);
         return;
     }
-    heartbeat->request->valid_until = pm_election_outage_renewal_deadline(election);
+    heartbeat->request->deadline = pm_election_outage_renewal_deadline(election);
     reply_commands(controller, heartbeat->request, NULL, heartbeat->report);
 }
 
@@ -278,7 +278,7 @@
         reply_unavailable(heartbeat->request);
         return;
     }
-    heartbeat->request->valid_until = pm_election_confirmation_deadline(controller->election);
+    heartbeat->request->deadline = pm_election_confirmation_deadline(controller->election);
     reply_commands(controller, heartbeat->request, fresh ? machine : NULL, heartbeat->report);
     pm_machine_note_ack(machine, epoch, heartbeat->now);
     pm_controller_plan_soon(controller);
@@ -298,9 +298,9 @@
     if (controller->is_active)
         machine = pm_workers_find(controller->workers, heartbeat->machine);
     if (machine)
-        pm_links_worker_heard(controller->links, machine->zone,
-                              token && token == pm_election_epoch(controller->election),
-                              heartbeat->now);
+        pm_links_record_heartbeat(controller->links, machine->zone,
+                                  token && token == pm_election_epoch(controller->election),
+                                  heartbeat->now);
     if (is_not_ours(controller, machine))
         answer_for_another(controller, heartbeat);
     else
--- a/src/jobs/chunk.h
+++ b/src/jobs/chunk.h
@@ -29,7 +29,7 @@
 struct pm_stored_placement {
     uint16_t task_in_chunk;
     uint32_t attempt, incarnation;
-    int machine; /* index of the tables' machine names */
+    int machine_index; /* index of the tables' machine names */
 };
 
 /* One stored value: of the whole chunk, or of a half. */
@@ -38,7 +38,7 @@
     uint64_t written_revision;      /* of our own last write, which the watch may not show yet */
     uint64_t done[PM_CHUNK_HALVES]; /* bit i of half h: its task i is done */
     uint32_t last_attempt;
-    GArray *stored_placements; /* of struct pm_stored_placement; owned */
+    GArray *placements; /* of struct pm_stored_placement; owned */
 };
 
 /* Bits of `struct pm_chunk_write_back.dirty`. */
@@ -62,14 +62,14 @@
 
 struct pm_chunk {
     /* The replica: the stored values, */
-    struct pm_stored_chunk whole, half[PM_CHUNK_HALVES];
+    struct pm_stored_chunk whole, halves[PM_CHUNK_HALVES];
     /* and their contents together. */
-    bool stored; /* any of them is there */
+    bool is_stored; /* any of them is there */
     uint64_t done[PM_CHUNK_HALVES];
     uint32_t last_attempt;
     GArray *stored_placements; /* of struct pm_stored_placement; NULL: never stored; owned */
     /* The working state of whoever places the job. */
-    struct pm_task *task; /* PM_CHUNK_TASKS of them, owned; NULL: none was ever touched */
+    struct pm_task *tasks; /* PM_CHUNK_TASKS of them, owned; NULL: none was ever touched */
     uint16_t placement_counts[PM_CHUNK_HALVES];
     struct pm_chunk_write_back write_back;
 };
@@ -83,7 +83,7 @@
 /* Writes the value of p/t/ID/`chunk_index`, or of one half of it (PM_CHUNK_WHOLE: of the whole),
  * from the working state, which the chunk must have. */
 void pm_chunk_encode(const struct pm_name_tables *tables, const struct pm_job *job, int chunk_index,
-                     int half, struct pm_buf *out);
+                     int half, struct pm_buffer *out);
 
 /* Whether the chunk is written in halves: it is already, or it could grow too large for one value.
  * Every further value costs one more change of the state service's budget, the scarcest of all. */
--- a/src/jobs/chunk_codec.c
+++ b/src/jobs/chunk_codec.c
@@ -65,7 +65,8 @@
     *out = (struct pm_stored_placement){.task_in_chunk = (uint16_t)task,
                                         .attempt = (uint32_t)attempt,
                                         .incarnation = (uint32_t)incarnation,
-                                        .machine = pm_names_intern(tables->machine_names, machine)};
+                                        .machine_index =
+                                            pm_names_intern(tables->machine_names, machine)};
     return true;
 }
 
@@ -81,49 +82,49 @@
         return false;
     read_ranges(done, out->done);
     out->last_attempt = (uint32_t)last_attempt;
-    if (out->stored_placements)
-        g_array_set_size(out->stored_placements, 0);
+    if (out->placements)
+        g_array_set_size(out->placements, 0);
     else
-        out->stored_placements = g_array_new(FALSE, FALSE, sizeof(struct pm_stored_placement));
+        out->placements = g_array_new(FALSE, FALSE, sizeof(struct pm_stored_placement));
     placements = pm_cbor_get(value, FIELD_PLACEMENTS);
     for (size_t i = 0; i < pm_cbor_length(placements); i++) {
         struct pm_stored_placement placement;
         if (read_placement(tables, pm_cbor_at(placements, i), &placement))
-            g_array_append_val(out->stored_placements, placement);
+            g_array_append_val(out->placements, placement);
     }
     return true;
 }
 
 static void write_placement(const struct pm_name_tables *tables, int task_in_chunk,
-                            const struct pm_placement *placement, struct pm_buf *out)
+                            const struct pm_placement *placement, struct pm_buffer *out)
 {
-    pm_put_list(out);
-    pm_put_count(out, (uint64_t)task_in_chunk);
-    pm_put_count(out, placement->attempt);
-    pm_put_text(out, pm_names_text(tables->machine_names, placement->machine_index));
-    pm_put_count(out, placement->incarnation);
-    pm_put_end(out);
+    pm_cbor_put_list(out);
+    pm_cbor_put_count(out, (uint64_t)task_in_chunk);
+    pm_cbor_put_count(out, placement->attempt);
+    pm_cbor_put_text(out, pm_names_text(tables->machine_names, placement->machine_index));
+    pm_cbor_put_count(out, placement->incarnation);
+    pm_cbor_put_end(out);
 }
 
 void pm_chunk_encode(const struct pm_name_tables *tables, const struct pm_job *job, int chunk_index,
-                     int half, struct pm_buf *out)
+                     int half, struct pm_buffer *out)
 {
-    const struct pm_task *tasks = job->chunks[chunk_index]->task;
+    const struct pm_task *tasks = job->chunks[chunk_index]->tasks;
     int first = half == PM_CHUNK_WHOLE ? 0 : half * PM_HALF_CHUNK_TASKS;
     int end = half == PM_CHUNK_WHOLE ? PM_CHUNK_TASKS : first + PM_HALF_CHUNK_TASKS;
     char done[DONE_TEXT_MAX];
 
     write_ranges(tasks, first, end, done, sizeof done);
-    pm_put_map(out);
-    pm_put_pair_text(out, FIELD_DONE_TASKS, done);
-    pm_put_pair_count(out, FIELD_LAST_ATTEMPT, job->work.last_attempt);
-    pm_put_text(out, FIELD_PLACEMENTS);
-    pm_put_list(out);
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_text(out, FIELD_DONE_TASKS, done);
+    pm_cbor_put_pair_count(out, FIELD_LAST_ATTEMPT, job->work.last_attempt);
+    pm_cbor_put_text(out, FIELD_PLACEMENTS);
+    pm_cbor_put_list(out);
     for (int i = first; i < end; i++) {
         const struct pm_placement *placement = tasks[i].placement;
         if (placement && placement->state != PM_PLACEMENT_ENDED)
             write_placement(tables, i, placement, out);
     }
-    pm_put_end(out);
-    pm_put_end(out);
+    pm_cbor_put_end(out);
+    pm_cbor_put_end(out);
 }
--- a/src/jobs/chunks.c
+++ b/src/jobs/chunks.c
@@ -19,9 +19,9 @@
     if (!chunk)
         return;
     for (int half = PM_CHUNK_WHOLE; half < PM_CHUNK_HALVES; half++)
-        stored_placements_free(pm_chunk_stored(chunk, half)->stored_placements);
+        stored_placements_free(pm_chunk_stored(chunk, half)->placements);
     stored_placements_free(chunk->stored_placements);
-    g_free(chunk->task);
+    g_free(chunk->tasks);
     g_free(chunk);
 }
 
@@ -53,7 +53,7 @@
 
 struct pm_stored_chunk *pm_chunk_stored(struct pm_chunk *chunk, int half)
 {
-    return half == PM_CHUNK_WHOLE ? &chunk->whole : &chunk->half[half];
+    return half == PM_CHUNK_WHOLE ? &chunk->whole : &chunk->halves[half];
 }
 
 uint64_t pm_stored_chunk_revision(const struct pm_stored_chunk *value)
@@ -70,16 +70,16 @@
 static void merge_half(struct pm_chunk *chunk, int half)
 {
     const struct pm_stored_chunk *value =
-        chunk->half[half].revision ? &chunk->half[half] : &chunk->whole;
+        chunk->halves[half].revision ? &chunk->halves[half] : &chunk->whole;
 
     chunk->done[half] = value->revision ? value->done[half] : 0;
     if (!value->revision)
         return;
-    chunk->stored = true;
+    chunk->is_stored = true;
     chunk->last_attempt = MAX(chunk->last_attempt, value->last_attempt);
-    for (guint i = 0; i < value->stored_placements->len; i++) {
+    for (guint i = 0; i < value->placements->len; i++) {
         const struct pm_stored_placement *placement =
-            &g_array_index(value->stored_placements, struct pm_stored_placement, i);
+            &g_array_index(value->placements, struct pm_stored_placement, i);
         if (placement->task_in_chunk / PM_HALF_CHUNK_TASKS == half)
             g_array_append_vals(chunk->stored_placements, placement, 1);
     }
@@ -90,7 +90,7 @@
     if (!chunk->stored_placements)
         chunk->stored_placements = g_array_new(FALSE, FALSE, sizeof(struct pm_stored_placement));
     g_array_set_size(chunk->stored_placements, 0);
-    chunk->stored = false;
+    chunk->is_stored = false;
     chunk->last_attempt = 0;
     for (int half = 0; half < PM_CHUNK_HALVES; half++)
         merge_half(chunk, half);
@@ -107,7 +107,8 @@
 
 static bool has_stored_half(const struct pm_chunk *chunk)
 {
-    return pm_stored_chunk_revision(&chunk->half[0]) || pm_stored_chunk_revision(&chunk->half[1]);
+    return pm_stored_chunk_revision(&chunk->halves[0]) ||
+           pm_stored_chunk_revision(&chunk->halves[1]);
 }
 
 bool pm_job_is_chunk_split(const struct pm_name_tables *tables, const struct pm_job *job,
--- a/src/jobs/codec.h
+++ b/src/jobs/codec.h
@@ -37,17 +37,17 @@
 
 /* Writes the value of p/n/ID/`list_index` to `out`. */
 void pm_dependency_list_encode(const struct pm_name_tables *tables, const struct pm_spec *spec,
-                               uint32_t list_index, struct pm_buf *out);
+                               uint32_t list_index, struct pm_buffer *out);
 
 /* Writes the value of p/j for a job in that state to `out`. `spec` may be NULL unless
  * `with_description`, which keeps the description in the value. */
 void pm_job_encode(const struct pm_name_tables *tables, const struct pm_spec *spec,
                    uint32_t task_count, enum pm_job_state state, bool with_description,
-                   struct pm_buf *out);
+                   struct pm_buffer *out);
 
 /* Writes the value of p/j for a job that is done, with the time of its end if every controller
  * reads that. */
 void pm_job_encode_done(const struct pm_name_tables *tables, const struct pm_job *job,
-                        bool with_description, struct pm_buf *out);
+                        bool with_description, struct pm_buffer *out);
 
 #endif
--- a/src/jobs/commit_due.c
+++ b/src/jobs/commit_due.c
@@ -38,7 +38,7 @@
 static bool has_proposed_placement(const struct pm_chunk *chunk)
 {
     for (int i = 0; i < PM_CHUNK_TASKS; i++) {
-        const struct pm_placement *placement = chunk->task[i].placement;
+        const struct pm_placement *placement = chunk->tasks[i].placement;
         if (placement && placement->state == PM_PLACEMENT_PROPOSED)
             return true;
     }
--- a/src/jobs/commit_results.c
+++ b/src/jobs/commit_results.c
@@ -38,13 +38,13 @@
 guint pm_commit_chunk_hash(const struct pm_commit *commit, const struct pm_job *job,
                            int chunk_index)
 {
-    struct pm_buf buf = {0};
+    struct pm_buffer buf = {0};
     guint hash = pm_job_is_chunk_split(commit->tables, job, chunk_index);
 
     pm_chunk_encode(commit->tables, job, chunk_index, PM_CHUNK_WHOLE, &buf);
     for (size_t i = 0; i < buf.size; i++)
         hash = hash * HASH_FACTOR + buf.data[i];
-    pm_buf_free(&buf);
+    pm_buffer_free(&buf);
     return hash ? hash : 1;
 }
 
@@ -62,7 +62,7 @@
     chunk->write_back.rejected_hash = 0;
     chunk->write_back.write_alone = false;
     if (written->half != PM_CHUNK_WHOLE && pm_stored_chunk_revision(&chunk->whole) &&
-        pm_stored_chunk_revision(&chunk->half[!written->half]))
+        pm_stored_chunk_revision(&chunk->halves[!written->half]))
         chunk->write_back.dirty |=
             PM_DIRTY_WHOLE; /* both halves are stored: the whole is to be deleted */
 }
--- a/src/jobs/commit_transaction.c
+++ b/src/jobs/commit_transaction.c
@@ -83,7 +83,7 @@
                                     const struct pm_chunk *chunk, int half)
 {
     for (int i = 0; i < PM_CHUNK_TASKS; i++) {
-        const struct pm_placement *placement = chunk->task[i].placement;
+        const struct pm_placement *placement = chunk->tasks[i].placement;
         struct proposed_placement proposed;
         if (!placement || placement->state != PM_PLACEMENT_PROPOSED)
             continue;
@@ -133,7 +133,7 @@
 
     for (int half = 0; half < PM_CHUNK_HALVES && writes_left(transaction) > 0; half++) {
         bool is_dirty = chunk->write_back.dirty & pm_chunk_dirty_bits(half);
-        bool is_missing = whole_is_stored && !pm_stored_chunk_revision(&chunk->half[half]);
+        bool is_missing = whole_is_stored && !pm_stored_chunk_revision(&chunk->halves[half]);
         if (!is_dirty && !is_missing)
             continue;
         compare_chunk(transaction, job, chunk_index, half);
@@ -180,7 +180,7 @@
                             bool keep_description)
 {
     struct pm_commit *commit = transaction->commit;
-    struct pm_buf *out = &transaction->txn.writes;
+    struct pm_buffer *out = &transaction->txn.writes;
     char key[PM_JOBS_KEY_MAX];
 
     pm_job_key_write(job, key);
--- a/src/jobs/dependency_codec.c
+++ b/src/jobs/dependency_codec.c
@@ -84,22 +84,22 @@
 }
 
 void pm_dependencies_field_encode(const struct pm_name_tables *tables, const struct pm_spec *spec,
-                                  uint32_t first, uint32_t end, struct pm_buf *out)
+                                  uint32_t first, uint32_t end, struct pm_buffer *out)
 {
-    pm_put_text(out, FIELD_DEPENDENCIES);
-    pm_put_list(out);
+    pm_cbor_put_text(out, FIELD_DEPENDENCIES);
+    pm_cbor_put_list(out);
     for (uint32_t i = first; i < end; i++)
-        pm_put_text(out, pm_names_text(tables->dependency_ids, spec->dependencies[i]));
-    pm_put_end(out);
+        pm_cbor_put_text(out, pm_names_text(tables->dependency_ids, spec->dependencies[i]));
+    pm_cbor_put_end(out);
 }
 
 void pm_dependency_list_encode(const struct pm_name_tables *tables, const struct pm_spec *spec,
-                               uint32_t list_index, struct pm_buf *out)
+                               uint32_t list_index, struct pm_buffer *out)
 {
     uint32_t per_list = ids_per_list(tables);
     uint32_t end = MIN((list_index + 1) * per_list, spec->dependency_count);
 
-    pm_put_map(out);
+    pm_cbor_put_map(out);
     pm_dependencies_field_encode(tables, spec, list_index * per_list, end, out);
-    pm_put_end(out);
+    pm_cbor_put_end(out);
 }
--- a/src/jobs/internal.h
+++ b/src/jobs/internal.h
@@ -128,7 +128,7 @@
 
 /* Writes the field of the dependencies from `first` to before `end` into the map being written. */
 void pm_dependencies_field_encode(const struct pm_name_tables *tables, const struct pm_spec *spec,
-                                  uint32_t first, uint32_t end, struct pm_buf *out);
+                                  uint32_t first, uint32_t end, struct pm_buffer *out);
 
 /* ---- chunks.c: the replica of chunks ---- */
 
--- a/src/jobs/job_codec.c
+++ b/src/jobs/job_codec.c
@@ -221,85 +221,85 @@
 }
 
 static void write_allowed_types(const struct pm_name_tables *tables, const struct pm_spec *spec,
-                                struct pm_buf *out)
+                                struct pm_buffer *out)
 {
-    pm_put_text(out, FIELD_ALLOWED_TYPES);
-    pm_put_list(out);
+    pm_cbor_put_text(out, FIELD_ALLOWED_TYPES);
+    pm_cbor_put_list(out);
     for (int i = 0; i < tables->type_count; i++)
         if (spec->allowed_types >> i & 1)
-            pm_put_text(out, pm_names_text(tables->type_names, i));
-    pm_put_end(out);
+            pm_cbor_put_text(out, pm_names_text(tables->type_names, i));
+    pm_cbor_put_end(out);
 }
 
-static void write_amounts(const struct pm_spec *spec, struct pm_buf *out)
+static void write_amounts(const struct pm_spec *spec, struct pm_buffer *out)
 {
-    pm_put_pair_number(out, FIELD_CPUS, spec->cpus);
-    pm_put_pair_number(out, FIELD_GPUS, spec->gpus);
-    pm_put_pair_number(out, FIELD_RAM_GB, spec->ram_gb);
-    pm_put_pair_number(out, FIELD_IMAGE_GB, spec->image_gb);
-    pm_put_pair_number(out, FIELD_ESTIMATED_RUN_S, spec->estimated_run_s);
-    pm_put_pair_number(out, FIELD_CHECKPOINT_INTERVAL_S, spec->checkpoint_interval_s);
-    pm_put_pair_number(out, FIELD_CHECKPOINT_DURATION_S, spec->checkpoint_duration_s);
+    pm_cbor_put_pair_number(out, FIELD_CPUS, spec->cpus);
+    pm_cbor_put_pair_number(out, FIELD_GPUS, spec->gpus);
+    pm_cbor_put_pair_number(out, FIELD_RAM_GB, spec->ram_gb);
+    pm_cbor_put_pair_number(out, FIELD_IMAGE_GB, spec->image_gb);
+    pm_cbor_put_pair_number(out, FIELD_ESTIMATED_RUN_S, spec->estimated_run_s);
+    pm_cbor_put_pair_number(out, FIELD_CHECKPOINT_INTERVAL_S, spec->checkpoint_interval_s);
+    pm_cbor_put_pair_number(out, FIELD_CHECKPOINT_DURATION_S, spec->checkpoint_duration_s);
     if (spec->deadline_s >= 0)
-        pm_put_pair_number(out, FIELD_DEADLINE_S, spec->deadline_s);
+        pm_cbor_put_pair_number(out, FIELD_DEADLINE_S, spec->deadline_s);
 }
 
 static void write_placement_rules(const struct pm_name_tables *tables, const struct pm_spec *spec,
-                                  struct pm_buf *out)
+                                  struct pm_buffer *out)
 {
-    pm_put_pair_flag(out, FIELD_SAME_ZONE, spec->same_zone);
-    pm_put_pair_flag(out, FIELD_SPREAD_ZONES, spec->spread_zones);
-    pm_put_pair_flag(out, FIELD_SPOT, spec->spot);
+    pm_cbor_put_pair_flag(out, FIELD_SAME_ZONE, spec->same_zone);
+    pm_cbor_put_pair_flag(out, FIELD_SPREAD_ZONES, spec->spread_zones);
+    pm_cbor_put_pair_flag(out, FIELD_SPOT, spec->spot);
     if (spec->allowed_types != ANY_TYPE)
         write_allowed_types(tables, spec, out);
     if (spec->zone >= 0)
-        pm_put_pair_text(out, FIELD_ZONE, tables->settings->zone_names[spec->zone]);
+        pm_cbor_put_pair_text(out, FIELD_ZONE, tables->settings->zone_names[spec->zone]);
 }
 
 static void write_description(const struct pm_name_tables *tables, const struct pm_spec *spec,
-                              struct pm_buf *out)
+                              struct pm_buffer *out)
 {
-    pm_put_pair_text(out, FIELD_CLASS, pm_names_text(tables->class_names, spec->class_index));
-    pm_put_pair_text(out, FIELD_TEAM, tables->settings->teams[spec->team].name);
-    pm_put_pair_text(out, FIELD_IMAGE, pm_names_text(tables->image_names, spec->image));
-    pm_put_pair_text(out, FIELD_KIND, kind_names[spec->kind]);
-    pm_put_pair_text(out, FIELD_PRIORITY, priority_names[spec->priority]);
+    pm_cbor_put_pair_text(out, FIELD_CLASS, pm_names_text(tables->class_names, spec->class_index));
+    pm_cbor_put_pair_text(out, FIELD_TEAM, tables->settings->teams[spec->team].name);
+    pm_cbor_put_pair_text(out, FIELD_IMAGE, pm_names_text(tables->image_names, spec->image));
+    pm_cbor_put_pair_text(out, FIELD_KIND, kind_names[spec->kind]);
+    pm_cbor_put_pair_text(out, FIELD_PRIORITY, priority_names[spec->priority]);
     write_amounts(spec, out);
     write_placement_rules(tables, spec, out);
     if (spec->overflow_lists)
-        pm_put_pair_count(out, FIELD_OVERFLOW_LISTS, spec->overflow_lists);
+        pm_cbor_put_pair_count(out, FIELD_OVERFLOW_LISTS, spec->overflow_lists);
     else if (spec->dependency_count)
         pm_dependencies_field_encode(tables, spec, 0, spec->dependency_count, out);
-    pm_put_pair_number(out, FIELD_SUBMITTED_WALL, spec->submitted_wall);
+    pm_cbor_put_pair_number(out, FIELD_SUBMITTED_WALL, spec->submitted_wall);
 }
 
-static void write_summary(const struct pm_job_summary *summary, struct pm_buf *out)
+static void write_summary(const struct pm_job_summary *summary, struct pm_buffer *out)
 {
-    pm_put_pair_text(out, FIELD_STATE, state_names[summary->state]);
-    pm_put_pair_count(out, FIELD_TASK_COUNT, summary->task_count);
+    pm_cbor_put_pair_text(out, FIELD_STATE, state_names[summary->state]);
+    pm_cbor_put_pair_count(out, FIELD_TASK_COUNT, summary->task_count);
 }
 
 void pm_job_encode(const struct pm_name_tables *tables, const struct pm_spec *spec,
                    uint32_t task_count, enum pm_job_state state, bool with_description,
-                   struct pm_buf *out)
+                   struct pm_buffer *out)
 {
-    pm_put_map(out);
+    pm_cbor_put_map(out);
     write_summary(&(struct pm_job_summary){state, task_count}, out);
     if (with_description)
         write_description(tables, spec, out);
-    pm_put_end(out);
+    pm_cbor_put_end(out);
 }
 
 void pm_job_encode_done(const struct pm_name_tables *tables, const struct pm_job *job,
-                        bool with_description, struct pm_buf *out)
+                        bool with_description, struct pm_buffer *out)
 {
     bool is_end_time_read = tables->protocol_version >= PM_PROTOCOL_END_TIMES;
 
-    pm_put_map(out);
+    pm_cbor_put_map(out);
     write_summary(&(struct pm_job_summary){PM_JOB_DONE, job->task_count}, out);
     if (is_end_time_read && job->ended_wall > 0)
-        pm_put_pair_number(out, FIELD_ENDED_WALL, job->ended_wall);
+        pm_cbor_put_pair_number(out, FIELD_ENDED_WALL, job->ended_wall);
     if (with_description)
         write_description(tables, job->spec, out);
-    pm_put_end(out);
+    pm_cbor_put_end(out);
 }
--- a/src/jobs/work.c
+++ b/src/jobs/work.c
@@ -12,16 +12,16 @@
 {
     struct pm_chunk *chunk = pm_job_chunk(job, (int)(task_index / PM_CHUNK_TASKS));
 
-    if (!chunk->task)
-        chunk->task = g_new0(struct pm_task, PM_CHUNK_TASKS);
-    return &chunk->task[task_index % PM_CHUNK_TASKS];
+    if (!chunk->tasks)
+        chunk->tasks = g_new0(struct pm_task, PM_CHUNK_TASKS);
+    return &chunk->tasks[task_index % PM_CHUNK_TASKS];
 }
 
 const struct pm_task *pm_job_find_task(const struct pm_job *job, uint32_t task_index)
 {
     const struct pm_chunk *chunk = job->chunks[task_index / PM_CHUNK_TASKS];
 
-    return chunk && chunk->task ? &chunk->task[task_index % PM_CHUNK_TASKS] : NULL;
+    return chunk && chunk->tasks ? &chunk->tasks[task_index % PM_CHUNK_TASKS] : NULL;
 }
 
 /* Which half of its chunk the task is in. */
@@ -67,7 +67,7 @@
     uint32_t count = 0;
 
     for (int i = 0; i < PM_CHUNK_TASKS; i++) {
-        const struct pm_task *task = &chunk->task[i];
+        const struct pm_task *task = &chunk->tasks[i];
         count += !task->done && !task->placement && task->backoff_until > now;
     }
     return count;
@@ -81,7 +81,7 @@
     if (!waiting || job->scheduling.backoff_until <= now)
         return waiting;
     for (int k = 0; k < job->chunk_count; k++)
-        if (job->chunks[k] && job->chunks[k]->task)
+        if (job->chunks[k] && job->chunks[k]->tasks)
             backing_off += count_backing_off(job->chunks[k], now);
     return waiting - MIN(waiting, backing_off);
 }
@@ -108,8 +108,8 @@
 
 static void clear_chunk_work(struct pm_chunk *chunk)
 {
-    g_free(chunk->task);
-    chunk->task = NULL;
+    g_free(chunk->tasks);
+    chunk->tasks = NULL;
     chunk->write_back.dirty = 0;
     memset(chunk->placement_counts, 0, sizeof chunk->placement_counts);
     chunk->write_back.in_flight = false;
@@ -120,13 +120,13 @@
 
 static void restore_chunk_work(struct pm_job *job, struct pm_chunk *chunk)
 {
-    chunk->task = g_new0(struct pm_task, PM_CHUNK_TASKS);
+    chunk->tasks = g_new0(struct pm_task, PM_CHUNK_TASKS);
     job->write_back.attempted = true;
     job->work.last_attempt = MAX(job->work.last_attempt, chunk->last_attempt);
     for (int i = 0; i < PM_CHUNK_TASKS; i++) {
         if (!(chunk->done[i / WORD_BITS] >> (i % WORD_BITS) & 1))
             continue;
-        chunk->task[i].done = true;
+        chunk->tasks[i].done = true;
         job->work.done_count++;
     }
 }
@@ -143,7 +143,7 @@
         if (!chunk)
             continue;
         clear_chunk_work(chunk);
-        if (chunk->stored)
+        if (chunk->is_stored)
             restore_chunk_work(job, chunk);
     }
     /* As far as the number of attempts shows. */
--- a/src/leadership/cancellation_quorum.h
+++ b/src/leadership/cancellation_quorum.h
@@ -63,7 +63,7 @@
                                          uint64_t store_revision);
 /* Our replica has reported a cancellation at that revision: unless a peer publishes it soon, this
  * controller acknowledges it by way of the state service. */
-void pm_cancel_quorum_note_read(struct pm_cancel_quorum *quorum, uint64_t revision);
+void pm_cancel_quorum_note_cancellation_read(struct pm_cancel_quorum *quorum, uint64_t revision);
 /* The replica's feed: a put of p/seen/CONTROLLER; other keys, and values that can't be read, change
  * nothing. */
 void pm_cancel_quorum_apply_put(struct pm_cancel_quorum *quorum, const char *key,
--- a/src/leadership/election.h
+++ b/src/leadership/election.h
@@ -68,7 +68,7 @@
     void (*decode_views)(void *arg, int peer, const unsigned char *data, size_t size,
                          double asked_at);
     /* A request of the peer with this index has arrived. */
-    void (*peer_heard)(void *arg, int peer);
+    void (*peer_request_received)(void *arg, int peer);
     /* How many seconds longer than others this controller waits before it campaigns. */
     double (*candidate_wait_s)(void *arg);
     void *arg;
--- a/src/leadership/peer_endpoint.c
+++ b/src/leadership/peer_endpoint.c
@@ -80,8 +80,8 @@
 
 static void apply_request(struct pm_election *election, int peer, const Pm__PeerRequest *message)
 {
-    if (election->links.peer_heard)
-        election->links.peer_heard(election->links.arg, peer);
+    if (election->links.peer_request_received)
+        election->links.peer_request_received(election->links.arg, peer);
     pm_election_note_peer_version(election, peer, message->protocol_version);
     election->poll.highest_epoch = MAX(election->poll.highest_epoch, message->epoch);
     if (election->term.is_leader && message->epoch > election->term.epoch)
--- a/src/leadership/records.c
+++ b/src/leadership/records.c
@@ -20,35 +20,35 @@
 
 static void put_author(const struct pm_election *election, struct pm_txn *txn)
 {
-    pm_put_pair_text(&txn->writes, LEADER_FIELD, election->settings->name);
-    pm_put_pair_text(&txn->writes, INCARNATION_FIELD, election->incarnation_id);
+    pm_cbor_put_pair_text(&txn->writes, LEADER_FIELD, election->settings->name);
+    pm_cbor_put_pair_text(&txn->writes, INCARNATION_FIELD, election->incarnation_id);
 }
 
 void pm_election_put_epoch(const struct pm_election *election, struct pm_txn *txn, uint64_t epoch)
 {
     pm_txn_put(txn, PM_KEY_EPOCH);
-    pm_put_map(&txn->writes);
-    pm_put_pair_count(&txn->writes, EPOCH_FIELD, epoch);
+    pm_cbor_put_map(&txn->writes);
+    pm_cbor_put_pair_count(&txn->writes, EPOCH_FIELD, epoch);
     put_author(election, txn);
-    pm_put_end(&txn->writes);
+    pm_cbor_put_end(&txn->writes);
     pm_txn_put_end(txn, NO_LEASE);
 }
 
 void pm_election_put_lock(const struct pm_election *election, struct pm_txn *txn, uint64_t lease_id)
 {
     pm_txn_put(txn, PM_KEY_LEADER_LOCK);
-    pm_put_map(&txn->writes);
+    pm_cbor_put_map(&txn->writes);
     put_author(election, txn);
-    pm_put_end(&txn->writes);
+    pm_cbor_put_end(&txn->writes);
     pm_txn_put_end(txn, lease_id);
 }
 
 void pm_election_put_version(struct pm_txn *txn, const char *key, unsigned version)
 {
     pm_txn_put(txn, key);
-    pm_put_map(&txn->writes);
-    pm_put_pair_count(&txn->writes, VERSION_FIELD, version);
-    pm_put_end(&txn->writes);
+    pm_cbor_put_map(&txn->writes);
+    pm_cbor_put_pair_count(&txn->writes, VERSION_FIELD, version);
+    pm_cbor_put_end(&txn->writes);
     pm_txn_put_end(txn, NO_LEASE);
 }
 
--- a/src/leadership/replica_acknowledgement.c
+++ b/src/leadership/replica_acknowledgement.c
@@ -29,9 +29,9 @@
 
     snprintf(key, sizeof key, PM_KEY_ACKED_REVISION_PREFIX "%s", controller);
     pm_txn_put(txn, key);
-    pm_put_map(&txn->writes);
-    pm_put_pair_count(&txn->writes, STORE_REVISION_FIELD, store_revision);
-    pm_put_end(&txn->writes);
+    pm_cbor_put_map(&txn->writes);
+    pm_cbor_put_pair_count(&txn->writes, STORE_REVISION_FIELD, store_revision);
+    pm_cbor_put_end(&txn->writes);
     pm_txn_put_end(txn, 0);
 }
 
@@ -51,7 +51,7 @@
     pm_cancel_quorum_end_settled(quorum, pm_clock_monotonic());
 }
 
-void pm_cancel_quorum_note_read(struct pm_cancel_quorum *quorum, uint64_t revision)
+void pm_cancel_quorum_note_cancellation_read(struct pm_cancel_quorum *quorum, uint64_t revision)
 {
     struct pm_replica_acknowledgement *acknowledgement = &quorum->acknowledgement;
 
--- a/src/links/decisions.c
+++ b/src/links/decisions.c
@@ -3,7 +3,7 @@
 
 bool pm_links_is_cut_off(const struct pm_links *links)
 {
-    uint8_t state = links->matrix.view[0].state;
+    uint8_t state = links->matrix.view[0].state_service;
 
     return links->setting->decide && (state == PM_LINK_DOWN || state == PM_LINK_ONE_WAY);
 }
@@ -22,7 +22,7 @@
     return pm_fitness_candidate_wait_s(&links->matrix, &links->delays, now);
 }
 
-bool pm_links_has_equal(const struct pm_links *links, double now)
+bool pm_links_has_equal_candidate(const struct pm_links *links, double now)
 {
     int other = pm_fitness_best_other(&links->matrix, 0, now);
 
--- a/src/links/evidence.c
+++ b/src/links/evidence.c
@@ -8,7 +8,7 @@
 /* The zone whose workers may be probed at that address, by any controller's view; -1: none. */
 static int find_probed_zone(const struct pm_links *links, const char *addr)
 {
-    for (int i = 0; i < links->matrix.controllers; i++)
+    for (int i = 0; i < links->matrix.controller_count; i++)
         for (int zone = 0; zone < links->settings->zone_count; zone++)
             for (int j = 0; j < PM_VIEW_ENDPOINTS; j++)
                 if (!strcmp(links->matrix.view[i].endpoint[zone][j], addr))
@@ -27,20 +27,20 @@
 static void record_call(struct pm_link *link, const struct pm_http_outcome *outcome)
 {
     if (outcome->status > 0)
-        pm_link_record_success(link, PM_LINK_OUTWARD, outcome->ended);
+        pm_link_record_success(link, PM_LINK_OUTWARD, outcome->ended_at);
     else
-        pm_link_record_failure(link, PM_LINK_OUTWARD, outcome->began, outcome->ended);
+        pm_link_record_failure(link, PM_LINK_OUTWARD, outcome->began_at, outcome->ended_at);
 }
 
 static void record_call_or_refusal(struct pm_link *link, const struct pm_http_outcome *outcome)
 {
     if (outcome->status == HTTP_SERVICE_UNAVAILABLE)
-        pm_link_record_refusal(link, outcome->ended);
+        pm_link_record_refusal(link, outcome->ended_at);
     else
         record_call(link, outcome);
 }
 
-void pm_links_call_ended(struct pm_links *links, const struct pm_http_outcome *outcome)
+void pm_links_record_call(struct pm_links *links, const struct pm_http_outcome *outcome)
 {
     const struct pm_settings *settings = links->settings;
     int peer;
@@ -61,13 +61,13 @@
         return;
     }
     if (strcmp(outcome->target, "/status"))
-        return; /* commands to workers are recorded by pm_links_worker_answered */
+        return; /* commands to workers are recorded by pm_links_record_command_result */
     zone = find_probed_zone(links, outcome->addr);
     if (zone >= 0)
         record_call_or_refusal(&links->zones[zone].link, outcome);
 }
 
-void pm_links_peer_heard(struct pm_links *links, int peer, double now)
+void pm_links_record_peer_request(struct pm_links *links, int peer, double now)
 {
     pm_link_record_success(&links->peers[peer].link, PM_LINK_INWARD, now);
 }
@@ -77,7 +77,7 @@
     return zone >= 0 && zone < links->settings->zone_count;
 }
 
-void pm_links_worker_heard(struct pm_links *links, int zone, bool has_current_token, double now)
+void pm_links_record_heartbeat(struct pm_links *links, int zone, bool has_current_token, double now)
 {
     if (!is_zone(links, zone))
         return;
@@ -86,8 +86,8 @@
         pm_link_record_success(&links->zones[zone].link, PM_LINK_OUTWARD, now);
 }
 
-void pm_links_worker_answered(struct pm_links *links, int zone, bool answered, double began,
-                              double now)
+void pm_links_record_command_result(struct pm_links *links, int zone, bool answered, double began,
+                                    double now)
 {
     if (!is_zone(links, zone))
         return;
@@ -97,8 +97,8 @@
         pm_link_record_failure(&links->zones[zone].link, PM_LINK_OUTWARD, began, now);
 }
 
-void pm_links_count_zone(struct pm_links *links, int zone,
-                         const struct pm_links_zone_census *census, double now)
+void pm_links_record_zone_census(struct pm_links *links, int zone,
+                                 const struct pm_links_zone_census *census, double now)
 {
     struct pm_link *link = &links->zones[zone].link;
     bool are_most_unreachable = census->up && 2 * census->unreachable > census->up;
--- a/src/links/fitness.c
+++ b/src/links/fitness.c
@@ -40,7 +40,7 @@
 /* Whether decisions can be written to the state service. */
 static struct pm_fitness_verdict evaluate_writing(const struct pm_view *view)
 {
-    switch ((enum pm_link_state)view->state) {
+    switch ((enum pm_link_state)view->state_service) {
     case PM_LINK_UP:
         return (struct pm_fitness_verdict){PM_FIT, ""};
     case PM_LINK_DEGRADED:
@@ -72,7 +72,7 @@
         if (state == PM_LINK_UNKNOWN)
             continue;
         counts.known++;
-        counts.reached += pm_link_usable(state);
+        counts.reached += pm_link_is_usable(state);
     }
     return counts;
 }
@@ -90,7 +90,7 @@
         return (struct pm_fitness_verdict){PM_UNFIT, "no workers are reached"};
     if (zones.reached < zones.known)
         return (struct pm_fitness_verdict){PM_IMPAIRED, "workers of a zone are not reached"};
-    if (view->cloud != PM_LINK_UNKNOWN && !pm_link_usable(view->cloud))
+    if (view->cloud != PM_LINK_UNKNOWN && !pm_link_is_usable(view->cloud))
         return (struct pm_fitness_verdict){PM_IMPAIRED, "the cloud is not reached"};
     return verdict;
 }
@@ -99,8 +99,8 @@
 {
     int reached = 1; /* itself */
 
-    for (int i = 0; i < matrix->controllers; i++)
-        reached += i != controller && pm_link_usable(matrix->view[controller].peer[i]);
+    for (int i = 0; i < matrix->controller_count; i++)
+        reached += i != controller && pm_link_is_usable(matrix->view[controller].peer[i]);
     if (reached <= matrix->settings->cluster_size / 2)
         return (struct pm_fitness_verdict){PM_UNFIT, "no majority of controllers is reached"};
     return (struct pm_fitness_verdict){PM_FIT, ""};
@@ -135,14 +135,14 @@
 
     if (state == PM_LINK_UNKNOWN)
         state = matrix->view[reference].cloud;
-    return state == PM_LINK_UNKNOWN || pm_link_usable(state) ? PM_RANK_CLOUD : 0;
+    return state == PM_LINK_UNKNOWN || pm_link_is_usable(state) ? PM_RANK_CLOUD : 0;
 }
 
 static int rank_writing(const struct pm_view *view)
 {
-    if (pm_link_usable(view->state))
+    if (pm_link_is_usable(view->state_service))
         return RANK_WRITES;
-    return view->state == PM_LINK_FLAPPING ? RANK_WRITES_AT_TIMES : 0;
+    return view->state_service == PM_LINK_FLAPPING ? RANK_WRITES_AT_TIMES : 0;
 }
 
 int pm_fitness_lead_rank(const struct pm_matrix *matrix, int controller, int reference)
@@ -160,7 +160,7 @@
     int best = -1;
     int best_rank = 0;
 
-    for (int i = 0; i < matrix->controllers; i++) {
+    for (int i = 0; i < matrix->controller_count; i++) {
         int rank;
         if (i == self || !pm_matrix_is_fresh(matrix, i, now))
             continue;
--- a/src/links/link.c
+++ b/src/links/link.c
@@ -26,7 +26,7 @@
     return state >= 0 && state < PM_LINK_STATES ? state_names[state] : "unknown";
 }
 
-bool pm_link_usable(enum pm_link_state state)
+bool pm_link_is_usable(enum pm_link_state state)
 {
     return state == PM_LINK_UP || state == PM_LINK_DEGRADED;
 }
--- a/src/links/link.h
+++ b/src/links/link.h
@@ -78,7 +78,7 @@
 bool pm_link_evaluate(struct pm_link *link, const struct pm_link_limits *limits, double now);
 
 /* Whether a request that is sent over such a link can be expected to be answered. */
-bool pm_link_usable(enum pm_link_state state);
+bool pm_link_is_usable(enum pm_link_state state);
 /* The name of the state, for logs, traces and the status; a constant. */
 const char *pm_link_state_name(enum pm_link_state state);
 
--- a/src/links/links.c
+++ b/src/links/links.c
@@ -106,7 +106,7 @@
 {
     struct pm_view *view = &links->matrix.view[0];
 
-    view->state = evaluate_link(links, &links->state_service, &links->limits, now);
+    view->state_service = evaluate_link(links, &links->state_service, &links->limits, now);
     view->cloud = evaluate_link(links, &links->cloud, &links->limits, now);
     for (int i = 0; i < links->settings->peer_count; i++)
         view->peer[i + 1] = evaluate_link(links, &links->peers[i], &links->limits, now);
@@ -162,7 +162,7 @@
     links->ticked_at = now;
     if (!links->setting->observe)
         return;
-    view->at = now;
+    view->evaluated_at = now;
     view->leads = leads;
     view->epoch = epoch;
     evaluate_links(links, now);
--- a/src/links/links.h
+++ b/src/links/links.h
@@ -45,16 +45,17 @@
 /* evidence.c */
 
 /* A call of the HTTP client has ended; its address identifies the link. */
-void pm_links_call_ended(struct pm_links *links, const struct pm_http_outcome *outcome);
+void pm_links_record_call(struct pm_links *links, const struct pm_http_outcome *outcome);
 /* A request of that peer of the settings has arrived. */
-void pm_links_peer_heard(struct pm_links *links, int peer, double now);
+void pm_links_record_peer_request(struct pm_links *links, int peer, double now);
 /* A heartbeat of a worker has arrived; `has_current_token`: it shows our fencing token, so that our
  * answers arrive there. A zone that is not in the settings is ignored. */
-void pm_links_worker_heard(struct pm_links *links, int zone, bool has_current_token, double now);
+void pm_links_record_heartbeat(struct pm_links *links, int zone, bool has_current_token,
+                               double now);
 /* A command sent to a worker at `began` was answered, or not. A zone that is not in the settings is
  * ignored. */
-void pm_links_worker_answered(struct pm_links *links, int zone, bool answered, double began,
-                              double now);
+void pm_links_record_command_result(struct pm_links *links, int zone, bool answered, double began,
+                                    double now);
 /* What the leader or the owner of a shard knows of the workers of a zone: how many machines are up,
  * how many of them our answers do not reach though their heartbeats arrive, and the addresses of
  * some whose heartbeats arrive. */
@@ -63,8 +64,8 @@
     char endpoint[PM_VIEW_ENDPOINTS][64];
 };
 /* Records it for a zone of the settings, and publishes the addresses in this controller's view. */
-void pm_links_count_zone(struct pm_links *links, int zone,
-                         const struct pm_links_zone_census *census, double now);
+void pm_links_record_zone_census(struct pm_links *links, int zone,
+                                 const struct pm_links_zone_census *census, double now);
 
 /* views.c */
 
@@ -79,20 +80,20 @@
                         uint64_t revision, double now);
 /* Whether this controller's value ought to be written: it has changed, or a peer is not reached. */
 bool pm_links_is_write_due(const struct pm_links *links, double now);
-/* Writes the value to `out`; pm_links_view_written must follow once the write has ended. */
-void pm_links_encode_view(struct pm_links *links, struct pm_buf *out, double now);
+/* Writes the value to `out`; pm_links_record_view_write must follow once the write has ended. */
+void pm_links_encode_view(struct pm_links *links, struct pm_buffer *out, double now);
 /* The write has ended; `written`: it is known to be durable. */
-void pm_links_view_written(struct pm_links *links, bool written);
+void pm_links_record_view_write(struct pm_links *links, bool written);
 
 /* probes.c: which links have no traffic that shows their state */
 
 /* Whether the state service is to be probed. */
-bool pm_links_probe_state_due(const struct pm_links *links, double now);
+bool pm_links_is_state_probe_due(const struct pm_links *links, double now);
 /* Whether the cloud is to be probed: only while the leader does not reach it. */
-bool pm_links_probe_cloud_due(const struct pm_links *links, double now);
+bool pm_links_is_cloud_probe_due(const struct pm_links *links, double now);
 /* The address of a worker of the zone to probe now, borrowed until the next call; NULL: no probe is
  * due, or no address known. Counts the probe as sent. */
-const char *pm_links_probe_zone_due(struct pm_links *links, int zone, double now);
+const char *pm_links_next_zone_probe(struct pm_links *links, int zone, double now);
 
 /* decisions.c */
 
@@ -105,11 +106,11 @@
 /* How many seconds longer than others this controller is to wait before it campaigns. */
 double pm_links_candidate_wait_s(const struct pm_links *links, double now);
 /* Whether another controller, with a fresh view, could lead at least as well as this one. */
-bool pm_links_has_equal(const struct pm_links *links, double now);
+bool pm_links_has_equal_candidate(const struct pm_links *links, double now);
 
 /* status.c */
 
 /* Writes links, matrix and fitness as a CBOR map, for the operators' tool. */
-void pm_links_encode_status(const struct pm_links *links, struct pm_buf *out, double now);
+void pm_links_encode_status(const struct pm_links *links, struct pm_buffer *out, double now);
 
 #endif
--- a/src/links/matrix.c
+++ b/src/links/matrix.c
@@ -7,7 +7,7 @@
     memset(matrix, 0, sizeof *matrix);
     matrix->settings = settings;
     matrix->expire_s = expire_s;
-    matrix->controllers = settings->peer_count + 1;
+    matrix->controller_count = settings->peer_count + 1;
 }
 
 const char *pm_matrix_controller_name(const struct pm_matrix *matrix, int controller)
@@ -27,13 +27,13 @@
 
 bool pm_matrix_is_fresh(const struct pm_matrix *matrix, int controller, double now)
 {
-    double at = matrix->view[controller].at;
+    double at = matrix->view[controller].evaluated_at;
 
     return at > 0 && now - at <= matrix->expire_s;
 }
 
 void pm_matrix_update(struct pm_matrix *matrix, int controller, const struct pm_view *view)
 {
-    if (view->at > matrix->view[controller].at)
+    if (view->evaluated_at > matrix->view[controller].evaluated_at)
         matrix->view[controller] = *view;
 }
--- a/src/links/matrix.h
+++ b/src/links/matrix.h
@@ -21,10 +21,10 @@
 /* What one controller knows of its links. Controllers are counted from 0, this process, on: peer i
  * of the settings is i + 1. */
 struct pm_view {
-    double at; /* monotonic: no older than this; 0: none is known */
+    double evaluated_at; /* monotonic: no older than this; 0: none is known */
     bool leads;
     uint64_t epoch;
-    uint8_t state, cloud; /* enum pm_link_state: to the state service and the cloud */
+    uint8_t state_service, cloud; /* enum pm_link_state: to the state service and the cloud */
     uint8_t peer[PM_CONTROLLERS_MAX];
     uint8_t zone[PM_ZONES_MAX];
     /* Workers' addresses in each zone, for the others' probes; "": none. */
@@ -34,7 +34,7 @@
 struct pm_matrix {
     const struct pm_settings *settings; /* borrowed */
     double expire_s;                    /* a view older than this is not used */
-    int controllers;                    /* how many there are, this one included */
+    int controller_count;               /* how many there are, this one included */
     struct pm_view view[PM_CONTROLLERS_MAX];
 };
 
@@ -68,7 +68,7 @@
 /* view_value.c: the value in the state service, p/links/NAME */
 
 /* Writes this process's own view. */
-void pm_view_encode(const struct pm_matrix *matrix, struct pm_buf *out);
+void pm_view_encode(const struct pm_matrix *matrix, struct pm_buffer *out);
 /* Reads another's. Its time and the workers' addresses are not part of the value and stay zero.
  * False: malformed; `out` is then unspecified. */
 bool pm_view_decode(const struct pm_matrix *matrix, const cbor_item_t *value, struct pm_view *out);
--- a/src/links/probes.c
+++ b/src/links/probes.c
@@ -12,7 +12,7 @@
     return MAX(evidence->succeeded_at, evidence->failed_at);
 }
 
-bool pm_links_probe_state_due(const struct pm_links *links, double now)
+bool pm_links_is_state_probe_due(const struct pm_links *links, double now)
 {
     return links->setting->observe &&
            now - last_evidence_at(&links->state_service.link) > links->setting->probe_s;
@@ -21,16 +21,16 @@
 /* Whether another controller, which leads, does not reach the cloud. */
 static bool is_leader_without_cloud(const struct pm_links *links, double now)
 {
-    for (int i = 1; i < links->matrix.controllers; i++) {
+    for (int i = 1; i < links->matrix.controller_count; i++) {
         const struct pm_view *view = &links->matrix.view[i];
         if (pm_matrix_is_fresh(&links->matrix, i, now) && view->leads &&
-            view->cloud != PM_LINK_UNKNOWN && !pm_link_usable(view->cloud))
+            view->cloud != PM_LINK_UNKNOWN && !pm_link_is_usable(view->cloud))
             return true;
     }
     return false;
 }
 
-bool pm_links_probe_cloud_due(const struct pm_links *links, double now)
+bool pm_links_is_cloud_probe_due(const struct pm_links *links, double now)
 {
     double interval_s = CLOUD_PROBE_FACTOR * links->setting->probe_s;
 
@@ -56,13 +56,13 @@
     return *addr ? addr : view->endpoint[zone][0]; /* a zone with a single machine */
 }
 
-const char *pm_links_probe_zone_due(struct pm_links *links, int zone, double now)
+const char *pm_links_next_zone_probe(struct pm_links *links, int zone, double now)
 {
     struct pm_links_zone_probe *probe = &links->zone_probes[zone];
 
     if (!is_zone_probe_due(links, zone, now))
         return NULL;
-    for (int i = 1; i < links->matrix.controllers; i++) {
+    for (int i = 1; i < links->matrix.controller_count; i++) {
         const char *addr = next_endpoint(&links->matrix.view[i], zone, probe->next_endpoint);
         if (!pm_matrix_is_fresh(&links->matrix, i, now) || !*addr)
             continue;
--- a/src/links/status.c
+++ b/src/links/status.c
@@ -1,21 +1,21 @@
 /* Links, matrix and fitness for the operators' tool. The field names are used here alone. */
 #include "links/internal.h"
 
-static void encode_link(struct pm_buf *out, const char *name, enum pm_link_state state)
+static void encode_link(struct pm_buffer *out, const char *name, enum pm_link_state state)
 {
-    pm_put_map(out);
-    pm_put_pair_text(out, "to", name);
-    pm_put_pair_text(out, "state", pm_link_state_name(state));
-    pm_put_end(out);
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_text(out, "to", name);
+    pm_cbor_put_pair_text(out, "state", pm_link_state_name(state));
+    pm_cbor_put_end(out);
 }
 
-static void encode_view_links(const struct pm_links *links, int controller, struct pm_buf *out)
+static void encode_view_links(const struct pm_links *links, int controller, struct pm_buffer *out)
 {
     const struct pm_view *view = &links->matrix.view[controller];
 
-    encode_link(out, links->state_service.name, view->state);
+    encode_link(out, links->state_service.name, view->state_service);
     encode_link(out, links->cloud.name, view->cloud);
-    for (int i = 0; i < links->matrix.controllers; i++)
+    for (int i = 0; i < links->matrix.controller_count; i++)
         if (i != controller)
             encode_link(out, pm_matrix_controller_name(&links->matrix, i), view->peer[i]);
     for (int i = 0; i < links->settings->zone_count; i++)
@@ -23,56 +23,56 @@
 }
 
 static void encode_verdict(const struct pm_links *links, int controller,
-                           enum pm_capability capability, struct pm_buf *out)
+                           enum pm_capability capability, struct pm_buffer *out)
 {
     struct pm_fitness_verdict verdict = pm_fitness_evaluate(&links->matrix, controller, capability);
 
-    pm_put_map(out);
-    pm_put_pair_text(out, "duty", pm_capability_name(capability));
-    pm_put_pair_text(out, "fitness", pm_fitness_name(verdict.fitness));
-    pm_put_pair_text(out, "reason", verdict.reason);
-    pm_put_end(out);
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_text(out, "duty", pm_capability_name(capability));
+    pm_cbor_put_pair_text(out, "fitness", pm_fitness_name(verdict.fitness));
+    pm_cbor_put_pair_text(out, "reason", verdict.reason);
+    pm_cbor_put_end(out);
 }
 
-static void encode_view(const struct pm_links *links, int controller, struct pm_buf *out,
+static void encode_view(const struct pm_links *links, int controller, struct pm_buffer *out,
                         double now)
 {
     const struct pm_view *view = &links->matrix.view[controller];
-    bool is_known = view->at > 0;
+    bool is_known = view->evaluated_at > 0;
 
-    pm_put_map(out);
-    pm_put_pair_text(out, "controller", pm_matrix_controller_name(&links->matrix, controller));
-    pm_put_pair_flag(out, "known", is_known);
-    pm_put_pair_flag(out, "fresh", pm_matrix_is_fresh(&links->matrix, controller, now));
-    pm_put_pair_number(out, "age_s", is_known ? now - view->at : 0);
-    pm_put_pair_flag(out, "leads", view->leads);
-    pm_put_pair_count(out, "epoch", view->epoch);
-    pm_put_text(out, "links");
-    pm_put_list(out);
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_text(out, "controller", pm_matrix_controller_name(&links->matrix, controller));
+    pm_cbor_put_pair_flag(out, "known", is_known);
+    pm_cbor_put_pair_flag(out, "fresh", pm_matrix_is_fresh(&links->matrix, controller, now));
+    pm_cbor_put_pair_number(out, "age_s", is_known ? now - view->evaluated_at : 0);
+    pm_cbor_put_pair_flag(out, "leads", view->leads);
+    pm_cbor_put_pair_count(out, "epoch", view->epoch);
+    pm_cbor_put_text(out, "links");
+    pm_cbor_put_list(out);
     if (is_known)
         encode_view_links(links, controller, out);
-    pm_put_end(out);
-    pm_put_text(out, "duties");
-    pm_put_list(out);
+    pm_cbor_put_end(out);
+    pm_cbor_put_text(out, "duties");
+    pm_cbor_put_list(out);
     for (int i = 0; i < PM_CAPABILITY_COUNT && is_known; i++)
         encode_verdict(links, controller, (enum pm_capability)i, out);
-    pm_put_end(out);
-    pm_put_end(out);
+    pm_cbor_put_end(out);
+    pm_cbor_put_end(out);
 }
 
-void pm_links_encode_status(const struct pm_links *links, struct pm_buf *out, double now)
+void pm_links_encode_status(const struct pm_links *links, struct pm_buffer *out, double now)
 {
     uint64_t dropped = links->trace ? pm_links_trace_dropped(links->trace) : 0;
 
-    pm_put_map(out);
-    pm_put_pair_flag(out, "observe", links->setting->observe);
-    pm_put_pair_flag(out, "decide", links->setting->decide);
-    pm_put_pair_flag(out, "lagging", pm_links_is_lagging(links, now));
-    pm_put_pair_count(out, "trace_dropped", dropped);
-    pm_put_text(out, "views");
-    pm_put_list(out);
-    for (int i = 0; i < links->matrix.controllers; i++)
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_flag(out, "observe", links->setting->observe);
+    pm_cbor_put_pair_flag(out, "decide", links->setting->decide);
+    pm_cbor_put_pair_flag(out, "lagging", pm_links_is_lagging(links, now));
+    pm_cbor_put_pair_count(out, "trace_dropped", dropped);
+    pm_cbor_put_text(out, "views");
+    pm_cbor_put_list(out);
+    for (int i = 0; i < links->matrix.controller_count; i++)
         encode_view(links, i, out, now);
-    pm_put_end(out);
-    pm_put_end(out);
+    pm_cbor_put_end(out);
+    pm_cbor_put_end(out);
 }
--- a/src/links/view_message.c
+++ b/src/links/view_message.c
@@ -34,8 +34,8 @@
 {
     const struct pm_view *view = &matrix->view[controller];
 
-    message->peer = g_new0(Pm__LinkSeen *, matrix->controllers);
-    for (int i = 0; i < matrix->controllers; i++)
+    message->peer = g_new0(Pm__LinkSeen *, matrix->controller_count);
+    for (int i = 0; i < matrix->controller_count; i++)
         if (i != controller)
             message->peer[message->n_peer++] =
                 new_link(pm_matrix_controller_name(matrix, i), view->peer[i]);
@@ -61,10 +61,10 @@
 
     pm__controller_view__init(message);
     message->controller = g_strdup(pm_matrix_controller_name(matrix, controller));
-    message->age_ms = (uint32_t)((now - view->at) * MS_PER_S);
+    message->age_ms = (uint32_t)((now - view->evaluated_at) * MS_PER_S);
     message->leads = view->leads;
     message->epoch = view->epoch;
-    message->state = view->state;
+    message->state = view->state_service;
     message->cloud = view->cloud;
     add_peers(message, matrix, controller);
     add_zones(message, matrix, controller);
@@ -97,8 +97,8 @@
     Pm__Views views = PM__VIEWS__INIT;
     unsigned char *data;
 
-    views.view = g_new0(Pm__ControllerView *, matrix->controllers);
-    for (int i = 0; i < matrix->controllers; i++) {
+    views.view = g_new0(Pm__ControllerView *, matrix->controller_count);
+    for (int i = 0; i < matrix->controller_count; i++) {
         if (!pm_matrix_is_fresh(matrix, i, now))
             continue;
         views.view[views.n_view++] = new_message(matrix, i, now);
@@ -145,10 +145,10 @@
 
     if (controller <= 0) /* unknown, or this controller's own view, relayed back */
         return;
-    view.at = asked_at - (double)message->age_ms / MS_PER_S;
+    view.evaluated_at = asked_at - (double)message->age_ms / MS_PER_S;
     view.leads = message->leads;
     view.epoch = message->epoch;
-    view.state = pm_link_state_from_number(message->state);
+    view.state_service = pm_link_state_from_number(message->state);
     view.cloud = pm_link_state_from_number(message->cloud);
     for (size_t i = 0; i < message->n_peer; i++)
         decode_peer(matrix, message->peer[i], &view);
--- a/src/links/view_value.c
+++ b/src/links/view_value.c
@@ -8,26 +8,26 @@
 #include <glib.h>
 #include <string.h>
 
-void pm_view_encode(const struct pm_matrix *matrix, struct pm_buf *out)
+void pm_view_encode(const struct pm_matrix *matrix, struct pm_buffer *out)
 {
     const struct pm_view *view = &matrix->view[0];
 
-    pm_put_map(out);
-    pm_put_pair_count(out, "epoch", view->epoch);
-    pm_put_pair_flag(out, "leads", view->leads);
-    pm_put_pair_count(out, "state", view->state);
-    pm_put_pair_count(out, "cloud", view->cloud);
-    pm_put_text(out, "peers");
-    pm_put_map(out);
-    for (int i = 1; i < matrix->controllers; i++)
-        pm_put_pair_count(out, pm_matrix_controller_name(matrix, i), view->peer[i]);
-    pm_put_end(out);
-    pm_put_text(out, "zones");
-    pm_put_map(out);
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_count(out, "epoch", view->epoch);
+    pm_cbor_put_pair_flag(out, "leads", view->leads);
+    pm_cbor_put_pair_count(out, "state", view->state_service);
+    pm_cbor_put_pair_count(out, "cloud", view->cloud);
+    pm_cbor_put_text(out, "peers");
+    pm_cbor_put_map(out);
+    for (int i = 1; i < matrix->controller_count; i++)
+        pm_cbor_put_pair_count(out, pm_matrix_controller_name(matrix, i), view->peer[i]);
+    pm_cbor_put_end(out);
+    pm_cbor_put_text(out, "zones");
+    pm_cbor_put_map(out);
     for (int i = 0; i < matrix->settings->zone_count; i++)
-        pm_put_pair_count(out, matrix->settings->zone_names[i], view->zone[i]);
-    pm_put_end(out);
-    pm_put_end(out);
+        pm_cbor_put_pair_count(out, matrix->settings->zone_names[i], view->zone[i]);
+    pm_cbor_put_end(out);
+    pm_cbor_put_end(out);
 }
 
 /* Reads one state of a map; false, with `out` unchanged, when it has none. */
@@ -44,11 +44,12 @@
 bool pm_view_decode(const struct pm_matrix *matrix, const cbor_item_t *value, struct pm_view *out)
 {
     memset(out, 0, sizeof *out);
-    if (!decode_state(value, "state", &out->state) || !decode_state(value, "cloud", &out->cloud))
+    if (!decode_state(value, "state", &out->state_service) ||
+        !decode_state(value, "cloud", &out->cloud))
         return false;
     pm_cbor_read_flag(pm_cbor_get(value, "leads"), &out->leads);
     pm_cbor_read_count(pm_cbor_get(value, "epoch"), &out->epoch);
-    for (int i = 0; i < matrix->controllers; i++)
+    for (int i = 0; i < matrix->controller_count; i++)
         decode_state(pm_cbor_get(value, "peers"), pm_matrix_controller_name(matrix, i),
                      &out->peer[i]);
     for (int i = 0; i < matrix->settings->zone_count; i++)
--- a/src/links/views.c
+++ b/src/links/views.c
@@ -41,7 +41,7 @@
         pm_error("links.value", "%s can't be read", key);
         return;
     }
-    view.at = now;
+    view.evaluated_at = now;
     memcpy(view.endpoint, links->matrix.view[controller].endpoint, sizeof view.endpoint);
     pm_matrix_update(&links->matrix, controller, &view);
 }
@@ -49,15 +49,15 @@
 /* Whether both views have the same states; their age and the epoch do not count. */
 static bool are_equal(const struct pm_view *left, const struct pm_view *right)
 {
-    return left->leads == right->leads && left->state == right->state &&
+    return left->leads == right->leads && left->state_service == right->state_service &&
            left->cloud == right->cloud && !memcmp(left->peer, right->peer, sizeof left->peer) &&
            !memcmp(left->zone, right->zone, sizeof left->zone);
 }
 
 static bool is_a_peer_unreached(const struct pm_links *links)
 {
-    for (int i = 1; i < links->matrix.controllers; i++)
-        if (!pm_link_usable(links->matrix.view[0].peer[i]))
+    for (int i = 1; i < links->matrix.controller_count; i++)
+        if (!pm_link_is_usable(links->matrix.view[0].peer[i]))
             return true;
     return false;
 }
@@ -71,14 +71,14 @@
     return is_a_peer_unreached(links) || !are_equal(&links->matrix.view[0], &links->stored.written);
 }
 
-void pm_links_encode_view(struct pm_links *links, struct pm_buf *out, double now)
+void pm_links_encode_view(struct pm_links *links, struct pm_buffer *out, double now)
 {
     pm_view_encode(&links->matrix, out);
     links->stored.writing = links->matrix.view[0];
     links->stored.written_at = now;
 }
 
-void pm_links_view_written(struct pm_links *links, bool written)
+void pm_links_record_view_write(struct pm_links *links, bool written)
 {
     if (written)
         links->stored.written = links->stored.writing;
--- a/src/roles/acquisition.c
+++ b/src/roles/acquisition.c
@@ -84,13 +84,13 @@
     g_free(request);
 }
 
-static void encode_holder(const struct pm_roles *roles, struct pm_buf *out)
+static void encode_holder(const struct pm_roles *roles, struct pm_buffer *out)
 {
-    pm_put_map(out);
-    pm_put_pair_text(out, "holder", roles->settings->name);
-    pm_put_pair_text(out, "boot", roles->incarnation_id);
-    pm_put_pair_count(out, "lease", roles->lease.id);
-    pm_put_end(out);
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_text(out, "holder", roles->settings->name);
+    pm_cbor_put_pair_text(out, "boot", roles->incarnation_id);
+    pm_cbor_put_pair_count(out, "lease", roles->lease.id);
+    pm_cbor_put_end(out);
 }
 
 static void add_acquire(struct pm_roles *roles, struct pm_txn *txn, enum pm_role role)
--- a/src/roles/garbage_collector.c
+++ b/src/roles/garbage_collector.c
@@ -247,7 +247,7 @@
 
 struct status_output {
     const struct pm_gc *collector;
-    struct pm_buf *out;
+    struct pm_buffer *out;
     double now;
 };
 
@@ -259,20 +259,20 @@
 
     if (!candidate->reason)
         return FALSE;
-    pm_put_map(status->out);
-    pm_put_pair_text(status->out, "key", key);
-    pm_put_pair_text(status->out, "why", candidate->reason);
-    pm_put_pair_number(status->out, "unchanged_s", unchanged_s);
-    pm_put_pair_flag(status->out, "due", is_due(status->collector, candidate, status->now));
-    pm_put_end(status->out);
+    pm_cbor_put_map(status->out);
+    pm_cbor_put_pair_text(status->out, "key", key);
+    pm_cbor_put_pair_text(status->out, "why", candidate->reason);
+    pm_cbor_put_pair_number(status->out, "unchanged_s", unchanged_s);
+    pm_cbor_put_pair_flag(status->out, "due", is_due(status->collector, candidate, status->now));
+    pm_cbor_put_end(status->out);
     return FALSE;
 }
 
-void pm_gc_encode_status(const struct pm_gc *collector, struct pm_buf *out, double now)
+void pm_gc_encode_status(const struct pm_gc *collector, struct pm_buffer *out, double now)
 {
     struct status_output status = {.collector = collector, .out = out, .now = now};
 
-    pm_put_list(out);
+    pm_cbor_put_list(out);
     g_tree_foreach(collector->candidates, encode_candidate, &status);
-    pm_put_end(out);
+    pm_cbor_put_end(out);
 }
--- a/src/roles/garbage_collector.h
+++ b/src/roles/garbage_collector.h
@@ -47,6 +47,6 @@
 int pm_gc_add_due_deletes(struct pm_gc *collector, struct pm_txn *txn, int max_count, double now);
 /* Appends all candidates, with the reason and for how long, to `out` as a list of CBOR maps: what a
  * collection at `now` (monotonic seconds) would do. */
-void pm_gc_encode_status(const struct pm_gc *collector, struct pm_buf *out, double now);
+void pm_gc_encode_status(const struct pm_gc *collector, struct pm_buffer *out, double now);
 
 #endif
--- a/src/roles/intent.c
+++ b/src/roles/intent.c
@@ -10,7 +10,7 @@
 {
     struct pm_intent *intent = g_new0(struct pm_intent, 1);
 
-    intent->duty = role;
+    intent->role = role;
     intent->machines = g_ptr_array_new_with_free_func(g_free);
     intent->rentals = g_array_new(FALSE, TRUE, sizeof(struct pm_intent_rental));
     return intent;
@@ -28,51 +28,52 @@
 void pm_intent_set_name(struct pm_intent *intent, uint64_t token, uint64_t number)
 {
     intent->token = token;
-    snprintf(intent->name, sizeof intent->name, "%s-%llu-%llu", pm_role_name(intent->duty),
+    snprintf(intent->name, sizeof intent->name, "%s-%llu-%llu", pm_role_name(intent->role),
              (unsigned long long)token, (unsigned long long)number);
 }
 
-void pm_intent_booking(const struct pm_intent *intent, guint rental_index, char *out, size_t size)
+void pm_intent_format_booking(const struct pm_intent *intent, guint rental_index, char *out,
+                              size_t size)
 {
     snprintf(out, size, "%s-%u", intent->name, rental_index);
 }
 
-static void encode_rentals(const struct pm_intent *intent, struct pm_buf *out)
+static void encode_rentals(const struct pm_intent *intent, struct pm_buffer *out)
 {
-    pm_put_text(out, "rentals");
-    pm_put_list(out);
+    pm_cbor_put_text(out, "rentals");
+    pm_cbor_put_list(out);
     for (guint i = 0; i < intent->rentals->len; i++) {
         const struct pm_intent_rental *rental =
             &g_array_index(intent->rentals, struct pm_intent_rental, i);
-        pm_put_map(out);
-        pm_put_pair_text(out, "type", rental->type);
-        pm_put_pair_text(out, "zone", rental->zone);
-        pm_put_pair_flag(out, "spot", rental->spot);
-        pm_put_pair_count(out, "count", rental->count);
-        pm_put_end(out);
+        pm_cbor_put_map(out);
+        pm_cbor_put_pair_text(out, "type", rental->type);
+        pm_cbor_put_pair_text(out, "zone", rental->zone);
+        pm_cbor_put_pair_flag(out, "spot", rental->spot);
+        pm_cbor_put_pair_count(out, "count", rental->count);
+        pm_cbor_put_end(out);
     }
-    pm_put_end(out);
+    pm_cbor_put_end(out);
 }
 
-static void encode_machines(const struct pm_intent *intent, struct pm_buf *out)
+static void encode_machines(const struct pm_intent *intent, struct pm_buffer *out)
 {
-    pm_put_text(out, "machines");
-    pm_put_list(out);
+    pm_cbor_put_text(out, "machines");
+    pm_cbor_put_list(out);
     for (guint i = 0; i < intent->machines->len; i++)
-        pm_put_text(out, g_ptr_array_index(intent->machines, i));
-    pm_put_end(out);
+        pm_cbor_put_text(out, g_ptr_array_index(intent->machines, i));
+    pm_cbor_put_end(out);
 }
 
-void pm_intent_encode(const struct pm_intent *intent, struct pm_buf *out)
+void pm_intent_encode(const struct pm_intent *intent, struct pm_buffer *out)
 {
-    pm_put_map(out);
-    pm_put_pair_text(out, "duty", pm_role_name(intent->duty));
-    pm_put_pair_count(out, "token", intent->token);
-    if (intent->duty == PM_ROLE_SCALE_OUT)
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_text(out, "duty", pm_role_name(intent->role));
+    pm_cbor_put_pair_count(out, "token", intent->token);
+    if (intent->role == PM_ROLE_SCALE_OUT)
         encode_rentals(intent, out);
     else
         encode_machines(intent, out);
-    pm_put_end(out);
+    pm_cbor_put_end(out);
 }
 
 static bool decode_rental(struct pm_intent_rental *rental, const cbor_item_t *value)
@@ -81,7 +82,7 @@
            pm_cbor_read_text(pm_cbor_get(value, "zone"), rental->zone, sizeof rental->zone) &&
            pm_cbor_read_flag(pm_cbor_get(value, "spot"), &rental->spot) &&
            pm_cbor_read_count(pm_cbor_get(value, "count"), &rental->count) && rental->type[0] &&
-           rental->count > 0 && rental->count <= PM_INTENT_RENTED;
+           rental->count > 0 && rental->count <= PM_INTENT_INSTANCES_MAX;
 }
 
 static bool decode_rentals(struct pm_intent *intent, const cbor_item_t *value)
@@ -94,7 +95,7 @@
             return false;
         g_array_append_val(intent->rentals, rental);
     }
-    return intent->rentals->len > 0 && intent->rentals->len <= PM_INTENT_RENTALS;
+    return intent->rentals->len > 0 && intent->rentals->len <= PM_INTENT_RENTALS_MAX;
 }
 
 static bool decode_machines(struct pm_intent *intent, const cbor_item_t *value)
@@ -107,7 +108,7 @@
             return false;
         g_ptr_array_add(intent->machines, g_strdup(name));
     }
-    return intent->machines->len > 0 && intent->machines->len <= PM_INTENT_MACHINES;
+    return intent->machines->len > 0 && intent->machines->len <= PM_INTENT_MACHINES_MAX;
 }
 
 /* Copies the intent's name from its key. False: the name does not belong to the intent's role and
@@ -115,9 +116,9 @@
 static bool decode_name(struct pm_intent *intent, const char *key)
 {
     const char *name = key + strlen(PM_KEY_INTENT_PREFIX);
-    char prefix[PM_INTENT_NAME];
+    char prefix[PM_INTENT_NAME_SIZE];
 
-    snprintf(prefix, sizeof prefix, "%s-%llu-", pm_role_name(intent->duty),
+    snprintf(prefix, sizeof prefix, "%s-%llu-", pm_role_name(intent->role),
              (unsigned long long)intent->token);
     if (strlen(name) >= sizeof intent->name || !g_str_has_prefix(name, prefix))
         return false;
@@ -136,7 +137,7 @@
 
 static bool decode_content(struct pm_intent *intent, const cbor_item_t *value)
 {
-    if (intent->duty == PM_ROLE_SCALE_OUT)
+    if (intent->role == PM_ROLE_SCALE_OUT)
         return decode_rentals(intent, value);
     return decode_machines(intent, value);
 }
--- a/src/roles/intent.h
+++ b/src/roles/intent.h
@@ -23,10 +23,10 @@
 #include <stdint.h>
 
 enum {
-    PM_INTENT_NAME = 64,      /* bytes of an intent's name, with the NUL at its end */
-    PM_INTENT_MACHINES = 100, /* machines in one request to terminate, at most */
-    PM_INTENT_RENTED = 50,    /* machines in one request to rent, at most */
-    PM_INTENT_RENTALS = 8     /* requests to rent in one intent, at most */
+    PM_INTENT_NAME_SIZE = 64,     /* bytes of an intent's name, with the NUL at its end */
+    PM_INTENT_MACHINES_MAX = 100, /* machines in one request to terminate, at most */
+    PM_INTENT_INSTANCES_MAX = 50, /* machines in one request to rent, at most */
+    PM_INTENT_RENTALS_MAX = 8     /* requests to rent in one intent, at most */
 };
 
 /* One request to rent machines of one kind. */
@@ -35,21 +35,21 @@
     bool spot;
     uint64_t count; /* machines, at least 1 */
     /* Known to this controller alone; not stored. */
-    bool busy;    /* a call for it is in flight */
-    bool settled; /* the provider has answered */
+    bool call_in_flight; /* a call for it is in flight */
+    bool is_answered;    /* the provider has answered */
 };
 
 struct pm_intent {
-    char name[PM_INTENT_NAME]; /* ROLE-TOKEN-NUMBER */
-    enum pm_role duty;
+    char name[PM_INTENT_NAME_SIZE]; /* ROLE-TOKEN-NUMBER */
+    enum pm_role role;
     uint64_t token;      /* the fencing token under which it was written */
     uint64_t revision;   /* of its key, 0: not known to be durable */
     GArray *rentals;     /* of struct pm_intent_rental; empty unless scaling out */
     GPtrArray *machines; /* names of the machines to terminate, owned; empty unless scaling in */
     /* Known to this controller alone; not stored. */
-    bool busy;       /* a call to terminate is in flight */
-    bool closing;    /* the provider has answered for all of it; its key is to be deleted */
-    double retry_at; /* monotonic seconds: no call before this time */
+    bool call_in_flight; /* a call to terminate is in flight */
+    bool is_closing;     /* the provider has answered for all of it; its key is to be deleted */
+    double retry_at;     /* monotonic seconds: no call before this time */
 };
 
 /* An empty intent for the caller to fill; the caller owns it. */
@@ -61,9 +61,10 @@
 void pm_intent_set_name(struct pm_intent *intent, uint64_t token, uint64_t number);
 /* Writes the idempotency name of a rental's request to `out`, of `size` bytes: the intent's name
  * and the rental's index in it. */
-void pm_intent_booking(const struct pm_intent *intent, guint rental_index, char *out, size_t size);
+void pm_intent_format_booking(const struct pm_intent *intent, guint rental_index, char *out,
+                              size_t size);
 /* Appends the intent's stored value to `out`. */
-void pm_intent_encode(const struct pm_intent *intent, struct pm_buf *out);
+void pm_intent_encode(const struct pm_intent *intent, struct pm_buffer *out);
 /* The intent that is stored under `key` with `value` at `revision`; the caller owns it. `key`
  * starts with PM_KEY_INTENT_PREFIX. NULL: the value is malformed, or the key does not belong to it.
  */
--- a/src/roles/intent_closing.c
+++ b/src/roles/intent_closing.c
@@ -43,7 +43,7 @@
     g_hash_table_iter_init(&iter, roles->intents.open);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct pm_intent *intent = value;
-        count += intent->duty == role && intent->closing;
+        count += intent->role == role && intent->is_closing;
     }
     return count;
 }
@@ -64,11 +64,11 @@
                         struct pm_txn *txn, GPtrArray *names)
 {
     GPtrArray *open = pm_roles_open_intents(roles, role);
-    char key[sizeof PM_KEY_INTENT_PREFIX + PM_INTENT_NAME];
+    char key[sizeof PM_KEY_INTENT_PREFIX + PM_INTENT_NAME_SIZE];
 
     for (guint i = 0; i < open->len && names->len < max_count; i++) {
         const struct pm_intent *intent = g_ptr_array_index(open, i);
-        if (!intent->closing)
+        if (!intent->is_closing)
             continue;
         snprintf(key, sizeof key, PM_KEY_INTENT_PREFIX "%s", intent->name);
         pm_txn_compare(txn, key, intent->revision);
@@ -86,7 +86,7 @@
     unsigned closing = count_closing(roles, role);
     int max_count = max_deletes(roles, closing, now);
 
-    if (!closing || roles->intents.close_in_flight[role] || !pm_roles_holds(roles, role, now) ||
+    if (!closing || roles->intents.close_in_flight[role] || !pm_roles_is_holder(roles, role, now) ||
         max_count < 1)
         return;
     close = g_new(struct close_transaction, 1);
@@ -106,8 +106,8 @@
 
     if (!intent)
         return;
-    intent->busy = false;
-    intent->closing = true;
-    if (count_closing(roles, intent->duty) >= CLOSE_BATCH)
-        pm_roles_delete_closed_intents(roles, intent->duty, now);
+    intent->call_in_flight = false;
+    intent->is_closing = true;
+    if (count_closing(roles, intent->role) >= CLOSE_BATCH)
+        pm_roles_delete_closed_intents(roles, intent->role, now);
 }
--- a/src/roles/intent_log.c
+++ b/src/roles/intent_log.c
@@ -11,7 +11,7 @@
     struct pm_roles *roles;
     struct pm_intent *intent; /* owned */
     bool is_in_replica;       /* the watch has shown the key before the answer came */
-    pm_intent_written *done;
+    pm_intent_write_done *done;
     void *arg;
 };
 
@@ -22,9 +22,9 @@
     struct pm_roles *roles = write->roles;
     struct pm_intent *intent = write->intent;
 
-    intent->busy = true; /* `done` is about to send the calls */
+    intent->call_in_flight = true; /* `done` is about to send the calls */
     g_hash_table_replace(roles->intents.open, intent->name, intent);
-    pm_roles_log_action(roles, intent->duty, "intended", intent->name, "");
+    pm_roles_log_action(roles, intent->role, "intended", intent->name, "");
     write->done(write->arg, intent->name);
 }
 
@@ -35,7 +35,7 @@
     struct pm_intent *intent = write->intent;
     const char *event = result == PM_STORE_CONFLICT ? "refused" : "unwritten";
 
-    pm_roles_log_action(write->roles, intent->duty, event, intent->name, "");
+    pm_roles_log_action(write->roles, intent->role, event, intent->name, "");
     write->done(write->arg, NULL);
     pm_intent_free(intent);
 }
@@ -61,9 +61,9 @@
 static void encode_write(const struct pm_roles *roles, const struct pm_intent *intent,
                          struct pm_txn *txn)
 {
-    char key[sizeof PM_KEY_INTENT_PREFIX + PM_INTENT_NAME];
+    char key[sizeof PM_KEY_INTENT_PREFIX + PM_INTENT_NAME_SIZE];
 
-    pm_role_format_key(intent->duty, key, sizeof key);
+    pm_role_format_key(intent->role, key, sizeof key);
     pm_txn_compare(txn, key, intent->token);
     pm_txn_compare(txn, PM_KEY_EPOCH, roles->conditions.epoch_revision);
     snprintf(key, sizeof key, PM_KEY_INTENT_PREFIX "%s", intent->name);
@@ -74,16 +74,16 @@
 }
 
 bool pm_roles_write_intent(struct pm_roles *roles, struct pm_intent *intent,
-                           pm_intent_written *done, void *arg, double now)
+                           pm_intent_write_done *done, void *arg, double now)
 {
     struct intent_write *write;
     struct pm_txn txn = {0};
 
-    if (!pm_roles_holds(roles, intent->duty, now) || !roles->conditions.is_leader) {
+    if (!pm_roles_is_holder(roles, intent->role, now) || !roles->conditions.is_leader) {
         pm_intent_free(intent);
         return false;
     }
-    pm_intent_set_name(intent, pm_roles_token(roles, intent->duty), ++roles->intents.last_number);
+    pm_intent_set_name(intent, pm_roles_token(roles, intent->role), ++roles->intents.last_number);
     write = g_new0(struct intent_write, 1);
     write->roles = roles;
     write->intent = intent;
@@ -113,7 +113,7 @@
 
     g_hash_table_iter_init(&iter, roles->intents.open);
     while (g_hash_table_iter_next(&iter, NULL, &intent))
-        if (((struct pm_intent *)intent)->duty == role)
+        if (((struct pm_intent *)intent)->role == role)
             g_ptr_array_add(open, intent);
     g_ptr_array_sort(open, compare_revisions);
     return open;
@@ -127,7 +127,7 @@
 
     g_hash_table_iter_init(&iter, roles->intents.open);
     while (g_hash_table_iter_next(&iter, NULL, &intent))
-        count += ((const struct pm_intent *)intent)->duty == role;
+        count += ((const struct pm_intent *)intent)->role == role;
     return count;
 }
 
@@ -138,13 +138,13 @@
 
 static void reset_calls(struct pm_intent *intent)
 {
-    intent->busy = false;
+    intent->call_in_flight = false;
     intent->retry_at = 0;
     for (guint i = 0; i < intent->rentals->len; i++)
-        g_array_index(intent->rentals, struct pm_intent_rental, i).busy = false;
+        g_array_index(intent->rentals, struct pm_intent_rental, i).call_in_flight = false;
 }
 
-void pm_roles_forget_calls(struct pm_roles *roles)
+void pm_roles_reset_calls(struct pm_roles *roles)
 {
     GHashTableIter iter;
     gpointer intent;
--- a/src/roles/lease.c
+++ b/src/roles/lease.c
@@ -16,7 +16,7 @@
     return roles->states[role].claim.token ? roles->lease.valid_until : 0;
 }
 
-bool pm_roles_holds(const struct pm_roles *roles, enum pm_role role, double now)
+bool pm_roles_is_holder(const struct pm_roles *roles, enum pm_role role, double now)
 {
     return now < pm_roles_valid_until(roles, role);
 }
--- a/src/roles/roles.c
+++ b/src/roles/roles.c
@@ -39,7 +39,7 @@
 
 /* ---- the periodic step ---- */
 
-bool pm_roles_are_active(const struct pm_roles *roles)
+bool pm_roles_is_active(const struct pm_roles *roles)
 {
     if (!roles->conditions.is_supported)
         return false;
@@ -58,7 +58,7 @@
     roles->conditions = *conditions;
     if (!conditions->is_leader)
         lose_leader_roles(roles);
-    if (!pm_roles_are_active(roles) || !pm_store_is_ready(roles->store))
+    if (!pm_roles_is_active(roles) || !pm_store_is_ready(roles->store))
         return;
     pm_roles_keep_lease_alive(roles, now);
     if (!roles->lease.id || now >= roles->lease.valid_until)
@@ -74,32 +74,32 @@
 
 /* ---- status ---- */
 
-static void encode_role_status(const struct pm_roles *roles, enum pm_role role, struct pm_buf *out,
-                               double now)
+static void encode_role_status(const struct pm_roles *roles, enum pm_role role,
+                               struct pm_buffer *out, double now)
 {
     const struct pm_role_state *state = &roles->states[role];
     const struct pm_role_holder *holder = &state->holder;
     uint64_t drain_token = state->drain_request.token;
     double held_s = holder->changed_at > 0 ? now - holder->changed_at : 0;
 
-    pm_put_map(out);
-    pm_put_pair_text(out, "duty", pm_role_name(role));
-    pm_put_pair_text(out, "holder", holder->name);
-    pm_put_pair_count(out, "token", holder->revision);
-    pm_put_pair_flag(out, "holds", pm_roles_holds(roles, role, now));
-    pm_put_pair_flag(out, "draining", drain_token && drain_token == holder->revision);
-    pm_put_pair_flag(out, "unreadable", holder->is_unreadable);
-    pm_put_pair_number(out, "held_for_s", held_s);
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_text(out, "duty", pm_role_name(role));
+    pm_cbor_put_pair_text(out, "holder", holder->name);
+    pm_cbor_put_pair_count(out, "token", holder->revision);
+    pm_cbor_put_pair_flag(out, "holds", pm_roles_is_holder(roles, role, now));
+    pm_cbor_put_pair_flag(out, "draining", drain_token && drain_token == holder->revision);
+    pm_cbor_put_pair_flag(out, "unreadable", holder->is_unreadable);
+    pm_cbor_put_pair_number(out, "held_for_s", held_s);
     if (state->claim.token)
-        pm_put_pair_number(out, "renewed_ago_s", now - roles->lease.sent_at);
-    pm_put_pair_count(out, "open_intents", pm_roles_count_open_intents(roles, role));
-    pm_put_end(out);
+        pm_cbor_put_pair_number(out, "renewed_ago_s", now - roles->lease.sent_at);
+    pm_cbor_put_pair_count(out, "open_intents", pm_roles_count_open_intents(roles, role));
+    pm_cbor_put_end(out);
 }
 
-void pm_roles_encode_status(const struct pm_roles *roles, struct pm_buf *out, double now)
+void pm_roles_encode_status(const struct pm_roles *roles, struct pm_buffer *out, double now)
 {
-    pm_put_list(out);
+    pm_cbor_put_list(out);
     for (int i = 0; i < PM_ROLE_COUNT; i++)
         encode_role_status(roles, (enum pm_role)i, out, now);
-    pm_put_end(out);
+    pm_cbor_put_end(out);
 }
--- a/src/roles/roles.h
+++ b/src/roles/roles.h
@@ -75,9 +75,9 @@
                    double now);
 /* Whether machines are rented and terminated under roles and intents: the settings enable it, or
  * intents of a controller that has it enabled are open. */
-bool pm_roles_are_active(const struct pm_roles *roles);
+bool pm_roles_is_active(const struct pm_roles *roles);
 /* Whether this controller has the role at `now` (monotonic seconds). */
-bool pm_roles_holds(const struct pm_roles *roles, enum pm_role role, double now);
+bool pm_roles_is_holder(const struct pm_roles *roles, enum pm_role role, double now);
 /* Monotonic time until which a request under the role may be sent; 0: this controller does not have
  * the role. */
 double pm_roles_valid_until(const struct pm_roles *roles, enum pm_role role);
@@ -88,12 +88,12 @@
 
 /* Called once when the intent's transaction has ended. `name` is borrowed for the call; NULL: the
  * intent is not known to be durable. */
-typedef void pm_intent_written(void *arg, const char *name);
+typedef void pm_intent_write_done(void *arg, const char *name);
 /* Names the intent and writes it under the role's token and the epoch; consumes `intent` in any
  * case. False: this controller may not write it at `now` (monotonic seconds), and `done` is not
  * called. */
 bool pm_roles_write_intent(struct pm_roles *roles, struct pm_intent *intent,
-                           pm_intent_written *done, void *arg, double now);
+                           pm_intent_write_done *done, void *arg, double now);
 /* The role's open intents, oldest first. The caller frees the array; the intents are borrowed until
  * the next event. */
 GPtrArray *pm_roles_open_intents(const struct pm_roles *roles, enum pm_role role);
@@ -104,7 +104,7 @@
 void pm_roles_close_intent(struct pm_roles *roles, const char *name, double now);
 /* Notes that no call to the provider is in flight for any intent, and that each may be retried at
  * once. Called when leadership is acquired or lost. */
-void pm_roles_forget_calls(struct pm_roles *roles);
+void pm_roles_reset_calls(struct pm_roles *roles);
 
 /* ---- reporting ---- */
 
@@ -114,6 +114,6 @@
                          const char *name, const char *detail);
 /* Appends holders, tokens and the number of open intents to `out` as a list of CBOR maps, for the
  * operators' tool. `now` in monotonic seconds. */
-void pm_roles_encode_status(const struct pm_roles *roles, struct pm_buf *out, double now);
+void pm_roles_encode_status(const struct pm_roles *roles, struct pm_buffer *out, double now);
 
 #endif
--- a/src/scheduler/capacity.c
+++ b/src/scheduler/capacity.c
@@ -36,7 +36,7 @@
     double cpus;
 
     if (machine->shard.owner || (machine->state == PM_MACHINE_BOOTING &&
-                                 pm_scheduler_boots_soon(scheduler->tables, machine, now)))
+                                 pm_scheduler_is_boot_expected(scheduler->tables, machine, now)))
         totals->batch_cpus += machine_cpus;
     if (!pm_scheduler_is_machine_usable(scheduler, machine, now))
         return;
--- a/src/scheduler/cold_start.c
+++ b/src/scheduler/cold_start.c
@@ -66,8 +66,8 @@
            PM_SERVICE_SHARE * machine_cpus - PM_EPSILON;
 }
 
-bool pm_scheduler_boots_soon(const struct pm_name_tables *tables, const struct pm_machine *machine,
-                             double now)
+bool pm_scheduler_is_boot_expected(const struct pm_name_tables *tables,
+                                   const struct pm_machine *machine, double now)
 {
     return now - machine->provider.rented_at <
            BOOT_TIME_FACTOR * tables->types[machine->type].ready_s + BOOT_TIME_EXTRA_S;
--- a/src/scheduler/ledger_codec.c
+++ b/src/scheduler/ledger_codec.c
@@ -36,11 +36,11 @@
 /* Writes the table and the map of cached images side by side. */
 struct image_writer {
     const struct pm_name_tables *tables;
-    struct pm_buf *table;   /* the value; the list of images is open in it */
-    struct pm_buf machines; /* entries of the map, appended to the value at the end */
-    int *position;          /* by image: its place in the table, -1: not there yet */
-    int image_count;        /* in the table so far */
-    size_t used, limit;     /* estimated JSON bytes */
+    struct pm_buffer *table;   /* the value; the list of images is open in it */
+    struct pm_buffer machines; /* entries of the map, appended to the value at the end */
+    int *position;             /* by image: its place in the table, -1: not there yet */
+    int image_count;           /* in the table so far */
+    size_t used, limit;        /* estimated JSON bytes */
 };
 
 static void encode_cached_image(struct image_writer *writer, const struct pm_cached_image *cached)
@@ -50,22 +50,22 @@
     if (*position < 0) {
         const char *name = pm_names_text(writer->tables->image_names, cached->image);
         *position = writer->image_count++;
-        pm_put_text(writer->table, name);
-        pm_put_number(writer->table, ceil(cached->gb * SIZE_PRECISION) / SIZE_PRECISION);
+        pm_cbor_put_text(writer->table, name);
+        pm_cbor_put_number(writer->table, ceil(cached->gb * SIZE_PRECISION) / SIZE_PRECISION);
         writer->used += strlen(name) + IMAGE_BYTES;
     }
-    pm_put_count(&writer->machines, (uint64_t)*position);
+    pm_cbor_put_count(&writer->machines, (uint64_t)*position);
     writer->used += POSITION_BYTES;
 }
 
 static void encode_machine_images(struct image_writer *writer, const struct pm_machine *machine)
 {
-    pm_put_text(&writer->machines, machine->name);
-    pm_put_list(&writer->machines);
+    pm_cbor_put_text(&writer->machines, machine->name);
+    pm_cbor_put_list(&writer->machines);
     writer->used += strlen(machine->name) + MACHINE_BYTES;
     for (int i = 0; i < machine->images.count && writer->used < writer->limit; i++)
         encode_cached_image(writer, &machine->images.cached[i]);
-    pm_put_end(&writer->machines);
+    pm_cbor_put_end(&writer->machines);
 }
 
 /* Estimated JSON bytes of the fields other than images, without the failing jobs. */
@@ -83,7 +83,7 @@
 /* Ordinary machines go first: services run on those. `failing_bytes`: estimated JSON bytes of the
  * failing jobs. */
 static void encode_images(const struct pm_scheduler *scheduler, size_t failing_bytes,
-                          struct pm_buf *out)
+                          struct pm_buffer *out)
 {
     const struct pm_settings *settings = scheduler->tables->settings;
     GPtrArray *machines = pm_workers_all(scheduler->workers);
@@ -98,8 +98,8 @@
 
     for (int i = 0; i < name_count; i++)
         writer.position[i] = -1;
-    pm_put_text(out, "table");
-    pm_put_list(out);
+    pm_cbor_put_text(out, "table");
+    pm_cbor_put_list(out);
     for (int spot = 0; spot < PM_MARKETS; spot++)
         for (guint i = 0; i < machines->len && writer.used < writer.limit; i++) {
             const struct pm_machine *machine = g_ptr_array_index(machines, i);
@@ -107,12 +107,12 @@
                 machine->spot == spot)
                 encode_machine_images(&writer, machine);
         }
-    pm_put_end(out);
-    pm_put_text(out, "images");
-    pm_put_map(out);
-    pm_buf_add(out, writer.machines.data, writer.machines.size);
-    pm_put_end(out);
-    pm_buf_free(&writer.machines);
+    pm_cbor_put_end(out);
+    pm_cbor_put_text(out, "images");
+    pm_cbor_put_map(out);
+    pm_buffer_append(out, writer.machines.data, writer.machines.size);
+    pm_cbor_put_end(out);
+    pm_buffer_free(&writer.machines);
     g_free(writer.position);
 }
 
@@ -152,7 +152,7 @@
 }
 
 static void encode_last_messages(const struct pm_scheduler *scheduler, double now, double wall,
-                                 struct pm_buf *out)
+                                 struct pm_buffer *out)
 {
     const struct pm_settings *settings = scheduler->tables->settings;
     GPtrArray *machines = pm_workers_all(scheduler->workers);
@@ -164,17 +164,17 @@
             last_message_at[machine->zone] =
                 MAX(last_message_at[machine->zone], machine->heartbeat.last_message_at);
     }
-    pm_put_text(out, "heard");
-    pm_put_map(out);
+    pm_cbor_put_text(out, "heard");
+    pm_cbor_put_map(out);
     for (int zone = 0; zone < settings->zone_count; zone++)
         if (last_message_at[zone] > 0)
-            pm_put_pair_number(out, settings->zone_names[zone],
-                               wall - (now - last_message_at[zone]));
-    pm_put_end(out);
+            pm_cbor_put_pair_number(out, settings->zone_names[zone],
+                                    wall - (now - last_message_at[zone]));
+    pm_cbor_put_end(out);
 }
 
 /* Returns the estimated JSON bytes. */
-static size_t encode_failing_jobs(const struct pm_scheduler *scheduler, struct pm_buf *out)
+static size_t encode_failing_jobs(const struct pm_scheduler *scheduler, struct pm_buffer *out)
 {
     GPtrArray *active = pm_jobs_active(scheduler->jobs);
     size_t used = 0;
@@ -185,14 +185,14 @@
         if (job->state != PM_JOB_LIVE || !job->spec || !pm_failures_is_job_failing(job))
             continue;
         if (count++ == 0) {
-            pm_put_text(out, "failing");
-            pm_put_list(out);
+            pm_cbor_put_text(out, "failing");
+            pm_cbor_put_list(out);
         }
-        pm_put_text(out, job->id);
+        pm_cbor_put_text(out, job->id);
         used += strlen(job->id) + FAILING_JOB_BYTES;
     }
     if (count)
-        pm_put_end(out);
+        pm_cbor_put_end(out);
     return used;
 }
 
@@ -212,29 +212,30 @@
     }
 }
 
-static void encode_teams(const struct pm_scheduler *scheduler, struct pm_buf *out)
+static void encode_teams(const struct pm_scheduler *scheduler, struct pm_buffer *out)
 {
     const struct pm_settings *settings = scheduler->tables->settings;
 
-    pm_put_text(out, "teams");
-    pm_put_map(out);
+    pm_cbor_put_text(out, "teams");
+    pm_cbor_put_map(out);
     for (int team = 0; team < settings->team_count; team++)
-        pm_put_pair_number(out, settings->teams[team].name, scheduler->occupancy.ledger[team].sum);
-    pm_put_end(out);
+        pm_cbor_put_pair_number(out, settings->teams[team].name,
+                                scheduler->occupancy.ledger[team].sum);
+    pm_cbor_put_end(out);
 }
 
 void pm_scheduler_encode_ledger(const struct pm_scheduler *scheduler, double now, double wall,
-                                struct pm_buf *out)
+                                struct pm_buffer *out)
 {
     size_t failing_bytes;
 
-    pm_put_map(out);
-    pm_put_pair_number(out, "day", wall);
+    pm_cbor_put_map(out);
+    pm_cbor_put_pair_number(out, "day", wall);
     encode_teams(scheduler, out);
     encode_last_messages(scheduler, now, wall, out);
     failing_bytes = encode_failing_jobs(scheduler, out);
     encode_images(scheduler, failing_bytes, out);
-    pm_put_end(out);
+    pm_cbor_put_end(out);
 }
 
 void pm_scheduler_decode_ledger(struct pm_scheduler *scheduler, const cbor_item_t *value)
--- a/src/scheduler/mandatory_stops.c
+++ b/src/scheduler/mandatory_stops.c
@@ -29,7 +29,7 @@
                             const struct pm_placement *placement, double left_s, double now)
 {
     double ran_s = placement->running_since ? now - placement->running_since : 0;
-    double remaining_s = pm_scheduler_estimate_remaining_s(scheduler, placement->job) - ran_s;
+    double remaining_s = pm_scheduler_estimate_run_s(scheduler, placement->job) - ran_s;
 
     return placement->job->spec->kind != PM_WORKLOAD_SERVICE && placement->running_since &&
            remaining_s > -OVERRUN_MAX_S && remaining_s < left_s * NOTICE_SHARE;
--- a/src/scheduler/occupancy.c
+++ b/src/scheduler/occupancy.c
@@ -73,7 +73,7 @@
 {
     for (guint i = 0; i < stored->len; i++) {
         const struct pm_machine *machine = pm_workers_at(
-            scheduler->workers, g_array_index(stored, struct pm_stored_placement, i).machine);
+            scheduler->workers, g_array_index(stored, struct pm_stored_placement, i).machine_index);
         scheduler->guarantee.used_cpus[job->spec->team] += job->spec->cpus;
         if (machine && machine->type >= 0)
             charge_task(scheduler, job, machine, span_s);
--- a/src/scheduler/ranking.c
+++ b/src/scheduler/ranking.c
@@ -96,7 +96,7 @@
     if (job->delegated) /* the leader knows of these what their shards' owners have stored */
         pm_job_count_tasks(job, &done, &placed);
     remaining = (job->task_count - MIN(done, job->task_count) - PLACED_TASK_DONE * placed) *
-                job->spec->cpus * (pm_scheduler_estimate_remaining_s(scheduler, job) + 1);
+                job->spec->cpus * (pm_scheduler_estimate_run_s(scheduler, job) + 1);
     return isinf(job->deadline_wall) ? remaining + NO_DEADLINE_CPU_S : remaining;
 }
 
