--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -1,16 +1,16 @@
-/* The autoscaler's lifecycle, and the order of its work in one run. */
+/* The autoscaler's lifecycle and the steps of one run. */
 #include "autoscaler/internal.h"
 #include "autoscaler/sizing.h"
 
 #include <string.h>
 
-/* After an election nothing is rented before the inventory is known, but for no longer than this.
- */
+/* A new leader waits for its first inventory before it rents machines, but no longer than this. */
 #define FIRST_INVENTORY_TIMEOUT_S 5.0
 #define MACHINE_TYPES_INTERVAL_S 60.0
-#define IN_FLIGHT_SHARE 0.6 /* of the provider's request limit a second */
+/* Limit of requests in flight, as a share of the requests that the provider accepts per second. */
+#define IN_FLIGHT_RPS_SHARE 0.6
 
-enum { SIZED_REQUESTS_MAX = 64, IN_FLIGHT_LEAST = 3 };
+enum { SIZED_REQUESTS_MAX = 64, IN_FLIGHT_MIN = 3 };
 
 struct pm_autoscaler *pm_autoscaler_new(struct pm_http_client *http, struct pm_name_tables *tables,
                                         struct pm_jobs *jobs, struct pm_workers *workers,
@@ -57,8 +57,8 @@
     g_hash_table_remove_all(inventory->listed);
 }
 
-/* Kept over terms: the request budget, the request for machine types, and the confirmed
- * terminations, which stay true whoever leads. */
+/* The request budget, the request for machine types and the confirmed terminations are not reset:
+ * they do not depend on which controller is the leader. */
 void pm_autoscaler_reset(struct pm_autoscaler *autoscaler, uint64_t epoch)
 {
     autoscaler->epoch = epoch;
@@ -70,27 +70,28 @@
     autoscaler->demand_rate.jobs = 0;
     autoscaler->demand_rate.started_at = 0;
     memset(autoscaler->kinds, 0, sizeof autoscaler->kinds);
-    memset(autoscaler->handover.zone_message_at, 0, sizeof autoscaler->handover.zone_message_at);
+    memset(autoscaler->handover.zone_last_message_at, 0,
+           sizeof autoscaler->handover.zone_last_message_at);
 }
 
 void pm_autoscaler_set_writable(struct pm_autoscaler *autoscaler, bool writable, double now)
 {
     if (writable)
-        autoscaler->outage.writable_at = now;
-    autoscaler->outage.is_writable = writable;
+        autoscaler->writability.last_writable_at = now;
+    autoscaler->writability.is_writable = writable;
 }
 
-/* Whether the inventory has named the machines that there are, if the provider answers at all.
- * Before that a new leader, to which no worker has reported yet, would rent for all that runs and
- * waits. */
+/* Whether the inventory was read since the election, or the time to wait for it has passed. A new
+ * leader, to which no worker has reported yet, would otherwise rent machines for all running and
+ * waiting tasks. */
 static bool are_machines_known(const struct pm_autoscaler *autoscaler, double now)
 {
     return autoscaler->inventory.is_known ||
            now - autoscaler->handover.elected_at > FIRST_INVENTORY_TIMEOUT_S;
 }
 
-/* Splits `sized` into requests of as many machines as the provider accepts in one, at most
- * `request_max`. Returns how many there are. */
+/* Splits the entries of `sized` into requests for at most PM_INTENT_INSTANCES_MAX machines each,
+ * the provider's limit. Writes at most `request_max` requests and returns their number. */
 static int split_requests(const struct pm_scale_out_request *sized, int sized_count,
                           struct pm_scale_out_request *requests, int request_max)
 {
@@ -121,8 +122,8 @@
 
 void pm_autoscaler_run(struct pm_autoscaler *autoscaler, double now, double wall_now)
 {
-    int in_flight_max = (int)CLAMP(autoscaler->tables->settings->cloud_rps * IN_FLIGHT_SHARE,
-                                   IN_FLIGHT_LEAST, PM_INTENT_RENTALS_MAX);
+    int in_flight_max = (int)CLAMP(autoscaler->tables->settings->cloud_rps * IN_FLIGHT_RPS_SHARE,
+                                   IN_FLIGHT_MIN, PM_INTENT_RENTALS_MAX);
 
     if (!autoscaler->tables->type_count)
         return;
@@ -130,7 +131,8 @@
     pm_autoscaler_complete_intents(autoscaler, in_flight_max, now);
     if (autoscaler->budget.in_flight < in_flight_max)
         pm_autoscaler_terminate_due(autoscaler, now);
-    /* Not sized while a request is in flight: the machines that it rents are not known yet. */
+    /* Nothing is sized while a request is in flight, because the machines that it rents are not
+     * known yet. */
     if (autoscaler->budget.in_flight == 0 && are_machines_known(autoscaler, now) &&
         pm_autoscaler_may_scale_out(autoscaler, now))
         scale_out(autoscaler, in_flight_max, now, wall_now);
--- a/src/autoscaler/batch_backlog.c
+++ b/src/autoscaler/batch_backlog.c
@@ -1,59 +1,69 @@
-/* How many of the waiting tasks need machines of their own; the rest follows on the machines that
- * there are.
+/* Decides for how many of the waiting tasks machines are rented. The other tasks run later on
+ * existing machines.
  *
- * Array jobs are taken in the scheduler's order, as one backlog of work that all capacity for array
- * work serves. A job's tasks get new machines if the backlog up to and with that job would not be
- * worked off by its deadline. */
+ * All capacity for array work processes one common backlog of array jobs, in the scheduler's order.
+ * Machines are rented for a job's tasks if the backlog up to and including that job would not be
+ * done by the job's deadline. */
 #include "autoscaler/sizing.h"
 
 #include <math.h>
 
-/* Estimates are off by half. Spot machines are rented for the work that is expected; ordinary ones,
- * which cost several times as much, for this share of it. */
+/* Spot machines are rented for all of the estimated work. Ordinary machines cost several times as
+ * much, and estimates are off by half, so ordinary machines are rented for this share of the work
+ * only. */
 #define ORDINARY_WORK_SHARE 0.7
 
-#define RUNNING_LEFT_LEAST 0.2 /* of a task's time: a running task has that much left at least */
-#define OWNED_JOB_LEFT 2       /* a task of a shard has its time divided by this left, on average */
-#define LAST_START_SHARE 0.6   /* of a task's time, before the deadline: the last task begins */
-#define USEFUL_BOOT_SHARE 0.3  /* of a task's time, that must be left when a machine is up */
-/* A machine's announced boot time, with a margin. */
-#define BOOT_MARGIN 1.1
+/* A running task counts with at least this share of its estimated duration, even if it has already
+ * run for longer than that. */
+#define RUNNING_TASK_LEFT_MIN 0.2
+/* On average a running task of a shard's job has its estimated duration divided by this left. */
+#define SHARD_TASK_LEFT_DIVISOR 2
+/* A job's last task should start this share of a task's duration before the job's deadline. */
+#define LAST_START_SHARE 0.6
+/* A machine is rented for a deadline only if, once the machine is up, at least this share of a
+ * task's duration is left until the job's last task should start. */
+#define USEFUL_BOOT_SHARE 0.3
+/* A new machine is expected to be up after its announced boot time, times the factor, plus the
+ * margin. */
+#define BOOT_FACTOR 1.1
 #define BOOT_MARGIN_S 2
 
-/* Array work up to and with the job at hand, and the capacity for it. */
+/* The array work up to and including the current job, and the capacity that processes it. */
 struct batch_backlog {
-    double work_cpu_s;    /* in processor-seconds */
-    double capacity_cpus; /* processors that serve it now, or once they are up */
+    double work_cpu_s;    /* processor-seconds */
+    double capacity_cpus; /* processors, including those of machines that are booting */
 };
 
-/* ---- what runs ---- */
+/* ---- running work ---- */
 
-/* Adds the processor-seconds that the running array tasks on a machine still have before them. */
+/* Adds the processor-seconds that the array tasks placed on the machine still need. */
 static void add_machine_work(const struct pm_autoscaler *autoscaler,
                              const struct pm_machine *machine, double now, double *work_cpu_s)
 {
     for (guint i = 0; i < machine->placements->len; i++) {
         const struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
-        double task_s;
-        double ran_s;
-        double left_s;
+        double task_duration_s;
+        double elapsed_s;
+        double remaining_s;
         if (placement->state == PM_PLACEMENT_ENDED || !pm_sizing_is_spot_array(placement->job))
             continue;
-        task_s = pm_sizing_task_s(autoscaler, placement->job);
-        ran_s = placement->running_since ? now - placement->running_since : 0;
-        left_s = MAX(task_s - ran_s, task_s * RUNNING_LEFT_LEAST);
-        *work_cpu_s += left_s * placement->job->spec->cpus;
+        task_duration_s = pm_sizing_task_duration_s(autoscaler, placement->job);
+        elapsed_s = placement->running_since ? now - placement->running_since : 0;
+        remaining_s = MAX(task_duration_s - elapsed_s, task_duration_s * RUNNING_TASK_LEFT_MIN);
+        *work_cpu_s += remaining_s * placement->job->spec->cpus;
     }
 }
 
-/* The processor-seconds left of a job in a shard, whose placements only the owner knows. */
-static double owned_job_work_cpu_s(const struct pm_autoscaler *autoscaler, const struct pm_job *job)
+/* Estimates the processor-seconds that the running tasks of a shard's job still need. Only the
+ * shard's owner knows their placements. */
+static double shard_job_work_cpu_s(const struct pm_autoscaler *autoscaler, const struct pm_job *job)
 {
     uint32_t done;
     uint32_t placed;
 
     pm_job_count_tasks(job, &done, &placed);
-    return placed * pm_sizing_task_s(autoscaler, job) * job->spec->cpus / OWNED_JOB_LEFT;
+    return placed * pm_sizing_task_duration_s(autoscaler, job) * job->spec->cpus /
+           SHARD_TASK_LEFT_DIVISOR;
 }
 
 static double running_work_cpu_s(const struct pm_autoscaler *autoscaler, double now)
@@ -70,15 +80,15 @@
     for (guint i = 0; i < active->len; i++) {
         const struct pm_job *job = g_ptr_array_index(active, i);
         if (job->delegated && pm_sizing_is_spot_array(job))
-            work += owned_job_work_cpu_s(autoscaler, job);
+            work += shard_job_work_cpu_s(autoscaler, job);
     }
     return work;
 }
 
-/* ---- what waits ---- */
+/* ---- waiting work ---- */
 
-/* Whether a machine that is up, or soon will be, may run the job's tasks, its free capacity aside.
- * For a job bound to one zone, all capacity may be in the others. */
+/* Whether the job's constraints allow its tasks on some machine that is up or soon will be, however
+ * much of that machine is free. For a job bound to one zone, all capacity may be in other zones. */
 static bool may_run_on_capacity(const struct pm_sizing *sizing, const struct pm_job *job)
 {
     const struct pm_name_tables *tables = sizing->autoscaler->tables;
@@ -92,62 +102,66 @@
     return false;
 }
 
-/* The shortest boot of the types that the job allows, in seconds. */
+/* Returns the shortest boot time among the machine types that the job allows, in seconds. */
 static double shortest_boot_s(const struct pm_name_tables *tables, const struct pm_job *job)
 {
     double shortest = INFINITY;
 
     for (int type = 0; type < tables->type_count; type++)
         if (job->spec->allowed_types >> type & 1)
-            shortest = MIN(shortest, tables->types[type].ready_s * BOOT_MARGIN + BOOT_MARGIN_S);
+            shortest = MIN(shortest, tables->types[type].ready_s * BOOT_FACTOR + BOOT_MARGIN_S);
     return shortest;
 }
 
-/* Seconds until the job's last task must begin; 0: the job has no deadline. */
-static double time_left_s(const struct pm_sizing *sizing, const struct pm_job *job, double task_s)
+/* Returns the seconds until the job's last task must start, or 0 if the job has no deadline. */
+static double seconds_until_last_start(const struct pm_sizing *sizing, const struct pm_job *job,
+                                       double task_duration_s)
 {
     if (isinf(job->deadline_wall))
         return 0;
-    return job->deadline_wall - sizing->wall_now - task_s * LAST_START_SHARE;
+    return job->deadline_wall - sizing->wall_now - task_duration_s * LAST_START_SHARE;
 }
 
-/* The capacity, in processors, that the backlog needs to be done in time. A deadline that cannot be
- * met by renting counts as none: the job is worked off within a while. */
+/* Returns how many processors the backlog needs to be done in time. If there is no deadline, or new
+ * machines would come up too late for it, the time is pm_sizing_backlog_target_s instead. */
 static double needed_cpus(const struct pm_sizing *sizing, const struct batch_backlog *backlog,
-                          const struct pm_job *job, double task_s, double left_s)
+                          const struct pm_job *job, double task_duration_s,
+                          double until_last_start_s)
 {
     double boot_s = shortest_boot_s(sizing->autoscaler->tables, job);
-    double after_boot_s = left_s - boot_s;
+    double after_boot_s = until_last_start_s - boot_s;
 
-    if (after_boot_s > task_s * USEFUL_BOOT_SHARE)
+    if (after_boot_s > task_duration_s * USEFUL_BOOT_SHARE)
         return (backlog->work_cpu_s - backlog->capacity_cpus * boot_s) / after_boot_s;
     return backlog->work_cpu_s / pm_sizing_backlog_target_s(sizing->autoscaler, job);
 }
 
-/* How many of the job's waiting tasks need machines of their own. Adds the job's work, times
- * `work_share`, and the capacity of those machines to the backlog. */
-static int tasks_to_add(const struct pm_sizing *sizing, struct batch_backlog *backlog,
-                        const struct pm_unmet_demand *demand, double work_share)
+/* Returns for how many of the job's waiting tasks machines are to be rented. Adds the share
+ * `work_share` of the job's work, and the capacity of those machines, to the backlog. */
+static int tasks_needing_machines(const struct pm_sizing *sizing, struct batch_backlog *backlog,
+                                  const struct pm_unmet_demand *demand, double work_share)
 {
     const struct pm_job *job = demand->job;
     double job_cpus = job->spec->cpus;
-    double task_s = pm_sizing_task_s(sizing->autoscaler, job);
-    double left_s;
+    double task_duration_s = pm_sizing_task_duration_s(sizing->autoscaler, job);
+    double until_last_start_s;
     double tasks;
-    bool may_follow; /* on the machines that there are */
+    bool can_use_existing;
 
     if (!pm_sizing_is_spot_array(job))
         return (int)demand->tasks;
     if (pm_sizing_is_opportunistic(sizing->autoscaler, job))
         return backlog->capacity_cpus < job_cpus ? 1 : 0;
-    backlog->work_cpu_s += demand->tasks * task_s * work_share * job_cpus;
-    left_s = time_left_s(sizing, job, task_s);
-    may_follow = may_run_on_capacity(sizing, job);
-    if (may_follow && left_s > 0 && backlog->work_cpu_s <= backlog->capacity_cpus * left_s)
+    backlog->work_cpu_s += demand->tasks * task_duration_s * work_share * job_cpus;
+    until_last_start_s = seconds_until_last_start(sizing, job, task_duration_s);
+    can_use_existing = may_run_on_capacity(sizing, job);
+    if (can_use_existing && until_last_start_s > 0 &&
+        backlog->work_cpu_s <= backlog->capacity_cpus * until_last_start_s)
         return 0;
-    tasks = needed_cpus(sizing, backlog, job, task_s, left_s) - backlog->capacity_cpus;
+    tasks = needed_cpus(sizing, backlog, job, task_duration_s, until_last_start_s) -
+            backlog->capacity_cpus;
     tasks = MIN(ceil(MAX(0, tasks) / job_cpus), demand->tasks);
-    if (backlog->capacity_cpus < job_cpus || !may_follow)
+    if (backlog->capacity_cpus < job_cpus || !can_use_existing)
         tasks = MAX(tasks, 1);
     backlog->capacity_cpus += tasks * job_cpus;
     return (int)tasks;
@@ -166,8 +180,9 @@
     for (guint i = 0; i < unmet_demand->len; i++) {
         const struct pm_unmet_demand *demand =
             &g_array_index(unmet_demand, struct pm_unmet_demand, i);
-        int tasks = tasks_to_add(sizing, &backlog, demand, 1);
-        int ordinary_tasks = tasks_to_add(sizing, &ordinary_backlog, demand, ORDINARY_WORK_SHARE);
+        int tasks = tasks_needing_machines(sizing, &backlog, demand, 1);
+        int ordinary_tasks =
+            tasks_needing_machines(sizing, &ordinary_backlog, demand, ORDINARY_WORK_SHARE);
         pm_sizing_pack(sizing, demand->job, MAX(tasks, ordinary_tasks), ordinary_tasks);
     }
 }
--- a/src/autoscaler/batch_jobs.c
+++ b/src/autoscaler/batch_jobs.c
@@ -1,12 +1,13 @@
-/* Array jobs, as the sizing sees them. */
+/* Properties of array jobs that the sizing uses. */
 #include "autoscaler/sizing.h"
 
 #include <string.h>
 
-/* A task probably takes its estimate times a margin, and some seconds to begin. */
+/* The expected duration of a task is its estimated run time, times a margin, plus its start-up
+ * time. */
 #define ESTIMATE_MARGIN 1.5
-#define ESTIMATE_START_S 2
-#define TASK_LEAST_S 1
+#define TASK_START_S 2
+#define TASK_DURATION_MIN_S 1
 
 bool pm_sizing_is_spot_array(const struct pm_job *job)
 {
@@ -14,8 +15,8 @@
            job->spec->cpus > 0;
 }
 
-/* The strictest service-level objective for jobs of the class, in seconds until they begin or end;
- * 0: there is none. */
+/* Returns the strictest service-level objective for jobs of the job's class, in seconds until they
+ * begin or end, or 0 if there is none. */
 static double objective_s(const struct pm_autoscaler *autoscaler, const struct pm_job *job)
 {
     const struct pm_settings *settings = autoscaler->tables->settings;
@@ -45,9 +46,9 @@
     return MAX(target_s, objective_s(autoscaler, job) / 2);
 }
 
-double pm_sizing_task_s(const struct pm_autoscaler *autoscaler, const struct pm_job *job)
+double pm_sizing_task_duration_s(const struct pm_autoscaler *autoscaler, const struct pm_job *job)
 {
     double estimate_s = pm_scheduler_estimate_run_s(autoscaler->scheduler, job);
 
-    return MAX(estimate_s * ESTIMATE_MARGIN + ESTIMATE_START_S, TASK_LEAST_S);
+    return MAX(estimate_s * ESTIMATE_MARGIN + TASK_START_S, TASK_DURATION_MIN_S);
 }
--- a/src/autoscaler/demand_rate.c
+++ b/src/autoscaler/demand_rate.c
@@ -1,11 +1,14 @@
-/* The rate at which array work arrives. It comes as a stream of jobs, each too short for a booting
- * machine to help it: the steady part of the demand is rented ahead, and kept, on spot machines. */
+/* Measures the rate at which array work arrives. It arrives as a stream of jobs, each too short for
+ * a machine that must first boot to help. Spot machines for the steady part of this demand are
+ * therefore rented ahead of the jobs, and kept. */
 #include "autoscaler/sizing.h"
 
 #include <math.h>
 
-#define DECAY_S 60.0      /* time constant of the exponential decay */
-#define FIRST_SPAN_S 30.0 /* what arrives first of all counts as the demand of so long a time */
+#define DECAY_S 60.0 /* time constant of the exponential decay */
+/* At the start of the measurement, the work counted so far is taken as the demand of at least this
+ * long. */
+#define MEASURED_SPAN_MIN_S 30.0
 
 void pm_autoscaler_measure_demand(struct pm_autoscaler *autoscaler, double now, double wall_now)
 {
@@ -37,7 +40,7 @@
 double pm_autoscaler_steady_demand_cpus(const struct pm_autoscaler *autoscaler, double now)
 {
     const struct pm_demand_rate *rate = &autoscaler->demand_rate;
-    double span_s = MAX(now - rate->started_at, FIRST_SPAN_S);
+    double span_s = MAX(now - rate->started_at, MEASURED_SPAN_MIN_S);
     double decayed_span_s = DECAY_S * (1 - exp(-span_s / DECAY_S));
 
     if (rate->jobs <= 1)
@@ -45,7 +48,7 @@
     return rate->cpu_s / decayed_span_s * (1 - 1 / sqrt(rate->jobs));
 }
 
-/* The live array job that was submitted last, NULL: there is none. */
+/* Returns the live array job that was submitted last, or NULL if there is none. */
 static struct pm_job *latest_array_job(const struct pm_autoscaler *autoscaler)
 {
     GPtrArray *active = pm_jobs_active(autoscaler->jobs);
@@ -60,12 +63,13 @@
     return latest;
 }
 
-/* Processors of the steady demand that no spot machine covers, up, booting or to be rented. */
+/* Returns how many processors of the steady demand are not covered by spot machines that are up,
+ * booting or to be rented by this sizing. */
 static double missing_cpus(const struct pm_sizing *sizing)
 {
     const struct pm_autoscaler *autoscaler = sizing->autoscaler;
-    double missing =
-        pm_autoscaler_steady_demand_cpus(autoscaler, sizing->now) - autoscaler->headroom.spot_cpus;
+    double missing = pm_autoscaler_steady_demand_cpus(autoscaler, sizing->now) -
+                     autoscaler->headroom.spot_capacity_cpus;
 
     for (guint i = 0; i < sizing->machines->len; i++) {
         const struct pm_sizing_machine *machine =
--- a/src/autoscaler/headroom.c
+++ b/src/autoscaler/headroom.c
@@ -1,19 +1,20 @@
-/* Headroom for services on ordinary machines, so that a new replica is placed at once: for services
- * to come, and for the replicas of any one machine that is lost. */
+/* Headroom for services: capacity kept free on ordinary machines so that a replica is placed at
+ * once, either of a new service or after the loss of any one machine. */
 #include "autoscaler/sizing.h"
 
 #include <limits.h>
 #include <math.h>
 
-/* Of many services, fewer come at once for their number: as the square root of it, times this. */
+/* The demand of n services fluctuates by about the square root of n services, times this factor, so
+ * that many services need less headroom in proportion than few. */
 #define FLUCTUATION_FACTOR 2.0
 
-/* What the live services use, or will use once their waiting replicas are placed. On a cold start
- * nothing runs yet, and what is rented late is up late. */
+/* What the live services use, including their waiting replicas. Those count because on a cold start
+ * no replica runs yet, and headroom that is rented late is also up late. */
 struct service_usage {
     double cpus;
-    int services;
-    const struct pm_job *typical; /* one that may run nearly anywhere; NULL: there is none */
+    int services;                 /* number of live services */
+    const struct pm_job *typical; /* preferably without zone or type constraint; NULL: none */
 };
 
 static struct service_usage sum_services(const struct pm_autoscaler *autoscaler)
@@ -34,8 +35,8 @@
     return usage;
 }
 
-/* Processors to keep free. */
-static double wanted_cpus(const struct pm_autoscaler *autoscaler, const struct service_usage *usage,
+/* Returns how many processors to keep free on ordinary machines. */
+static double target_cpus(const struct pm_autoscaler *autoscaler, const struct service_usage *usage,
                           double now)
 {
     double share = usage->cpus * autoscaler->operator_settings->warm_share;
@@ -45,8 +46,8 @@
                pm_scheduler_largest_service_cpus(autoscaler->scheduler, now));
 }
 
-/* Processors that are free on ordinary machines, or soon will be. What array tasks use there counts
- * as free, because they are preempted at once. */
+/* Returns how many processors are free on ordinary machines, or soon will be. Those that array
+ * tasks use there count as free, because array tasks are preempted at once. */
 static double free_cpus(const struct pm_sizing *sizing)
 {
     double free = pm_scheduler_headroom_cpus(sizing->autoscaler->scheduler, sizing->now);
@@ -64,13 +65,13 @@
 {
     struct pm_autoscaler *autoscaler = sizing->autoscaler;
     struct service_usage usage = sum_services(autoscaler);
-    double wanted = wanted_cpus(autoscaler, &usage, sizing->now);
+    double target = target_cpus(autoscaler, &usage, sizing->now);
     double missing;
 
-    autoscaler->headroom.service_cpus = wanted;
-    pm_scheduler_set_reserve(autoscaler->scheduler, wanted);
+    autoscaler->headroom.service_cpus = target;
+    pm_scheduler_set_reserve(autoscaler->scheduler, target);
     if (!usage.typical || usage.typical->spec->cpus <= 0)
         return;
-    missing = MAX(0, wanted - free_cpus(sizing));
+    missing = MAX(0, target - free_cpus(sizing));
     pm_sizing_pack(sizing, usage.typical, (int)ceil(missing / usage.typical->spec->cpus), INT_MAX);
 }
--- a/src/autoscaler/intent_completion.c
+++ b/src/autoscaler/intent_completion.c
@@ -1,5 +1,5 @@
-/* Completes the open intents of the roles that this controller has: its own, and those that earlier
- * holders of the roles left. */
+/* Completes the open intents of the roles that this controller holds: its own intents, and those
+ * that earlier holders of the roles left open. */
 #include "autoscaler/internal.h"
 
 void pm_autoscaler_adopt_intents(struct pm_autoscaler *autoscaler)
@@ -11,7 +11,7 @@
     pm_roles_reset_calls(autoscaler->roles);
     open = pm_roles_open_intents(autoscaler->roles, PM_ROLE_SCALE_IN);
     for (guint i = 0; i < open->len; i++)
-        pm_autoscaler_mark_terminating(autoscaler, g_ptr_array_index(open, i));
+        pm_autoscaler_mark_intent_machines(autoscaler, g_ptr_array_index(open, i));
     g_ptr_array_free(open, TRUE);
 }
 
@@ -31,7 +31,7 @@
             continue;
         if (role == PM_ROLE_SCALE_OUT)
             pm_autoscaler_send_rentals(autoscaler, intent, in_flight_max, now);
-        else if (pm_autoscaler_may_call(autoscaler, now))
+        else if (pm_autoscaler_acquire_request_token(autoscaler, now))
             pm_autoscaler_send_termination(autoscaler, intent, now);
     }
     g_ptr_array_free(open, TRUE);
--- a/src/autoscaler/intents.c
+++ b/src/autoscaler/intents.c
@@ -1,12 +1,12 @@
-/* What requests to rent and to terminate have in common when they are written as intents first. */
+/* Handling of intents that requests to rent and requests to terminate share. */
 #include "autoscaler/internal.h"
 
 #include <stdio.h>
 
-#define RETRY_S 1.0 /* a call that is not settled is repeated after this */
+#define RETRY_S 1.0 /* time before an unsettled call is repeated */
 
-/* Intents have this share of the write budget. There are two roles, and each intent is written and
- * deleted. */
+/* Share of the state service's write budget that intents may use. One intent of each of the two
+ * roles takes four writes, because each intent is written and later deleted. */
 #define INTENT_WRITE_SHARE 0.2
 #define WRITES_PER_INTENT_OF_EACH_ROLE 4
 
--- a/src/autoscaler/internal.h
+++ b/src/autoscaler/internal.h
@@ -1,95 +1,101 @@
-/* What the files of the autoscaler slice share; no other slice includes it. */
+/* Internal header of the autoscaler slice: its state, and the functions that its files share. Other
+ * slices include autoscaler.h instead. */
 #ifndef PM_AUTOSCALER_INTERNAL_H
 #define PM_AUTOSCALER_INTERNAL_H
 
 #include "autoscaler/autoscaler.h"
 #include "roles/roles.h"
 
-/* After this long without an answer, a request to the provider counts as not answered. */
+/* Timeout of a request to the provider. */
 #define PM_PROVIDER_TIMEOUT_S 5.0
 
 enum { PM_PROVIDER_HTTP_OK = 200, PM_PROVIDER_HTTP_UNAVAILABLE = 503 };
 
-/* The share of the provider's request limit that this controller uses: a token bucket. Written by
- * request_budget.c; `in_flight` by whoever sends requests that rent or terminate. */
+/* Token bucket that keeps this controller within its share of the provider's request limit. Written
+ * by request_budget.c; scale_out.c, termination.c and provider_client.c write `in_flight`. */
 struct pm_request_budget {
     double tokens;
-    double refilled_at; /* monotonic: of the last request for a token */
-    int in_flight;      /* requests that rent or terminate, and intents being written for them */
+    double refilled_at; /* monotonic: the last attempt to acquire a token */
+    int in_flight;      /* requests to rent or terminate, plus intents being written for them */
 };
 
-/* The inventory that is being read, page by page. Written by inventory.c. */
+/* State of reading the provider's inventory page by page. Written by inventory.c. */
 struct pm_inventory {
     bool in_progress;
-    bool is_known;               /* a whole one was read since the election */
-    bool page_due;               /* the next page is yet to be requested, not before `page_at` */
-    double page_at;              /* monotonic */
-    int page_failures;           /* in a row, of the same page */
-    double started_at;           /* monotonic: the last one began, 0: none since the election */
-    GHashTable *listed;          /* set of the names that it has listed so far, owned */
-    char last_name[PM_NAME_MAX]; /* the last listed: the next page begins behind it; "": none */
+    bool is_known;       /* a complete inventory was read since the election */
+    bool page_due;       /* the next page is to be requested at `next_page_at` or later */
+    double next_page_at; /* monotonic */
+    int page_failures;   /* consecutive failures of the current page */
+    double started_at;   /* monotonic start of the last inventory; 0: none since the election */
+    GHashTable *listed;  /* owned set of the machine names listed so far */
+    char last_name[PM_NAME_MAX]; /* last name listed, after which the next page starts; "": none */
 };
 
-/* The request for machine types. Written by machine_types.c. */
+/* State of the request for machine types. Written by machine_types.c. */
 struct pm_machine_types_request {
     bool in_flight;
     double sent_at; /* monotonic, 0: never */
 };
 
-/* The boots of one kind of machines. Written by boot_tracking.c; `probed_at` by sizing.c. */
+/* Boot statistics of one machine kind. Written by boot_tracking.c; `probed_at` by sizing.c. */
 struct pm_kind_boots {
-    int overdue;              /* machines that boot for longer than announced */
-    double oldest_overdue_at; /* monotonic: when the oldest of them was rented, INFINITY: none */
-    int up_since;             /* machines that are up, and were rented no earlier than that one */
-    double longest_s;         /* the longest boot of those that came up in this term */
-    double probed_at;         /* monotonic: some were last requested while boots were late */
+    /* Machines that are still booting after the time in which most of their type come up. */
+    int overdue_count;
+    /* Monotonic time at which the oldest overdue machine was rented; INFINITY: none is overdue. */
+    double oldest_overdue_rented_at;
+    /* Machines that are up and were rented no earlier than the oldest overdue machine. */
+    int newer_up_count;
+    double longest_boot_s; /* longest boot among the machines rented in this term that are up */
+    double probed_at;      /* monotonic: machines were last requested while boots were late */
 };
 
-/* Capacity of one kind at the provider. Written by scale_out.c and termination.c. */
+/* Back-off from requesting one machine kind. Written by scale_out.c and termination.c. */
 struct pm_kind_backoff {
-    double until;      /* monotonic: the provider had no capacity, and is not asked before */
-    unsigned refusals; /* in a row */
+    double until;      /* monotonic: the kind is not requested before this time */
+    unsigned refusals; /* consecutive answers without the full capacity */
 };
 
-/* A kind of machines: a type, in a zone, spot or not. */
+/* A machine kind: a machine type in one zone, either spot or ordinary. */
 struct pm_machine_kind {
     struct pm_kind_backoff backoff;
     struct pm_kind_boots boots;
-    double cpus; /* of its machines that are up or soon will be, as of the last sizing */
+    double cpus; /* processors of its machines that are up or soon will be, as of the last sizing */
 };
 
-/* The rate at which array work arrives, decaying exponentially. Written by demand_rate.c. */
+/* Rate at which array work arrives, as an exponentially decaying sum. Written by demand_rate.c. */
 struct pm_demand_rate {
-    double cpu_s; /* processor-seconds of the jobs counted, decayed */
-    double jobs;  /* the number of the jobs counted, decayed */
-    double updated_at;
-    double started_at; /* monotonic: measured since, 0: not yet */
+    double cpu_s;      /* decayed sum of the processor-seconds of the jobs counted */
+    double jobs;       /* decayed number of the jobs counted */
+    double updated_at; /* monotonic: the sums were last decayed */
+    double started_at; /* monotonic start of the measurement; 0: it has not started */
 };
 
-/* Capacity that is kept though nothing uses it. Written by headroom.c, collect_capacity in sizing.c
- * and, as machines are marked for scale-in, scale_in.c. */
+/* Idle capacity that is kept on purpose, and the spot capacity that the steady demand is compared
+ * with. Written by headroom.c, by collect_capacity in sizing.c, and by scale_in.c when it marks a
+ * machine for termination. */
 struct pm_headroom {
-    double service_cpus; /* to be kept free on ordinary machines */
-    double spot_cpus;    /* of all spot machines that are up or soon will be */
+    double service_cpus;       /* processors to keep free for services on ordinary machines */
+    double spot_capacity_cpus; /* processors of all spot machines that are up or soon will be */
 };
 
-/* Intents of this controller. Written by scale_out.c and termination.c. */
+/* When this controller last wrote intents. Written by scale_out.c and termination.c. */
 struct pm_intent_times {
-    double scale_out_at, scale_in_at; /* monotonic: the last intent of each role was begun */
+    double scale_out_at, scale_in_at; /* monotonic: the last intent of each role was started */
 };
 
-/* Whether the state service accepts writes. Written by pm_autoscaler_set_writable. */
-struct pm_store_outage {
+/* Whether placements can be written to the state service, as last set by
+ * pm_autoscaler_set_writable. */
+struct pm_store_writability {
     bool is_writable;
-    double writable_at; /* monotonic: it last was */
+    double last_writable_at; /* monotonic */
 };
 
-/* The election, and what is known from the leader before. Written by silent_zones.c. */
+/* The election of this leader and what it knows from its predecessor. Written by silent_zones.c. */
 struct pm_handover {
     double elected_at; /* monotonic */
-    /* Monotonic: the leader before last received a message from the zone; 0: the zone was not
-     * silent then, as far as is known. */
-    double zone_message_at[PM_ZONES_MAX];
+    /* Monotonic time at which the previous leader last received a message from the zone; 0: the
+     * zone is not known to have been silent. */
+    double zone_last_message_at[PM_ZONES_MAX];
 };
 
 struct pm_autoscaler {
@@ -99,26 +105,26 @@
     struct pm_workers *workers;
     struct pm_scheduler *scheduler;
     const struct pm_operator_settings *operator_settings;
-    struct pm_roles *roles; /* NULL: the leader rents and terminates without roles */
+    struct pm_roles *roles; /* NULL: the leader rents and terminates machines without roles */
     struct pm_autoscaler_hooks hooks;
     uint64_t epoch;
-    uint64_t term;          /* counts resets: answers to requests of an earlier one are ignored */
-    uint64_t rental_number; /* of the last request without an intent in this term */
+    uint64_t term; /* number of resets; answers to requests of an earlier term are ignored */
+    uint64_t rental_number; /* number of the last request to rent without an intent in this term */
     struct pm_request_budget budget;
     struct pm_inventory inventory;
     struct pm_machine_types_request types_request;
-    struct pm_machine_kind kinds[PM_TYPES_MAX][PM_ZONES_MAX][2]; /* by type, zone, spot or not */
+    struct pm_machine_kind kinds[PM_TYPES_MAX][PM_ZONES_MAX][2]; /* by type, zone and spot flag */
     struct pm_demand_rate demand_rate;
     struct pm_headroom headroom;
     struct pm_intent_times intent_times;
-    struct pm_store_outage outage;
+    struct pm_store_writability writability;
     struct pm_handover handover;
-    double consolidated_at;  /* monotonic: scale_in.c last had machines drained */
-    GHashTable *terminated;  /* set of names, owned; written by termination.c */
-    GArray *sizing_machines; /* of struct pm_sizing_machine: scratch space of a sizing */
+    double consolidated_at;  /* monotonic: the last consolidation; written by scale_in.c */
+    GHashTable *terminated;  /* owned set of machine names; written by termination.c */
+    GArray *sizing_machines; /* of struct pm_sizing_machine; scratch space for one sizing */
 };
 
-/* The kind of a machine whose type and zone are known. */
+/* Returns the kind of a machine whose type and zone are known. */
 static inline struct pm_machine_kind *pm_autoscaler_kind_of(struct pm_autoscaler *autoscaler,
                                                             const struct pm_machine *machine)
 {
@@ -127,185 +133,188 @@
 
 /* ---- request_budget.c ---- */
 
-/* Takes a token for one request to the provider. False: the request limit is reached. */
-bool pm_autoscaler_may_call(struct pm_autoscaler *autoscaler, double now);
+/* Acquires a token for one request to the provider. Returns false, and acquires none, if the
+ * request limit is reached. */
+bool pm_autoscaler_acquire_request_token(struct pm_autoscaler *autoscaler, double now);
 
 /* ---- provider_client.c: requests that rent or terminate machines ---- */
 
-/* What became of a request to the provider. */
+/* Result of a request to the provider. */
 enum pm_provider_result {
     PM_PROVIDER_OK,
-    PM_PROVIDER_NO_CAPACITY, /* none of that kind of machine is to be had now */
+    PM_PROVIDER_NO_CAPACITY, /* the provider has no machine of that kind now */
     PM_PROVIDER_REJECTED,    /* any other answer */
-    PM_PROVIDER_NO_ANSWER,   /* it may have been, or may yet be, carried out */
-    PM_PROVIDER_NOT_SENT     /* it will never be carried out */
+    PM_PROVIDER_NO_ANSWER,   /* the provider may have carried out the request, or may do so later */
+    PM_PROVIDER_NOT_SENT     /* the provider will never carry out the request */
 };
-/* The result that an HTTP status stands for, or PM_HTTP_NO_ANSWER or PM_HTTP_NOT_SENT. */
+/* Maps an HTTP status, PM_HTTP_NO_ANSWER or PM_HTTP_NOT_SENT to a result. */
 enum pm_provider_result pm_provider_result_of(int status);
-/* The result's name, for logs; a constant. */
+/* Returns the result's name for logs, a string constant. */
 const char *pm_provider_result_name(enum pm_provider_result result);
-/* Whether the provider has answered, whatever it was. */
+/* Whether the provider has answered the request, even with an error. */
 bool pm_provider_result_is_answer(enum pm_provider_result result);
 
-/* A request to the provider that rents or terminates, or the intent that is written before it. */
+/* A request to rent or terminate machines, or the intent that is written before such a request. */
 struct pm_provider_call {
     struct pm_autoscaler *autoscaler;
-    uint64_t term;                         /* in which it was made */
-    char intent_name[PM_INTENT_NAME_SIZE]; /* "": it has none */
+    uint64_t term;                         /* the term in which the call was made */
+    char intent_name[PM_INTENT_NAME_SIZE]; /* "": the call has no intent */
     double sent_at;                        /* monotonic */
-    /* Of a request to rent. */
+    /* Fields of a request to rent. A repeated request with the same idempotency key rents no
+     * further machines. */
     struct pm_scale_out_request request;
-    char idempotency_key[PM_INTENT_NAME_SIZE +
-                         8]; /* a repeated request with it rents nothing twice */
-    guint rental_index;      /* in the intent */
-    int attempts;            /* without an answer */
-    /* Of a request to terminate. */
+    char idempotency_key[PM_INTENT_NAME_SIZE + 8];
+    guint rental_index;      /* index of the rental in the intent */
+    int unanswered_attempts; /* number of attempts that got no answer */
+    /* Fields of a request to terminate. */
     GPtrArray *machine_names; /* owned; NULL in a request to rent */
 };
-/* A new call, owned by the caller until it is sent; then by its `done` function. */
+/* Returns a new call. The caller owns it until it is sent; then its `done` function does. */
 struct pm_provider_call *pm_provider_call_new(struct pm_autoscaler *autoscaler, double now);
-/* Frees it. */
+/* Frees the call and its machine names. */
 void pm_provider_call_free(struct pm_provider_call *call);
-/* Whether it was made in the present term. If not, the term's state does not count it any more, and
- * whoever has the role now learns of its outcome from the intent or the inventory. */
+/* Whether the call was made in the current term. A call of an earlier term is no longer part of the
+ * autoscaler's state, and the current holder of the role learns the outcome from the intent or the
+ * inventory. */
 bool pm_provider_call_is_current(const struct pm_provider_call *call);
-/* Sends the request, to rent under PM_ROLE_SCALE_OUT or to terminate under PM_ROLE_SCALE_IN. The
- * only way out for such requests: one with an intent is never written to the socket after this
- * controller's lease on the role may have expired, however long the process is suspended before.
- * `body` is copied; `done` is called once, with the call as its argument. */
+/* Sends a request to rent under PM_ROLE_SCALE_OUT or to terminate under PM_ROLE_SCALE_IN. All such
+ * requests go through this function: it ensures that a request with an intent is never written to
+ * the socket after this controller's lease on the role may have expired, even if the process was
+ * suspended in between. `body` is copied; `done` is called once, with the call as its argument. */
 void pm_provider_send(struct pm_provider_call *call, enum pm_role role,
                       const struct pm_buffer *body, pm_http_done *done);
 
 /* ---- provider_codec.c: the provider's messages ---- */
 
-/* Appends the body of a request to rent. */
+/* Appends the body of a request to rent machines to `out`. */
 void pm_scale_out_encode(const struct pm_name_tables *tables,
                          const struct pm_scale_out_request *request, const char *idempotency_key,
                          struct pm_buffer *out);
-/* Appends the body of a request to terminate machines of those names. */
+/* Appends the body of a request to terminate the named machines to `out`. */
 void pm_termination_encode(const GPtrArray *machine_names, struct pm_buffer *out);
-/* The machines that an answer lists, borrowed from it; NULL: it is malformed. In an answer to a
- * request to rent the entries are names; in a page of the inventory, see below. */
+/* Returns the list of machines in an answer, borrowed from it, or NULL if the answer is malformed.
+ * The entries are names in an answer to a request to rent, and maps that
+ * pm_listed_machine_decode reads in a page of the inventory. */
 const cbor_item_t *pm_provider_answer_machines(const cbor_item_t *answer);
 
-/* A machine, as the inventory describes it. */
+/* A machine as the inventory describes it. */
 struct pm_listed_machine {
     char name[PM_NAME_MAX];
-    double age_s; /* since it was rented, 0: not given */
+    double age_s; /* time since the machine was rented; 0: not given */
     bool has_failed, is_running;
-    const cbor_item_t *item; /* the entry itself, borrowed */
+    const cbor_item_t *item; /* the inventory's entry, borrowed */
 };
-/* Whether another page follows. */
+/* Whether another page of the inventory follows this one. */
 bool pm_inventory_page_has_next(const cbor_item_t *page);
-/* Decodes an entry. False: it has no name. */
+/* Decodes an entry of the inventory. Returns false if the entry has no name. */
 bool pm_listed_machine_decode(const cbor_item_t *item, struct pm_listed_machine *out);
-/* Sets the type, zone and market of a machine whose type is unknown, as the entry has them; nothing
- * when the entry's type is not known here. */
+/* Sets the machine's type, zone and spot flag from the inventory's entry. Does nothing if this
+ * controller does not know the entry's type. */
 void pm_listed_machine_apply_kind(struct pm_autoscaler *autoscaler,
                                   const struct pm_listed_machine *listed,
                                   struct pm_machine *machine);
-/* Sets the machine's endpoint, as the entry has it. */
+/* Sets the machine's endpoint from the inventory's entry. */
 void pm_listed_machine_apply_endpoint(const struct pm_listed_machine *listed,
                                       struct pm_machine *machine);
 
 /* ---- inventory.c ---- */
 
-/* Requests the next page of the inventory, if it is due and the request limit allows. */
+/* Requests the next page of the inventory if it is due and the request limit allows it. */
 void pm_autoscaler_continue_inventory(struct pm_autoscaler *autoscaler, double now);
-/* Begins to read the inventory anew, if that is due and the request limit allows. */
+/* Starts to read a new inventory if one is due and the request limit allows it. */
 void pm_autoscaler_start_inventory(struct pm_autoscaler *autoscaler, double now);
 
 /* ---- intents.c ---- */
 
-/* Whether machines are rented and terminated under roles and intents now. */
+/* Whether machines are currently rented and terminated under roles and intents. */
 bool pm_autoscaler_uses_intents(const struct pm_autoscaler *autoscaler);
-/* The least time between two intents of one role, in seconds: intents use a fixed share of the
- * state service's write budget. */
+/* Returns the minimum interval between two intents of one role, in seconds. It keeps intents within
+ * a fixed share of the state service's write budget. */
 double pm_autoscaler_intent_interval_s(const struct pm_autoscaler *autoscaler);
-/* Records the provider's answer, or that there is none, to a call of an intent; nothing for a call
- * without one. `is_settled`: the call needs no repetition. The intent is closed once all its calls
- * are settled, and else retried. */
+/* Records the outcome of a call in the call's intent, including that the provider did not answer.
+ * `is_settled` tells that the call need not be repeated. The intent is closed once all its calls
+ * are settled, and retried otherwise. Does nothing for a call without an intent. */
 void pm_autoscaler_record_answer(const struct pm_provider_call *call, enum pm_role role, int status,
                                  bool is_settled, double now);
 
 /* ---- scale_out.c ---- */
 
-/* Whether this controller may rent now: without intents always, else if it has the role and its
- * last intent is long enough ago. */
+/* Whether this controller may rent machines now. With intents it must hold the scale-out role, and
+ * the minimum interval since its last intent must have passed; without intents it always may. */
 bool pm_autoscaler_may_scale_out(const struct pm_autoscaler *autoscaler, double now);
-/* Sends these requests, of PM_INTENT_INSTANCES_MAX machines each at most, as far as the limits
- * allow. */
+/* Sends the requests as far as the limits allow. Each request is for at most
+ * PM_INTENT_INSTANCES_MAX machines. */
 void pm_autoscaler_scale_out(struct pm_autoscaler *autoscaler,
                              const struct pm_scale_out_request *requests, int count, double now);
-/* Sends the rentals of an open intent that are neither settled nor in flight, while fewer than
- * `in_flight_max` requests are in flight and the request limit allows. */
+/* Sends the rentals of an open intent that are neither settled nor in flight, as long as fewer than
+ * `in_flight_max` requests are in flight and the request limit allows it. */
 void pm_autoscaler_send_rentals(struct pm_autoscaler *autoscaler, struct pm_intent *intent,
                                 int in_flight_max, double now);
 
 /* ---- termination.c ---- */
 
-/* Terminates the machines that are marked for it, as many as one request may name. */
+/* Requests the termination of machines that are marked for it, as many as one request may name. */
 void pm_autoscaler_terminate_due(struct pm_autoscaler *autoscaler, double now);
-/* Marks the machines of an open scale-in intent as being terminated, and adds those that are
- * missing; but for those whose termination is confirmed. */
-void pm_autoscaler_mark_terminating(struct pm_autoscaler *autoscaler,
-                                    const struct pm_intent *intent);
-/* Sends the request of an open scale-in intent. */
+/* Marks the machines of an open scale-in intent as being terminated, and adds those that the table
+ * of machines lacks. Skips machines whose termination is confirmed. */
+void pm_autoscaler_mark_intent_machines(struct pm_autoscaler *autoscaler,
+                                        const struct pm_intent *intent);
+/* Sends the request to terminate the machines of an open scale-in intent. */
 void pm_autoscaler_send_termination(struct pm_autoscaler *autoscaler, struct pm_intent *intent,
                                     double now);
 
 /* ---- intent_completion.c ---- */
 
-/* Sends the open intents of the roles that this controller has, while fewer than `in_flight_max`
- * requests are in flight and the request limit allows. */
+/* Sends the requests of open intents for the roles that this controller holds, as long as fewer
+ * than `in_flight_max` requests are in flight and the request limit allows it. */
 void pm_autoscaler_complete_intents(struct pm_autoscaler *autoscaler, int in_flight_max,
                                     double now);
 
 /* ---- boot_tracking.c ---- */
 
-/* How far the boot of a machine is. */
+/* How a machine's boot compares with those of its type and kind. */
 enum pm_boot_state {
-    PM_BOOT_EXPECTED, /* most machines are up by that age, so this one soon is */
-    PM_BOOT_LATE,     /* overdue, like most of its kind that were rented with it or later */
-    PM_BOOT_STUCK     /* overdue, while most others are up: it may never come up */
+    PM_BOOT_EXPECTED, /* still within the time in which most machines of its type come up */
+    PM_BOOT_LATE,     /* overdue, and boots of its kind are late in general */
+    PM_BOOT_STUCK     /* overdue, while most of its kind rented at that time or later are up */
 };
-/* Finds out from all machines for which kinds boots are late. Clears the kinds' capacity too, for
- * the sizing to sum. */
+/* Updates the boot statistics of each kind from all machines. Also resets the capacity of each kind
+ * to 0, which the sizing then sums anew. */
 void pm_autoscaler_track_boots(struct pm_autoscaler *autoscaler, double now);
-/* The state of the boot of a machine whose type and zone are known. */
+/* Returns the boot state of a machine whose type and zone are known. */
 enum pm_boot_state pm_autoscaler_boot_state(const struct pm_autoscaler *autoscaler,
                                             const struct pm_machine *machine, double now);
-/* Whether the machine has been booting for so long that it is given up. */
-bool pm_autoscaler_has_boot_failed(const struct pm_autoscaler *autoscaler,
-                                   const struct pm_machine *machine, double now);
-/* Whether boots of the kind are late, so that a machine rented now would not be up before those
- * that already boot. */
+/* Whether the machine has been booting for so long that it is to be terminated. */
+bool pm_autoscaler_has_boot_timed_out(const struct pm_autoscaler *autoscaler,
+                                      const struct pm_machine *machine, double now);
+/* Whether boots of the kind are late in general. A machine of that kind rented now would then come
+ * up no sooner than those that are already booting. */
 bool pm_machine_kind_is_late(const struct pm_machine_kind *kind);
-/* How many machines of a late kind may be rented all the same, to find out when its boots are on
+/* Returns how many machines of a late kind may still be rented, to find out when its boots are on
  * time again. */
 int pm_autoscaler_probe_count(const struct pm_autoscaler *autoscaler, int type,
                               const struct pm_machine_kind *kind, double now);
 
 /* ---- demand_rate.c ---- */
 
-/* Processors that arriving array work keeps busy for certain: the measured rate, reduced the more
- * the fewer jobs it was measured by. */
+/* Returns how many processors the arriving array work is certain to keep busy: the measured rate,
+ * with a reduction that is larger when fewer jobs were measured. */
 double pm_autoscaler_steady_demand_cpus(const struct pm_autoscaler *autoscaler, double now);
 
 /* ---- scale_in.c ---- */
 
-/* Marks the machine for termination, and logs the reason. */
-void pm_autoscaler_mark_machine(struct pm_machine *machine, const char *reason);
+/* Marks the machine for termination and logs the reason. */
+void pm_autoscaler_mark_for_termination(struct pm_machine *machine, const char *reason);
 
 /* ---- silent_machines.c, silent_zones.c ---- */
 
-/* Marks the machines that are lost while others of their zone are not, and those of zones that were
- * silent for a lease. Does nothing while the state service accepts
- * no writes. */
+/* Marks for termination the machines that are silent while most machines of their zone respond, and
+ * then calls pm_autoscaler_mark_silent_zones. Does nothing while pm_autoscaler_set_writable says
+ * that placements cannot be written. */
 void pm_autoscaler_mark_silent_machines(struct pm_autoscaler *autoscaler, double now);
-/* Marks the machines with placements in zones that have been silent since before this leader was
- * elected, for longer than a lease. `has_reported`, of PM_ZONES_MAX: a machine of the zone has sent
- * this leader a heartbeat. */
+/* Marks for termination the machines with placements in zones that were silent already before this
+ * leader was elected, once the silence is longer than a lease. `has_reported` has PM_ZONES_MAX
+ * entries: whether a machine of the zone has sent this leader a heartbeat. */
 void pm_autoscaler_mark_silent_zones(struct pm_autoscaler *autoscaler, const bool *has_reported,
                                      double now);
 
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -1,7 +1,8 @@
-/* The provider's inventory, read page by page: which machines there are, and which are lost.
+/* Reads the provider's inventory page by page, to learn which machines exist and which are lost.
  *
- * It lags behind by up to the settings' `inventory_lag_s`. A machine that it names is added to the
- * table; one that it leaves out gets `absent_since`, which scale_in.c judges. */
+ * The inventory is out of date by up to the settings' `inventory_lag_s`. A machine that it lists is
+ * added to the workers slice's table. A machine that it does not list, and that is thereby proven
+ * lost, gets `absent_since`; scale_in.c decides when to terminate it. */
 #include "autoscaler/internal.h"
 #include "base/clock.h"
 
@@ -9,37 +10,42 @@
 #include <string.h>
 
 enum {
-    PAGE_MACHINES = 500,
+    PAGE_MACHINES = 500, /* machines requested per page */
     PAGE_BYTES_MAX = 1024 * 1024,
-    PAGE_RETRIES_MAX = 5 /* of one page, before the inventory is begun anew */
+    PAGE_RETRIES_MAX = 5 /* retries of one page before the inventory is abandoned */
 };
-#define PAGE_RETRY_S 0.5 /* after a page that failed; as much more after each further failure */
+/* Delay before the first retry of a page; it grows by the same amount with each further failure. */
+#define PAGE_RETRY_S 0.5
 
 enum { TARGET_BYTES = PM_NAME_MAX + 64 };
 
-/* It may be older than the request by so many times the settings' lag, and seconds. */
-#define LAG_FACTOR 2
-#define LAG_MARGIN_S 1
+/* An inventory may be older than its request by the settings' lag, times the factor, plus the
+ * margin. */
+#define INVENTORY_LAG_FACTOR 2
+#define INVENTORY_LAG_MARGIN_S 1
 
-/* A machine is silent if its last message is older than so many heartbeat intervals and seconds. */
-#define SILENT_HEARTBEATS 1.6
+/* A machine is silent if its last message is older than this many heartbeat intervals plus the
+ * margin. */
+#define SILENT_HEARTBEAT_INTERVALS 1.6
 #define SILENT_MARGIN_S 0.5
 
-/* How often it is read: more often while a machine with tasks is silent, for it may show why. */
-#define INTERVAL_LEAST_S 2
-#define INTERVAL_MOST_S 6
-#define INTERVAL_SILENCE_S 1.5
+/* Limits of the interval between two inventories. While a machine with tasks is silent, a shorter
+ * one applies, because the inventory may show that the machine is lost. */
+#define INTERVAL_MIN_S 2
+#define INTERVAL_MAX_S 6
+#define INTERVAL_WHILE_SILENT_S 1.5
 
-/* One request for a page. */
+/* A request for one page. */
 struct page_request {
     struct pm_autoscaler *autoscaler;
     uint64_t term;
     double sent_at;
 };
 
-/* ---- its entries ---- */
+/* ---- entries ---- */
 
-static void apply_listed(struct pm_autoscaler *autoscaler, const cbor_item_t *item, double now)
+static void apply_inventory_entry(struct pm_autoscaler *autoscaler, const cbor_item_t *item,
+                                  double now)
 {
     struct pm_inventory *inventory = &autoscaler->inventory;
     struct pm_listed_machine listed;
@@ -69,8 +75,8 @@
         machine->provider.running_since = now;
 }
 
-/* Whether the machine named `left` was rented before the one named `right`: the provider's names
- * are numbered in that order. */
+/* Whether the machine named `left` was rented before the one named `right`. The provider numbers
+ * machine names in the order of the rentals. */
 static bool is_rented_before(const char *left, const char *right)
 {
     size_t left_length = strlen(left);
@@ -79,11 +85,12 @@
     return left_length != right_length ? left_length < right_length : strcmp(left, right) < 0;
 }
 
-/* Whether the inventory, which does not name the machine, proves that it is lost. An inventory
- * describes one moment, though a past one: a machine that it leaves out while it names one that was
- * rented later is lost. Otherwise the machine must be older than the inventory can be. */
-static bool is_absent(const struct pm_autoscaler *autoscaler, const struct pm_machine *machine,
-                      double lag_s, double now)
+/* Whether the inventory, which does not list the machine, proves that the machine is lost. An
+ * inventory shows the state at one past moment, so a machine that it does not list is lost if it
+ * lists one that was rented later. Otherwise the machine must have been rented, and have sent its
+ * last message, longer ago than the inventory can be out of date. */
+static bool is_proven_lost(const struct pm_autoscaler *autoscaler, const struct pm_machine *machine,
+                           double lag_s, double now)
 {
     const struct pm_inventory *inventory = &autoscaler->inventory;
 
@@ -95,26 +102,26 @@
     return machine->shard.owner || now - machine->heartbeat.last_message_at > lag_s;
 }
 
-static void note_absent_machines(struct pm_autoscaler *autoscaler, double now)
+static void set_absent_since(struct pm_autoscaler *autoscaler, double now)
 {
     GPtrArray *machines = pm_workers_all(autoscaler->workers);
     const struct pm_settings *settings = autoscaler->tables->settings;
-    double lag_s = LAG_FACTOR * settings->inventory_lag_s + LAG_MARGIN_S;
+    double lag_s = INVENTORY_LAG_FACTOR * settings->inventory_lag_s + INVENTORY_LAG_MARGIN_S;
 
     for (guint i = 0; i < machines->len; i++) {
         struct pm_machine *machine = g_ptr_array_index(machines, i);
         if (!machine || machine->state == PM_MACHINE_RELEASING ||
             g_hash_table_contains(autoscaler->inventory.listed, machine->name))
             continue;
-        if (is_absent(autoscaler, machine, lag_s, now) && !machine->provider.absent_since)
+        if (is_proven_lost(autoscaler, machine, lag_s, now) && !machine->provider.absent_since)
             machine->provider.absent_since = now;
     }
 }
 
 /* ---- paging ---- */
 
-/* The same page again, after a pause. After too many failures the inventory is read anew, at the
- * usual interval. */
+/* Schedules a retry of the failed page. After too many failures the inventory is abandoned, and a
+ * new one is read at the usual interval. */
 static void retry_page(struct pm_inventory *inventory)
 {
     inventory->page_failures++;
@@ -123,14 +130,14 @@
         return;
     }
     inventory->page_due = true;
-    inventory->page_at = pm_clock_monotonic() + PAGE_RETRY_S * inventory->page_failures;
+    inventory->next_page_at = pm_clock_monotonic() + PAGE_RETRY_S * inventory->page_failures;
 }
 
 static void finish_inventory(struct pm_autoscaler *autoscaler, double now)
 {
     autoscaler->inventory.in_progress = false;
     autoscaler->inventory.is_known = true;
-    note_absent_machines(autoscaler, now);
+    set_absent_since(autoscaler, now);
     autoscaler->hooks.changed(autoscaler->hooks.arg);
 }
 
@@ -140,7 +147,7 @@
     struct pm_autoscaler *autoscaler = request->autoscaler;
     struct pm_inventory *inventory = &autoscaler->inventory;
     bool is_current = request->term == autoscaler->term;
-    double now = request->sent_at; /* ages are as of the request, near enough */
+    double now = request->sent_at; /* the ages in the answer count from about this time */
     bool has_next;
     cbor_item_t *page;
     const cbor_item_t *machines;
@@ -157,7 +164,7 @@
     }
     inventory->page_failures = 0;
     for (size_t i = 0; i < pm_cbor_length(machines); i++)
-        apply_listed(autoscaler, pm_cbor_at(machines, i), now);
+        apply_inventory_entry(autoscaler, pm_cbor_at(machines, i), now);
     has_next = pm_inventory_page_has_next(page);
     pm_cbor_free(page);
     if (!has_next) {
@@ -181,27 +188,28 @@
                  PM_PROVIDER_TIMEOUT_S, PAGE_BYTES_MAX, on_page, request);
 }
 
-/* Pages are requested as the request limit allows. Of a long inventory, all at once would be
- * refused, and one that began anew with each refusal would never be complete. */
+/* Pages are requested one by one as the request limit allows. The provider would refuse all pages
+ * of a long inventory at once, and an inventory that started again after each refusal would never
+ * be complete. */
 void pm_autoscaler_continue_inventory(struct pm_autoscaler *autoscaler, double now)
 {
     struct pm_inventory *inventory = &autoscaler->inventory;
 
-    if (!inventory->page_due || now < inventory->page_at ||
-        !pm_autoscaler_may_call(autoscaler, now))
+    if (!inventory->page_due || now < inventory->next_page_at ||
+        !pm_autoscaler_acquire_request_token(autoscaler, now))
         return;
     inventory->page_due = false;
     request_page(autoscaler);
 }
 
-/* ---- when it is read ---- */
+/* ---- schedule ---- */
 
 /* Whether a machine with tasks has missed heartbeats. */
 static bool has_silent_machine(const struct pm_autoscaler *autoscaler, double now)
 {
     GPtrArray *machines = pm_workers_all(autoscaler->workers);
     const struct pm_settings *settings = autoscaler->tables->settings;
-    double limit_s = SILENT_HEARTBEATS * settings->heartbeat_s + SILENT_MARGIN_S;
+    double limit_s = SILENT_HEARTBEAT_INTERVALS * settings->heartbeat_s + SILENT_MARGIN_S;
 
     for (guint i = 0; i < machines->len; i++) {
         const struct pm_machine *machine = g_ptr_array_index(machines, i);
@@ -215,9 +223,8 @@
 static double read_interval_s(const struct pm_autoscaler *autoscaler, double now)
 {
     if (has_silent_machine(autoscaler, now))
-        return INTERVAL_SILENCE_S;
-    return CLAMP(autoscaler->tables->settings->inventory_lag_s / 2, INTERVAL_LEAST_S,
-                 INTERVAL_MOST_S);
+        return INTERVAL_WHILE_SILENT_S;
+    return CLAMP(autoscaler->tables->settings->inventory_lag_s / 2, INTERVAL_MIN_S, INTERVAL_MAX_S);
 }
 
 void pm_autoscaler_start_inventory(struct pm_autoscaler *autoscaler, double now)
@@ -227,7 +234,7 @@
 
     if (inventory->in_progress ||
         (inventory->started_at && now - inventory->started_at < interval_s) ||
-        !pm_autoscaler_may_call(autoscaler, now))
+        !pm_autoscaler_acquire_request_token(autoscaler, now))
         return;
     inventory->in_progress = true;
     inventory->started_at = now;
@@ -235,6 +242,6 @@
     g_hash_table_remove_all(inventory->listed);
     inventory->page_due = false;
     inventory->page_failures = 0;
-    inventory->page_at = 0;
+    inventory->next_page_at = 0;
     request_page(autoscaler);
 }
--- a/src/autoscaler/kind_choice.c
+++ b/src/autoscaler/kind_choice.c
@@ -1,15 +1,16 @@
-/* Which kind of machine to rent for tasks of a job: the cheapest that may run them and is to be had
- * now. */
+/* Chooses the machine kind to rent for tasks of a job: the cheapest one that may run them and can
+ * be requested now. */
 #include "autoscaler/sizing.h"
 
 #include <math.h>
 
-/* A boot costs as well: its share of the time that a machine is usually kept, in seconds. Users of
- * a service wait for it. */
-#define SERVICE_KEPT_S 60
-#define BATCH_KEPT_S 300
+/* Typical time for which a machine is rented, in seconds. A kind's price is raised by its boot time
+ * as a share of this, since a booting machine is paid for too. The time is shorter for services, so
+ * that slow boots weigh more: users of a service wait for them. */
+#define SERVICE_RENTAL_S 60
+#define BATCH_RENTAL_S 300
 
-/* The request for that kind so far, NULL: there is none. */
+/* Returns the sizing's request for the kind, or NULL if there is none yet. */
 static struct pm_scale_out_request *find_request(const struct pm_sizing *sizing, int type, int zone,
                                                  bool spot)
 {
@@ -51,9 +52,9 @@
 
 static double price_with_boot(const struct pm_type *type, bool spot, bool is_service)
 {
-    double kept_s = is_service ? SERVICE_KEPT_S : BATCH_KEPT_S;
+    double typical_rental_s = is_service ? SERVICE_RENTAL_S : BATCH_RENTAL_S;
 
-    return (spot ? type->spot_price : type->price) * (1 + type->ready_s / kept_s);
+    return (spot ? type->spot_price : type->price) * (1 + type->ready_s / typical_rental_s);
 }
 
 bool pm_sizing_choose_kind(const struct pm_sizing *sizing, const struct pm_job *job, int task_count,
@@ -68,7 +69,7 @@
     for (int index = 0; index < tables->type_count; index++) {
         const struct pm_type *type = &tables->types[index];
         int capacity = (int)pm_spec_tasks_that_fit(job->spec, type->cpus, type->gpus, type->ram_gb);
-        /* What a service leaves free, other jobs use. */
+        /* For a service the whole machine counts, because other jobs use what it leaves free. */
         int tasks = is_service ? capacity : MIN(capacity, task_count);
         for (int i = first_zone; tasks > 0 && i <= last_zone; i++)
             for (int spot = spot_only; spot < 2; spot++) {
--- a/src/autoscaler/machine_types.c
+++ b/src/autoscaler/machine_types.c
@@ -1,5 +1,5 @@
-/* The request for the provider's machine types. The controller stores what it answers, so that the
- * other controllers know them too. */
+/* Requests the machine types from the provider. The controller's hook stores the answer, so that
+ * the other controllers know the types too. */
 #include "autoscaler/internal.h"
 #include "base/log.h"
 
@@ -16,7 +16,8 @@
     if (models && cbor_isa_array(models))
         autoscaler->hooks.machine_types(autoscaler->hooks.arg, models);
     else
-        pm_info("autoscaler.machine_types", "no machine types: status %d", status);
+        pm_info("autoscaler.machine_types",
+                "no machine types received from the provider: status %d", status);
     pm_cbor_free(answer);
 }
 
@@ -25,7 +26,7 @@
     struct pm_machine_types_request *request = &autoscaler->types_request;
 
     if (request->in_flight || (request->sent_at && now - request->sent_at < RETRY_S) ||
-        !pm_autoscaler_may_call(autoscaler, now))
+        !pm_autoscaler_acquire_request_token(autoscaler, now))
         return;
     request->in_flight = true;
     request->sent_at = now;
--- a/src/autoscaler/machine_types_codec.c
+++ b/src/autoscaler/machine_types_codec.c
@@ -1,10 +1,12 @@
-/* Decodes machine types, as the provider sends them and as key p/types stores them: a list of maps.
- *   sku            the type's name
- *   cpus, accelerators, ram_gb, local_gb   its resources; local_gb is disk
- *   price          of an ordinary machine; `market_price` of a spot one, if it differs
+/* Decodes machine types. The provider's answer and the stored key p/types have the same format, a
+ * list of maps with these fields:
+ *   sku            name of the type
+ *   cpus, accelerators, ram_gb, local_gb   resources of a machine; local_gb is disk
+ *   price          price of an ordinary machine
+ *   market_price   price of a spot machine; absent if it equals `price`
  *   ready_s        seconds from the request until a machine is up
- *   pull_gb_per_s  the rate at which it fetches images
- *   rooms          the zones that have it */
+ *   pull_gb_per_s  rate at which a machine fetches images
+ *   rooms          zones that offer the type */
 #include "autoscaler/autoscaler.h"
 #include "base/log.h"
 
@@ -18,7 +20,7 @@
         type->spot_price = type->price;
 }
 
-/* Zones that the settings do not name are left out. */
+/* Skips zones that the settings do not name. */
 static void decode_zones(const cbor_item_t *zones, const struct pm_settings *settings,
                          struct pm_type *type)
 {
@@ -33,7 +35,8 @@
     }
 }
 
-/* Decodes one type, and its name to `name`, of PM_NAME_MAX bytes. False when it is malformed. */
+/* Decodes one machine type into `type`, and its name into `name`, a buffer of PM_NAME_MAX bytes.
+ * Returns false if the entry is malformed. */
 static bool decode_type(const cbor_item_t *item, const struct pm_settings *settings, char *name,
                         struct pm_type *type)
 {
@@ -60,7 +63,8 @@
             return false;
         index = pm_names_intern(tables->type_names, name);
         if (index >= PM_TYPES_MAX) {
-            pm_error("autoscaler.machine_types", "%s is not used: only %d types are", name,
+            pm_error("autoscaler.machine_types",
+                     "machine type %s is ignored: at most %d types are supported", name,
                      PM_TYPES_MAX);
             continue;
         }
--- a/src/autoscaler/packing.c
+++ b/src/autoscaler/packing.c
@@ -1,25 +1,25 @@
-/* Packs tasks that wait on machines that boot or are to be rented. */
+/* Packs waiting tasks on machines that are booting or to be rented. */
 #include "autoscaler/sizing.h"
 
 #include <math.h>
 
-/* In place of a zone's index. */
+/* Values that stand in place of a zone's index. */
 enum {
     ZONE_ANY = -1,
-    ZONE_COMMON = -2 /* any one, the same for all tasks of a gang */
+    ZONE_SHARED = -2 /* any zone, but the same one for all tasks of a gang */
 };
 
-/* Tasks of one job that have no machine yet. */
+/* Tasks of one job that are not packed yet. */
 struct unpacked_tasks {
     const struct pm_job *job;
     int count;
-    int ordinary_count; /* the first so many may have ordinary machines, the rest spot ones only */
-    int zone;           /* the only one allowed, or one of the above */
+    int ordinary_count; /* number of these tasks that may use ordinary machines */
+    int zone;           /* index of the only zone allowed, or ZONE_ANY or ZONE_SHARED */
     bool spot_only;
 };
 
-/* An array job that misses its deadline in any case waits for spot machines: ordinary ones would
- * cost several times as much, and save nothing. */
+/* Whether the job is an array job that will miss its deadline in any case. Its tasks wait for spot
+ * machines, because ordinary ones would cost several times as much without meeting the deadline. */
 static bool has_missed_deadline(const struct pm_sizing *sizing, const struct pm_job *job)
 {
     const struct pm_spec *spec = job->spec;
@@ -29,7 +29,7 @@
            job->deadline_wall - sizing->wall_now < pm_scheduler_estimate_run_s(scheduler, job);
 }
 
-/* Packs up to `count` of the job's tasks on the machine. Returns how many fit. */
+/* Packs up to `count` of the job's tasks on the machine and returns how many fit. */
 static int pack_on_machine(const struct pm_sizing *sizing, struct pm_sizing_machine *machine,
                            const struct pm_job *job, int count)
 {
@@ -57,9 +57,9 @@
     return tasks->zone < 0 || machine->zone == tasks->zone;
 }
 
-/* Packs on the machines of the sizing: on those that are late, as most of their kind are, or on the
- * others. */
-static void pack_on_known(struct pm_sizing *sizing, struct unpacked_tasks *tasks, bool on_late)
+/* Packs tasks on the machines that the sizing has so far: only on late ones if `on_late` is set,
+ * and only on the others if not. */
+static void pack_on_existing(struct pm_sizing *sizing, struct unpacked_tasks *tasks, bool on_late)
 {
     for (guint i = 0; i < sizing->machines->len && tasks->count > 0; i++) {
         struct pm_sizing_machine *machine =
@@ -74,7 +74,8 @@
     }
 }
 
-/* Rents machines until all tasks are packed, or nothing more is to be had. */
+/* Requests machines and packs tasks on them until all tasks are packed or no further machine can be
+ * requested. */
 static void pack_on_new(struct pm_sizing *sizing, struct unpacked_tasks *tasks,
                         enum pm_late_kinds late_kinds)
 {
@@ -88,7 +89,7 @@
         int packed;
         if (!pm_sizing_choose_kind(sizing, tasks->job, tasks->count, zone, spot_only, &kind))
             return;
-        if (tasks->zone == ZONE_COMMON)
+        if (tasks->zone == ZONE_SHARED)
             tasks->zone = kind.zone;
         pm_sizing_add_machine(sizing, &kind);
         machine =
@@ -108,14 +109,15 @@
     struct unpacked_tasks unpacked = {.job = job,
                                       .count = tasks,
                                       .ordinary_count = ordinary_tasks,
-                                      .zone = needs_one_zone ? ZONE_COMMON : ZONE_ANY,
+                                      .zone = needs_one_zone ? ZONE_SHARED : ZONE_ANY,
                                       .spot_only = has_missed_deadline(sizing, job)};
 
-    /* Machines that soon are up come first, then what can be rented of kinds whose boots are on
-     * time, then machines that are late, and only then more of their kinds. */
-    pack_on_known(sizing, &unpacked, false);
+    /* The order is: machines that will be up soon, new machines of kinds whose boots are on time, a
+     * few new machines of late kinds as probes, machines that are late, and at last any number of
+     * new machines of late kinds. */
+    pack_on_existing(sizing, &unpacked, false);
     pack_on_new(sizing, &unpacked, PM_LATE_KINDS_EXCLUDED);
     pack_on_new(sizing, &unpacked, PM_LATE_KINDS_PROBED);
-    pack_on_known(sizing, &unpacked, true);
+    pack_on_existing(sizing, &unpacked, true);
     pack_on_new(sizing, &unpacked, PM_LATE_KINDS_ALLOWED);
 }
--- a/src/autoscaler/provider_client.c
+++ b/src/autoscaler/provider_client.c
@@ -1,5 +1,4 @@
-/* Requests to the provider that rent or terminate machines: how they are sent, and what their
- * results mean. */
+/* Sends requests to rent or terminate machines to the provider, and interprets their results. */
 #include "autoscaler/internal.h"
 
 enum { ANSWER_MAX = 64 * 1024 };
@@ -55,7 +54,7 @@
     return call->term == call->autoscaler->term;
 }
 
-/* The monotonic time after which the request must not be sent; 0: there is no limit. */
+/* Returns the monotonic time after which the request must not be sent, or 0 if there is none. */
 static double send_deadline(const struct pm_provider_call *call, enum pm_role role)
 {
     double deadline;
@@ -63,7 +62,8 @@
     if (!call->intent_name[0])
         return 0;
     deadline = pm_roles_valid_until(call->autoscaler->roles, role);
-    /* Without the role the deadline is in the past. It is not 0, which means no limit. */
+    /* If the controller does not hold the role, the deadline must be in the past; 0 would mean that
+     * there is none. */
     return deadline > 0 ? deadline : call->sent_at;
 }
 
--- a/src/autoscaler/provider_codec.c
+++ b/src/autoscaler/provider_codec.c
@@ -1,20 +1,21 @@
-/* The provider's messages, but for the machine types. Its wire names stand here:
- *   hosts      the machines of a message
- *   name_id    a machine's name
- *   model      its type
- *   room       its zone
- *   borrowed   whether it is a spot machine
- *   booking    the idempotency key of a request to rent
- *   how_many   the number of machines to rent
- *   status     "running" and "failed" matter here
- *   age_s      seconds since the machine was rented
- *   endpoint   the address of its worker
+/* Encodes and decodes the provider's messages, except for machine types (machine_types_codec.c).
+ * Their fields are:
+ *   hosts      list of machines
+ *   name_id    name of a machine
+ *   model      type of a machine
+ *   room       zone of a machine
+ *   borrowed   whether a machine is a spot machine
+ *   booking    idempotency key of a request to rent
+ *   how_many   number of machines to rent
+ *   status     state of a machine; only "running" and "failed" are evaluated
+ *   age_s      seconds since a machine was rented
+ *   endpoint   address of a machine's worker
  *   has_next   whether another page of the inventory follows */
 #include "autoscaler/internal.h"
 
 #include <string.h>
 
-enum { STATUS_BYTES = 32 }; /* of the longest status that is read, with its NUL */
+enum { STATUS_BYTES = 32 }; /* size of the longest status that is read, including its NUL */
 
 void pm_scale_out_encode(const struct pm_name_tables *tables,
                          const struct pm_scale_out_request *request, const char *idempotency_key,
--- a/src/autoscaler/request_budget.c
+++ b/src/autoscaler/request_budget.c
@@ -1,10 +1,12 @@
-/* The provider's limit on requests, shared by all requests of this controller. */
+/* Rate limiter for all requests that this controller sends to the provider. */
 #include "autoscaler/internal.h"
 
-#define RATE_SHARE 0.85 /* of the limit: other controllers send requests too */
-#define BURST_S 1.7     /* tokens are saved up for so many seconds at most */
+/* Share of the provider's request limit that this controller uses; other controllers send requests
+ * too. */
+#define RATE_SHARE 0.85
+#define BURST_S 1.7 /* capacity of the token bucket, as seconds of refill */
 
-bool pm_autoscaler_may_call(struct pm_autoscaler *autoscaler, double now)
+bool pm_autoscaler_acquire_request_token(struct pm_autoscaler *autoscaler, double now)
 {
     struct pm_request_budget *budget = &autoscaler->budget;
     double rate = autoscaler->tables->settings->cloud_rps * RATE_SHARE;
--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -1,61 +1,65 @@
-/* Which machines to terminate, and why. Marks them; termination.c sends the requests. */
+/* Decides which machines to terminate, and marks them with a reason. termination.c sends the
+ * requests. */
 #include "autoscaler/internal.h"
 #include "base/log.h"
 #include "workers/failures.h"
 
 #include <math.h>
 
-/* While the state service accepts no writes, idle time does not count, for up to this long. */
-#define OUTAGE_KEEP_S 120
-/* Idle spot machines are kept for so long if the steady demand needs them. */
+/* While the state service accepts no writes, idle time does not count, but no longer than this. */
+#define OUTAGE_IDLE_KEEP_S 120
+/* Idle spot machines that the steady demand needs are kept for this long. */
 #define STEADY_DEMAND_KEEP_S 60.0
-/* The shortest time that the provider charges for a machine. */
-#define RENTAL_LEAST_S 60
+/* The provider charges for at least this long for each machine. */
+#define BILLING_MIN_S 60
 #define CONSOLIDATION_INTERVAL_S 1
 
-/* A machine that the inventory misses is lost after a silence of so many heartbeat intervals and
- * seconds; one without tasks is given up after a silence of so many leases and seconds. */
-#define ABSENT_HEARTBEATS 1.3
+/* A machine that is missing from the inventory is lost once it has been silent for this many
+ * heartbeat intervals plus the margin. */
+#define ABSENT_HEARTBEAT_INTERVALS 1.3
 #define ABSENT_MARGIN_S 1
+/* A machine without tasks is terminated once it has been silent for this many lease durations plus
+ * the margin. */
 #define UNUSED_LEASES 2
 #define UNUSED_MARGIN_S 20
 
-/* With more machines than that, idle ones are terminated sooner, but not before this share of the
- * operators' setting. */
-#define SMALL_FLEET 50
-#define IDLE_TIMEOUT_LEAST 0.28
+/* The idle timeout is the operators' setting for up to this many machines. For more machines it is
+ * a smaller share of the setting, down to the minimum below. */
+#define SMALL_FLEET_MACHINES 50
+#define IDLE_TIMEOUT_SHARE_MIN 0.28
 
-void pm_autoscaler_mark_machine(struct pm_machine *machine, const char *reason)
+void pm_autoscaler_mark_for_termination(struct pm_machine *machine, const char *reason)
 {
-    pm_info("autoscaler.scale_in", "%s: %s", machine->name, reason);
+    pm_info("autoscaler.scale_in", "%s is marked for termination: %s", machine->name, reason);
     machine->state = PM_MACHINE_RELEASING;
     machine->provider.terminate_retry_at = 0;
 }
 
-/* The fewer machines share the work, the less certain is what comes next. With many, fluctuations
- * even out as the square root of their number, and what idles is an excess rather than the gap
- * between two jobs. */
+/* In a small fleet an idle machine is often just between two jobs. In a large fleet, fluctuations
+ * of the load even out with the square root of the number of machines, and an idle machine is more
+ * likely to be an excess. */
 double pm_autoscaler_idle_timeout_s(const struct pm_operator_settings *operator_settings,
                                     int machine_count)
 {
-    double share = sqrt((double)SMALL_FLEET / MAX(machine_count, 1));
+    double share = sqrt((double)SMALL_FLEET_MACHINES / MAX(machine_count, 1));
 
-    return operator_settings->idle_return_s * CLAMP(share, IDLE_TIMEOUT_LEAST, 1);
+    return operator_settings->idle_return_s * CLAMP(share, IDLE_TIMEOUT_SHARE_MIN, 1);
 }
 
-/* ---- machines that are lost, or never came up ---- */
+/* ---- lost machines and failed boots ---- */
 
-/* Missing from the inventory, and silent. The confirmed termination proves the loss sooner
- * than its lease. */
-static bool is_absent(const struct pm_machine *machine, const struct pm_settings *settings,
-                      double now)
+/* Whether the machine is missing from the inventory and silent. Its confirmed termination proves
+ * the loss before its lease would expire. For a machine in a shard the inventory alone counts,
+ * because its worker reports to the shard's owner. */
+static bool is_absent_and_silent(const struct pm_machine *machine,
+                                 const struct pm_settings *settings, double now)
 {
     double silence_s = now - machine->heartbeat.last_message_at;
 
     if (!machine->provider.absent_since || machine->state != PM_MACHINE_UP)
         return false;
     return machine->shard.owner ||
-           silence_s > ABSENT_HEARTBEATS * settings->heartbeat_s + ABSENT_MARGIN_S;
+           silence_s > ABSENT_HEARTBEAT_INTERVALS * settings->heartbeat_s + ABSENT_MARGIN_S;
 }
 
 static bool is_silent_without_tasks(const struct pm_machine *machine,
@@ -68,34 +72,35 @@
            silence_s > UNUSED_LEASES * settings->lease_s + UNUSED_MARGIN_S;
 }
 
-/* Why a machine that is lost, or never came up, is to be terminated; NULL: it is not so. */
+/* Returns why the machine counts as lost or never came up, or NULL if neither holds. */
 static const char *lost_reason(const struct pm_autoscaler *autoscaler,
                                const struct pm_machine *machine, double now)
 {
     const struct pm_settings *settings = autoscaler->tables->settings;
 
     if (machine->provider.has_failed)
-        return "failed: it stopped by itself";
-    if (is_absent(machine, settings, now))
-        return "no longer in the inventory, and silent";
-    if (pm_autoscaler_has_boot_failed(autoscaler, machine, now))
+        return "the provider lists it as failed";
+    if (is_absent_and_silent(machine, settings, now))
+        return "missing from the inventory, and silent";
+    if (pm_autoscaler_has_boot_timed_out(autoscaler, machine, now))
         return "boot timed out";
     if (is_silent_without_tasks(machine, settings, now))
-        return "silent, without tasks";
+        return "no messages for too long, and no tasks";
     return NULL;
 }
 
 /* ---- machines that are not needed ---- */
 
-/* One pass over all machines. */
+/* State of one pass over all machines. */
 struct scale_in_pass {
     double idle_timeout_s;
-    double headroom_cpus; /* on ordinary machines, less those that the pass has marked */
+    double headroom_cpus; /* on ordinary machines, without those that this pass has marked */
     double now;
 };
 
-/* Whether an idle machine is kept all the same, for steady array work or as headroom for services.
- * What is marked is subtracted from both. */
+/* Whether an idle machine is kept, a spot machine for the steady demand of array work and an
+ * ordinary one as headroom for services. If it is not, its capacity is subtracted, so that further
+ * machines are compared with what remains. */
 static bool should_keep_idle(struct pm_autoscaler *autoscaler, const struct pm_machine *machine,
                              struct scale_in_pass *pass)
 {
@@ -104,9 +109,10 @@
 
     if (machine->spot) {
         if (pass->now - machine->provider.idle_since < STEADY_DEMAND_KEEP_S &&
-            headroom->spot_cpus - cpus < pm_autoscaler_steady_demand_cpus(autoscaler, pass->now))
+            headroom->spot_capacity_cpus - cpus <
+                pm_autoscaler_steady_demand_cpus(autoscaler, pass->now))
             return true;
-        headroom->spot_cpus -= cpus;
+        headroom->spot_capacity_cpus -= cpus;
         return false;
     }
     if (pass->headroom_cpus - cpus < headroom->service_cpus)
@@ -115,37 +121,37 @@
     return false;
 }
 
-/* A machine that is being drained is needed after all when tasks wait, unless it is empty and
- * terminating it saves something. */
+/* Cancels the machine's drain if tasks are waiting, unless the machine is empty and its minimum
+ * charge is used up, so that terminating it saves cost. */
 static void cancel_drain_if_needed(const struct pm_autoscaler *autoscaler,
                                    struct pm_machine *machine, double now)
 {
     bool has_waiting_tasks = pm_scheduler_unmet_demand(autoscaler->scheduler)->len > 0;
 
     if (machine->reservation.draining && has_waiting_tasks &&
-        (machine->placements->len || now - machine->provider.rented_at < RENTAL_LEAST_S))
+        (machine->placements->len || now - machine->provider.rented_at < BILLING_MIN_S))
         machine->reservation.draining = false;
 }
 
-/* Updates since when the machine is idle. False: it is not. */
+/* Updates the time since which the machine has been idle. Returns false if it is not idle. */
 static bool update_idle(const struct pm_autoscaler *autoscaler, struct pm_machine *machine,
                         double now)
 {
-    const struct pm_store_outage *outage = &autoscaler->outage;
+    const struct pm_store_writability *writability = &autoscaler->writability;
 
     if (machine->state != PM_MACHINE_UP || machine->placements->len) {
         machine->provider.idle_since = 0;
         return false;
     }
-    /* While nothing can be placed, an idle machine may still be needed: what waits will use it as
-     * soon as the state service is back. Not for ever, though. */
+    /* While placements cannot be written, idle time does not count for up to OUTAGE_IDLE_KEEP_S:
+     * waiting tasks may use the machine as soon as the state service accepts writes again. */
     if (!machine->provider.idle_since ||
-        (!outage->is_writable && now - outage->writable_at < OUTAGE_KEEP_S))
+        (!writability->is_writable && now - writability->last_writable_at < OUTAGE_IDLE_KEEP_S))
         machine->provider.idle_since = now;
     return true;
 }
 
-/* Why a machine that is up is to be terminated; NULL: it is not. */
+/* Returns why the machine is not needed, or NULL if it is in use or is to be kept. */
 static const char *unneeded_reason(struct pm_autoscaler *autoscaler, struct pm_machine *machine,
                                    struct scale_in_pass *pass)
 {
@@ -159,12 +165,12 @@
     if (pm_failures_is_machine_faulty(machine))
         return "quarantined: its tasks keep failing";
     if (now - machine->provider.idle_since < pass->idle_timeout_s ||
-        now - machine->provider.rented_at < RENTAL_LEAST_S)
+        now - machine->provider.rented_at < BILLING_MIN_S)
         return NULL;
     return should_keep_idle(autoscaler, machine, pass) ? NULL : "idle";
 }
 
-/* ---- the pass over all machines ---- */
+/* ---- pass over all machines ---- */
 
 static int count_machines(const GPtrArray *machines)
 {
@@ -202,10 +208,10 @@
         if (!machine || machine->state == PM_MACHINE_RELEASING)
             continue;
         reason = lost_reason(autoscaler, machine, now);
-        /* Whether a machine in a shard is needed, its owner knows. */
+        /* Only the owner of a shard knows whether a machine in the shard is needed. */
         if (!reason && !machine->shard.owner)
             reason = unneeded_reason(autoscaler, machine, &pass);
         if (reason)
-            pm_autoscaler_mark_machine(machine, reason);
+            pm_autoscaler_mark_for_termination(machine, reason);
     }
 }
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -1,4 +1,4 @@
-/* Requests to rent machines, and what the provider answers to them. */
+/* Sends requests to rent machines and handles the provider's answers. */
 #include "autoscaler/internal.h"
 #include "base/clock.h"
 #include "base/log.h"
@@ -6,13 +6,14 @@
 #include <math.h>
 #include <stdio.h>
 
-/* A kind that the provider has no capacity of is not requested again within this time, which is
- * doubled so often at most, give or take that share. */
+/* Exponential back-off for a machine kind of which the provider has no capacity: the first delay,
+ * the jitter as a share of the delay, and the maximum number of doublings. */
 #define REFUSAL_BACKOFF_S 6.0
 #define BACKOFF_JITTER 0.25
 enum { BACKOFF_DOUBLINGS_MAX = 2 };
 
-enum { ATTEMPTS_MAX = 4 }; /* of a request without an answer, one right after the other */
+/* A request that gets no answer is sent up to this many times, without a delay in between. */
+enum { UNANSWERED_ATTEMPTS_MAX = 4 };
 
 static void on_answer(void *arg, int status, const unsigned char *body, size_t size);
 
@@ -27,27 +28,28 @@
 
 /* ---- answers ---- */
 
-/* A kind of which the provider has no more is requested again later and later, and not at the same
- * moment as the others. */
-static void note_capacity(struct pm_autoscaler *autoscaler,
-                          const struct pm_scale_out_request *request,
-                          enum pm_provider_result result, size_t rented)
+/* Updates the kind's back-off after an answer. The delay doubles with consecutive refusals; its
+ * jitter keeps kinds that were refused together from being requested again at the same moment. */
+static void update_backoff(struct pm_autoscaler *autoscaler,
+                           const struct pm_scale_out_request *request,
+                           enum pm_provider_result result, size_t rented)
 {
     struct pm_kind_backoff *backoff =
         &autoscaler->kinds[request->type][request->zone][request->spot].backoff;
     double now = autoscaler->budget.refilled_at;
     bool is_partial = result == PM_PROVIDER_OK && rented < (size_t)request->count;
-    double pause;
+    double backoff_s;
 
     if (rented > 0)
         backoff->refusals = 0;
     if (result != PM_PROVIDER_NO_CAPACITY && !is_partial)
         return;
     if (backoff->until > now)
-        return; /* of several requests that were sent together, one counts */
-    pause = REFUSAL_BACKOFF_S * (1 << MIN(backoff->refusals, BACKOFF_DOUBLINGS_MAX));
+        return; /* only one of several requests that were sent together counts as a refusal */
+    backoff_s = REFUSAL_BACKOFF_S * (1 << MIN(backoff->refusals, BACKOFF_DOUBLINGS_MAX));
     backoff->refusals++;
-    backoff->until = now + pause * g_random_double_range(1 - BACKOFF_JITTER, 1 + BACKOFF_JITTER);
+    backoff->until =
+        now + backoff_s * g_random_double_range(1 - BACKOFF_JITTER, 1 + BACKOFF_JITTER);
 }
 
 static void add_machine(const struct pm_provider_call *call, const char *name)
@@ -57,19 +59,19 @@
     struct pm_machine *machine = pm_workers_add(autoscaler->workers, name);
 
     if (machine->state == PM_MACHINE_RELEASING)
-        return; /* the answer to a repeated request */
+        return; /* the answer to a repeated request, after the machine was marked for termination */
     machine->provider.rented_at = call->sent_at;
     if (machine->type >= 0)
         return; /* its worker has reported already */
     pm_workers_set_type(autoscaler->workers, machine, request->type);
     machine->zone = request->zone;
     machine->spot = request->spot;
-    pm_debug("autoscaler.machine", "%s is a %s%s", machine->name,
+    pm_debug("autoscaler.machine", "rented %s of type %s%s", machine->name,
              pm_names_text(autoscaler->tables->type_names, request->type),
              request->spot ? " spot" : "");
 }
 
-/* Adds the machines that the answer names. Returns how many they are. */
+/* Adds the machines that the answer names, and returns how many it names. */
 static size_t add_machines(const struct pm_provider_call *call, const unsigned char *body,
                            size_t size)
 {
@@ -93,8 +95,9 @@
 {
     const struct pm_scale_out_request *request = &call->request;
 
-    pm_info("autoscaler.scale_out", "%s: %zu of %d %s%s, status %d (%s)", call->idempotency_key,
-            rented, request->count,
+    pm_info("autoscaler.scale_out",
+            "request %s rented %zu of %d machines of type %s%s: status %d (%s)",
+            call->idempotency_key, rented, request->count,
             pm_names_text(call->autoscaler->tables->type_names, request->type),
             request->spot ? " spot" : "", status,
             pm_provider_result_name(pm_provider_result_of(status)));
@@ -114,10 +117,10 @@
     autoscaler->budget.in_flight--;
     rented = result == PM_PROVIDER_OK ? add_machines(call, body, size) : 0;
     log_answer(call, status, rented);
-    note_capacity(autoscaler, &call->request, result, rented);
-    /* Without an answer it may have been carried out. The same idempotency key requests the same
-     * machines, and rents nothing twice. */
-    if (result == PM_PROVIDER_NO_ANSWER && ++call->attempts < ATTEMPTS_MAX) {
+    update_backoff(autoscaler, &call->request, result, rented);
+    /* The provider may have carried out a request that got no answer. The repetition has the same
+     * idempotency key, so it returns the same machines and rents no others. */
+    if (result == PM_PROVIDER_NO_ANSWER && ++call->unanswered_attempts < UNANSWERED_ATTEMPTS_MAX) {
         send_request(call);
     } else {
         pm_autoscaler_record_answer(call, PM_ROLE_SCALE_OUT, status,
@@ -129,7 +132,8 @@
 
 /* ---- with intents ---- */
 
-/* A call for a rental of an intent; NULL: its machine type or zone is not known here. */
+/* Returns a call for one rental of the intent, or NULL if this controller does not know the
+ * rental's machine type or zone. */
 static struct pm_provider_call *rental_call_new(struct pm_autoscaler *autoscaler,
                                                 const struct pm_intent *intent, guint index,
                                                 double now)
@@ -161,13 +165,15 @@
             &g_array_index(intent->rentals, struct pm_intent_rental, i);
         struct pm_provider_call *call;
         if (rental->call_in_flight || rental->is_answered ||
-            !pm_autoscaler_may_call(autoscaler, now))
+            !pm_autoscaler_acquire_request_token(autoscaler, now))
             continue;
         call = rental_call_new(autoscaler, intent, i, now);
         if (!call) {
-            intent->retry_at = INFINITY; /* logged once */
-            pm_error("autoscaler.bad_intent", "%s: rents %s in %s, which are not known here; kept",
-                     intent->name, rental->type, rental->zone);
+            intent->retry_at = INFINITY; /* no retry, so that the error is logged once per term */
+            pm_error(
+                "autoscaler.bad_intent",
+                "intent %s stays open: machine type %s or zone %s is unknown to this controller",
+                intent->name, rental->type, rental->zone);
             return;
         }
         rental->call_in_flight = true;
@@ -220,7 +226,7 @@
     pm_provider_call_free(call);
 }
 
-/* ---- what is to be rented ---- */
+/* ---- decisions to rent ---- */
 
 bool pm_autoscaler_may_scale_out(const struct pm_autoscaler *autoscaler, double now)
 {
@@ -238,10 +244,10 @@
         write_intent(autoscaler, requests, MIN(count, PM_INTENT_RENTALS_MAX), now);
         return;
     }
-    for (int i = 0; i < count && pm_autoscaler_may_call(autoscaler, now); i++) {
+    for (int i = 0; i < count && pm_autoscaler_acquire_request_token(autoscaler, now); i++) {
         struct pm_provider_call *call = pm_provider_call_new(autoscaler, now);
         call->request = requests[i];
-        /* The epoch belongs to this term alone, so the key is never used again by anybody. */
+        /* No other term has this epoch, so no controller ever uses the key for another request. */
         snprintf(call->idempotency_key, sizeof call->idempotency_key, "r-%llu-%llu",
                  (unsigned long long)autoscaler->epoch,
                  (unsigned long long)++autoscaler->rental_number);
--- a/src/autoscaler/silent_machines.c
+++ b/src/autoscaler/silent_machines.c
@@ -1,62 +1,64 @@
-/* Machines that have missed heartbeats, or can no longer be commanded, while others of their zone
- * are fine: they died, hang or are partitioned.
+/* Marks machines for termination that have missed heartbeats or no longer receive commands while
+ * most machines of their zone respond. Such a machine has failed, hangs or is partitioned.
  *
- * The confirmed termination of such a machine proves its tasks gone long before its lease expires,
- * and they start elsewhere; if it was only partitioned, little more than a short interruption is
- * lost. Where most machines of a zone are silent at once, the network is at fault, and waiting is
- * better. */
+ * Its confirmed termination proves that its tasks have ended long before its lease expires, so they
+ * can start elsewhere. If the machine was only partitioned, this costs little more than a short
+ * interruption. If most machines of a zone are silent at once, the network is probably at fault,
+ * and the machines are kept. */
 #include "autoscaler/internal.h"
 
-/* A machine may be given up after a silence of so many seconds, and of so many heartbeat intervals
- * and a margin. */
-#define LOST_LEAST_S 5.0
-#define LOST_HEARTBEATS 1.25
+/* A machine may be lost once it has been silent for the minimum time, and for this many heartbeat
+ * intervals plus the margin. */
+#define LOST_SILENCE_MIN_S 5.0
+#define LOST_HEARTBEAT_INTERVALS 1.25
 #define LOST_MARGIN_S 2.4
-/* One that is silent for less than this share of that time is responding. */
+/* A machine that has been silent for less than this share of that time counts as responding. */
 #define RESPONDING_SHARE 0.6
-/* A shard owner's report of a silent machine counts for so long. */
-#define OWNER_REPORT_AGE_S 2.0
+/* A shard owner's report that a machine is silent is valid for this long. */
+#define OWNER_REPORT_AGE_MAX_S 2.0
 
-struct zone_census {
-    int responding, silent; /* machines */
+/* Numbers of machines in one zone. */
+struct zone_counts {
+    int responding, silent;
 };
 
-/* What one pass over all machines has found. */
+/* Results of one pass over all machines. */
 struct silence_scan {
-    double limit_s; /* silence after which a machine may be given up */
-    struct zone_census zones[PM_ZONES_MAX];
-    bool has_reported[PM_ZONES_MAX]; /* this leader had a heartbeat from a machine of the zone */
-    GPtrArray *candidates;           /* of struct pm_machine: to be given up if its zone is fine */
+    double limit_s; /* a machine may be lost after a silence of this length */
+    struct zone_counts zones[PM_ZONES_MAX];
+    bool has_reported[PM_ZONES_MAX]; /* a machine of the zone has sent this leader a heartbeat */
+    GPtrArray *candidates;           /* of struct pm_machine, to terminate if their zone responds */
 };
 
-/* Why the machine's tasks end with its lease though messages of it arrive; NULL: they need not. For
- * a machine in a shard its last messages to this controller mean nothing: its worker reports to the
- * shard's owner. */
+/* Returns why the machine's lease is not renewed although messages from it arrive, or NULL if there
+ * is no sign of that. Such a machine's tasks end with the lease. For a machine in a shard the
+ * result is NULL: its worker reports to the shard's owner, so its last messages to this controller
+ * say nothing. */
 static const char *partition_reason(const struct pm_autoscaler *autoscaler,
                                     const struct pm_machine *machine, double now)
 {
     if (machine->shard.owner)
         return NULL;
     if (pm_machine_is_unreachable(machine, now))
-        return "unreachable: its heartbeats arrive, our answers do not, while its zone responds";
+        return "its heartbeats arrive but our answers do not reach it, while its zone responds";
     if (pm_machine_is_not_reporting(machine, autoscaler->tables->settings, now))
-        return "not reporting: it answers pushes and sends no heartbeats, while its zone responds";
+        return "it answers pushes but its heartbeats do not arrive, while its zone responds";
     return NULL;
 }
 
-/* Monotonic: since when the machine is silent, as far as is known. Of one in a shard, the owner
- * reports it. */
+/* Returns the monotonic time since which the machine has been silent, or `now` if it is in a shard
+ * whose owner has not reported it as silent recently. */
 static double silent_since(const struct pm_machine *machine, double now)
 {
     if (!machine->shard.owner)
         return machine->heartbeat.last_message_at;
-    if (now - machine->shard.reported_silent_at < OWNER_REPORT_AGE_S)
+    if (now - machine->shard.reported_silent_at < OWNER_REPORT_AGE_MAX_S)
         return machine->shard.silent_since;
     return now;
 }
 
-/* Whether the machine has tasks, and a push to it failed, or only an old message came, since its
- * last message. */
+/* Whether the machine has placements and, since its last message, a push to it has failed or an
+ * outdated message has arrived. */
 static bool has_failed_probe(const struct pm_machine *machine)
 {
     double failed_at = MAX(machine->push.failed_at, machine->heartbeat.last_stale_at);
@@ -64,7 +66,7 @@
     return machine->placements->len && failed_at > machine->heartbeat.last_message_at;
 }
 
-/* Whether silence of that length is enough to give the machine up. */
+/* Whether the machine counts as lost after a silence of `silence_s`. */
 static bool is_lost(const struct pm_machine *machine, double silence_s, double limit_s)
 {
     if (machine->shard.owner)
@@ -75,7 +77,7 @@
 static void scan_machine(const struct pm_autoscaler *autoscaler, struct silence_scan *scan,
                          struct pm_machine *machine, double now)
 {
-    struct zone_census *zone = &scan->zones[machine->zone];
+    struct zone_counts *zone = &scan->zones[machine->zone];
     double silence_s = now - silent_since(machine, now);
 
     scan->has_reported[machine->zone] |= machine->heartbeat.is_known;
@@ -93,18 +95,18 @@
         g_ptr_array_add(scan->candidates, machine);
 }
 
-/* However many candidates there are: the rest of their zone shows whether the network is at
- * fault. */
+/* Marks each candidate in whose zone no more machines are silent than respond. There is no limit on
+ * the number of candidates: the responding machines show that the network is not at fault. */
 static void mark_candidates(const struct pm_autoscaler *autoscaler, const struct silence_scan *scan,
                             double now)
 {
     for (guint i = 0; i < scan->candidates->len; i++) {
         struct pm_machine *machine = g_ptr_array_index(scan->candidates, i);
-        const struct zone_census *zone = &scan->zones[machine->zone];
+        const struct zone_counts *zone = &scan->zones[machine->zone];
         const char *reason = partition_reason(autoscaler, machine, now);
         if (zone->silent <= zone->responding)
-            pm_autoscaler_mark_machine(
-                machine, reason ? reason : "silent: missed heartbeats, while its zone responds");
+            pm_autoscaler_mark_for_termination(
+                machine, reason ? reason : "it has missed heartbeats, while its zone responds");
     }
 }
 
@@ -113,9 +115,9 @@
     GPtrArray *machines = pm_workers_all(autoscaler->workers);
     double heartbeat_s = autoscaler->tables->settings->heartbeat_s;
     struct silence_scan scan = {
-        .limit_s = MAX(LOST_LEAST_S, LOST_HEARTBEATS * heartbeat_s + LOST_MARGIN_S)};
+        .limit_s = MAX(LOST_SILENCE_MIN_S, LOST_HEARTBEAT_INTERVALS * heartbeat_s + LOST_MARGIN_S)};
 
-    if (!autoscaler->outage.is_writable)
+    if (!autoscaler->writability.is_writable)
         return;
     scan.candidates = g_ptr_array_new();
     for (guint i = 0; i < machines->len; i++) {
--- a/src/autoscaler/sizing.c
+++ b/src/autoscaler/sizing.c
@@ -1,15 +1,16 @@
-/* What to rent: which machines count as capacity, and the order of the needs. */
+/* Runs a sizing: sums the existing capacity, then adds the demands one after the other. */
 #include "autoscaler/sizing.h"
 #include "workers/failures.h"
 
-/* Whether the machine, of a known type and zone, is up or soon will be. */
+/* Whether the machine counts as capacity: it is up or booting, and neither being terminated nor
+ * about to be interrupted by the provider. */
 static bool counts_as_capacity(const struct pm_machine *machine)
 {
     return machine->state != PM_MACHINE_RELEASING && !machine->heartbeat.spot_interruption_at;
 }
 
-/* Whether tasks may be packed on the machine: it boots, for the scheduler has found no room on
- * those that are up. */
+/* Whether tasks may be packed on the machine. Only booting machines are used, because the scheduler
+ * has found no free capacity on those that are up. */
 static bool is_packable(const struct pm_machine *machine)
 {
     return machine->state == PM_MACHINE_BOOTING && !machine->heartbeat.spot_interruption_at &&
@@ -23,7 +24,7 @@
 
     pm_autoscaler_kind_of(autoscaler, machine)->cpus += cpus;
     if (machine->spot)
-        autoscaler->headroom.spot_cpus += cpus;
+        autoscaler->headroom.spot_capacity_cpus += cpus;
 }
 
 static void add_packable(struct pm_sizing *sizing, const struct pm_machine *machine,
@@ -38,15 +39,15 @@
     g_array_append_val(sizing->machines, packable);
 }
 
-/* Sums the capacity of each kind, and collects the machines to pack tasks on. A machine whose boot
- * is stuck counts as neither. */
+/* Sums the capacity of each kind and collects the machines to pack tasks on. Both skip machines
+ * whose boot is stuck. */
 static void collect_capacity(struct pm_sizing *sizing)
 {
     struct pm_autoscaler *autoscaler = sizing->autoscaler;
     GPtrArray *machines = pm_workers_all(autoscaler->workers);
 
     g_array_set_size(sizing->machines, 0);
-    autoscaler->headroom.spot_cpus = 0;
+    autoscaler->headroom.spot_capacity_cpus = 0;
     for (guint i = 0; i < machines->len; i++) {
         const struct pm_machine *machine = g_ptr_array_index(machines, i);
         enum pm_boot_state boot = PM_BOOT_EXPECTED;
@@ -63,8 +64,8 @@
     }
 }
 
-/* What is requested of late kinds counts as their probes from now on. */
-static void note_probes(const struct pm_sizing *sizing)
+/* Records the time of this sizing's requests for late kinds, which serve as probes. */
+static void record_probe_times(const struct pm_sizing *sizing)
 {
     for (int i = 0; i < sizing->request_count; i++) {
         const struct pm_scale_out_request *request = &sizing->requests[i];
@@ -91,6 +92,6 @@
     pm_sizing_add_unmet_demand(&sizing);
     pm_sizing_add_steady_demand(&sizing);
     pm_sizing_add_headroom(&sizing);
-    note_probes(&sizing);
+    record_probe_times(&sizing);
     return sizing.request_count;
 }
--- a/src/autoscaler/termination.c
+++ b/src/autoscaler/termination.c
@@ -1,13 +1,14 @@
-/* Requests to terminate machines, and what the provider answers to them. */
+/* Sends requests to terminate machines and handles the provider's answers. */
 #include "autoscaler/internal.h"
 #include "base/clock.h"
 #include "base/log.h"
 
 #include <math.h>
 
-#define RETRY_S 1.0                /* a termination that was not confirmed is repeated after this */
-#define INTENT_RETRY_S 0.5         /* before an intent that was not written is written again */
-#define TERMINATED_AVAILABLE_S 6.0 /* what we terminate may be rented again after this */
+#define RETRY_S 1.0        /* delay before an unconfirmed termination is requested again */
+#define INTENT_RETRY_S 0.5 /* delay before an intent that could not be written is written again */
+/* The capacity of a terminated machine is probably available for rent again after this time. */
+#define TERMINATED_AVAILABLE_S 6.0
 
 static struct pm_provider_call *termination_call_new(struct pm_autoscaler *autoscaler, double now)
 {
@@ -30,8 +31,9 @@
 
 /* ---- answers ---- */
 
-/* Capacity that we give back ourselves is probably available again soon. */
-static void note_capacity(struct pm_autoscaler *autoscaler, const struct pm_machine *machine)
+/* Shortens the back-off of the machine's kind after its termination, because the machine's capacity
+ * is probably available again soon. */
+static void shorten_backoff(struct pm_autoscaler *autoscaler, const struct pm_machine *machine)
 {
     struct pm_kind_backoff *backoff;
 
@@ -42,8 +44,8 @@
     backoff->until = MIN(backoff->until, autoscaler->budget.refilled_at + TERMINATED_AVAILABLE_S);
 }
 
-/* The machines of a call without an intent are to be terminated again; those of an intent are
- * retried with it. */
+/* Sets when the termination of the call's machines is requested again. This is for calls whose
+ * intent does not exist; machines of a written intent are retried with the intent. */
 static void set_retry_at(const struct pm_provider_call *call, double retry_at)
 {
     for (guint i = 0; i < call->machine_names->len; i++) {
@@ -64,7 +66,7 @@
         if (!machine)
             continue;
         g_hash_table_add(autoscaler->terminated, g_strdup(machine->name));
-        note_capacity(autoscaler, machine);
+        shorten_backoff(autoscaler, machine);
         autoscaler->hooks.machine_terminated(autoscaler->hooks.arg, machine);
     }
 }
@@ -88,8 +90,8 @@
         set_retry_at(call, autoscaler->budget.refilled_at + RETRY_S);
     pm_autoscaler_record_answer(call, PM_ROLE_SCALE_IN, status, result == PM_PROVIDER_OK,
                                 pm_clock_monotonic());
-    pm_info("autoscaler.terminated", "%u machines, status %d (%s)", call->machine_names->len,
-            status, pm_provider_result_name(result));
+    pm_info("autoscaler.terminated", "request to terminate %u machines: status %d (%s)",
+            call->machine_names->len, status, pm_provider_result_name(result));
     pm_provider_call_free(call);
     autoscaler->hooks.changed(autoscaler->hooks.arg);
 }
@@ -105,8 +107,8 @@
 
 /* ---- with intents ---- */
 
-void pm_autoscaler_mark_terminating(struct pm_autoscaler *autoscaler,
-                                    const struct pm_intent *intent)
+void pm_autoscaler_mark_intent_machines(struct pm_autoscaler *autoscaler,
+                                        const struct pm_intent *intent)
 {
     for (guint i = 0; i < intent->machines->len; i++) {
         const char *name = g_ptr_array_index(intent->machines, i);
@@ -127,7 +129,7 @@
     g_strlcpy(call->intent_name, intent->name, sizeof call->intent_name);
     add_names(call->machine_names, intent->machines);
     intent->call_in_flight = true;
-    pm_autoscaler_mark_terminating(autoscaler, intent);
+    pm_autoscaler_mark_intent_machines(autoscaler, intent);
     send_request(call);
 }
 
@@ -162,7 +164,7 @@
     pm_provider_call_free(call);
 }
 
-/* ---- what is to be terminated ---- */
+/* ---- decisions to terminate ---- */
 
 static bool may_write_intent(const struct pm_autoscaler *autoscaler, double now)
 {
@@ -178,8 +180,8 @@
            machine->provider.terminate_retry_at <= now;
 }
 
-/* A call for the machines whose termination is due, as many as one request may name. NULL: none is
- * due, or the request limit is reached. */
+/* Returns a call for machines whose termination is due, as many as one request may name. Returns
+ * NULL if none is due or the request limit is reached. */
 static struct pm_provider_call *collect_due(struct pm_autoscaler *autoscaler, double now)
 {
     GPtrArray *machines = pm_workers_all(autoscaler->workers);
@@ -189,7 +191,7 @@
         struct pm_machine *machine = g_ptr_array_index(machines, i);
         if (!is_termination_due(machine, now))
             continue;
-        if (!call && !pm_autoscaler_may_call(autoscaler, now))
+        if (!call && !pm_autoscaler_acquire_request_token(autoscaler, now))
             return NULL;
         if (!call)
             call = termination_call_new(autoscaler, now);
