--- a/src/autoscaler/tests/autoscaler_fixtures.h
+++ b/src/autoscaler/tests/autoscaler_fixtures.h
@@ -1,5 +1,5 @@
-/* A deployment of one zone and two machine types, with an autoscaler, for the tests of this slice.
- * Nothing of it does I/O, but for a fake provider where a test starts one. */
+/* Fixture for the tests of this slice: an autoscaler for a deployment of one zone and two machine
+ * types. It does no I/O unless a test starts a fake provider. */
 #ifndef PM_AUTOSCALER_TESTS_AUTOSCALER_FIXTURES_H
 #define PM_AUTOSCALER_TESTS_AUTOSCALER_FIXTURES_H
 
@@ -13,7 +13,7 @@
 #include <string.h>
 #include <cmocka.h>
 
-enum { NOW = 500 }; /* monotonic, and the time of day too */
+enum { NOW = 500 }; /* used both as monotonic time and as time of day */
 
 /* The machine types of the deployment. */
 enum { SMALL_TYPE, LARGE_TYPE, TYPE_COUNT };
@@ -27,7 +27,7 @@
 static struct pm_workers *workers;
 static struct pm_scheduler *scheduler;
 static struct pm_autoscaler *autoscaler;
-static uint64_t revision; /* of the last job that was fed */
+static uint64_t revision; /* store revision of the last job added */
 
 static inline int set_up(void **state)
 {
@@ -61,8 +61,8 @@
     return 0;
 }
 
-/* Feeds a job that waits: a service of production priority, or an array job that may run on spot
- * machines. Each task needs `cpus` processors and 1 GB. */
+/* Adds a waiting job: a service of production priority, or an array job that may run on spot
+ * machines. Each task needs `cpus` processors and 1 GB of memory. */
 static inline void add_waiting_job(const char *id, enum pm_workload_kind kind, uint32_t task_count,
                                    double cpus, double estimated_run_s, double deadline_s)
 {
@@ -82,7 +82,7 @@
     fixture_feed(&tables, jobs, id, &spec, ++revision);
 }
 
-/* Adds a machine that was rented so many seconds ago, and boots. */
+/* Adds a booting machine that was rented `age_s` seconds ago. */
 static inline struct pm_machine *add_booting_machine(const char *name, int type, bool spot,
                                                      double age_s)
 {
@@ -95,8 +95,9 @@
     return machine;
 }
 
-/* Adds machines PREFIX000, PREFIX001 and so on, which were rented so many seconds ago. With `is_up`
- * they have come up, and will be interrupted at once: no task may be placed there. */
+/* Adds `count` machines named PREFIX000, PREFIX001 and so on, which were rented `age_s` seconds
+ * ago. With `is_up` they are up and have an interruption notice for the next second, so that no
+ * task may be placed on them. */
 static inline void add_machines(const char *prefix, int count, int type, bool spot, double age_s,
                                 bool is_up)
 {
@@ -113,8 +114,8 @@
     }
 }
 
-/* Runs the scheduler and a sizing. Returns how many machines of that kind are requested, and sets
- * `total` to how many in all. */
+/* Runs the scheduler and a sizing. Returns the number of machines requested of the kind, and sets
+ * `total` to the number of machines requested of all kinds. */
 static inline int count_requested(int type, bool spot, int *total)
 {
     struct pm_scale_out_request requests[REQUESTS_MAX];
--- a/src/autoscaler/tests/test_autoscaler_boots.c
+++ b/src/autoscaler/tests/test_autoscaler_boots.c
@@ -1,8 +1,9 @@
-/* Machines that boot late or never come up: what is rented in their place, and when they are
- * terminated. */
+/* Tests how machines are handled that boot late or never come up: what is rented in their place,
+ * and when they are terminated. */
 #include "autoscaler_fixtures.h"
 
-/* All machines of a kind are late. More of it would be up no sooner: another kind is rented. */
+/* When all machines of a kind are late, more of that kind would be up no sooner, so another kind is
+ * rented. */
 static void late_kind_is_replaced_by_another(void **state)
 {
     int total;
@@ -14,8 +15,9 @@
     assert_true(count_requested(SMALL_TYPE, true, &total) <= 1 + 0.15 * 40);
 }
 
-/* Without another kind the late machines are waited for; a few more show when boots are on time
- * again. Were they rented anew after each boot time, all would come up at once in the end. */
+/* If only the late kind is available, the sizing waits for the late machines and rents a few more
+ * as probes. Renting replacements for all of them after each boot time would bring up far too many
+ * machines at once in the end. */
 static void late_kind_without_alternative_is_probed(void **state)
 {
     int total;
@@ -29,12 +31,12 @@
     add_waiting_job("job-1", PM_WORKLOAD_ARRAY, 150, 4, 60, 120);
     count_requested(SMALL_TYPE, true, &probes);
     assert_in_range(probes, 1, 2 + (int)(0.15 * 80));
-    count_requested(SMALL_TYPE, true, &total); /* not again before a boot time has passed */
+    count_requested(SMALL_TYPE, true, &total); /* no further probes within one boot time */
     assert_int_equal(total, 0);
 }
 
-/* A single machine that later ones have overtaken is no capacity, and more of its kind may be
- * rented. */
+/* A single machine that is still booting while later ones of its kind are up does not count as
+ * capacity, and another machine of its kind is rented. */
 static void stuck_machine_is_replaced_and_terminated(void **state)
 {
     struct pm_machine *stuck;
@@ -45,7 +47,7 @@
     add_machines("i-b", 1, SMALL_TYPE, true, 60, false);
     add_waiting_job("job-1", PM_WORKLOAD_ARRAY, 2, 4, 60, 120);
     assert_int_equal(count_requested(SMALL_TYPE, true, &total), 1);
-    /* It costs money, and is terminated long before one of a late kind would be. */
+    /* The stuck machine is paid for, and is terminated long before one of a late kind would be. */
     stuck = pm_workers_find(workers, "i-b000");
     pm_autoscaler_mark_scale_in(autoscaler, NOW);
     assert_int_equal(stuck->state, PM_MACHINE_BOOTING);
--- a/src/autoscaler/tests/test_autoscaler_provider.c
+++ b/src/autoscaler/tests/test_autoscaler_provider.c
@@ -1,4 +1,5 @@
-/* What the provider answers: machine types, and the inventory, over HTTP from a fake provider. */
+/* Tests how the provider's answers are handled: machine types are decoded from a buffer, and the
+ * inventory is read over HTTP from a fake provider. */
 #include "autoscaler_fixtures.h"
 #include "base/clock.h"
 #include "testing/fake_store.h"
@@ -33,7 +34,8 @@
     assert_int_equal(tables.type_count, 3);
     assert_true(tables.types[2].gpus == 8);
     assert_int_equal(tables.types[2].zones, 1);
-    assert_true(tables.types[2].spot_price == 12); /* not given: that of an ordinary machine */
+    /* Without a spot price in the entry, the price of an ordinary machine applies. */
+    assert_true(tables.types[2].spot_price == 12);
     pm_cbor_free(models);
     pm_buffer_free(&buf);
     pm_cbor_put_list(&buf);
@@ -51,8 +53,8 @@
 struct fake_provider {
     struct ev_loop *loop;
     struct pm_http_client *http;
-    struct pm_http_server *server; /* NULL: its port can't be bound */
-    struct pm_autoscaler *client;  /* an autoscaler that sends requests to it */
+    struct pm_http_server *server; /* NULL: the port could not be bound */
+    struct pm_autoscaler *client;  /* the autoscaler that sends requests to the provider */
 };
 
 static void on_machine_types(void *arg, const cbor_item_t *models)
@@ -107,7 +109,7 @@
     pm_cbor_put_end(body);
 }
 
-/* A provider with many machines, which refuses every third request. */
+/* Answers as a provider with many machines that refuses every third request. */
 static void on_large_provider_request(void *arg, struct pm_http_request *req)
 {
     int *request_count = arg;
@@ -137,8 +139,8 @@
     return pm_workers_find(workers, "i-006000") != NULL;
 }
 
-/* A long inventory takes more pages than the provider answers at once: what is refused is requested
- * again, from where the inventory had got to. */
+/* The provider refuses some pages of a long inventory. Each refused page is requested again, and
+ * the inventory does not start from its first page again. */
 static void large_inventory_is_read_page_by_page(void **state)
 {
     int request_count = 0;
@@ -153,7 +155,8 @@
     fake_provider_stop(&provider);
 }
 
-/* A provider with one large machine, which a newly elected leader does not know. */
+/* Answers as a provider with one large machine, which a newly elected leader does not know yet.
+ * Counts the requests to rent or terminate. */
 static void on_small_provider_request(void *arg, struct pm_http_request *req)
 {
     int *rental_count = arg;
@@ -181,35 +184,35 @@
 
 struct repeated_runs {
     struct pm_autoscaler *autoscaler;
-    int left;
+    int runs_left;
 };
 
-static bool has_run_often(void *arg)
+static bool has_run_enough(void *arg)
 {
     struct repeated_runs *runs = arg;
     double now = pm_clock_monotonic();
 
     pm_scheduler_run(scheduler, now, now);
     pm_autoscaler_run(runs->autoscaler, now, now);
-    return --runs->left <= 0;
+    return --runs->runs_left <= 0;
 }
 
-/* What the leader before has rented is known once the inventory names it; nothing is rented until
- * then. */
+/* A new leader learns of machines that its predecessor rented only from the inventory. It must not
+ * rent machines for the same demand before it has read the inventory. */
 static void new_leader_reads_inventory_before_renting(void **state)
 {
     int rental_count = 0;
     struct fake_provider provider = fake_provider_start(on_small_provider_request, &rental_count);
-    struct repeated_runs runs = {.autoscaler = provider.client, .left = 200};
+    struct repeated_runs runs = {.autoscaler = provider.client, .runs_left = 200};
 
     (void)state;
     strcpy(settings.zone_names[0], "a");
     assert_non_null(provider.server);
-    /* It is elected. */
+    /* This sets the time of the election. */
     pm_autoscaler_decode_silent_zones(runs.autoscaler, NULL, pm_clock_monotonic(), 0);
-    /* A job as large as the free capacity of that machine. */
+    /* The job needs exactly the capacity of the machine that the provider lists. */
     add_waiting_job("job-1", PM_WORKLOAD_ARRAY, 8, 4, 60, 120);
-    assert_true(event_loop_run_until(provider.loop, has_run_often, &runs));
+    assert_true(event_loop_run_until(provider.loop, has_run_enough, &runs));
     assert_true(pm_workers_find(workers, "i-000001")->provider.is_listed);
     assert_int_equal(rental_count, 0);
     fake_provider_stop(&provider);
--- a/src/autoscaler/tests/test_autoscaler_scale_in.c
+++ b/src/autoscaler/tests/test_autoscaler_scale_in.c
@@ -1,4 +1,5 @@
-/* Which machines are terminated: those of silent zones, lost ones, and idle ones. */
+/* Tests which machines are marked for termination: those in silent zones, lost machines and idle
+ * machines. */
 #include "autoscaler_fixtures.h"
 
 #include <math.h>
@@ -6,14 +7,14 @@
 /* ---- zones that were silent before this leader was elected ---- */
 
 enum { LEDGER_WALL_NOW = 9000 }; /* time of day in the tests with a ledger */
-enum { ELECTED_AGE_S = 5 };      /* this leader was elected so long ago */
+enum { ELECTED_AGE_S = 5 };      /* time since the election of this leader */
 
-/* What is known of zone "a", which has the machine, and of another zone. */
+/* What this leader knows of zone "a", which has the machine under test, and of another zone. */
 struct zone_knowledge {
-    double message_ago_s; /* the leader before last received a message from "a" */
-    double written_ago_s; /* its ledger was written */
-    bool has_reported;    /* this leader has had a heartbeat from "a" */
-    bool has_other_reported;
+    double message_ago_s;    /* time since the previous leader's last message from "a" */
+    double written_ago_s;    /* time since the previous leader's ledger was written */
+    bool has_reported;       /* this leader has received a heartbeat from "a" */
+    bool has_other_reported; /* this leader has received a heartbeat from the other zone */
 };
 
 static cbor_item_t *make_ledger(const struct zone_knowledge *knowledge)
@@ -46,7 +47,7 @@
     return machine;
 }
 
-/* Marks what is to be terminated. Returns the state of a machine in "a" with a task. */
+/* Marks the machines to terminate. Returns the state of a machine in "a" that has a placement. */
 static enum pm_machine_state mark_silent_zone(const struct zone_knowledge *knowledge)
 {
     struct pm_spec spec = {
@@ -71,8 +72,8 @@
     return machine->state;
 }
 
-/* A leader that is elected while a zone is partitioned need not wait for a lease from its own
- * election, while half of all replicas are missed. */
+/* A leader that is elected while a zone is partitioned does not wait for a whole lease after its
+ * own election, during which half of all replicas would be missing. */
 static void zone_silent_for_a_lease_is_terminated(void **state)
 {
     (void)state;
@@ -93,7 +94,8 @@
     assert_int_equal(mark_silent_zone(&(struct zone_knowledge){46, 20, true, true}), PM_MACHINE_UP);
 }
 
-/* The ledger is old itself: a zone that was not silent then may have sent messages long after. */
+/* The ledger is old: it was written just after the zone's last message. The zone was not silent
+ * then, and may have sent messages long after that. */
 static void stale_ledger_is_ignored(void **state)
 {
     (void)state;
@@ -110,8 +112,8 @@
 
 /* ---- idle machines ---- */
 
-/* With many machines, those that idle are an excess; with few, the next job needs the machine that
- * the last one has left. */
+/* In a large fleet, idle machines are an excess. In a small one, the next job often needs the
+ * machine that the last job has left. */
 static void idle_timeout_is_shorter_with_many_machines(void **state)
 {
     (void)state;
@@ -124,9 +126,9 @@
 
 /* ---- machines in shards ---- */
 
-/* The worker of a machine in a shard reports to the shard's owner. What the leader last had from
- * it, an answer to a push after its last heartbeat, or pushes without an answer, means nothing any
- * more. */
+/* The worker of a machine in a shard reports to the shard's owner. The leader must not terminate
+ * the machine for what it saw of it earlier: an answer to a push after the last heartbeat, or
+ * pushes without an answer. */
 static void silence_of_a_machine_in_a_shard_is_judged_by_the_owner(void **state)
 {
     struct pm_machine *owned = pm_workers_add(workers, "i-000001");
--- a/src/autoscaler/tests/test_autoscaler_sizing.c
+++ b/src/autoscaler/tests/test_autoscaler_sizing.c
@@ -1,5 +1,5 @@
-/* What is rented for what waits: the cheapest kinds that fit, enough to meet deadlines, and no more
- * than the existing machines leave undone. */
+/* Tests which machines the sizing requests for waiting work: the cheapest kinds that fit, enough of
+ * them to meet deadlines, and none for work that existing machines can do. */
 #include "autoscaler_fixtures.h"
 
 #include <math.h>
@@ -20,7 +20,8 @@
     (void)state;
     /* The deadline leaves hardly more time than one run takes. */
     add_waiting_job("job-1", PM_WORKLOAD_ARRAY, 8, 4, 60, 120);
-    assert_int_equal(count_requested(SMALL_TYPE, true, &total), 4); /* two tasks each */
+    /* Two tasks fit on each machine. */
+    assert_int_equal(count_requested(SMALL_TYPE, true, &total), 4);
     assert_int_equal(total, 4);
 }
 
@@ -37,13 +38,13 @@
     set_up(state);
     add_waiting_job("job-1", PM_WORKLOAD_ARRAY, 8, 4, 20, 600);
     with_late_deadline = count_requested(SMALL_TYPE, true, &total);
-    assert_true(with_late_deadline >= 1); /* the tasks run one after the other there */
+    assert_true(with_late_deadline >= 1); /* the tasks run there one after the other */
     assert_true(with_late_deadline < with_early_deadline);
 }
 
 /* ---- best-effort jobs ---- */
 
-/* Feeds a best-effort array job without a deadline. */
+/* Adds a best-effort array job without a deadline. */
 static void add_best_effort_job(const char *id, uint32_t task_count)
 {
     struct pm_spec spec = {.zone = -1,
@@ -60,8 +61,8 @@
     fixture_feed(&tables, jobs, id, &spec, ++revision);
 }
 
-/* Best-effort jobs use idle capacity. Machines are rented for them only where a service-level
- * objective says how soon jobs of the class are to begin or to end. */
+/* Best-effort jobs use idle capacity. Machines are rented for them only if a service-level
+ * objective says how soon jobs of their class must begin or end. */
 static void best_effort_job_rents_only_with_an_objective(void **state)
 {
     int total;
@@ -79,7 +80,8 @@
     assert_true(total > 0);
 }
 
-/* In a deployment without any machine it gets one, or it would never begin. */
+/* In a deployment without any machine, one is rented for a best-effort job, which would otherwise
+ * never start. */
 static void best_effort_job_gets_the_first_machine(void **state)
 {
     int total;
@@ -92,8 +94,8 @@
 
 /* ---- services ---- */
 
-/* On a cold start no replica runs yet. The headroom for services is rented together with their own
- * machines, not once those are up. */
+/* On a cold start no replica runs yet. The headroom for services is rented together with the
+ * machines for their replicas, rather than after those are up. */
 static void headroom_counts_waiting_replicas(void **state)
 {
     int total;
@@ -114,10 +116,10 @@
     assert_int_equal(count_requested(LARGE_TYPE, true, &total), 0);
 }
 
-/* ---- machines that there are ---- */
+/* ---- existing machines ---- */
 
-/* There is much capacity, and none of it may run the job: without a machine of its own it would
- * wait for as long as the machines of its zone are in use. */
+/* All existing capacity is in another zone than the one that the job is bound to. A machine in the
+ * job's zone must be rented, or the job would have to wait until some machine there is free. */
 static void job_bound_to_a_zone_gets_a_machine_there(void **state)
 {
     struct pm_job *job;
@@ -137,7 +139,8 @@
     ((struct pm_spec *)job->spec)->zone = 1;
     assert_int_equal(count_requested(SMALL_TYPE, true, &total), 1);
     assert_int_equal(total, 1);
-    for (guint i = 0; i < 8; i++) /* with capacity in that zone, no more is rented */
+    /* With capacity in the job's zone, no further machine is rented. */
+    for (guint i = 0; i < 8; i++)
         ((struct pm_machine *)g_ptr_array_index(pm_workers_all(workers), 8 + i))->zone = 1;
     count_requested(SMALL_TYPE, true, &total);
     assert_int_equal(total, 0);
