--- a/src/cmd/pumicemount/leadership_events.c
+++ b/src/cmd/pumicemount/leadership_events.c
@@ -251,7 +251,7 @@
 struct pm_shards_hooks pm_controller_shards_hooks(struct pm_controller *controller)
 {
     return (struct pm_shards_hooks){
-        .changed = on_shards_changed,
+        .plan_due = on_shards_changed,
         .job_returned = on_job_returned,
         .machine_quarantined = on_machine_quarantined,
         .ownership_changed = on_shard_owned,
--- a/src/shards/adoption.c
+++ b/src/shards/adoption.c
@@ -1,4 +1,4 @@
-/* A new leader adopts the stored shards; one that steps down forgets them. */
+/* Adoption of the stored shards by a new leader, and the reset when a leader steps down. */
 #include "base/log.h"
 #include "shards/internal.h"
 
@@ -21,8 +21,8 @@
 
     if (!job || !job->spec)
         return;
-    pm_debug("shard.adopted", "job %s at %s, up to %u tasks at once", job->id, shard->owner_name,
-             stored->parallelism);
+    pm_debug("shard.adopted", "adopted job %s of owner %s: at most %u tasks at once", job->id,
+             shard->owner_name, stored->parallelism);
     job->delegated = true;
     job->parallelism = stored->parallelism;
     g_ptr_array_add(shard->target.jobs, job);
@@ -34,7 +34,7 @@
 
     pm_shard_reset(shard);
     shard->owner.request_in_flight = false;
-    shard->owner.last_response_at = now; /* it has the usual time to respond */
+    shard->owner.last_response_at = now; /* starts the usual timeout for its next response */
     shard->owner.requested_at = 0;
     shard->write.serial = stored->serial;
     g_strlcpy(shard->owner.incarnation_id, stored->incarnation_id,
@@ -42,15 +42,16 @@
     for (guint i = 0; i < stored->machines->len; i++)
         adopt_machine(shards, shard, g_array_index(stored->machines, int, i), now);
     if (stored->revision)
-        pm_info("shard.adopted", "%s as of revision %llu: %u machines, %u jobs", shard->owner_name,
-                (unsigned long long)stored->revision, stored->machines->len, stored->jobs->len);
+        pm_info("shard.adopted", "adopted the shard of %s at revision %llu: %u machines, %u jobs",
+                shard->owner_name, (unsigned long long)stored->revision, stored->machines->len,
+                stored->jobs->len);
     for (guint i = 0; i < stored->jobs->len; i++)
         adopt_job(shards, shard, &g_array_index(stored->jobs, struct pm_shard_stored_job, i));
 }
 
 void pm_shards_adopt(struct pm_shards *shards, double now)
 {
-    shards->is_leading = true;
+    shards->is_leader = true;
     shards->is_owner = false;
     shards->term++;
     for (int i = 0; i < shards->peer_count; i++)
@@ -59,7 +60,7 @@
 
 void pm_shards_step_down(struct pm_shards *shards)
 {
-    shards->is_leading = false;
+    shards->is_leader = false;
     shards->term++;
     for (int i = 0; i <= shards->peer_count; i++)
         pm_shard_reset(&shards->shard[i]);
--- a/src/shards/exchange.c
+++ b/src/shards/exchange.c
@@ -1,10 +1,11 @@
-/* The leader's exchange with the owners: for each shard in turn, the request that is due, and then
- * either its revocation or the write that is due. */
+/* The leader's exchange with the owners. For each shard in turn, the leader sends the request that
+ * is due, and then either revokes the shard or sends the write that is due. */
 #include "shards/internal.h"
 
-#define OWNER_TIMEOUT_S 2.4 /* an owner that does not respond for this long loses its shard */
+#define OWNER_TIMEOUT_S 2.4 /* the shard of an owner that is silent for this long is revoked */
 
-/* A machine that is terminated, or that vanished from the replica, leaves its shard. */
+/* Marks machines for removal from the shard that this controller no longer knows, because they were
+ * terminated or are missing from the replica. */
 static void remove_missing_machines(struct pm_shards *shards, struct pm_shard *shard)
 {
     for (guint i = 0; i < shard->target.machines->len; i++) {
@@ -23,13 +24,14 @@
     bool is_in_use = shard->target.machines->len || shard->target.jobs->len;
     bool is_timed_out = now - shard->owner.last_response_at > OWNER_TIMEOUT_S;
 
-    /* A revocation that has begun is retried until the key is known to be deleted, even if the
-     * owner responds again: an attempt with an unknown outcome may yet be applied. */
+    /* Retries a revocation that has begun until the key is known to be deleted, even if the owner
+     * responds again, because an attempt with an unknown outcome may still be applied. */
     if (shard->revocation.in_progress)
         pm_shard_revoke(shards, shard, "", now);
     else if (pm_shard_is_owner_replaced(shard))
-        pm_shard_revoke(shards, shard,
-                        "the owner restarted or resynchronized: it is a new incarnation", now);
+        pm_shard_revoke(
+            shards, shard,
+            "the owner restarted or resynchronized its replica, and is a new incarnation", now);
     else if (is_in_use && is_timed_out)
         pm_shard_revoke_unresponsive(shards, shard, now);
     else
@@ -38,7 +40,7 @@
 
 void pm_shards_exchange(struct pm_shards *shards, double now)
 {
-    if (!shards->is_leading || !pm_election_is_confirmed(shards->election, now))
+    if (!shards->is_leader || !pm_election_is_confirmed(shards->election, now))
         return;
     for (int i = 0; i < shards->peer_count; i++) {
         struct pm_shard *shard = &shards->shard[i];
@@ -46,8 +48,8 @@
         pm_shard_request_if_due(shards, shard, now);
         revoke_or_write(shards, shard, now);
     }
-    if (shards->has_unknown_launch) {
-        shards->has_unknown_launch = false;
+    if (shards->has_unknown_launch_outcome) {
+        shards->has_unknown_launch_outcome = false;
         pm_election_advance_epoch(shards->election, NULL, 0);
     }
 }
--- a/src/shards/internal.h
+++ b/src/shards/internal.h
@@ -1,4 +1,4 @@
-/* What the files of the shards slice share; no other slice includes it. */
+/* Declarations shared by the files of the shards module; no other module includes this header. */
 #ifndef PM_SHARDS_INTERNAL_H
 #define PM_SHARDS_INTERNAL_H
 
@@ -8,89 +8,96 @@
 
 #include <string.h>
 
-enum { PM_SHARD_INCARNATION_MAX = 24 }; /* of an incarnation id, with its NUL */
+enum { PM_SHARD_INCARNATION_MAX = 24 }; /* size of an incarnation id, including the NUL */
 
 enum { PM_SHARD_HTTP_OK = 200, PM_SHARD_HTTP_BAD_REQUEST = 400 };
 
-/* Ordered: a machine of a later state than PM_SHARD_MACHINE_OWNED is on its way back. */
+/* The states are ordered: a machine in a state after PM_SHARD_MACHINE_OWNED is being returned to
+ * the leader. */
 enum pm_shard_machine_state {
-    PM_SHARD_MACHINE_ADDING,   /* assigned, but no write that lists it is known to be durable */
-    PM_SHARD_MACHINE_OWNED,    /* in the stored shard */
+    PM_SHARD_MACHINE_ADDING,   /* assigned; no write that lists it is known to be durable yet */
+    PM_SHARD_MACHINE_OWNED,    /* listed in the stored shard */
     PM_SHARD_MACHINE_REVOKING, /* the owner is asked to drain it */
-    PM_SHARD_MACHINE_REMOVING  /* drained: the leader's once a write without it is durable */
+    PM_SHARD_MACHINE_REMOVING  /* drained or missing; returned once a write without it is durable */
 };
 
-/* A machine of a shard, as the leader wants it. */
+/* A machine of a shard's target. */
 struct pm_shard_machine {
-    int index; /* of the machine */
+    int index; /* dense index of the machine in the workers module */
     enum pm_shard_machine_state state;
-    bool preempt;          /* while it is being revoked: the owner is to stop its tasks */
-    uint64_t write_serial; /* of the write that adds or removes it, 0: not written yet */
-    double idle_since;     /* monotonic: without tasks on it or to come, 0: it has some */
+    bool preempt;          /* during revocation the owner must preempt the machine's tasks */
+    uint64_t write_serial; /* serial of the write that adds or removes it; 0 before that write */
+    double idle_since;     /* monotonic time since when no task runs or is due there; 0 if one is */
 };
 
-/* A job of a shard, as the state service has it. */
+/* A job of a stored shard. */
 struct pm_shard_stored_job {
     char id[PM_ID_MAX];
-    uint32_t parallelism;
+    uint32_t parallelism; /* how many of its tasks may run at once */
 };
 
-/* A machine of a shard, as the state service has it, without its name. */
+/* A machine of a stored shard, without its name. */
 struct pm_shard_stored_machine {
     char endpoint[64];
-    int type, zone; /* -1: unknown */
+    int type, zone; /* dense indices; -1 if unknown */
     bool spot;
-    uint64_t incarnation; /* of its worker */
+    uint64_t incarnation; /* incarnation of its worker */
 };
 
-/* A shard as the replica has it. Written by shards.c and by the codec, shard_value.c. */
+/* The shard in the replica. Written by shards.c and by the codec, shard_value.c. */
 struct pm_shard_stored {
-    uint64_t revision; /* 0: there is no such key */
-    uint64_t serial;
-    char incarnation_id[PM_SHARD_INCARNATION_MAX]; /* of the owner that it was assigned to */
-    GArray *machines;                              /* of int: machine indices */
-    GArray *jobs;                                  /* of struct pm_shard_stored_job */
+    uint64_t revision; /* revision of the shard's key; 0 if the key does not exist */
+    uint64_t serial;   /* serial of the write that stored it */
+    char incarnation_id[PM_SHARD_INCARNATION_MAX]; /* the owner's, when it was assigned the shard */
+    GArray *machines;                              /* array of int: machine indices */
+    GArray *jobs;                                  /* array of struct pm_shard_stored_job */
 };
 
-/* A shard as the leader wants it. Written by the assignment and, on a response, owner_request.c. */
+/* The shard's desired state, which the leader writes to the state service. The leader's plan and
+ * the owner's responses change it. */
 struct pm_shard_target {
-    GArray *machines; /* of struct pm_shard_machine */
-    GPtrArray *jobs;  /* of struct pm_job, borrowed */
-    bool needs_write; /* differs from what was last written */
+    GArray *machines; /* array of struct pm_shard_machine */
+    GPtrArray *jobs;  /* array of struct pm_job, borrowed from the jobs module */
+    bool needs_write; /* the target has changed since the last write */
 };
 
-/* The leader's writes of a shard. Written by shard_write.c. */
+/* State of the leader's writes of a shard. Written by shard_write.c. */
 struct pm_shard_write {
     bool in_flight;
-    uint64_t serial;   /* of the last write */
-    uint64_t revision; /* that the last write made; the replica may not have it yet */
-    /* The epoch of a write with an unknown outcome, which may yet be applied; 0: there is none. */
+    uint64_t serial;   /* serial of the last write */
+    uint64_t revision; /* revision of the last durable write; the replica may not have it yet */
+    /* Epoch of a write whose outcome is unknown, so that it may still be applied; 0 if there is no
+     * such write. */
     uint64_t unknown_outcome_epoch;
-    /* Monotonic: the last write was sent; later than that after a rejection, to delay the next. */
+    /* Monotonic time at which the last write was sent. After a rejection it is set to a time in the
+     * future, which delays the next write. */
     double sent_at;
 };
 
-/* The owner, as its responses to the leader show it. Written by owner_request.c. */
+/* What the leader knows of the owner from its responses. Written by owner_request.c. */
 struct pm_shard_owner {
-    char incarnation_id[PM_SHARD_INCARNATION_MAX]; /* "": not known yet */
-    bool is_ready;                                 /* it serves, and may own machines */
+    char incarnation_id[PM_SHARD_INCARNATION_MAX]; /* empty until it is known */
+    bool is_ready;                                 /* it may be assigned machines and jobs */
     bool request_in_flight;
-    double requested_at;     /* monotonic; 0: a request is due at once */
-    double last_response_at; /* monotonic: it last responded, while it reached its workers */
+    double requested_at; /* monotonic time of the last request; 0 if one is due at once */
+    /* Monotonic time of the last response in which the owner does not report its workers as
+     * unreachable. */
+    double last_response_at;
 };
 
-/* Deletion of a shard whose owner is lost. Written by revocation.c and shards.c. */
+/* Revocation of a shard whose owner is lost, by deletion of its key. Written by revocation.c and
+ * shards.c. */
 struct pm_shard_revocation {
     bool in_progress;
-    bool deleted;        /* the replica has the deletion of the key */
-    double requested_at; /* monotonic */
+    bool deleted;        /* the replica shows that the key is deleted, or it was never written */
+    double requested_at; /* monotonic time of the last attempt to delete the key */
 };
 
 struct pm_shard {
-    const char *owner_name; /* of the controller, borrowed from the settings */
+    const char *owner_name; /* the owning controller's name, borrowed from the settings */
     char key[PM_NAME_MAX + 8];
     struct pm_shard_stored stored;
-    /* On the leader alone. */
+    /* The members below are used only on the leader. */
     struct pm_shard_target target;
     struct pm_shard_write write;
     struct pm_shard_owner owner;
@@ -107,35 +114,39 @@
     struct pm_election *election;
     struct pm_shards_hooks hooks;
     int peer_count;
-    struct pm_shard shard[PM_PEERS_MAX + 1]; /* the peers', then this controller's */
-    bool is_leading;
-    uint64_t term; /* counts elections and step-downs: results from an earlier one are dropped */
-    bool has_unknown_launch; /* a launch of an owner had an unknown outcome: advance the epoch */
-    /* This controller's working state as an owner: another id after each loss of that state. */
+    struct pm_shard shard[PM_PEERS_MAX + 1]; /* the peers' shards, then this controller's own */
+    bool is_leader;
+    /* Number of elections and step-downs. A result of a write or request from an earlier term is
+     * ignored. */
+    uint64_t term;
+    /* An owner reports a launch whose outcome is unknown: the epoch must advance. */
+    bool has_unknown_launch_outcome;
+    /* Identifies this controller's working state as an owner; changes when that state is lost. */
     char incarnation_id[PM_SHARD_INCARNATION_MAX];
-    bool is_owner; /* not leading, and this controller's shard has machines or jobs */
+    bool is_owner; /* this controller does not lead, and its shard has machines or jobs */
 };
 
-/* The revision that the shard's key has by now, as far as this controller knows; 0: no key. */
+/* Returns the latest known revision of the shard's key, or 0 if the key does not exist. */
 static inline uint64_t pm_shard_revision(const struct pm_shard *shard)
 {
     return MAX(shard->stored.revision, shard->write.revision);
 }
 
-/* This controller's own shard. */
-static inline struct pm_shard *pm_shards_own(struct pm_shards *shards)
+/* Returns the shard that this controller is the owner of. */
+static inline struct pm_shard *pm_shards_own_shard(struct pm_shards *shards)
 {
     return &shards->shard[shards->peer_count];
 }
 
-/* A machine of the target, by its position; valid until the list changes. */
+/* Returns a machine of the target by its position. The pointer is valid until the list changes. */
 static inline struct pm_shard_machine *pm_shard_machine_at(const struct pm_shard *shard,
                                                            guint position)
 {
     return &g_array_index(shard->target.machines, struct pm_shard_machine, position);
 }
 
-/* Whether the stored shard was assigned to an earlier incarnation of its owner. */
+/* Whether the stored shard was assigned to another incarnation of its owner than the one that last
+ * responded. False while the replica lacks the leader's last write of the shard. */
 static inline bool pm_shard_is_owner_replaced(const struct pm_shard *shard)
 {
     return shard->stored.revision && shard->stored.revision >= shard->write.revision &&
@@ -143,7 +154,7 @@
            strcmp(shard->owner.incarnation_id, shard->stored.incarnation_id) != 0;
 }
 
-/* How many tasks of the job fit into the capacity. */
+/* Returns how many tasks of that spec fit into the capacity. */
 static inline uint32_t pm_shard_tasks_that_fit(const struct pm_machine_capacity *capacity,
                                                const struct pm_spec *spec)
 {
@@ -152,84 +163,92 @@
 
 /* job_assignment.c */
 
-/* Whether the owner may be given anything: it is ready, and responded shortly before `now`. */
+/* Whether jobs and machines may be assigned to the owner at `now`: it is ready, has responded
+ * recently, and its shard is not being revoked. */
 bool pm_shard_is_owner_available(const struct pm_shard *shard, double now);
-/* Whether the shard's value stays below the size limit with one more job and so many machines. */
+/* Whether the shard's value stays below the size limit when one job and `machine_count` machines
+ * are added. */
 bool pm_shard_has_value_space(const struct pm_shards *shards, const struct pm_shard *shard,
                               unsigned machine_count);
 
-/* machine_revocation.c; `used` holds, by machine index, whether a waiting task is to run there. */
+/* machine_revocation.c. `is_reserved` tells, by machine index, whether capacity on the machine is
+ * reserved for a waiting task. */
 
-/* Whether a machine is being revoked whose tasks are to be preempted. */
-bool pm_shards_is_preempting(const struct pm_shards *shards);
-/* Revokes machines that run only work beyond its team's guarantee, until `task_count` tasks of the
- * job, which are within their team's, have capacity. */
+/* Whether any machine is being revoked with preemption of its tasks. */
+bool pm_shards_has_preempting_revocation(const struct pm_shards *shards);
+/* Revokes machines that run only work beyond its teams' guarantees, until `task_count` tasks of the
+ * job, which are within the guarantee of the job's team, have capacity. */
 void pm_shards_revoke_for_guarantee(struct pm_shards *shards, const struct pm_job *job,
-                                    uint32_t task_count, const bool *used);
-/* Revokes machines that have been idle for a while; `task_counts` by machine index. */
+                                    uint32_t task_count, const bool *is_reserved);
+/* Revokes machines that have been idle for some time. `task_counts` holds the number of placed
+ * tasks by machine index. */
 void pm_shards_revoke_idle_machines(struct pm_shards *shards, const uint32_t *task_counts,
-                                    const bool *used, double now);
+                                    const bool *is_reserved, double now);
 
 /* revocation.c */
 
-/* Deletes the shard's key from an owner that is lost and advances the epoch with it. Does nothing
- * while a write is in flight, shortly after the last attempt, or when there is no key. */
+/* Revokes the shard of a lost owner: deletes its key and advances the epoch in one transaction.
+ * Does nothing while a write is in flight, shortly after the last attempt, or if the key does not
+ * exist. `reason` is logged with the first attempt. */
 void pm_shard_revoke(struct pm_shards *shards, struct pm_shard *shard, const char *reason,
                      double now);
-/* Revokes the shard of an owner that stopped responding, or, when it was never written, returns its
- * machines and jobs to the leader. */
+/* Revokes the shard of an owner that stopped responding. If the shard was never written, returns
+ * its machines and jobs to the leader without a transaction. */
 void pm_shard_revoke_unresponsive(struct pm_shards *shards, struct pm_shard *shard, double now);
-/* Returns the machines and jobs of all shards whose deletion is in the replica to the leader. */
+/* Returns the machines and jobs of each revoked shard to the leader, once the replica shows that
+ * the shard's key is deleted. */
 void pm_shards_reclaim_revoked(struct pm_shards *shards);
-/* Forgets what the leader wanted the shard to be, and its writes. */
+/* Discards the shard's target, and the state of its writes and of its revocation. */
 void pm_shard_reset(struct pm_shard *shard);
 
 /* shard_value.c: the stored value */
 
-/* Reads the value, which may come from anyone: what is malformed is left out. Interns the names of
- * the machines. Keeps the revision, and the serial when the value has none. */
+/* Decodes an untrusted value into `stored`; malformed parts are skipped. Interns the machines'
+ * names. Leaves the revision unchanged, and also the serial if the value has none. */
 void pm_shard_value_decode(struct pm_name_tables *tables, const cbor_item_t *value,
                            struct pm_shard_stored *stored);
-/* The list of the value's machines, borrowed; NULL: it has none. */
+/* Returns the value's list of machines, borrowed, or NULL if the value has none. */
 const cbor_item_t *pm_shard_value_machines(const cbor_item_t *value);
-/* Reads the name of one of them; false when malformed. */
+/* Decodes the name of one machine of that list. Returns false if it is malformed. */
 bool pm_shard_value_machine_name(const cbor_item_t *machine, char name[PM_NAME_MAX]);
-/* Reads the rest of it; what is absent or unknown has its default. */
+/* Decodes the other fields of one machine of that list. An absent or unknown field is set to its
+ * default. */
 void pm_shard_value_decode_machine(const struct pm_name_tables *tables, const cbor_item_t *machine,
                                    struct pm_shard_stored_machine *out);
-/* Writes the shard as the leader wants it, without the machines that are being removed. */
+/* Appends the encoded target of the shard to `out`, without the machines that are being removed. */
 void pm_shard_value_encode(const struct pm_shards *shards, const struct pm_shard *shard,
                            struct pm_buffer *out);
 
 /* shard_message.c: the messages between the leader and the owners */
 
-/* The encoded message, owned by the caller (g_free); never NULL. */
+/* Returns the encoded message, which the caller frees with g_free. Never returns NULL. */
 unsigned char *pm_shard_message_pack(const ProtobufCMessage *message, size_t *size);
-/* Appends the name, borrowed, to a repeated field; the caller frees the list (g_free). */
+/* Appends a borrowed name to a repeated field. The caller frees the list with g_free. */
 void pm_shard_message_add_name(char ***names, size_t *count, const char *name);
-/* Whether a repeated field has the name. */
+/* Whether a repeated field contains the name. */
 bool pm_shard_message_has_name(char *const *names, size_t count, const char *name);
 
 /* shard_write.c */
 
-/* Writes the shard if it needs it, unless a write is in flight, one was sent just before, or the
- * write budget is used up. */
+/* Writes the shard if its target has changed, unless a write is in flight or was sent very
+ * recently, or the write budget is used up. */
 void pm_shard_write_if_due(struct pm_shards *shards, struct pm_shard *shard, double now);
 
 /* owner_request.c */
 
-/* Sends the owner a request if one is due and none is in flight; the response is applied when it
- * arrives, and followed by pm_shards_exchange. */
+/* Sends the owner a request if one is due and none is in flight. When the response arrives, it is
+ * applied and pm_shards_exchange is called. */
 void pm_shard_request_if_due(struct pm_shards *shards, struct pm_shard *shard, double now);
 
 /* ownership.c */
 
-/* Owner: the stored shard, just decoded from `value`, is this controller's to use. Adds its
- * machines to the workers, and removes those that are not listed. */
-void pm_shards_adopt_owned(struct pm_shards *shards, const cbor_item_t *value, double now);
-/* Owner: applies the shard's jobs to those that the replica has by now. */
-void pm_shards_adopt_owned_jobs(struct pm_shards *shards);
-/* Owner: this controller has no shard any more. */
-void pm_shards_give_up_owned(struct pm_shards *shards);
+/* On an owner: applies the stored shard, just decoded from `value`, which this controller may use.
+ * Adds the shard's machines to the workers module, and removes machines that are not listed. */
+void pm_shards_apply_ownership(struct pm_shards *shards, const cbor_item_t *value, double now);
+/* On an owner: makes those of the shard's jobs that the replica already has this controller's to
+ * place, with their stored parallelism. */
+void pm_shards_apply_owned_jobs(struct pm_shards *shards);
+/* On an owner: ends this controller's use of its shard, which it has lost or given up. */
+void pm_shards_end_ownership(struct pm_shards *shards);
 
 #endif
--- a/src/shards/job_assignment.c
+++ b/src/shards/job_assignment.c
@@ -1,19 +1,20 @@
-/* The leader assigns array jobs to owners. Decisions alone: no I/O, the time is an argument. */
+/* Assignment of array jobs to owners by the leader. Does no I/O; the time is an argument. */
 #include "base/log.h"
 #include "shards/internal.h"
 #include "workers/failures.h"
 
-#define MAX_RESPONSE_AGE_S 1.6 /* how old an owner's response may be to assign anything to it */
-/* Of a team's limits, no assignment uses this share: what an owner has is not available to the
- * team's services until it is done. */
+/* Nothing is assigned to an owner whose last response is older than this. */
+#define MAX_RESPONSE_AGE_S 1.6
+/* Share of a team's quota that assignments leave unused, because the quota of an assigned job is
+ * not available to the team's services until the job is done. */
 #define QUOTA_RESERVE_SHARE 0.25
 
-/* Upper bounds of what the parts of a shard's value count for, in bytes of JSON. */
+/* Upper bounds for the sizes, in bytes of JSON, of the parts of a shard's value. */
 enum {
     VALUE_BASE_BYTES = 100,
     VALUE_MACHINE_BYTES = 150,
     VALUE_JOB_BYTES = 44,
-    VALUE_MARGIN_BYTES = 50, /* kept free for one more job */
+    VALUE_MARGIN_BYTES = 50, /* space kept free for one more job */
     BYTES_PER_KB = 1024
 };
 
@@ -41,7 +42,7 @@
     return size < shards->tables->settings->store_value_kb * BYTES_PER_KB;
 }
 
-/* Work that the owner of a shard can place by itself: an array on spot machines, of ordinary
+/* Whether an owner can place the job without the leader: an array on spot machines, of ordinary
  * priority, whose tasks do not depend on one another's zone. */
 static bool has_delegable_spec(const struct pm_job *job)
 {
@@ -52,7 +53,8 @@
            job->priority != PM_PRIORITY_BEST_EFFORT;
 }
 
-/* Whether the job may be assigned: none of it has been placed or done by the leader. */
+/* Whether the job may be assigned to an owner: it is live, not failing, has no unmet dependencies,
+ * and none of its tasks has been placed or done by the leader. */
 static bool is_delegable(const struct pm_job *job)
 {
     return job->state == PM_JOB_LIVE && has_delegable_spec(job) && !job->dependencies.unmet &&
@@ -60,7 +62,7 @@
            !job->work.done_count && !job->write_back.attempted;
 }
 
-/* Processors that the tasks of the shard's jobs ask for. */
+/* Returns the number of processors that all tasks of the shard's live jobs request. */
 static double assigned_cpus(const struct pm_shard *shard)
 {
     double cpus = 0;
@@ -76,21 +78,23 @@
 static void raise_parallelism(struct pm_shards *shards, struct pm_shard *shard, struct pm_job *job)
 {
     uint32_t leasable;
-    uint32_t more;
+    uint32_t added_tasks;
 
     if (!job->spec || job->state != PM_JOB_LIVE || job->parallelism >= job->task_count)
         return;
     leasable = pm_scheduler_leasable_tasks(shards->scheduler, job->spec, QUOTA_RESERVE_SHARE);
-    more = MIN(leasable, job->task_count - job->parallelism);
-    if (!more)
+    added_tasks = MIN(leasable, job->task_count - job->parallelism);
+    if (!added_tasks)
         return;
-    job->parallelism += more;
-    pm_scheduler_charge_lease(shards->scheduler, job->spec, more);
+    job->parallelism += added_tasks;
+    pm_scheduler_charge_lease(shards->scheduler, job->spec, added_tasks);
     shard->target.needs_write = true;
-    pm_debug("shard.parallelism_raised", "%s to %u", job->id, job->parallelism);
+    pm_debug("shard.parallelism_raised", "raised job %s to at most %u tasks at once", job->id,
+             job->parallelism);
 }
 
-/* A job that its team's limit kept below its full parallelism gets more as the limit allows. */
+/* Raises the parallelism of assigned jobs that a team's quota has kept low, as far as the quota now
+ * allows. */
 static void raise_all_parallelism(struct pm_shards *shards)
 {
     for (int i = 0; i < shards->peer_count; i++) {
@@ -100,14 +104,14 @@
     }
 }
 
-/* The leader's idle machines, and which of them an earlier job of this plan counts on. */
+/* The leader's idle machines, and which of them are reserved for an earlier job of this plan. */
 struct idle_machines {
-    const GPtrArray *machines; /* of struct pm_machine */
-    bool *is_reserved;
+    const GPtrArray *machines; /* array of struct pm_machine */
+    bool *is_reserved;         /* by position in `machines` */
 };
 
-/* Reserves idle machines for as many tasks as the job may run at once. Returns how many of them
- * fit, and how many machines that takes. */
+/* Reserves idle machines for the tasks that the job may run at once. Returns how many tasks fit on
+ * the reserved machines, whose number is stored in `machine_count`. */
 static uint32_t reserve_idle_machines(struct pm_shards *shards, const struct pm_job *job,
                                       struct idle_machines *idle, unsigned *machine_count,
                                       double now)
@@ -127,7 +131,8 @@
     return tasks;
 }
 
-/* The available owner with the least work whose value has space for the job and its machines. */
+/* Returns the shard with the fewest assigned processors, of those whose owner is available and
+ * whose value has space for the job and its machines. Returns NULL if there is none. */
 static struct pm_shard *pick_shard(struct pm_shards *shards, unsigned machine_count, double now)
 {
     struct pm_shard *best = NULL;
@@ -143,9 +148,10 @@
     return best;
 }
 
-/* Assigns the job if idle machines have capacity for all of it that may run at once. One that has
- * to be squeezed in between others stays with the leader, which sees all capacity. What may run at
- * once counts against the team's limit as long as the job is assigned. */
+/* Assigns the job to an owner if idle machines have capacity for all tasks that may run at once.
+ * Otherwise the leader keeps the job, because the tasks would have to share machines with others,
+ * and only the leader sees all free capacity. While the job is assigned, its full parallelism
+ * counts against its team's quota. */
 static void assign_job(struct pm_shards *shards, struct pm_job *job, struct idle_machines *idle,
                        double now)
 {
@@ -166,7 +172,8 @@
     pm_scheduler_charge_lease(shards->scheduler, job->spec, job->parallelism);
     g_ptr_array_add(shard->target.jobs, job);
     shard->target.needs_write = true;
-    pm_debug("shard.job_assigned", "%s of team %s to %s, up to %u tasks at once", job->id,
+    pm_debug("shard.job_assigned",
+             "assigned job %s of team %s to owner %s: at most %u tasks at once", job->id,
              shards->tables->settings->teams[job->spec->team].name, shard->owner_name,
              job->parallelism);
 }
--- a/src/shards/machine_assignment.c
+++ b/src/shards/machine_assignment.c
@@ -1,24 +1,24 @@
-/* The leader assigns idle machines to the jobs of owners, as far as the machines that these own
- * already do not suffice. Decisions alone: no I/O, the time is an argument. */
+/* Assignment of idle machines to owners by the leader, for tasks that do not fit on the machines
+ * that the owners already have. Does no I/O; the time is an argument. */
 #include "base/log.h"
 #include "shards/internal.h"
 #include "workers/failures.h"
 
-/* A job of a shard, and how many of its tasks could run now if they had capacity. */
+/* A job of a shard, and how many of its tasks could run now if there were capacity for them. */
 struct waiting_job {
     struct pm_job *job;
     struct pm_shard *shard;
     uint32_t tasks;
 };
 
-/* One plan's view of the machines; the arrays go by machine index. */
+/* State of one plan. The arrays of machines are by machine index. */
 struct machine_plan {
     struct pm_shards *shards;
     double now;
-    struct pm_machine_capacity *free; /* of owned machines: not used, and not counted on yet */
-    uint32_t *task_counts;            /* tasks of owners' jobs, as the replica has them */
-    bool *used;                       /* a waiting task is to run there */
-    struct waiting_job *waiting;      /* in the order of the ranking */
+    struct pm_machine_capacity *free; /* capacity of owned machines, neither used nor reserved */
+    uint32_t *task_counts;            /* number of placed tasks of owners' jobs in the replica */
+    bool *is_reserved;                /* capacity is reserved for a waiting task */
+    struct waiting_job *waiting;      /* in rank order */
     guint waiting_count;
 };
 
@@ -56,7 +56,8 @@
     }
 }
 
-/* Capacity of the machines that the owners have, less what the replica says is placed there. */
+/* Computes the free capacity of the owners' machines: their whole capacity less that of the tasks
+ * that are placed there according to the replica. */
 static void find_free_capacity(struct machine_plan *plan)
 {
     const GPtrArray *machines = pm_workers_all(plan->shards->workers);
@@ -73,7 +74,7 @@
     }
 }
 
-/* Live jobs of all owners, ranked; owned by the caller. */
+/* Returns the live jobs of all owners in rank order. The caller frees the array. */
 static GPtrArray *rank_jobs(struct pm_shards *shards)
 {
     GPtrArray *queue = g_ptr_array_new();
@@ -90,7 +91,7 @@
     return queue;
 }
 
-/* The shard that the job is assigned to, which it must have. */
+/* Returns the shard that the job is assigned to. The job must be assigned. */
 static struct pm_shard *shard_of_job(struct pm_shards *shards, const struct pm_job *job)
 {
     for (int i = 0; i < shards->peer_count; i++)
@@ -99,8 +100,8 @@
     g_assert_not_reached();
 }
 
-/* Tasks of the job that are not placed and that its parallelism allows. */
-static uint32_t waiting_tasks(const struct pm_job *job)
+/* Returns how many tasks of the job are not placed yet and may run now within its parallelism. */
+static uint32_t count_waiting_tasks(const struct pm_job *job)
 {
     uint32_t done;
     uint32_t placed;
@@ -110,12 +111,12 @@
     pm_job_count_tasks(job, &done, &placed);
     left = job->task_count - MIN(job->task_count, done + placed);
     allowed = job->parallelism - MIN(job->parallelism, placed);
-    if (pm_failures_is_job_failing(job)) /* its owner tries it with one task at a time */
+    if (pm_failures_is_job_failing(job)) /* its owner runs one task of it at a time */
         allowed = placed ? 0 : MIN(allowed, 1);
     return MIN(left, allowed);
 }
 
-/* Reserves capacity on one machine for the job's waiting tasks. */
+/* Reserves capacity on one machine for as many of the job's waiting tasks as fit there. */
 static void reserve_capacity(struct machine_plan *plan, struct waiting_job *waiting, int index)
 {
     struct pm_machine_capacity *free_capacity = &plan->free[index];
@@ -124,7 +125,7 @@
 
     subtract_tasks(free_capacity, waiting->job->spec, tasks);
     waiting->tasks -= tasks;
-    plan->used[index] |= tasks > 0;
+    plan->is_reserved[index] |= tasks > 0;
 }
 
 /* Whether the job's owner may place tasks on this machine of its shard. */
@@ -138,6 +139,7 @@
                                            machine->spot);
 }
 
+/* Reserves capacity on the machines that the job's owner already has. */
 static void use_owned_machines(struct machine_plan *plan, struct waiting_job *waiting)
 {
     const struct pm_shard *shard = waiting->shard;
@@ -158,10 +160,11 @@
     machine->shard.owner = (int)(shard - plan->shards->shard) + 1;
     plan->free[machine->index] = machine->free;
     reserve_capacity(plan, waiting, machine->index);
-    plan->used[machine->index] = true;
+    plan->is_reserved[machine->index] = true;
     g_array_append_val(shard->target.machines, entry);
     shard->target.needs_write = true;
-    pm_debug("shard.machine_assigned", "%s to %s", machine->name, shard->owner_name);
+    pm_debug("shard.machine_assigned", "assigned machine %s to owner %s", machine->name,
+             shard->owner_name);
 }
 
 static void assign_idle_machines(struct machine_plan *plan, struct waiting_job *waiting)
@@ -183,25 +186,26 @@
     for (guint i = 0; i < queue->len; i++) {
         struct pm_job *job = g_ptr_array_index(queue, i);
         plan->waiting[i] =
-            (struct waiting_job){job, shard_of_job(plan->shards, job), waiting_tasks(job)};
+            (struct waiting_job){job, shard_of_job(plan->shards, job), count_waiting_tasks(job)};
         use_owned_machines(plan, &plan->waiting[i]);
     }
 }
 
-/* Assigns machines for at most `tasks` of the waiting ones. Returns how many of these still wait.
- */
+/* Assigns idle machines for `tasks` of the job's waiting tasks. Returns how many of these tasks
+ * still lack capacity. */
 static uint32_t assign_for_tasks(struct machine_plan *plan, struct waiting_job *waiting,
                                  uint32_t tasks)
 {
-    struct waiting_job part = {waiting->job, waiting->shard, tasks};
+    struct waiting_job limited = {waiting->job, waiting->shard, tasks};
 
-    assign_idle_machines(plan, &part);
-    waiting->tasks -= tasks - part.tasks;
-    return part.tasks;
+    assign_idle_machines(plan, &limited);
+    waiting->tasks -= tasks - limited.tasks;
+    return limited.tasks;
 }
 
-/* First pass, in the order of the ranking: tasks within their team's guarantee. Owned machines are
- * revoked for them where idle ones do not suffice, unless earlier ones are still on their way. */
+/* First pass, in rank order: assigns machines for tasks within their team's guarantee. If the idle
+ * machines do not suffice and `may_revoke` is set, revokes machines from owners. It is not set
+ * while machines from earlier revocations with preemption are still being returned. */
 static void assign_within_guarantee(struct machine_plan *plan, bool may_revoke)
 {
     struct pm_shards *shards = plan->shards;
@@ -215,11 +219,11 @@
         guaranteed = pm_scheduler_tasks_within_guarantee(shards->scheduler, waiting->job);
         missing = assign_for_tasks(plan, waiting, MIN(waiting->tasks, guaranteed));
         if (missing && may_revoke)
-            pm_shards_revoke_for_guarantee(shards, waiting->job, missing, plan->used);
+            pm_shards_revoke_for_guarantee(shards, waiting->job, missing, plan->is_reserved);
     }
 }
 
-/* Second pass: all others. */
+/* Second pass, in rank order: assigns machines for all other waiting tasks. */
 static void assign_beyond_guarantee(struct machine_plan *plan)
 {
     for (guint i = 0; i < plan->waiting_count; i++)
@@ -240,12 +244,12 @@
 {
     guint machine_count = pm_workers_all(shards->workers)->len;
     struct machine_plan plan = {.shards = shards, .now = now};
-    bool may_revoke = !pm_shards_is_preempting(shards);
+    bool may_revoke = !pm_shards_has_preempting_revocation(shards);
     GPtrArray *queue;
 
     plan.free = g_new0(struct pm_machine_capacity, machine_count + 1);
     plan.task_counts = g_new0(uint32_t, machine_count + 1);
-    plan.used = g_new0(bool, machine_count + 1);
+    plan.is_reserved = g_new0(bool, machine_count + 1);
     find_free_capacity(&plan);
     pm_scheduler_find_idle_machines(shards->scheduler, pm_election_epoch(shards->election), now);
     queue = rank_jobs(shards);
@@ -253,10 +257,10 @@
     assign_within_guarantee(&plan, may_revoke);
     assign_beyond_guarantee(&plan);
     add_unmet_demand(&plan);
-    pm_shards_revoke_idle_machines(shards, plan.task_counts, plan.used, now);
+    pm_shards_revoke_idle_machines(shards, plan.task_counts, plan.is_reserved, now);
     g_ptr_array_free(queue, TRUE);
     g_free(plan.waiting);
-    g_free(plan.used);
+    g_free(plan.is_reserved);
     g_free(plan.task_counts);
     g_free(plan.free);
 }
--- a/src/shards/owner_request.c
+++ b/src/shards/owner_request.c
@@ -1,17 +1,19 @@
-/* The leader's requests to the owners, POST /block, and what their responses change. */
+/* The leader's requests to the owners, POST /block, and the handling of their responses. */
 #include "base/clock.h"
 #include "shard.pb-c.h"
 #include "shards/internal.h"
 #include "workers/failures.h"
 
-#define REQUEST_TIMEOUT_S 0.8         /* a response counts only within this */
-#define ACTIVE_REQUEST_INTERVAL_S 0.4 /* to an owner that has machines or jobs */
-#define IDLE_REQUEST_INTERVAL_S 1.0   /* to one that has none */
-#define SILENCE_GAP_S 2.0 /* a machine reported again after longer was reachable in between */
+#define REQUEST_TIMEOUT_S 0.8         /* a request fails after this; a later response is ignored */
+#define ACTIVE_REQUEST_INTERVAL_S 0.4 /* requests to an owner with machines or jobs */
+#define IDLE_REQUEST_INTERVAL_S 1.0   /* requests to an owner without machines and jobs */
+/* Two reports of a machine as unreachable that are further apart than this do not belong to the
+ * same silence: the machine was reachable in between. */
+#define SILENCE_REPORT_GAP_S 2.0
 
 enum { RESPONSE_BYTES_MAX = 64 * 1024 };
 
-/* One request in flight. Freed when it ends. */
+/* Context of one request in flight; freed by its completion callback. */
 struct owner_request {
     struct pm_shards *shards;
     struct pm_shard *shard;
@@ -29,7 +31,7 @@
     return NULL;
 }
 
-/* Drained machines are removed from the shard by its next write. */
+/* Marks drained machines for removal from the shard by its next write. */
 static void apply_drained(struct pm_shards *shards, struct pm_shard *shard,
                           const Pm__ShardResponse *response)
 {
@@ -66,13 +68,13 @@
         double now = pm_clock_monotonic();
         if (!machine || !machine->shard.owner)
             continue;
-        if (now - machine->shard.reported_silent_at > SILENCE_GAP_S)
+        if (now - machine->shard.reported_silent_at > SILENCE_REPORT_GAP_S)
             machine->shard.silent_since = now;
         machine->shard.reported_silent_at = now;
     }
 }
 
-/* Which jobs of the shard the owner finds failing, and which no more. */
+/* Records which jobs of the shard the owner reports as failing, and clears all others. */
 static void apply_failing(struct pm_shard *shard, const Pm__ShardResponse *response, double now)
 {
     for (guint i = 0; i < shard->target.jobs->len; i++) {
@@ -91,7 +93,7 @@
 
     g_strlcpy(owner->incarnation_id, response->incarnation_id, sizeof owner->incarnation_id);
     owner->is_ready = response->ready;
-    shards->has_unknown_launch |= response->launch_outcome_unknown;
+    shards->has_unknown_launch_outcome |= response->launch_outcome_unknown;
     if (!response->workers_unreachable)
         owner->last_response_at = pm_clock_monotonic();
     apply_drained(shards, shard, response);
@@ -105,7 +107,7 @@
     struct owner_request *request = arg;
     struct pm_shards *shards = request->shards;
     struct pm_shard *shard = request->shard;
-    bool is_current = shards->is_leading && shards->term == request->term;
+    bool is_current = shards->is_leader && shards->term == request->term;
     Pm__ShardResponse *response = NULL;
 
     g_free(request);
@@ -121,7 +123,8 @@
     pm_shards_exchange(shards, pm_clock_monotonic());
 }
 
-/* Names the machines to revoke, in lists that have space for all of the shard's. */
+/* Adds to the message the names of the machines that the owner must drain, and of those on which it
+ * must preempt all tasks. The message's lists must have space for all machines of the shard. */
 static void add_revoking(const struct pm_shards *shards, const struct pm_shard *shard,
                          Pm__ShardRequest *message)
 {
--- a/src/shards/owner_response.c
+++ b/src/shards/owner_response.c
@@ -1,11 +1,14 @@
-/* The owner's answer to the leader's request, POST /block. */
+/* The owner's response to the leader's request, POST /block. */
 #include "base/clock.h"
 #include "shard.pb-c.h"
 #include "shards/internal.h"
 #include "workers/failures.h"
 
-#define STORE_TIMEOUT_S 7.0     /* not ready when the state service served nothing for this long */
-#define HEARTBEAT_TIMEOUT_S 6.0 /* a worker that is silent for this long does not reach us */
+/* A controller is not ready to own a shard if the state service served no request of it for this
+ * long. */
+#define STORE_TIMEOUT_S 7.0
+/* A worker that sent no message for this long counts as unable to reach this controller. */
+#define HEARTBEAT_TIMEOUT_S 6.0
 
 static bool is_ready(const struct pm_shards *shards, double now)
 {
@@ -26,7 +29,8 @@
     machine->shard.revoking = true;
     if (preempt)
         preempt_all(machine);
-    /* Once reported as drained it stays so: its worker gets no more answers from here. */
+    /* A machine that was reported as drained stays drained, because this controller no longer
+     * answers its worker. */
     if (pm_machine_is_drained(machine, pm_election_epoch(shards->election)))
         machine->shard.returned = true;
     if (machine->shard.returned)
@@ -60,8 +64,8 @@
         pm_shard_message_add_name(&response->unreachable, &response->n_unreachable, machine->name);
 }
 
-/* Reports on all machines. A single silent machine may be that machine's fault; when several are
- * all silent, it is this controller that does not reach them. */
+/* Reports on all machines. If the owner has a single machine and that is silent, the machine may be
+ * at fault. If it has several and all are silent, this controller counts as cut off from them. */
 static void report_machines(const struct pm_shards *shards, double now, Pm__ShardResponse *response)
 {
     const GPtrArray *machines = pm_workers_all(shards->workers);
@@ -81,7 +85,7 @@
 
 static void report_failing_jobs(struct pm_shards *shards, Pm__ShardResponse *response)
 {
-    const GArray *jobs = pm_shards_own(shards)->stored.jobs;
+    const GArray *jobs = pm_shards_own_shard(shards)->stored.jobs;
 
     for (guint i = 0; i < jobs->len; i++) {
         const char *id = g_array_index(jobs, struct pm_shard_stored_job, i).id;
@@ -112,7 +116,7 @@
     }
     response.incarnation_id = shards->incarnation_id;
     response.ready = is_ready(shards, now);
-    if (!shards->is_leading && shards->is_owner) {
+    if (!shards->is_leader && shards->is_owner) {
         revoke_machines(shards, request, &response);
         report_machines(shards, now, &response);
         report_failing_jobs(shards, &response);
--- a/src/shards/ownership.c
+++ b/src/shards/ownership.c
@@ -1,4 +1,4 @@
-/* The owner's side of its shard: machines and jobs that the stored value lists are its to use. */
+/* The owner's side of a shard: it may use the machines and jobs that the stored value lists. */
 #include "base/clock.h"
 #include "shards/internal.h"
 
@@ -10,15 +10,16 @@
     return false;
 }
 
-/* Nothing runs on a machine that left the shard: the leader removes it only when it is drained, or
- * its termination was confirmed. */
+/* Removes the machines that the stored shard no longer lists. No task runs on them, because the
+ * leader removes a machine from a shard only when the machine is drained or its termination was
+ * confirmed. */
 static void remove_unlisted_machines(struct pm_shards *shards, double now)
 {
     GPtrArray *machines = pm_workers_all(shards->workers);
 
     for (guint i = 0; i < machines->len; i++) {
         struct pm_machine *machine = g_ptr_array_index(machines, i);
-        if (!machine || is_listed(pm_shards_own(shards)->stored.machines, machine->index))
+        if (!machine || is_listed(pm_shards_own_shard(shards)->stored.machines, machine->index))
             continue;
         pm_workers_mark_lost(shards->workers, machine, now);
         pm_workers_remove(shards->workers, machine);
@@ -37,35 +38,36 @@
     machine = pm_workers_add(shards->workers, name);
     machine->state = PM_MACHINE_UP;
     machine->provider.is_listed = true;
-    machine->provider.rented_at = now; /* the leader has proof that it exists */
+    machine->provider.rented_at = now; /* the leader knows that the machine exists */
     machine->heartbeat.last_message_at = now;
     machine->heartbeat.incarnation = stored.incarnation;
-    machine->lease.lower_bound = now; /* the leader last answered its worker no later than this */
+    machine->lease.lower_bound = now; /* the leader last answered the worker before this */
     g_strlcpy(machine->endpoint, stored.endpoint, sizeof machine->endpoint);
     machine->spot = stored.spot;
     machine->zone = stored.zone;
     pm_workers_set_type(shards->workers, machine, stored.type);
 }
 
-void pm_shards_adopt_owned(struct pm_shards *shards, const cbor_item_t *value, double now)
+void pm_shards_apply_ownership(struct pm_shards *shards, const cbor_item_t *value, double now)
 {
-    const struct pm_shard_stored *stored = &pm_shards_own(shards)->stored;
+    const struct pm_shard_stored *stored = &pm_shards_own_shard(shards)->stored;
     const cbor_item_t *machines = pm_shard_value_machines(value);
-    bool granted = stored->machines->len || stored->jobs->len;
+    bool has_shard = stored->machines->len || stored->jobs->len;
 
-    if (granted && !shards->is_owner)
+    if (has_shard && !shards->is_owner)
         pm_jobs_set_delegated(shards->jobs, true);
     remove_unlisted_machines(shards, now);
     for (size_t i = 0; i < pm_cbor_length(machines); i++)
         add_machine(shards, pm_cbor_at(machines, i), now);
-    shards->is_owner = granted;
-    shards->hooks.ownership_changed(shards->hooks.arg, granted);
+    shards->is_owner = has_shard;
+    shards->hooks.ownership_changed(shards->hooks.arg, has_shard);
 }
 
-/* A job's own key may reach the replica after the shard that lists the job. */
-void pm_shards_adopt_owned_jobs(struct pm_shards *shards)
+/* Runs whenever the replica has caught up, because a job's own key may reach the replica after the
+ * shard that lists the job. */
+void pm_shards_apply_owned_jobs(struct pm_shards *shards)
 {
-    const GArray *jobs = pm_shards_own(shards)->stored.jobs;
+    const GArray *jobs = pm_shards_own_shard(shards)->stored.jobs;
 
     for (guint i = 0; i < jobs->len; i++) {
         const struct pm_shard_stored_job *stored =
@@ -78,7 +80,7 @@
     }
 }
 
-void pm_shards_give_up_owned(struct pm_shards *shards)
+void pm_shards_end_ownership(struct pm_shards *shards)
 {
     if (!shards->is_owner)
         return;
@@ -88,7 +90,7 @@
 
 uint64_t pm_shards_owned_revision(const struct pm_shards *shards)
 {
-    if (!shards->is_owner || shards->is_leading)
+    if (!shards->is_owner || shards->is_leader)
         return 0;
     return shards->shard[shards->peer_count].stored.revision;
 }
--- a/src/shards/revocation.c
+++ b/src/shards/revocation.c
@@ -1,12 +1,14 @@
-/* The leader revokes the shards of lost owners, and reclaims their machines and jobs. */
+/* Revocation of the shards of lost owners: the leader deletes their keys, and then reclaims their
+ * machines and jobs. */
 #include "base/clock.h"
 #include "base/log.h"
 #include "shards/internal.h"
 
-#define RETRY_S 1.0 /* between two attempts to delete a key */
+#define DELETE_RETRY_S 1.0 /* between two attempts to delete a shard's key */
 
-/* The epoch advances in the same transaction: the commands of the owner are refused with its old
- * fencing token, and its placements conflict on the shard's key. */
+/* Advances the epoch in the transaction that deletes the key. Workers then refuse the owner's
+ * commands, which carry the old fencing token, and the owner's placement writes conflict on the
+ * shard's key. */
 void pm_shard_revoke(struct pm_shards *shards, struct pm_shard *shard, const char *reason,
                      double now)
 {
@@ -14,19 +16,20 @@
 
     if (shard->write.in_flight || !pm_shard_revision(shard))
         return;
-    if (revocation->in_progress && now - revocation->requested_at < RETRY_S)
+    if (revocation->in_progress && now - revocation->requested_at < DELETE_RETRY_S)
         return;
     if (!revocation->in_progress)
-        pm_info("shard.revoked", "%s: %s", shard->owner_name, reason);
+        pm_info("shard.revoked", "revoking the shard of %s: %s", shard->owner_name, reason);
     revocation->in_progress = true;
     revocation->requested_at = now;
     pm_election_advance_epoch(shards->election, shard->key, pm_shard_revision(shard));
 }
 
-/* Whether no write of the shard was applied, nor ever will be. The replica may have no key while a
- * write of it has an unknown outcome. Applied later, that write would let the owner place jobs that
- * the leader has begun to place itself. It can't be applied under a later epoch, and what was
- * applied before that epoch is in the replica once it has the epoch's revision. */
+/* Whether no write of the shard was ever applied or can still be. That the replica has no key does
+ * not suffice: a write of the key may have an unknown outcome. If such a write were applied later,
+ * the owner would place jobs that the leader has already begun to place itself. The write compares
+ * the epoch's key, so it can't be applied after the epoch has advanced; if it was applied before,
+ * the replica shows it once the replica has the revision of the new epoch. */
 static bool is_never_written(struct pm_shards *shards, const struct pm_shard *shard)
 {
     uint64_t unknown_outcome_epoch = shard->write.unknown_outcome_epoch;
@@ -45,7 +48,7 @@
 void pm_shard_revoke_unresponsive(struct pm_shards *shards, struct pm_shard *shard, double now)
 {
     if (pm_shard_revision(shard)) {
-        pm_shard_revoke(shards, shard, "no response from the owner", now);
+        pm_shard_revoke(shards, shard, "the owner stopped responding", now);
         return;
     }
     if (!is_never_written(shards, shard))
@@ -55,8 +58,8 @@
     pm_shards_reclaim_revoked(shards);
 }
 
-/* Whether the replica has the deletion of the key. A snapshot, which does not name
- * deleted keys, shows it as well. */
+/* Whether the replica shows that the key is deleted: the watch reported the deletion, or a snapshot
+ * that is recent enough does not list the key. */
 static bool is_deleted(const struct pm_shards *shards, const struct pm_shard *shard)
 {
     if (shard->revocation.deleted)
@@ -74,7 +77,7 @@
     machine->shard.owner = 0;
     machine->heartbeat.is_known = false;
     machine->heartbeat.last_message_at = pm_clock_monotonic();
-    machine->lease.lower_bound = 0; /* until a majority has acknowledged the new epoch */
+    machine->lease.lower_bound = 0; /* unknown until a majority has acknowledged the new epoch */
     machine->lease.reclaimed_epoch = pm_election_epoch(shards->election);
 }
 
@@ -88,7 +91,8 @@
     }
 }
 
-/* The owner's last writes are all in the replica: the placements of its jobs are found there. */
+/* Returns the shard's machines and jobs to the leader. The replica has all writes of the owner by
+ * then, so the leader recovers the placements of its jobs from the replica. */
 static void reclaim_shard(struct pm_shards *shards, struct pm_shard *shard)
 {
     GPtrArray *jobs = shard->target.jobs;
@@ -99,12 +103,12 @@
     pm_shard_reset(shard);
     reclaim_jobs(shards, jobs);
     g_ptr_array_free(jobs, TRUE);
-    shards->hooks.changed(shards->hooks.arg);
+    shards->hooks.plan_due(shards->hooks.arg);
 }
 
 void pm_shards_reclaim_revoked(struct pm_shards *shards)
 {
-    for (int i = 0; shards->is_leading && i < shards->peer_count; i++)
+    for (int i = 0; shards->is_leader && i < shards->peer_count; i++)
         if (is_deleted(shards, &shards->shard[i]))
             reclaim_shard(shards, &shards->shard[i]);
 }
--- a/src/shards/shard_write.c
+++ b/src/shards/shard_write.c
@@ -4,17 +4,18 @@
 #include "base/log.h"
 #include "shards/internal.h"
 
-#define MIN_INTERVAL_S 0.06    /* between two writes of a shard */
-#define REJECTED_BACKOFF_S 3.0 /* before a rejected write is retried */
+#define MIN_WRITE_INTERVAL_S 0.06 /* between two writes of the same shard */
+#define REJECTED_BACKOFF_S 3.0    /* before a rejected write is retried */
 
-/* One write in flight. Freed when it ends. */
+/* Context of one write in flight; freed by its completion callback. */
 struct write_request {
     struct pm_shards *shards;
     struct pm_shard *shard;
     uint64_t term, serial;
 };
 
-/* The machine is the leader's again: its worker has to send this controller a heartbeat first. */
+/* Returns the machine to the leader, which does not use it until its worker has sent the leader a
+ * heartbeat. */
 static void return_machine(struct pm_shards *shards, int index)
 {
     struct pm_machine *machine = pm_workers_at(shards->workers, index);
@@ -27,10 +28,11 @@
         machine->lease.lower_bound = now;
         machine->provider.idle_since = 0;
     }
-    shards->hooks.changed(shards->hooks.arg);
+    shards->hooks.plan_due(shards->hooks.arg);
 }
 
-/* The write of that serial is durable: its machines have been added and removed. */
+/* Applies that the write with `serial` is durable: the machines that it added are owned now, and
+ * those that it removed return to the leader. */
 static void apply_written(struct pm_shards *shards, struct pm_shard *shard, uint64_t serial)
 {
     GArray *machines = shard->target.machines;
@@ -53,15 +55,17 @@
 static void apply_success(struct pm_shards *shards, struct pm_shard *shard, uint64_t serial,
                           uint64_t store_revision)
 {
-    /* An earlier write with an unknown outcome conflicts with this one's revision. */
+    /* An earlier write with an unknown outcome can't be applied any more: it compares a revision of
+     * the key that this write has replaced. */
     shard->write.unknown_outcome_epoch = 0;
     shard->write.revision = store_revision;
     pm_election_confirm_epoch(shards->election, shard->write.sent_at, store_revision);
     apply_written(shards, shard, serial);
 }
 
-/* A write that is applied late conflicts with its retry, so that a retry is always safe; the watch
- * delivers the revision that the retry needs. */
+/* Schedules a retry. A retry is always safe: a failed write that the state service still applies
+ * late conflicts with its retry on the key's revision. The watch delivers the revision that the
+ * next attempt must compare. */
 static void apply_failure(struct pm_shards *shards, struct pm_shard *shard,
                           enum pm_store_result result)
 {
@@ -72,7 +76,9 @@
         pm_election_recheck_epoch(shards->election);
     if (result == PM_STORE_REJECTED) {
         pm_error("shard.write_rejected",
-                 "the state service rejects the write of %s, most likely as too large", shard->key);
+                 "the state service rejected the write of %s, most likely because the value is too "
+                 "large; it is retried after a delay",
+                 shard->key);
         shard->write.sent_at = pm_clock_monotonic() + REJECTED_BACKOFF_S;
     }
 }
@@ -85,7 +91,7 @@
     struct pm_shard *shard = request->shard;
 
     (void)conflicting_keys;
-    if (shards->is_leading && shards->term == request->term) {
+    if (shards->is_leader && shards->term == request->term) {
         shard->write.in_flight = false;
         if (result == PM_STORE_OK)
             apply_success(shards, shard, request->serial, store_revision);
@@ -95,8 +101,9 @@
     g_free(request);
 }
 
-/* Machines that this write is the first to add or to leave out take its serial. */
-static void number_machines(struct pm_shard *shard)
+/* Records the write's serial on each machine that this write is the first to add, and on each that
+ * it leaves out. */
+static void set_write_serials(struct pm_shard *shard)
 {
     for (guint i = 0; i < shard->target.machines->len; i++) {
         struct pm_shard_machine *entry = pm_shard_machine_at(shard, i);
@@ -105,7 +112,7 @@
     }
 }
 
-/* Jobs that have ended, with all of their tasks, leave the shard. */
+/* Removes the jobs that have ended with all of their tasks, which have no spec any more. */
 static void remove_ended_jobs(GPtrArray *jobs)
 {
     for (guint i = 0; i < jobs->len;) {
@@ -123,7 +130,7 @@
     struct write_request *request = g_new0(struct write_request, 1);
 
     shard->write.serial++;
-    number_machines(shard);
+    set_write_serials(shard);
     remove_ended_jobs(shard->target.jobs);
     pm_txn_compare(&txn, PM_KEY_EPOCH, pm_election_epoch_revision(shards->election));
     pm_txn_compare(&txn, shard->key, pm_shard_revision(shard));
@@ -141,7 +148,7 @@
 {
     if (!shard->target.needs_write || shard->write.in_flight)
         return;
-    if (now - shard->write.sent_at <= MIN_INTERVAL_S)
+    if (now - shard->write.sent_at <= MIN_WRITE_INTERVAL_S)
         return;
     if (pm_store_write_budget(shards->store, now) >= 1)
         write_shard(shards, shard, now);
--- a/src/shards/shards.c
+++ b/src/shards/shards.c
@@ -1,4 +1,4 @@
-/* The set of shards, and what the replica's feed changes in them. */
+/* The set of shards, and how changes of the replica are applied to them. */
 #include "base/keys.h"
 #include "shards/shards.h"
 #include "base/clock.h"
@@ -47,7 +47,7 @@
     shards->peer_count = settings->peer_count;
     for (int i = 0; i < shards->peer_count; i++)
         init_shard(&shards->shard[i], settings->peers[i].name);
-    init_shard(pm_shards_own(shards), settings->name);
+    init_shard(pm_shards_own_shard(shards), settings->name);
     return shards;
 }
 
@@ -78,7 +78,7 @@
     return NULL;
 }
 
-/* ---- the replica's feed ---- */
+/* ---- Changes of the replica ---- */
 
 static void clear_stored(struct pm_shard *shard)
 {
@@ -96,15 +96,15 @@
         return;
     shard->stored.revision = revision;
     pm_shard_value_decode(shards->tables, value, &shard->stored);
-    if (shard != pm_shards_own(shards) || shards->is_leading)
+    if (shard != pm_shards_own_shard(shards) || shards->is_leader)
         return;
-    /* A shard that was assigned to an earlier incarnation of this controller is not to be used:
-     * what that one had in flight is unknown. The leader sees the new incarnation in the next
-     * response and revokes the shard. */
+    /* This controller must not use a shard that was assigned to an earlier incarnation of it,
+     * because what that incarnation had in flight is unknown. The leader sees the new incarnation's
+     * id in the next response and revokes the shard. */
     if (!strcmp(shard->stored.incarnation_id, shards->incarnation_id))
-        pm_shards_adopt_owned(shards, value, pm_clock_monotonic());
+        pm_shards_apply_ownership(shards, value, pm_clock_monotonic());
     else
-        pm_shards_give_up_owned(shards);
+        pm_shards_end_ownership(shards);
 }
 
 void pm_shards_apply_delete(struct pm_shards *shards, const char *key, uint64_t revision)
@@ -116,36 +116,38 @@
     clear_stored(shard);
     if (revision >= shard->write.revision)
         shard->write.revision = 0;
-    if (shard == pm_shards_own(shards) && !shards->is_leading)
-        pm_shards_give_up_owned(shards);
-    if (shards->is_leading && shard->revocation.in_progress)
+    if (shard == pm_shards_own_shard(shards) && !shards->is_leader)
+        pm_shards_end_ownership(shards);
+    if (shards->is_leader && shard->revocation.in_progress)
         shard->revocation.deleted = true;
 }
 
-/* What this owner placed, and which commands it has in flight, is forgotten with the replica. It
- * goes on as a new incarnation, so that the leader revokes what was assigned to the old one. */
-static void forget_working_state(struct pm_shards *shards)
+/* An owner that drops its replica no longer knows which tasks it placed and which commands it has
+ * in flight. It continues as a new incarnation, so that the leader revokes the shard that was
+ * assigned to the old one. */
+static void start_new_incarnation(struct pm_shards *shards)
 {
     if (!shards->is_owner)
         return;
     snprintf(shards->incarnation_id, sizeof shards->incarnation_id, "%08x%08x", g_random_int(),
              g_random_int());
-    pm_info("shard.forgotten", "the replica is read anew: this controller gives up its shard");
-    pm_shards_give_up_owned(shards);
+    pm_info("shard.forgotten",
+            "the replica is being resynchronized, so this controller gives up its shard");
+    pm_shards_end_ownership(shards);
 }
 
 void pm_shards_snapshot_begin(struct pm_shards *shards)
 {
     for (int i = 0; i <= shards->peer_count; i++)
         clear_stored(&shards->shard[i]);
-    if (!shards->is_leading)
-        forget_working_state(shards);
+    if (!shards->is_leader)
+        start_new_incarnation(shards);
 }
 
 void pm_shards_caught_up(struct pm_shards *shards)
 {
-    if (!shards->is_leading && shards->is_owner)
-        pm_shards_adopt_owned_jobs(shards);
-    if (shards->is_leading)
+    if (!shards->is_leader && shards->is_owner)
+        pm_shards_apply_owned_jobs(shards);
+    if (shards->is_leader)
         pm_shards_reclaim_revoked(shards);
 }
--- a/src/shards/shards.h
+++ b/src/shards/shards.h
@@ -1,18 +1,21 @@
 /* Shards: machines, and the array jobs to place on them, that the leader assigns to other
- * controllers. The controller that has one is its owner, and schedules within it by itself.
+ * controllers. The controller that a shard is assigned to owns it, and schedules the shard's jobs
+ * on the shard's machines without asking the leader.
  *
- * Key:  p/b/CONTROLLER, one for each owner; the value is described at its codec, shard_value.c.
- * Only the leader writes it, on the condition of the epoch's key. The owner writes every placement
- * on the condition of this key's revision too, so that one compare-and-set revokes the shard.
+ * Key: p/b/CONTROLLER, one for each owner. The format of its value is described in shard_value.c.
+ * Only the leader writes the key, in a transaction that compares the revision of the epoch's key.
+ * The owner compares the revision of its shard's key in every transaction that writes placements,
+ * so a single compare-and-swap on that key revokes the shard.
  *
- * The leader keeps services, gangs and whatever spans shards to itself, and assigns whole machines
- * to the owners of array jobs. A machine returns when its owner reports that it is drained. An
- * owner that stops responding loses its shard, and the epoch advances in the same transaction, so
- * that nothing the owner still has in flight takes effect (safety invariants 1, 3 and 5).
+ * The leader itself schedules services, gangs and all other work that spans shards, and assigns
+ * whole machines to the owners of array jobs. A machine returns to the leader when its owner
+ * reports it as drained. The leader deletes the shard of an owner that stops responding, and
+ * advances the epoch in the same transaction, so that no write or command that the owner still has
+ * in flight takes effect (safety invariants 1, 3 and 5).
  *
- * Threads: all of this is guarded by struct pm_controller.lock. The planner thread calls
+ * Threads: struct pm_controller.lock guards all state of this module. The planner thread calls
  * pm_shards_assign_jobs and pm_shards_assign_machines, which do no I/O; the event-loop thread calls
- * everything else. */
+ * all other functions. */
 #ifndef PM_SHARDS_SHARDS_H
 #define PM_SHARDS_SHARDS_H
 
@@ -23,64 +26,71 @@
 
 struct pm_shards;
 
-/* Called from the event-loop thread, under the lock. */
+/* Callbacks, made on the event-loop thread while the controller's lock is held. */
 struct pm_shards_hooks {
-    /* Leader: machines or jobs have returned; a new plan is due. */
-    void (*changed)(void *arg);
-    /* Leader: the job has returned with a revoked shard, and is the leader's to place. */
+    /* On the leader: machines or jobs were returned to it, so a new plan is due. */
+    void (*plan_due)(void *arg);
+    /* On the leader: the job was returned with a revoked shard; the leader now places its tasks. */
     void (*job_returned)(void *arg, struct pm_job *job);
-    /* Leader: the machine's owner reports that tasks fail there. */
+    /* On the leader: the machine's owner reports that tasks keep failing on it. */
     void (*machine_quarantined)(void *arg, struct pm_machine *machine);
-    /* Owner: this controller's shard has changed; `granted` false: it has none. */
-    void (*ownership_changed)(void *arg, bool granted);
+    /* On an owner: this controller's shard has changed, or, if `has_shard` is false, this
+     * controller owns no shard any more. */
+    void (*ownership_changed)(void *arg, bool has_shard);
     void *arg;
 };
 
-/* A new instance, owned by the caller (pm_shards_free). It has a shard for each peer of the
- * settings and one for this controller. The other modules are borrowed and must outlive it; `hooks`
- * is copied. Never NULL. */
+/* Creates the shards: one for each peer in the settings and one for this controller. The caller
+ * frees the result with pm_shards_free. The other modules are borrowed and must outlive the result;
+ * `hooks` is copied. Never returns NULL. */
 struct pm_shards *pm_shards_new(struct pm_name_tables *tables, struct pm_jobs *jobs,
                                 struct pm_workers *workers, struct pm_scheduler *scheduler,
                                 struct pm_store *store, struct pm_http_client *http,
                                 struct pm_election *election, const struct pm_shards_hooks *hooks);
-/* Frees it. No write or request of its may be in flight. */
+/* Frees the shards. No write or request that they sent may be in flight. */
 void pm_shards_free(struct pm_shards *shards);
 
-/* The replica has a value for `key`, which begins with p/b/. `value` is borrowed for the call. A
- * key of a controller that the settings do not name, or an older revision, is ignored. */
+/* Applies a change of the replica: `key`, which begins with p/b/, has this value since `revision`.
+ * `value` is borrowed for the call. Ignores the key of a controller that is not in the settings,
+ * and a revision that is not later than the one already applied. */
 void pm_shards_apply_put(struct pm_shards *shards, const char *key, const cbor_item_t *value,
                          uint64_t revision);
-/* The key, which begins with p/b/, was deleted at `revision`. */
+/* Applies a change of the replica: `key`, which begins with p/b/, was deleted at `revision`. */
 void pm_shards_apply_delete(struct pm_shards *shards, const char *key, uint64_t revision);
-/* A new snapshot of the state service begins: keys that it does not name are gone. An owner gives
- * up its shard, because the state of its own placements is lost with the old replica. */
+/* Clears what the replica held, because a new snapshot of the state service begins: a key that the
+ * snapshot does not list is deleted. An owner gives up its shard, because the state of its own
+ * placements is lost with the old replica. */
 void pm_shards_snapshot_begin(struct pm_shards *shards);
-/* The replica has all changes up to some store revision: completes what waited for that, which is
- * the revocation of shards on the leader and the adoption of jobs on an owner. */
+/* Called when the replica has all changes up to some store revision. Completes the work that waited
+ * for them: on the leader the revocation of shards, on an owner the adoption of its jobs. */
 void pm_shards_caught_up(struct pm_shards *shards);
 
-/* The name of the controller whose stored shard lists the machine, borrowed from the settings;
- * NULL: the leader places on it. */
+/* Returns the name of the controller whose stored shard lists the machine, borrowed from the
+ * settings, or NULL if the machine is in no shard, so that the leader places tasks on it. */
 const char *pm_shards_owner_of(const struct pm_shards *shards, const char *machine);
 
-/* Leader, once elected: adopts the stored shards, with their machines and jobs, and gives each
- * owner its full time to respond from `now` (monotonic seconds). */
+/* Called once this controller is elected leader. Adopts the stored shards with their machines and
+ * jobs. The timeout for each owner's next response starts at `now` (monotonic seconds). */
 void pm_shards_adopt(struct pm_shards *shards, double now);
-/* This controller leads no more: forgets what it wanted the shards to be. */
+/* Called when this controller stops leading. Discards the targets of all shards. */
 void pm_shards_step_down(struct pm_shards *shards);
-/* Leader, in a plan, before placing: assigns array jobs to owners. `now` in monotonic seconds. */
+/* On the leader, in a plan, before tasks are placed: assigns array jobs to owners. `now` is in
+ * monotonic seconds. */
 void pm_shards_assign_jobs(struct pm_shards *shards, double now);
-/* Leader, in a plan, after placing: assigns machines to the owners' jobs and chooses those to
- * revoke. What the idle machines do not cover is added to the scheduler's unmet demand. */
+/* On the leader, in a plan, after tasks are placed: assigns idle machines to the owners' jobs, and
+ * chooses machines to revoke from owners. Adds the tasks for which the idle machines do not suffice
+ * to the scheduler's unmet demand. */
 void pm_shards_assign_machines(struct pm_shards *shards, double now);
-/* Leader, after a plan and after each response: sends the requests and the writes that are due, and
- * revokes the shards of owners that do not respond. Does nothing unless the epoch is confirmed. */
+/* On the leader, after a plan and after each response: sends the requests and writes that are due,
+ * and revokes the shards of owners that stopped responding. Does nothing unless the epoch is
+ * confirmed. */
 void pm_shards_exchange(struct pm_shards *shards, double now);
 
-/* Owner: the revision of this controller's shard, which placements are conditioned on; 0: none. */
+/* On an owner: returns the revision of this controller's shard, which a transaction that writes
+ * placements compares. Returns 0 if this controller owns no shard, or leads. */
 uint64_t pm_shards_owned_revision(const struct pm_shards *shards);
-/* Owner: answers the leader's request, POST /block on the peer address. Replies at once, with 400
- * when the body can't be decoded. */
+/* On any controller: replies to the leader's request, POST /block on the peer address. Replies
+ * before returning, with status 400 if the body can't be decoded. */
 void pm_shards_handle_peer_request(struct pm_shards *shards, struct pm_http_request *req);
 
 #endif
