--- a/src/shards/shard_message.c
+++ b/src/shards/shard_message.c
@@ -1,4 +1,4 @@
-/* Encoding of the messages between the leader and the owners, shard.proto. */
+/* Helpers for the messages between the leader and the owners (shard.proto). */
 #include "shards/internal.h"
 
 #include <string.h>
@@ -8,7 +8,8 @@
     unsigned char *data;
 
     *size = protobuf_c_message_get_packed_size(message);
-    data = g_malloc(*size + 1); /* a message of default values has no bytes */
+    /* At least one byte, because a message of default values is empty and g_malloc(0) is NULL. */
+    data = g_malloc(*size + 1);
     protobuf_c_message_pack(message, data);
     return data;
 }
--- a/src/shards/shard_value.c
+++ b/src/shards/shard_value.c
@@ -1,15 +1,15 @@
-/* The stored value of a shard, at p/b/CONTROLLER. Its field names are used here alone:
+/* Codec of a shard's stored value, at p/b/CONTROLLER. No other file uses its field names:
  *
- *   boot    the owner's incarnation id: another incarnation does not use the shard
- *   serial  rises with every write of the shard
- *   hosts   its machines, each a map of
+ *   boot    the owner's incarnation id; another incarnation of the owner must not use the shard
+ *   serial  a number that increases with each write of the shard
+ *   hosts   the shard's machines, each a map of
  *             host, endpoint   the machine's name and its worker's address
- *             model, room      its machine type and zone; absent while unknown
+ *             model, room      the machine's type and zone, each absent while unknown
  *             borrowed         whether it is a spot machine
- *             shift            the incarnation of its worker, when it was written
- *   jobs    its jobs, each a map of
- *             id     the job
- *             width  how many of its tasks may run at once */
+ *             shift            the incarnation of its worker at the time of the write
+ *   jobs    the shard's jobs, each a map of
+ *             id     the job's id
+ *             width  how many of the job's tasks may run at once */
 #include "shards/internal.h"
 
 static void decode_machines(struct pm_name_tables *tables, const cbor_item_t *list, GArray *out)
