--- a/src/shards/tests/shard_fixtures.h
+++ b/src/shards/tests/shard_fixtures.h
@@ -1,4 +1,4 @@
-/* Two controllers, one of which leads, and a state service, in this process. */
+/* Fixture: two controllers, one of which leads, and a fake state service, all in this process. */
 #ifndef PM_SHARDS_TESTS_SHARD_FIXTURES_H
 #define PM_SHARDS_TESTS_SHARD_FIXTURES_H
 
@@ -16,7 +16,7 @@
 #include <string.h>
 #include <cmocka.h>
 
-/* A controller: the parts that shards need, and what their hooks have reported. */
+/* A controller with the modules that shards need, and a record of what their hooks reported. */
 struct controller {
     struct pm_settings settings;
     struct pm_operator_settings operator_settings;
@@ -29,8 +29,8 @@
     struct pm_scheduler *scheduler;
     struct pm_election *election;
     struct pm_shards *shards;
-    uint64_t elected_epoch; /* 0: it was never elected */
-    bool is_owner;          /* it has a shard */
+    uint64_t elected_epoch; /* epoch of its last election; 0 if it was never elected */
+    bool is_owner;          /* it owns a shard */
     int returned_job_count, lost_ownership_count;
 };
 
@@ -100,12 +100,12 @@
     (void)machine;
 }
 
-static void on_ownership_changed(void *arg, bool granted)
+static void on_ownership_changed(void *arg, bool has_shard)
 {
     struct controller *controller = arg;
 
-    controller->is_owner = granted;
-    controller->lost_ownership_count += !granted;
+    controller->is_owner = has_shard;
+    controller->lost_ownership_count += !has_shard;
 }
 
 static void on_peer(void *arg, struct pm_http_request *req)
@@ -123,11 +123,11 @@
     pm_jobs_apply_cancellation(((struct controller *)arg)->jobs, id, revision);
 }
 
-static const struct pm_cancellation *on_list_cancellations(void *arg, uint64_t revision,
-                                                           size_t most, size_t *count, bool *more)
+static const struct pm_cancellation *
+on_list_cancellations(void *arg, uint64_t revision, size_t max_count, size_t *count, bool *has_more)
 {
-    return pm_jobs_list_cancellations(((struct controller *)arg)->jobs, revision, most, count,
-                                      more);
+    return pm_jobs_list_cancellations(((struct controller *)arg)->jobs, revision, max_count, count,
+                                      has_more);
 }
 
 static void on_peer_reached(void *arg, int peer, uint64_t store_revision)
@@ -145,7 +145,7 @@
     controller->settings.cluster_size = 2;
     controller->settings.peer_count = 1;
     fixture_begin(&controller->tables, &controller->settings);
-    controller->settings.heartbeat_s = 1000; /* the worker of these tests sends one heartbeat */
+    controller->settings.heartbeat_s = 1000; /* the tests' worker sends a single heartbeat */
     g_strlcpy(controller->settings.name, name, PM_NAME_MAX);
     snprintf(controller->settings.peer_listen_addr, 64, "127.0.0.1:%d", port);
     g_strlcpy(controller->settings.peers[0].name, peer, PM_NAME_MAX);
@@ -184,7 +184,7 @@
     return ((struct controller *)arg)->elected_epoch > 0;
 }
 
-/* Applies a heartbeat of the worker on i-000001. */
+/* Applies a heartbeat of the worker on machine i-000001, as its first incarnation. */
 static void apply_heartbeat(struct controller *controller, uint64_t sequence)
 {
     struct pm_buffer buf = {0};
@@ -220,7 +220,7 @@
     *(int *)arg = result;
 }
 
-/* A job that a controller's replica is to have. */
+/* A job that a test expects in a controller's replica. */
 struct awaited_job {
     struct controller *controller;
     const char *id;
@@ -233,8 +233,8 @@
     return pm_jobs_find(awaited->controller->jobs, awaited->id) != NULL;
 }
 
-/* Submits a job of two tasks and waits until the controller has it. One that is to be spread over
- * zones stays with the leader. */
+/* Submits a job of two tasks and waits until the controller's replica has it. The leader does not
+ * assign a job with `spread`, whose tasks are spread over zones, to an owner. */
 static void write_job(struct controller *controller, const char *id, bool spread)
 {
     struct awaited_job awaited = {controller, id};
@@ -248,7 +248,7 @@
                            .spread_zones = spread,
                            .priority = PM_PRIORITY_NORMAL,
                            .deadline_s = -1};
-    static int result; /* outlives this call */
+    static int result; /* static, because the commit may complete after this call */
     struct pm_txn txn = {0};
 
     spec.class_index = pm_names_intern(controller->tables.class_names, "train");
@@ -263,8 +263,8 @@
 
 static struct controller leader, owner;
 
-/* One controller leads and has one machine, whose worker has sent a heartbeat; the other, which is
- * to own a shard, is about to read its first snapshot. */
+/* Starts both controllers. `leader` has been elected and has one machine, whose worker has sent a
+ * heartbeat. `owner`, which will own a shard, is about to read its first snapshot. */
 static int set_up(void **arg)
 {
     int leader_port = event_loop_free_port();
--- a/src/shards/tests/test_shards.c
+++ b/src/shards/tests/test_shards.c
@@ -1,10 +1,10 @@
-/* A shard is assigned with a job, its owner may place the job, and an owner that stops responding
- * loses the shard in the transaction that advances the epoch. */
+/* Tests of assigning and revoking shards: the owner of a shard may place the shard's jobs, and the
+ * shard of an owner that stops responding is deleted in the transaction that advances the epoch. */
 #include "shard_fixtures.h"
 #include "../../jobs/tests/recorded_values.h"
 #include "workers/failures.h"
 
-/* One round of what the leader's planner and event loop do. */
+/* Runs one round of the leader's plan and of its exchange with the owner. */
 static void run_leader_once(void)
 {
     double now = pm_clock_monotonic();
@@ -37,21 +37,22 @@
     return leader.returned_job_count > 0 && !owner.is_owner;
 }
 
-/* The value at the key is the recorded one but for the incarnation id, which has 16 characters. */
-static void assert_recorded_value(const char *key, const char *digits)
+/* Asserts that the value at `key` equals the recorded one, given in hexadecimal, except for the
+ * incarnation id. The id has 16 characters, which are replaced by zero bytes. */
+static void assert_recorded_value(const char *key, const char *expected_hex)
 {
-    static const char field[] = "64626f6f7470"; /* "boot", and the head of its text */
+    static const char boot_field[] = "64626f6f7470"; /* "boot" and the head of a text of 16 bytes */
     const int incarnation_digits = 32;
     char *written = fake_store_value_hex(state, key);
-    char *incarnation = strstr(written, field);
+    char *incarnation = strstr(written, boot_field);
 
     assert_non_null(incarnation);
-    memset(incarnation + strlen(field), '0', (size_t)incarnation_digits);
-    assert_string_equal(written, digits);
+    memset(incarnation + strlen(boot_field), '0', (size_t)incarnation_digits);
+    assert_string_equal(written, expected_hex);
     g_free(written);
 }
 
-/* The value at the key is {version: 5}. */
+/* Asserts that the value at `key` is {"version": 5}. */
 static void assert_version_written(const char *key)
 {
     char *written = fake_store_value_hex(state, key);
@@ -72,7 +73,7 @@
     assert_recorded_value("p/lead", RECORDED_V1_LEADER_LOCK);
     assert_recorded_value("p/b/n1", RECORDED_V1_SHARD);
     assert_version_written("p/speaks/n0");
-    /* The job and its parallelism came with the machine; the leader counts it as delegated. */
+    /* The owner has the job with its parallelism; on the leader the job counts as delegated. */
     assert_int_equal(pm_jobs_find(owner.jobs, "job-1")->parallelism, 2);
     assert_true(pm_jobs_find(leader.jobs, "job-1")->delegated);
     machine = pm_workers_find(leader.workers, "i-000001");
@@ -85,14 +86,15 @@
     epoch = pm_election_epoch(leader.election);
     assert_int_equal(pm_election_epoch(owner.election), epoch);
 
-    /* It stops responding: its shard is deleted, and the epoch that its commands carry is over. */
+    /* The owner stops responding: its shard is deleted and the epoch advances, so that the workers
+     * refuse the owner's commands. */
     pm_http_server_free(owner.peer_server);
     assert_true(event_loop_run_until(loop, is_shard_revoked, NULL));
     assert_true(pm_election_epoch(leader.election) > epoch);
     assert_int_equal(fake_store_revision(state, "p/b/n1"), 0);
     assert_false(pm_jobs_find(leader.jobs, "job-1")->delegated);
     assert_int_equal(machine->shard.owner, 0);
-    /* The worker's lease can't be over before a majority has acknowledged the new epoch. */
+    /* The worker's lease counts as live until a majority has acknowledged the new epoch. */
     assert_true(machine->lease.reclaimed_epoch == pm_election_epoch(leader.election));
     assert_false(pm_workers_is_lease_expired(
         machine, pm_election_lease_lower_bound(leader.election, machine->lease.reclaimed_epoch),
@@ -114,8 +116,8 @@
     pm_shards_assign_machines(leader.shards, now);
 }
 
-/* An owner reports a job that fails on any machine: the leader assigns no machines for its waiting
- * tasks, though its parallelism allows them, and adds no unmet demand. */
+/* After an owner reports a job as failing on any machine, the leader assigns no machines for the
+ * job's waiting tasks, even those within its parallelism, and adds no unmet demand for them. */
 static void owner_reports_failing_jobs(void **arg)
 {
     bool failing = true;
@@ -126,10 +128,10 @@
     assert_true(event_loop_run_until(loop, is_shard_assigned, NULL));
     pm_failures_report_job(pm_jobs_find(owner.jobs, "job-1"), pm_clock_monotonic());
     assert_true(event_loop_run_until(loop, is_job_failing, &failing));
-    leader.tables.types[0].cpus = 2; /* the assigned machine has capacity for no task */
+    leader.tables.types[0].cpus = 2; /* no task fits on the assigned machine any more */
     assign_machines_once();
     assert_int_equal(unmet_demand->len, 0);
-    /* One of its tasks succeeds. */
+    /* One of the job's tasks succeeds: the waiting tasks are unmet demand again. */
     failing = false;
     pm_failures_clear_job(pm_jobs_find(owner.jobs, "job-1"));
     assert_true(event_loop_run_until(loop, is_job_failing, &failing));
@@ -157,12 +159,13 @@
     return pm_clock_monotonic() > *(double *)arg;
 }
 
-/* The first write of a shard has an unknown outcome, its owner stops responding, and the leader
- * reclaims the job. Were the write applied after that, both would place the same job. */
+/* Guards against two controllers that place the same job. The first write of a shard has an unknown
+ * outcome, the owner stops responding, and the leader reclaims the job: the state service must not
+ * apply the write after that. */
 static void late_first_write_is_not_applied(void **arg)
 {
     uint64_t epoch;
-    double later;
+    double deadline;
 
     (void)arg;
     write_job(&leader, "job-1", false);
@@ -171,8 +174,8 @@
     epoch = pm_election_epoch(leader.election);
     fake_store_set_outage(state, true);
     pm_http_server_free(owner.peer_server);
-    later = pm_clock_monotonic() + 3;
-    assert_true(event_loop_run_until(loop, has_time_passed, &later));
+    deadline = pm_clock_monotonic() + 3;
+    assert_true(event_loop_run_until(loop, has_time_passed, &deadline));
     assert_int_equal(leader.returned_job_count, 0);
     fake_store_set_outage(state, false);
     assert_true(event_loop_run_until(loop, has_job_returned, NULL));
@@ -182,18 +185,19 @@
     assert_int_equal(fake_store_revision(state, "p/b/n1"), 0);
 }
 
-/* A job is assigned to an owner only if the shard's value has space for the machines that it needs
- * too: else it would wait there for machines that can't be assigned, beside free ones. */
+/* A job is assigned to an owner only if the shard's value also has space for the machines that the
+ * job needs. Otherwise the job would wait at the owner for machines that can't be assigned, while
+ * machines are free. */
 static void job_is_assigned_only_if_value_has_space(void **arg)
 {
-    double later;
+    double deadline;
 
     (void)arg;
-    later = pm_clock_monotonic() + 2.5; /* by then the owner has reported that it is ready */
-    assert_true(event_loop_run_until(loop, has_time_passed, &later));
+    deadline = pm_clock_monotonic() + 2.5; /* the owner reports that it is ready before this */
+    assert_true(event_loop_run_until(loop, has_time_passed, &deadline));
     write_job(&leader, "job-1", false);
-    leader.settings.store_value_kb =
-        0.2; /* a shard with the job, but not with a machine beside it */
+    /* Space for a shard with the job, but not for a machine as well. */
+    leader.settings.store_value_kb = 0.2;
     pm_scheduler_begin(leader.scheduler, pm_clock_monotonic(), 1e6);
     pm_shards_assign_jobs(leader.shards, pm_clock_monotonic());
     assert_false(pm_jobs_find(leader.jobs, "job-1")->delegated);
@@ -218,9 +222,9 @@
     return has_time_passed(arg) || leader.returned_job_count > 0;
 }
 
-/* A shard is revoked from an owner that stopped responding, and the transaction that does it gets
- * no answer, nor is it applied yet. */
-static void delay_a_revocation(void)
+/* Assigns a shard to an owner that then stops responding, and holds back the transaction that
+ * revokes the shard: it is neither applied nor answered yet. */
+static void delay_revocation_txn(void)
 {
     write_job(&leader, "job-1", false);
     assert_true(event_loop_run_until(loop, is_shard_assigned, NULL));
@@ -231,28 +235,29 @@
 
 static void assert_job_returns_soon(void)
 {
-    double later = pm_clock_monotonic() + 6;
+    double deadline = pm_clock_monotonic() + 6;
 
-    assert_true(event_loop_run_until(loop, has_job_returned_or_time_passed, &later));
+    assert_true(event_loop_run_until(loop, has_job_returned_or_time_passed, &deadline));
     assert_int_equal(leader.returned_job_count, 1);
 }
 
-/* The owner responds again before the retry. The first attempt may yet be applied, so the shard
- * can't be used any more: it is revoked all the same, else its jobs would wait there for ever. */
+/* The owner responds again after the first attempt to revoke its shard, before the retry. The first
+ * attempt may still be applied, so the owner can't rely on the shard. The leader must go on to
+ * revoke it, or the shard's jobs would wait forever. */
 static void revocation_with_unknown_outcome_is_retried(void **arg)
 {
     (void)arg;
-    delay_a_revocation();
+    delay_revocation_txn();
     assert_true(event_loop_run_until(loop, restart_peer_server, &owner));
     assert_job_returns_soon();
 }
 
-/* The leader resynchronizes its replica before the watch reports the deletion: the new snapshot,
- * which has no such key, shows it. */
+/* The leader resynchronizes its replica before the watch reports that the shard's key is deleted.
+ * The leader learns of the deletion from the new snapshot, which does not list the key. */
 static void snapshot_shows_that_shard_is_deleted(void **arg)
 {
     (void)arg;
-    delay_a_revocation();
+    delay_revocation_txn();
     pm_store_resync(leader.store);
     fake_store_execute_delayed_txn(state);
     assert_int_equal(fake_store_revision(state, "p/b/n1"), 0);
@@ -266,11 +271,11 @@
     return owner.lost_ownership_count > 0 && (owner.is_owner || leader.returned_job_count > 0);
 }
 
-/* An owner that resynchronizes its replica loses what it knew of its shard: which tasks it placed,
- * and which commands are in flight. It does not use that shard again, though the state service
- * still has it: not counting what runs there, it would start as much again as the parallelism
- * allows. The leader revokes the shard, which ends those commands, and finds the placements in the
- * state service. */
+/* An owner that resynchronizes its replica no longer knows which tasks of its shard it placed, nor
+ * which of its commands are in flight. It must not use that shard again, although the state service
+ * still has it: without counting the running tasks, the owner would start as many again as the
+ * jobs' parallelism allows. The leader revokes the shard, so that workers refuse those commands,
+ * and finds the placements in the state service. */
 static void owner_that_resyncs_gives_up_its_shard(void **arg)
 {
     uint64_t epoch;
@@ -302,7 +307,7 @@
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
 
-/* The controllers of a test live until the process ends, as those of a daemon do. */
+/* Disables leak detection, because a test's controllers are never freed, as in a daemon. */
 const char *__asan_default_options(void);
 const char *__asan_default_options(void)
 {
