--- a/src/scheduler/capacity.c
+++ b/src/scheduler/capacity.c
@@ -1,4 +1,4 @@
-/* Capacity of one machine beyond what is free, and of the whole fleet. */
+/* The preemptible capacity of one machine, and capacity totals of the whole fleet. */
 #include "scheduler/internal.h"
 
 double pm_scheduler_preemptible_cpus(const struct pm_machine *machine)
@@ -48,8 +48,8 @@
     totals->largest_service_cpus = MAX(totals->largest_service_cpus, machine_cpus - cpus);
 }
 
-/* One pass over the machines counts all totals: the autoscaler asks for each of them at the same
- * time. */
+/* Counts all totals in one pass over the machines, because the autoscaler asks for each of them at
+ * the same time. */
 static const struct pm_capacity_totals *count_totals(struct pm_scheduler *scheduler, double now)
 {
     GPtrArray *machines = pm_workers_all(scheduler->workers);
--- a/src/scheduler/consolidation.c
+++ b/src/scheduler/consolidation.c
@@ -1,32 +1,32 @@
-/* Consolidation: drains ordinary machines that do little, so that they can be terminated.
+/* Consolidation: drains lightly used ordinary machines, so that they can be terminated.
  *
- * A moved replica is absent only for a restart. On a large fleet several machines are drained at a
- * time: at one a second, hundreds would stand half empty for minutes. */
+ * A moved replica is unavailable only while it restarts. On a large fleet several machines are
+ * drained at a time: at one machine per second, hundreds would stay half empty for minutes. */
 #include "scheduler/internal.h"
 #include "base/log.h"
 
 #include <string.h>
 
 enum {
-    DRAINING_MAX = 3,        /* machines that are being drained at a time, */
-    MACHINES_PER_BATCH = 100 /* for each so many ordinary ones */
+    DRAINING_PER_BATCH_MAX = 3, /* machines being drained at a time, per batch */
+    MACHINES_PER_BATCH = 100    /* ordinary machines in a batch */
 };
-#define RENTED_FOR_MIN_S 60.0 /* a machine is not drained sooner */
+#define RENTAL_MIN_AGE_S 60.0 /* a machine rented for less time is not drained */
 
-/* Free capacity of a machine, as far as services use it; arrays of these go by machine index. */
+/* Free capacity of a machine, by the resources that movable services use. Arrays of it are indexed
+ * by machine index. */
 struct free_capacity {
     double cpus, ram_gb;
 };
 
-/* What consolidation looks at. */
+/* The machines that consolidation may drain or fill. */
 struct fleet_state {
-    struct free_capacity *free; /* owned; zero where nothing may move to */
+    struct free_capacity *free; /* owned; zero for machines that no replica may move to */
     double headroom_cpus;
     int draining, ordinary;
 };
 
-/* Whether all that runs on the machine are array tasks, which end by themselves, and replicas that
- * may move. */
+/* Whether the machine runs only array tasks, which will end, and replicas that may be moved. */
 static bool is_movable(const struct pm_machine *machine, double now)
 {
     for (guint i = 0; i < machine->placements->len; i++) {
@@ -40,7 +40,8 @@
     return true;
 }
 
-/* Whether another machine with the image has capacity for the replica; uses it up in `free`. */
+/* Whether another machine that caches the image has capacity for the replica. If so, deducts the
+ * capacity from `free`. */
 static bool fits_elsewhere(struct pm_scheduler *scheduler, const struct pm_machine *from,
                            const struct pm_placement *placement, struct free_capacity *free,
                            double now)
@@ -88,19 +89,20 @@
 {
     return !machine->spot && pm_scheduler_is_machine_usable(scheduler, machine, now) &&
            machine->type >= 0 && machine->placements->len &&
-           now - machine->provider.rented_at >= RENTED_FOR_MIN_S && is_movable(machine, now);
+           now - machine->provider.rented_at >= RENTAL_MIN_AGE_S && is_movable(machine, now);
 }
 
-/* What the machine costs for the capacity that it does not use. */
-static double wasted_price(const struct pm_type *type, const struct pm_machine *machine)
+/* The price of the machine's unused capacity. */
+static double unused_price(const struct pm_type *type, const struct pm_machine *machine)
 {
     double used_cpus = type->cpus - pm_scheduler_preemptible_cpus(machine);
 
     return type->price * (1 - used_cpus / MAX(type->cpus, PM_EPSILON));
 }
 
-/* The ordinary machine that wastes most, if its replicas find capacity and their images elsewhere
- * and the reserve stays; what they use there is taken off `free`. NULL: there is none. */
+/* Returns the ordinary machine with the highest price of unused capacity, among those whose
+ * replicas fit on other machines with their images without using the reserve. Deducts the capacity
+ * that they need there from `fleet->free`. Returns NULL if there is none. */
 static struct pm_machine *choose_machine_to_drain(struct pm_scheduler *scheduler,
                                                   struct fleet_state *fleet, double now)
 {
@@ -109,24 +111,24 @@
     struct free_capacity *trial = g_malloc(size);
     struct free_capacity *best_free = g_malloc(size);
     struct pm_machine *best = NULL;
-    double best_wasted = 0;
+    double best_unused = 0;
 
     for (guint i = 0; i < machines->len; i++) {
         struct pm_machine *machine = g_ptr_array_index(machines, i);
         const struct pm_type *type;
-        double wasted;
+        double unused;
         if (!machine || !is_drainable(scheduler, machine, now))
             continue;
         type = &scheduler->tables->types[machine->type];
-        wasted = wasted_price(type, machine);
-        if (wasted <= best_wasted ||
+        unused = unused_price(type, machine);
+        if (unused <= best_unused ||
             fleet->headroom_cpus - type->cpus < MAX(scheduler->reserve_cpus, PM_EPSILON))
             continue;
         memcpy(trial, fleet->free, size);
         if (!do_all_fit_elsewhere(scheduler, machine, trial, now))
             continue;
         best = machine;
-        best_wasted = wasted;
+        best_unused = unused;
         memcpy(best_free, trial, size);
     }
     if (best) {
@@ -140,7 +142,7 @@
 
 static void drain(struct pm_machine *machine)
 {
-    pm_info("scheduler.consolidate", "%s: %u tasks move or end", machine->name,
+    pm_info("scheduler.consolidate", "draining machine %s with %u placements", machine->name,
             machine->placements->len);
     machine->reservation.draining = true;
     for (guint i = 0; i < machine->placements->len; i++) {
@@ -179,7 +181,7 @@
         return;
     measure_fleet(scheduler, &fleet, now);
     batches = 1 + fleet.ordinary / MACHINES_PER_BATCH;
-    to_drain = MIN(batches, DRAINING_MAX * batches - fleet.draining);
+    to_drain = MIN(batches, DRAINING_PER_BATCH_MAX * batches - fleet.draining);
     while (drained < to_drain) {
         struct pm_machine *machine = choose_machine_to_drain(scheduler, &fleet, now);
         if (!machine)
--- a/src/scheduler/ledger_codec.c
+++ b/src/scheduler/ledger_codec.c
@@ -1,30 +1,30 @@
-/* The codec of the stored ledger, the value of the key "p/ledger". The leader writes it; a new
- * leader reads it, so that ratios, failing jobs and cached images survive a failover.
+/* Encodes and decodes the stored ledger, the value of the key "p/ledger". The leader writes it and
+ * a new leader reads it, so that usage ratios, failing jobs and cached images survive a failover.
  *
  * Its fields:
  *   day      time of day when it was written, in seconds
  *   teams    map: team -> occupied machine-seconds within the window
- *   heard    map: zone -> time of day of the last message from a machine there. When a new
- *            leader gets no message from a zone, it shows when the leases there expired
- *   failing  list of the ids of failing jobs; absent when there are none
- *   table    flat list of image, size in GB, image, size in GB, ...
+ *   heard    map: zone -> time of day of the last message from a machine there. A new leader
+ *            that gets no message from a zone computes from it when the leases there expired
+ *   failing  list of the ids of failing jobs; absent if there are none
+ *   table    flat list of alternating image names and sizes in GB
  *   images   map: machine -> list of the positions in `table` of the images that it caches
  *
- * A value has a limit (settings.store_value_kb, as JSON), so sizes are estimated as JSON, and as
- * many machines' images are written as fit. */
+ * A stored value is limited in size (settings.store_value_kb, measured as JSON). Sizes are
+ * therefore estimated as JSON, and only as many machines' images are written as fit. */
 #include "scheduler/internal.h"
 
 #include <math.h>
 #include <string.h>
 
-#define VALUE_FILL_SHARE 0.85 /* of a value's limit, for the estimate may be short */
+#define VALUE_FILL_SHARE 0.85 /* of the limit: the estimate may be too low */
 #define SIZE_PRECISION 100    /* image sizes are rounded up to 1/100 GB */
 
 enum {
-    HALF_WINDOW = PM_OCCUPANCY_BUCKETS / 2,
+    HALF_WINDOW_BUCKETS = PM_OCCUPANCY_BUCKETS / 2,
     FAILING_JOBS_MAX = 32,
-    /* Estimated JSON bytes of what is written beside a name. */
-    FRAME_BYTES = 100,
+    /* Estimated JSON bytes of an entry without its name, or of the fixed part of the value. */
+    FIXED_BYTES = 100,
     TEAM_BYTES = 24,
     ZONE_BYTES = 24,
     MACHINE_BYTES = 6,
@@ -33,13 +33,13 @@
     FAILING_JOB_BYTES = 6
 };
 
-/* Writes the table and the map of cached images side by side. */
+/* Writes the image table and the map of cached images in one pass. */
 struct image_writer {
     const struct pm_name_tables *tables;
-    struct pm_buffer *table;   /* the value; the list of images is open in it */
-    struct pm_buffer machines; /* entries of the map, appended to the value at the end */
-    int *position;             /* by image: its place in the table, -1: not there yet */
-    int image_count;           /* in the table so far */
+    struct pm_buffer *table;   /* the value, in which the list `table` is open */
+    struct pm_buffer machines; /* entries of the map `images`, appended to the value at the end */
+    int *position;             /* by image: its position in the table, -1: not in it yet */
+    int image_count;           /* images in the table so far */
     size_t used, limit;        /* estimated JSON bytes */
 };
 
@@ -68,10 +68,10 @@
     pm_cbor_put_end(&writer->machines);
 }
 
-/* Estimated JSON bytes of the fields other than images, without the failing jobs. */
+/* Estimates the JSON bytes of all fields other than the images and the failing jobs. */
 static size_t estimate_fixed_bytes(const struct pm_settings *settings)
 {
-    size_t bytes = FRAME_BYTES;
+    size_t bytes = FIXED_BYTES;
 
     for (int team = 0; team < settings->team_count; team++)
         bytes += strlen(settings->teams[team].name) + TEAM_BYTES;
@@ -80,8 +80,8 @@
     return bytes;
 }
 
-/* Ordinary machines go first: services run on those. `failing_bytes`: estimated JSON bytes of the
- * failing jobs. */
+/* Writes ordinary machines first, because services run on them. `failing_bytes` is the estimated
+ * size of the failing jobs in JSON bytes. */
 static void encode_images(const struct pm_scheduler *scheduler, size_t failing_bytes,
                           struct pm_buffer *out)
 {
@@ -116,7 +116,7 @@
     g_free(writer.position);
 }
 
-/* Reads an image by its position in the table. False when the position or the entry is malformed.
+/* Reads an image by its position in the table. Returns false if the position or entry is malformed.
  */
 static bool decode_cached_image(const struct pm_name_tables *tables, const cbor_item_t *position,
                                 const cbor_item_t *table, struct pm_cached_image *out)
@@ -173,7 +173,7 @@
     pm_cbor_put_end(out);
 }
 
-/* Returns the estimated JSON bytes. */
+/* Returns the estimated size in JSON bytes. */
 static size_t encode_failing_jobs(const struct pm_scheduler *scheduler, struct pm_buffer *out)
 {
     GPtrArray *active = pm_jobs_active(scheduler->jobs);
@@ -253,9 +253,9 @@
         struct pm_occupancy_ledger *ledger = &occupancy->ledger[team];
         if (!pm_cbor_read_number(pm_cbor_get(teams, settings->teams[team].name), &ledger->sum))
             ledger->sum = 0;
-        /* Only the sum is stored: its age is taken to be even over half the window. */
-        for (int i = 0; i < HALF_WINDOW; i++)
+        /* Only the sum is stored. It is spread evenly over the latest half of the window. */
+        for (int i = 0; i < HALF_WINDOW_BUCKETS; i++)
             ledger->bucket[(occupancy->current_bucket - i + PM_OCCUPANCY_BUCKETS) %
-                           PM_OCCUPANCY_BUCKETS] = ledger->sum / HALF_WINDOW;
+                           PM_OCCUPANCY_BUCKETS] = ledger->sum / HALF_WINDOW_BUCKETS;
     }
 }
--- a/src/scheduler/mandatory_stops.c
+++ b/src/scheduler/mandatory_stops.c
@@ -1,11 +1,12 @@
-/* Stops that no other job's demand calls for: a job is over, a gang lost a task, or the provider
- * reclaims a spot machine. */
+/* Stops for reasons other than the demand of another job: a job has ended, a gang lost a task, or
+ * the provider reclaims a spot machine. */
 #include "scheduler/internal.h"
 
-/* A task that ran for so much longer than estimated may run for long */
+/* A task that has exceeded its estimated run time by more than this may run for long. */
 #define OVERRUN_MAX_S 10.0
-/* Of the time until an interruption that is counted on: the notice may be off by half */
-#define NOTICE_SHARE 0.4
+/* The share of the time until an interruption that is relied on: the announced time may be off by
+ * half. */
+#define NOTICE_USABLE_SHARE 0.4
 
 static void stop(struct pm_scheduler *scheduler, struct pm_placement *placement, double grace_s)
 {
@@ -22,7 +23,7 @@
     }
 }
 
-/* Whether the task will probably end before the machine does. */
+/* Whether the task will probably end before the machine is interrupted. */
 static bool may_end_in_time(const struct pm_scheduler *scheduler,
                             const struct pm_placement *placement, double left_s, double now)
 {
@@ -30,11 +31,11 @@
     double remaining_s = pm_scheduler_estimate_run_s(scheduler, placement->job) - ran_s;
 
     return placement->job->spec->kind != PM_WORKLOAD_SERVICE && placement->running_since &&
-           remaining_s > -OVERRUN_MAX_S && remaining_s < left_s * NOTICE_SHARE;
+           remaining_s > -OVERRUN_MAX_S && remaining_s < left_s * NOTICE_USABLE_SHARE;
 }
 
-/* What can checkpoint does so now, gangs stop whole, a replica moves, and a task that cannot
- * checkpoint runs on only where it may well end in time. */
+/* Stops the tasks on a machine that will be interrupted, except those that will probably end in
+ * time. Tasks that can checkpoint get a grace period for that; a gang is stopped as a whole. */
 static void stop_for_interruption(struct pm_scheduler *scheduler, const struct pm_machine *machine,
                                   double now)
 {
@@ -54,7 +55,7 @@
     }
 }
 
-/* A gang whose attempt lost a task stops whole. */
+/* Stops all tasks of each gang that lost one of them. */
 static void stop_incomplete_gangs(struct pm_scheduler *scheduler)
 {
     GPtrArray *active = pm_jobs_active(scheduler->jobs);
@@ -68,7 +69,8 @@
     }
 }
 
-/* Removes a placement that was never launched: no proof is needed that its task is over. */
+/* Removes a placement that was never launched, so that no proof is needed that its task has ended.
+ */
 static void withdraw(struct pm_scheduler *scheduler, struct pm_placement *placement)
 {
     struct pm_job *job = placement->job;
@@ -79,7 +81,7 @@
     scheduler->run.actions++;
 }
 
-/* Tasks of a job that is over stop at once, without a grace period. */
+/* Stops tasks of jobs that have ended, without a grace period. */
 static void stop_tasks_of_ended_jobs(struct pm_scheduler *scheduler,
                                      const struct pm_machine *machine)
 {
@@ -87,7 +89,7 @@
         struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
         bool is_live = placement->job->state == PM_JOB_LIVE;
         if (placement->state == PM_PLACEMENT_PROPOSED && (!is_live || placement->should_stop)) {
-            withdraw(scheduler, placement); /* the next one is at this index now */
+            withdraw(scheduler, placement); /* the next placement now has this index */
             continue;
         }
         if (!is_live && placement->state != PM_PLACEMENT_ENDED &&
--- a/src/scheduler/occupancy.c
+++ b/src/scheduler/occupancy.c
@@ -1,16 +1,17 @@
-/* Windowed occupancy: the machine-seconds that each team occupied within the window, and the
+/* Windowed occupancy: counts the machine-seconds that each team occupied within the window, and the
  * processors that it uses now.
  *
- * The window is divided into buckets of equal width by time of day; as time passes, the oldest
- * bucket of each ledger is taken off its sum. ledger_codec.c stores the sums. */
+ * The window is divided into buckets of equal width by time of day; a bucket that leaves the window
+ * is subtracted from its ledger's sum. ledger_codec.c stores the sums. */
 #include "scheduler/internal.h"
 
-#define CHARGED_SPAN_MAX_S 5.0 /* a longer gap between plans is not charged in full */
-#define BUDGET_SHARE_MIN 1e-3  /* of all budgets, for a team that has hardly any */
+#define CHARGED_SPAN_MAX_S 5.0 /* a longer gap between plans is charged up to this */
+#define BUDGET_SHARE_MIN 1e-3  /* lower bound of a team's share of all budgets */
 #define SECONDS_PER_HOUR 3600
 
-/* Best-effort work declares a minimum runtime of zero: it is unallocated and not charged, until it
- * has waited too long to start: from then on it is charged, and does not yield at once. */
+/* Best-effort work has a minimum runtime of zero: it is unallocated, which means that it is not
+ * charged and may be preempted immediately. If it has waited too long to start, it is charged, and
+ * is no longer preempted immediately. */
 bool pm_scheduler_is_unallocated(const struct pm_job *job)
 {
     return job->priority == PM_PRIORITY_BEST_EFFORT && !job->scheduling.is_overdue_start;
@@ -27,7 +28,8 @@
     return type->gpus > 0 ? MAX(share, spec->gpus / type->gpus) : share;
 }
 
-/* Counted from one window before the time of day's origin, so that no bucket is below zero. */
+/* Buckets are numbered from one window before time of day 0, so that no bucket number is negative.
+ */
 long pm_occupancy_bucket_at(const struct pm_scheduler *scheduler, double wall)
 {
     double window_s = scheduler->operator_settings->window_h * SECONDS_PER_HOUR;
@@ -35,7 +37,7 @@
     return (long)(wall / (window_s / PM_OCCUPANCY_BUCKETS)) + PM_OCCUPANCY_BUCKETS;
 }
 
-/* Empties the buckets that have left the window. */
+/* Clears the buckets that have left the window and subtracts them from the sums. */
 static void advance_window(struct pm_scheduler *scheduler, double wall)
 {
     struct pm_occupancy *occupancy = &scheduler->occupancy;
@@ -80,7 +82,7 @@
     }
 }
 
-/* Jobs that are delegated to shards: their stored placements count. */
+/* Charges jobs that are delegated to shards, by their stored placements. */
 static void charge_delegated_jobs(struct pm_scheduler *scheduler, double span_s)
 {
     GPtrArray *active = pm_jobs_active(scheduler->jobs);
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -1,20 +1,20 @@
-/* What each team uses of its quota, in one account: plans, leases to shards, a shard's owner and
- * the commit of placements all check it before work starts.
+/* Counts what each team uses of its quota, in one place: plans, leases to shards, a shard's owner
+ * and the commit of placements all check it before work starts.
  *
- * Counted is whatever may be on a machine: placements that are not proven to be over, the
- * parallelism of leases, and orphan tasks, which a worker reports though no placement is known.
- * What is not known yet counts as the most that it can be. */
+ * Everything that may be running on a machine counts: placements that are not proven to have ended,
+ * the parallelism of leases, and orphan tasks, which a worker reports although they have no
+ * placement here. An amount that is not known yet counts as its upper bound. */
 #include "base/log.h"
 #include "scheduler/internal.h"
 
 #include <math.h>
 #include <string.h>
 
-#define EXCEEDED_LOG_INTERVAL_S 10.0 /* a team over quota is logged no more often */
-#define NEAR_QUOTA_SHARE 0.9         /* a team that uses this share of its quota is near it */
-#define UNLIMITED 1e9                /* a quota from here on is none */
+#define EXCEEDED_LOG_INTERVAL_S 10.0 /* between log lines that the same team is over quota */
+#define NEAR_QUOTA_SHARE 0.9         /* of the quota: from here on a team is near it */
+#define UNLIMITED 1e9                /* a quota of this size or more means no quota */
 
-/* A test's build, in which the account is off by a task; see src/soak. */
+/* A build for tests undercounts the usage by one task, which src/soak must detect. */
 #ifdef PM_PLANTED_QUOTA_FAULT
 #define PLANTED_FAULT_CPUS 2.0
 #else
@@ -27,8 +27,8 @@
     amount->gpus += tasks * spec->gpus;
 }
 
-/* Tasks that the lease of a delegated job lets run at once. A parallelism that was not read yet
- * bounds nothing: then it is all tasks that are not durably done. */
+/* How many tasks of a delegated job its lease allows to run at once. While the parallelism has not
+ * been read yet, that is every task that is not durably done. */
 static uint32_t count_leased_tasks(const struct pm_job *job)
 {
     uint32_t done;
@@ -55,15 +55,15 @@
 static void count_orphan_tasks(struct pm_scheduler *scheduler, const struct pm_machine *machine)
 {
     const GArray *orphans = machine->heartbeat.orphan_tasks;
-    /* A stale copy of a heartbeat shows tasks that have ended since: they count, but prove no
-     * violation. */
+    /* A delayed copy of a heartbeat may list tasks that have ended since. They count as orphaned,
+     * but do not prove a violation. */
     bool is_current = machine->delivery.acked_epoch &&
                       machine->heartbeat.fencing_token >= machine->delivery.acked_epoch;
 
     for (guint i = 0; i < orphans->len; i++) {
         const struct pm_spec *spec = g_array_index(orphans, struct pm_task_ref, i).job->spec;
         if (!spec)
-            continue; /* its job is over: what it requests is not known any more */
+            continue; /* its job has ended, and what it requests is no longer known */
         add_tasks(&scheduler->quota.team[spec->team].orphaned, spec, 1);
         if (is_current)
             add_tasks(&scheduler->quota.team[spec->team].reported, spec, 1);
@@ -79,12 +79,12 @@
                                     usage->placed.gpus + usage->leased.gpus + usage->orphaned.gpus};
 }
 
-static bool is_over(const struct pm_team_setting *team, struct pm_quota_amount amount)
+static bool is_over_quota(const struct pm_team_setting *team, struct pm_quota_amount amount)
 {
     return amount.cpus > team->cpus_max + PM_EPSILON || amount.gpus > team->gpus_max + PM_EPSILON;
 }
 
-/* Asserts the invariant on what workers report: a violation is logged and counted. */
+/* Checks that no team exceeds its quota by what workers report. Logs and counts each violation. */
 static void check_reported_usage(struct pm_scheduler *scheduler, double now)
 {
     struct pm_quota_usage *quota = &scheduler->quota;
@@ -92,7 +92,7 @@
     for (int i = 0; i < scheduler->tables->settings->team_count; i++) {
         const struct pm_team_setting *team = &scheduler->tables->settings->teams[i];
         const struct pm_team_usage *usage = &quota->team[i];
-        if (!is_over(team, usage->reported))
+        if (!is_over_quota(team, usage->reported))
             continue;
         if (quota->exceeded_logged_at[i] &&
             now < quota->exceeded_logged_at[i] + EXCEEDED_LOG_INTERVAL_S)
@@ -100,7 +100,8 @@
         quota->exceeded_logged_at[i] = now;
         quota->violations++;
         pm_error("quota.exceeded",
-                 "%s runs %g cpus, %g accelerators of %g, %g; placed %g, leased %g, orphaned %g",
+                 "team %s runs %g cpus, %g accelerators, over its quota of %g cpus, %g "
+                 "accelerators; cpus placed %g, leased %g, orphaned %g",
                  team->name, usage->reported.cpus, usage->reported.gpus, team->cpus_max,
                  team->gpus_max, usage->placed.cpus, usage->leased.cpus, usage->orphaned.cpus);
     }
@@ -146,10 +147,11 @@
     struct pm_quota_amount amount = pm_quota_total(scheduler, spec->team);
 
     add_tasks(&amount, spec, tasks);
-    return !is_over(&scheduler->tables->settings->teams[spec->team], amount);
+    return !is_over_quota(&scheduler->tables->settings->teams[spec->team], amount);
 }
 
-/* What is below a quota, less the share of it that is kept; all of it where there is no quota. */
+/* What remains of a quota when a share of it is held back. If it means no quota, it is returned as
+ * it is. */
 static double below_quota(double quota, double used, double kept_share)
 {
     return quota < UNLIMITED ? quota * (1 - kept_share) - used : quota;
@@ -165,8 +167,8 @@
                                   below_quota(team->gpus_max, used.gpus, kept_share), INFINITY);
 }
 
-/* Withdraws proposed placements of the team until it is within its quota. Never launched, they need
- * no proof that they are over. Returns how many. */
+/* Withdraws proposed placements of the team until it is within its quota, and returns how many.
+ * They were never launched, so no proof is needed that they have ended. */
 static unsigned withdraw_proposed(struct pm_scheduler *scheduler, int team)
 {
     const struct pm_team_setting *setting = &scheduler->tables->settings->teams[team];
@@ -181,7 +183,7 @@
             uint32_t index = placement->task_index;
             if (placement->state != PM_PLACEMENT_PROPOSED || job->spec->team != team)
                 continue;
-            if (!is_over(setting, pm_quota_total(scheduler, team)))
+            if (!is_over_quota(setting, pm_quota_total(scheduler, team)))
                 return withdrawn;
             pm_workers_remove_placement(scheduler->workers, placement);
             pm_job_mark_dirty(job, index);
@@ -201,11 +203,13 @@
     for (int i = 0; i < scheduler->tables->settings->team_count; i++) {
         const struct pm_team_setting *team = &scheduler->tables->settings->teams[i];
         struct pm_quota_amount before = pm_quota_total(scheduler, i);
-        unsigned withdrawn = is_over(team, before) ? withdraw_proposed(scheduler, i) : 0;
+        unsigned withdrawn = is_over_quota(team, before) ? withdraw_proposed(scheduler, i) : 0;
         if (!withdrawn)
             continue;
         scheduler->quota.violations++;
-        pm_error("quota.start_rejected", "%s: %u starts, with %g of %g cpus, %g of %g accelerators",
+        pm_error("quota.start_rejected",
+                 "team %s: withdrew %u proposed starts; with them it used %g of %g cpus, %g of %g "
+                 "accelerators",
                  team->name, withdrawn, before.cpus, team->cpus_max, before.gpus, team->gpus_max);
     }
 }
@@ -225,7 +229,7 @@
             total.gpus < NEAR_QUOTA_SHARE * team->gpus_max)
             continue;
         pm_info("quota.usage",
-                "%s: placed %g, leased %g, orphaned %g of %g cpus; %g of %g accelerators",
+                "team %s: placed %g, leased %g, orphaned %g of %g cpus; %g of %g accelerators",
                 team->name, usage->placed.cpus, usage->leased.cpus, usage->orphaned.cpus,
                 team->cpus_max, total.gpus, team->gpus_max);
     }
--- a/src/scheduler/rebalancing.c
+++ b/src/scheduler/rebalancing.c
@@ -1,12 +1,12 @@
-/* Rebalancing: evens out how many replicas each ordinary machine has. */
+/* Rebalancing: evens out the number of replicas on the ordinary machines. */
 #include "scheduler/internal.h"
 #include "base/log.h"
 
 #include <math.h>
 
-#define GAIN_MIN_SHARE 0.25 /* of a machine's processors: a smaller gain is not worth a move */
+#define GAIN_MIN_SHARE 0.25 /* of a machine's processors, the least gain that justifies a move */
 
-/* The best move so far. */
+/* The best move found so far. */
 struct move {
     struct pm_placement *placement; /* NULL: none yet */
     double gain;
@@ -19,10 +19,11 @@
            now - placement->running_since >= PM_REPLICA_SETTLED_S;
 }
 
-/* What is free or preemptible on each machine; both arrays go by machine index. */
+/* The processors that are free or preemptible on each machine. Both arrays are indexed by machine.
+ */
 struct fleet_cpus {
     GPtrArray *machines; /* borrowed */
-    double *cpus;        /* owned; NAN: the machine is not to be used */
+    double *cpus;        /* owned; NAN if the machine must not be used */
     guint count;
 };
 
@@ -40,7 +41,8 @@
     return fleet;
 }
 
-/* Looks for a better machine for a placement on a machine with so many processors. */
+/* Looks for a better machine for the placement. `cpus_here` is what is free or preemptible on its
+ * machine. */
 static void consider_moves(const struct pm_scheduler *scheduler, struct pm_placement *placement,
                            const struct fleet_cpus *fleet, double cpus_here, struct move *best)
 {
@@ -51,7 +53,7 @@
     for (guint i = 0; i < fleet->count; i++) {
         const struct pm_machine *target = g_ptr_array_index(fleet->machines, i);
         double gain = fleet->cpus[i] - cpus_here - 2 * job->spec->cpus - threshold;
-        if (!(gain > best->gain)) /* so for NAN, too */
+        if (!(gain > best->gain)) /* also skips machines with NAN */
             continue;
         if (!pm_scheduler_has_image(target, job->spec->image) ||
             !pm_scheduler_has_free_capacity(target, job->spec) ||
@@ -90,7 +92,7 @@
     g_free(fleet.cpus);
     if (!best.placement)
         return;
-    pm_debug("scheduler.balance", "%s/%u leaves %s", best.placement->job->id,
+    pm_debug("scheduler.balance", "moving replica %s/%u off machine %s", best.placement->job->id,
              best.placement->task_index, best.placement->machine->name);
     pm_placement_stop(best.placement, 0);
 }
--- a/src/scheduler/requirements.c
+++ b/src/scheduler/requirements.c
@@ -1,7 +1,7 @@
-/* What a job's next task requires of a machine, and which requirements nothing meets.
+/* What a job's next task requires of a machine, and which requirements no machine meets.
  *
- * Capacity only shrinks within a plan. Requirements for which no machine was found once need not be
- * tried again, whichever job has them. */
+ * Capacity only shrinks within a plan. Requirements that no machine met need not be tried again in
+ * the same plan, for any job that has them. */
 #include "scheduler/internal.h"
 
 #include <string.h>
@@ -51,7 +51,7 @@
     return requirements;
 }
 
-static bool is_same(const struct pm_requirements *left, const struct pm_requirements *right)
+static bool are_equal(const struct pm_requirements *left, const struct pm_requirements *right)
 {
     return left->types == right->types && left->zones == right->zones &&
            left->team == right->team && left->priority == right->priority &&
@@ -65,7 +65,7 @@
     const GArray *unschedulable = scheduler->cache.unschedulable;
 
     for (guint i = 0; i < unschedulable->len; i++)
-        if (is_same(&g_array_index(unschedulable, struct pm_requirements, i), requirements))
+        if (are_equal(&g_array_index(unschedulable, struct pm_requirements, i), requirements))
             return true;
     return false;
 }
--- a/src/scheduler/run_time.c
+++ b/src/scheduler/run_time.c
@@ -1,7 +1,9 @@
-/* Run times: what tasks were measured to take, against their owners' estimates. */
+/* Run times: compares the measured run times of tasks with their owners' estimates. */
 #include "scheduler/internal.h"
 
-#define SAMPLE_WEIGHT 0.01 /* of one task: those of one job are all off by much the same */
+/* Of one task's ratio. Small, because the estimates for the tasks of one job are all off by about
+ * the same. */
+#define SAMPLE_WEIGHT 0.01
 #define RATIO_MIN 0.1
 #define RATIO_MAX 10
 
--- a/src/scheduler/starvation.c
+++ b/src/scheduler/starvation.c
@@ -1,25 +1,28 @@
 /* Protection from starvation.
  *
- * Ratio and size rank what waits, and each could hold a job back for ever: a team with a high
- * ratio, the job with most work while others keep coming, a gang that never finds its capacity at
- * one time. What would not start whole within a bound otherwise goes first until it has, the oldest
- * before the others: as late as the machines, with what else is as old, can still do it in time.
- * Never on all of the machines: when there is more work than they can do, all jobs would end up
- * waiting for that bound, and hardly anything would be in time. */
+ * Ranking by usage ratio and by remaining work could delay a job for ever: a job of a team with a
+ * high ratio, the job with the most work while smaller ones keep arriving, or a gang that never
+ * finds all of its capacity free at the same time. A job that would otherwise not have all its
+ * tasks started within START_BOUND_S is therefore placed first until it has, the longest waiting
+ * before the others. It is marked as late as the machines, which also have the other long waiting
+ * jobs to start, can still start it in time. Only a share of the capacity is used for this:
+ * otherwise, when there is more work than the machines can do, all jobs would end up waiting for
+ * the bound, and hardly any would end on time. */
 #include "scheduler/internal.h"
 
-#define START_BOUND_S 215.0    /* within which every job is to have started whole */
-#define CHECK_AFTER_S 150.0    /* what has waited for less is not starving yet */
-#define STARVING_SHARE 0.75    /* of the batch capacity that may go to overdue starts */
-#define BEST_EFFORT_SHARE 0.25 /* the same, for best-effort work */
-/* A start counts if nothing stops it within 30 s; image fetches come before that */
+#define START_BOUND_S 215.0        /* within which all tasks of a job should have started */
+#define CANDIDATE_MIN_WAIT_S 150.0 /* a job that has waited for less is not starving */
+#define STARVING_SHARE 0.75        /* of the batch capacity, the most for overdue starts */
+#define BEST_EFFORT_SHARE 0.25     /* the lower limit that applies to best-effort jobs */
+/* How long best-effort work stays protected after it has started in full. A start counts if nothing
+ * stops the task within 30 s, and the image fetch comes before that. */
 #define STARTED_PROTECTION_S 40.0
-#define GANG_CLEARING_S 45.0 /* a gang's capacity takes so long to come free */
-#define DEPENDABLE_SHARE 0.7 /* of the machines' time that can be counted on */
+#define GANG_CAPACITY_DELAY_S 45.0 /* until capacity for a whole gang is free */
+#define USABLE_TIME_SHARE 0.7      /* of the machines' time that can be relied on */
 
-/* Notes that the job has started whole. Best-effort work that went first until then yields at once
- * again, a while after. */
-static void note_full_start(struct pm_job *job, double now)
+/* Records when all tasks of the job have started. Best-effort work that was placed first until then
+ * loses its protection from preemption STARTED_PROTECTION_S later. */
+static void update_full_start(struct pm_job *job, double now)
 {
     struct pm_job_scheduling *scheduling = &job->scheduling;
 
@@ -34,16 +37,17 @@
         scheduling->is_overdue_start = false;
 }
 
-/* Whether the job may yet come to go first for its age. */
+/* Whether the job may be marked as starving once it has waited long enough. */
 static bool may_starve(const struct pm_job *job)
 {
     return !job->delegated && pm_job_waiting_tasks(job) && !pm_failures_is_job_failing(job) &&
            !(job->scheduling.has_fully_started && job->priority == PM_PRIORITY_BEST_EFFORT);
 }
 
-/* Appends the jobs that have waited for long to `old`, oldest first. Returns how many processors
- * overdue starts use already. */
-static double find_old_jobs(struct pm_scheduler *scheduler, GPtrArray *old, double now)
+/* Appends the jobs that have waited for longer than CANDIDATE_MIN_WAIT_S to `candidates`, longest
+ * waiting first, and clears every job's starving mark. Returns how many processors overdue starts
+ * already use. */
+static double find_candidates(struct pm_scheduler *scheduler, GPtrArray *candidates, double now)
 {
     GPtrArray *active = pm_jobs_active(scheduler->jobs);
     double overdue_cpus = 0;
@@ -53,34 +57,34 @@
         job->scheduling.is_starving = false;
         if (!job->spec || job->state != PM_JOB_LIVE)
             continue;
-        note_full_start(job, now);
+        update_full_start(job, now);
         if (job->scheduling.is_overdue_start)
             overdue_cpus += job->work.placed_count * job->spec->cpus;
         if (may_starve(job) &&
-            scheduler->run.wall - pm_scheduler_waiting_since(job) > CHECK_AFTER_S)
-            g_ptr_array_add(old, job);
+            scheduler->run.wall - pm_scheduler_waiting_since(job) > CANDIDATE_MIN_WAIT_S)
+            g_ptr_array_add(candidates, job);
     }
-    g_ptr_array_sort(old, pm_scheduler_compare_by_age);
+    g_ptr_array_sort(candidates, pm_scheduler_compare_by_age);
     return overdue_cpus;
 }
 
-/* How many of the oldest jobs have to go first now, if the last of them is to start in time behind
- * the others. */
-static guint count_overdue(const struct pm_scheduler *scheduler, const GPtrArray *old,
+/* How many of the longest waiting jobs must be placed first now, so that the last of them, behind
+ * the others, still starts in time. */
+static guint count_overdue(const struct pm_scheduler *scheduler, const GPtrArray *candidates,
                            double batch_cpus)
 {
     double work_cpu_s = 0;
     guint overdue = 0;
 
-    for (guint i = 0; i < old->len; i++) {
-        const struct pm_job *job = g_ptr_array_index(old, i);
+    for (guint i = 0; i < candidates->len; i++) {
+        const struct pm_job *job = g_ptr_array_index(candidates, i);
         double left_s = START_BOUND_S - (scheduler->run.wall - pm_scheduler_waiting_since(job));
         if (job->spec->kind == PM_WORKLOAD_GANG)
-            left_s -= GANG_CLEARING_S; /* needs its capacity at one time, or keeps waiting */
+            left_s -= GANG_CAPACITY_DELAY_S; /* needs all of its capacity at the same time */
         else if (job->spec->kind == PM_WORKLOAD_ARRAY)
             work_cpu_s += pm_job_waiting_tasks(job) *
                           (pm_scheduler_estimate_run_s(scheduler, job) + 1) * job->spec->cpus;
-        if (work_cpu_s >= left_s * batch_cpus * DEPENDABLE_SHARE)
+        if (work_cpu_s >= left_s * batch_cpus * USABLE_TIME_SHARE)
             overdue = i + 1;
     }
     return overdue;
@@ -88,18 +92,18 @@
 
 void pm_scheduler_mark_starving(struct pm_scheduler *scheduler, double now)
 {
-    GPtrArray *old = g_ptr_array_new();
+    GPtrArray *candidates = g_ptr_array_new();
     double batch_cpus = MAX(pm_scheduler_batch_capacity_cpus(scheduler, now), 1);
-    double cpus = find_old_jobs(scheduler, old, now);
-    guint overdue = count_overdue(scheduler, old, batch_cpus);
+    double cpus = find_candidates(scheduler, candidates, now);
+    guint overdue = count_overdue(scheduler, candidates, batch_cpus);
 
     for (guint i = 0; i < overdue && cpus < STARVING_SHARE * batch_cpus; i++) {
-        struct pm_job *job = g_ptr_array_index(old, i);
+        struct pm_job *job = g_ptr_array_index(candidates, i);
         if (job->priority == PM_PRIORITY_BEST_EFFORT && cpus >= BEST_EFFORT_SHARE * batch_cpus)
             continue;
         job->scheduling.is_starving = true;
         job->scheduling.is_overdue_start = true;
         cpus += pm_job_waiting_tasks(job) * job->spec->cpus;
     }
-    g_ptr_array_free(old, TRUE);
+    g_ptr_array_free(candidates, TRUE);
 }
