--- a/src/autoscaler/tests/autoscaler_fixtures.h
+++ b/src/autoscaler/tests/autoscaler_fixtures.h
@@ -121,7 +121,7 @@
     int request_count;
     int of_kind = 0;
 
-    pm_scheduler_run(scheduler, NOW, NOW);
+    pm_scheduler_run_plan(scheduler, NOW, NOW);
     request_count = pm_autoscaler_size(autoscaler, NOW, NOW, requests, REQUESTS_MAX);
     *total = 0;
     for (int i = 0; i < request_count; i++) {
--- a/src/autoscaler/tests/test_autoscaler_provider.c
+++ b/src/autoscaler/tests/test_autoscaler_provider.c
@@ -189,7 +189,7 @@
     struct repeated_runs *runs = arg;
     double now = pm_clock_monotonic();
 
-    pm_scheduler_run(scheduler, now, now);
+    pm_scheduler_run_plan(scheduler, now, now);
     pm_autoscaler_run(runs->autoscaler, now, now);
     return --runs->left <= 0;
 }
--- a/src/cmd/plan-bench/main.c
+++ b/src/cmd/plan-bench/main.c
@@ -273,7 +273,7 @@
     double started_at = pm_clock_monotonic();
     double elapsed_s;
 
-    times->placed += pm_scheduler_run(bench.scheduler, bench.now, bench.now);
+    times->placed += pm_scheduler_run_plan(bench.scheduler, bench.now, bench.now);
     elapsed_s = pm_clock_monotonic() - started_at;
     times->scheduling_s += elapsed_s;
     times->longest_scheduling_s = MAX(times->longest_scheduling_s, elapsed_s);
--- a/src/cmd/pumicemount/planner.c
+++ b/src/cmd/pumicemount/planner.c
@@ -42,7 +42,7 @@
 
     pm_scheduler_set_full_view(scheduler, controller->is_leader);
     pm_scheduler_set_writable(scheduler, pm_controller_is_store_writable(controller, now));
-    pm_scheduler_begin(scheduler, now, pm_clock_wall());
+    pm_scheduler_begin_plan(scheduler, now, pm_clock_wall());
     if (controller->is_leader)
         pm_shards_assign_jobs(controller->shards, now);
     pm_scheduler_place(scheduler, now);
--- a/src/scheduler/bin_packing.c
+++ b/src/scheduler/bin_packing.c
@@ -1,24 +1,27 @@
-/* Bin packing: where a task may run, and where it runs best. */
+/* Bin packing: decides which machines may run a task, and which of them is best. */
 #include "scheduler/internal.h"
 
 #include <math.h>
 
-/* The parts of a machine's score. */
-#define FAILURE_PENALTY 2.0            /* for each failure that counts against the machine */
-#define JOB_FAILED_THERE_PENALTY 4.0   /* when the job itself failed there */
-#define SERVICE_IMAGE_BONUS 10.0       /* the image is cached: a service starts at once */
-#define SERVICE_NEW_IMAGE_BONUS 4.0    /* the image is not cached, and there is time to fetch it */
-#define FETCH_PENALTY_PER_S 0.3        /* of the images that must be fetched first, */
-#define FETCH_PENALTY_MAX 10.0         /* at most */
-#define SERVICE_SHARE_PENALTY 8.0      /* on a cold start, for the last share of a machine */
-#define SAME_JOB_PENALTY 2.0           /* for each replica that the machine has already */
-#define SERVICE_CAPACITY_WEIGHT 3.0    /* of the share of the machine that is free or preemptible */
-#define BATCH_IMAGE_BONUS 3.0          /* the image is cached */
-#define BATCH_MARKET_BONUS 5.0         /* ordinary capacity is dearer, and kept for services */
-#define BATCH_FREE_CAPACITY_WEIGHT 2.0 /* of the share of the machine that stays free */
-
-/* Not for a job that has waited so often its objective */
-#define PREEMPT_ELSEWHERE_OBJECTIVES 3.0
+/* The terms of a machine's score. */
+#define FAILURE_PENALTY 2.0          /* per failure that counts against the machine */
+#define JOB_FAILED_THERE_PENALTY 4.0 /* a task of the same job failed on the machine */
+#define SERVICE_IMAGE_BONUS 10.0     /* the image is cached, so that a service starts at once */
+#define SERVICE_NEW_IMAGE_BONUS 4.0  /* the image is not cached, but there is time to fetch it */
+#define FETCH_PENALTY_PER_S 0.3      /* per second of the image fetches ahead of this one */
+#define FETCH_PENALTY_MAX 10.0       /* upper bound of the penalty for image fetches */
+#define SERVICE_SHARE_PENALTY 8.0    /* on a cold start, for using PM_SERVICE_SHARE of a machine */
+#define SAME_JOB_PENALTY 2.0         /* per task of the same job already on the machine */
+#define SERVICE_CAPACITY_WEIGHT 3.0  /* times the free or preemptible share of the machine */
+#define BATCH_IMAGE_BONUS 3.0        /* the image is cached */
+/* For a spot machine, if the job may use one: ordinary machines cost more and are kept for
+ * services. */
+#define BATCH_MARKET_BONUS 5.0
+#define BATCH_FREE_CAPACITY_WEIGHT 2.0 /* times the share of the machine that stays free */
+
+/* A job that has waited for this many times its start objective is placed without waiting for a
+ * preemption elsewhere. */
+#define AWAIT_PREEMPTION_OBJECTIVES_MAX 3.0
 
 bool pm_scheduler_is_machine_allowed(const struct pm_name_tables *tables, const struct pm_job *job,
                                      int type, int zone, bool spot)
@@ -80,8 +83,8 @@
     return count;
 }
 
-/* Services are spread: then every machine comes to cache every image, and has some capacity to
- * start the next service at once. Array tasks use that capacity meanwhile. */
+/* Spreads services over the machines. Every machine then caches many images over time, and keeps
+ * some capacity to start the next service at once, which array tasks use until then. */
 static double add_service_score(struct pm_scheduler *scheduler, const struct pm_machine *machine,
                                 const struct pm_job *job, double score)
 {
@@ -106,7 +109,8 @@
                MAX(scheduler->tables->types[machine->type].cpus, PM_EPSILON);
 }
 
-/* Other tasks fill what is fullest, so that other machines become idle and can be terminated. */
+/* Packs other tasks onto the fullest machines, so that the others become idle and can be
+ * terminated. */
 static double add_batch_score(const struct pm_scheduler *scheduler,
                               const struct pm_machine *machine, const struct pm_spec *spec,
                               double score)
@@ -149,17 +153,17 @@
     return false;
 }
 
-/* Whether the machine is being cleared, task by task, for a job that the task would have to yield
- * to: it would use the part of the capacity that is free already, only to be stopped again. */
-static bool is_being_cleared_for_other(struct pm_scheduler *scheduler,
-                                       const struct pm_machine *machine, const struct pm_job *job,
-                                       double now)
+/* Whether tasks on the machine are being preempted for another job that could preempt this job too.
+ * If a task of this job took the capacity that is already free, it would soon be stopped again. */
+static bool is_preempting_for_other(struct pm_scheduler *scheduler,
+                                    const struct pm_machine *machine, const struct pm_job *job,
+                                    double now)
 {
     const struct pm_job *other = machine->reservation.job;
 
     if (!other || other == job || now >= machine->reservation.until ||
         other->state != PM_JOB_LIVE || !pm_job_waiting_tasks(other) ||
-        !pm_scheduler_yields_to(scheduler, job, other))
+        !pm_scheduler_is_preemptible_by(scheduler, job, other))
         return false;
     return is_stopping_tasks(machine);
 }
@@ -182,7 +186,7 @@
                                              machine->spot) ||
             !pm_scheduler_is_zone_allowed(job, spread, machine->zone) ||
             pm_scheduler_is_reserved_for_other_gang(machine, job, now) ||
-            is_being_cleared_for_other(scheduler, machine, job, now))
+            is_preempting_for_other(scheduler, machine, job, now))
             continue;
         score = score_machine(scheduler, machine, job);
         if (score > best_score) {
@@ -193,8 +197,8 @@
     return best;
 }
 
-/* Whether the job's next task could start on the machine with the image from its cache, once lower
- * work has yielded. */
+/* Whether the job's next task could start on the machine with the cached image, once work of lower
+ * priority is preempted there. */
 static bool can_start_from_cache(const struct pm_scheduler *scheduler,
                                  const struct pm_machine *machine, const struct pm_job *job,
                                  const struct pm_zone_spread *spread, double now)
@@ -207,10 +211,10 @@
            pm_scheduler_preemptible_cpus(machine) + PM_EPSILON >= job->spec->cpus;
 }
 
-bool pm_scheduler_should_preempt_elsewhere(struct pm_scheduler *scheduler,
-                                           const struct pm_machine *machine,
-                                           const struct pm_job *job,
-                                           const struct pm_zone_spread *spread, double now)
+bool pm_scheduler_should_await_preemption(struct pm_scheduler *scheduler,
+                                          const struct pm_machine *machine,
+                                          const struct pm_job *job,
+                                          const struct pm_zone_spread *spread, double now)
 {
     GPtrArray *machines = pm_workers_all(scheduler->workers);
 
@@ -218,7 +222,7 @@
         pm_scheduler_has_image(machine, job->spec->image) ||
         pm_scheduler_may_fetch(scheduler, machine, job) ||
         scheduler->run.wall - pm_scheduler_waiting_since(job) >
-            PREEMPT_ELSEWHERE_OBJECTIVES * pm_scheduler_start_objective_s(scheduler, job))
+            AWAIT_PREEMPTION_OBJECTIVES_MAX * pm_scheduler_start_objective_s(scheduler, job))
         return false;
     for (guint i = 0; i < machines->len; i++) {
         const struct pm_machine *other = g_ptr_array_index(machines, i);
--- a/src/scheduler/cold_start.c
+++ b/src/scheduler/cold_start.c
@@ -1,18 +1,20 @@
-/* Cold starts and image fetches: when a service starts at once, and when it waits for a better
- * machine.
+/* Cold starts and image fetches: decides when a service starts at once, and when it waits for a
+ * better machine.
  *
  * After a cold start of the deployment all services wait, few machines are up, and no image is
- * cached. Replicas that would then fill the first machines wait for those that boot, so that each
- * machine comes to cache many images; not for longer than until a replica is overdue. */
+ * cached. Replicas that would fill the first machines then wait for booting machines instead, so
+ * that each machine caches many images over time. No replica waits beyond the time at which it is
+ * overdue. */
 #include "scheduler/internal.h"
 
 #include <string.h>
 
-#define DEFAULT_START_OBJECTIVE_S 1.0 /* where no objective says how soon a class is to start */
-#define COLD_START_DUE_TIMES 2        /* a cold start lasts so often the time of a due replica */
-#define FETCH_TIME_FACTOR 1.5         /* a fetch may take so much longer than computed */
-#define BOOT_TIME_FACTOR 1.4          /* most machines of a type are up within this, */
-#define BOOT_TIME_EXTRA_S 3.0         /* and this */
+#define DEFAULT_START_OBJECTIVE_S 1.0 /* for a class without a start objective */
+#define COLD_START_DUE_FACTOR 2       /* a cold start lasts this many times replica_due_s */
+#define FETCH_TIME_FACTOR 1.5         /* a fetch may take this many times its computed duration */
+/* Most machines of a type have booted within ready_s * BOOT_TIME_FACTOR + BOOT_TIME_EXTRA_S. */
+#define BOOT_TIME_FACTOR 1.4
+#define BOOT_TIME_EXTRA_S 3.0
 
 void pm_scheduler_update_cold_start(struct pm_scheduler *scheduler, double now)
 {
@@ -27,7 +29,7 @@
         if (job->spec && job->spec->kind == PM_WORKLOAD_SERVICE && job->work.placed_count)
             return;
     }
-    cold_start->until = now + COLD_START_DUE_TIMES * scheduler->operator_settings->replica_due_s;
+    cold_start->until = now + COLD_START_DUE_FACTOR * scheduler->operator_settings->replica_due_s;
     cold_start->is_active = true;
 }
 
@@ -73,7 +75,7 @@
            BOOT_TIME_FACTOR * tables->types[machine->type].ready_s + BOOT_TIME_EXTRA_S;
 }
 
-/* Whether a machine that the job may run on will have booted soon. */
+/* Whether a machine that the job may run on is expected to boot soon. */
 static bool is_boot_expected(const struct pm_scheduler *scheduler, const struct pm_job *job)
 {
     for (int type = 0; type < scheduler->tables->type_count; type++)
@@ -85,7 +87,7 @@
     return false;
 }
 
-bool pm_scheduler_awaits_boot(const struct pm_scheduler *scheduler, const struct pm_job *job)
+bool pm_scheduler_may_await_boot(const struct pm_scheduler *scheduler, const struct pm_job *job)
 {
     double waited_s = scheduler->run.wall - pm_scheduler_waiting_since(job);
 
@@ -97,7 +99,7 @@
 bool pm_scheduler_should_await_boot(const struct pm_scheduler *scheduler,
                                     const struct pm_machine *machine, const struct pm_job *job)
 {
-    return pm_scheduler_awaits_boot(scheduler, job) &&
+    return pm_scheduler_may_await_boot(scheduler, job) &&
            pm_scheduler_uses_service_share(scheduler, machine, job->spec) &&
            scheduler->run.wall - pm_scheduler_waiting_since(job) >=
                pm_scheduler_start_objective_s(scheduler, job);
--- a/src/scheduler/demand.c
+++ b/src/scheduler/demand.c
@@ -1,10 +1,10 @@
-/* Unmet demand: tasks that wait for nothing but capacity. Others are preempted, and machines are
+/* Unmet demand: the tasks that wait only for capacity. Other tasks are preempted, and machines
  * rented, for it. */
 #include "scheduler/internal.h"
 
 #include <math.h>
 
-#define FAILING_JOB_PATIENCE_S 30.0 /* a failing job's retry waits so long before it is demand */
+#define FAILING_JOB_DEMAND_DELAY_S 30.0 /* until a failing job's waiting retry counts */
 
 const GArray *pm_scheduler_unmet_demand(const struct pm_scheduler *scheduler)
 {
@@ -17,22 +17,23 @@
     g_array_append_vals(scheduler->unmet_demand, &(struct pm_unmet_demand){job, tasks}, 1);
 }
 
-/* How many tasks of the job wait for nothing but capacity. Tasks that back off, and those of a
- * failing job beyond the one that it is retried with, would not use the capacity. A failing job is
- * no demand at all, unless its retry finds no capacity for long: if it was found failing wrongly,
- * it would never run on a deployment that has no machine for it. */
+/* How many tasks of the job wait only for capacity. Tasks in back-off would not use the capacity,
+ * nor would a failing job's tasks beyond the one (or the gang) that is retried. A failing job
+ * counts only when its retry has found no capacity for FAILING_JOB_DEMAND_DELAY_S: if the job was
+ * wrongly found failing, it would otherwise never run on a deployment that has no machine for it.
+ */
 static uint32_t count_tasks_in_demand(const struct pm_job *job, double now)
 {
     if (!pm_failures_is_job_failing(job))
         return pm_job_startable_tasks(job, now);
-    if (job->work.placed_count || now < job->failures.retry_at + FAILING_JOB_PATIENCE_S)
+    if (job->work.placed_count || now < job->failures.retry_at + FAILING_JOB_DEMAND_DELAY_S)
         return 0;
     return MIN(pm_job_startable_tasks(job, now),
                job->spec->kind == PM_WORKLOAD_GANG ? job->task_count : 1);
 }
 
-/* Of `tasks`, those that fit within the quota of the job's team, besides `counted_cpus` of other
- * demand. */
+/* How many of `tasks` fit within the quota of the job's team, after `counted_cpus` of other demand.
+ */
 static uint32_t limit_to_quota(const struct pm_scheduler *scheduler, const struct pm_job *job,
                                uint32_t tasks, double counted_cpus)
 {
@@ -46,8 +47,8 @@
     return (uint32_t)MIN((double)tasks, MAX(0, floor((below_quota + PM_EPSILON) / spec->cpus)));
 }
 
-void pm_scheduler_note_demand(struct pm_scheduler *scheduler, struct pm_job *job,
-                              double *counted_cpus, double now)
+void pm_scheduler_record_demand(struct pm_scheduler *scheduler, struct pm_job *job,
+                                double *counted_cpus, double now)
 {
     const struct pm_spec *spec = job->spec;
     bool is_gang = spec->kind == PM_WORKLOAD_GANG;
--- a/src/scheduler/gang_scheduling.c
+++ b/src/scheduler/gang_scheduling.c
@@ -1,4 +1,5 @@
-/* Gang scheduling: a gang starts whole, and its capacity is cleared, or reserved, whole. */
+/* Gang scheduling: all tasks of a gang start together, and capacity is freed or reserved for all of
+ * them or for none. */
 #include "scheduler/internal.h"
 
 /* Adds `count` times what a task requests to the machine's free capacity. */
@@ -9,8 +10,8 @@
     machine->free.ram_gb += count * spec->ram_gb;
 }
 
-/* Finds a machine for each task. Their capacity is taken for the time of the search, so that the
- * next task sees it. Returns whether all were found. */
+/* Finds a machine for each task, and returns whether all were found. During the search, the
+ * capacity of the tasks already assigned is deducted from their machines. */
 static bool choose_machines(struct pm_scheduler *scheduler, const struct pm_job *job, int only_zone,
                             struct pm_machine **chosen, struct pm_zone_spread *spread, double now)
 {
@@ -49,8 +50,8 @@
     return is_complete;
 }
 
-/* How many tasks of the gang fit on the machine once its array tasks have ended, and what is being
- * stopped has ended. */
+/* How many tasks of the gang will fit on the machine once its array tasks, and the tasks that are
+ * being stopped, have ended. */
 static uint32_t count_future_fit(struct pm_scheduler *scheduler, const struct pm_machine *machine,
                                  const struct pm_job *job, int only_zone, double now)
 {
@@ -101,28 +102,30 @@
     return true;
 }
 
-/* Whether capacity for all tasks of the gang can be cleared; tried on a copy of `reserved`. */
-static bool can_clear_gang(struct pm_scheduler *scheduler, struct pm_clear_request request,
-                           const struct pm_machine_capacity *reserved, double now)
+/* Whether preemption can free capacity for all tasks of the gang. Searches with a copy of
+ * `reserved`. */
+static bool can_preempt_for_gang(struct pm_scheduler *scheduler,
+                                 struct pm_preemption_request request,
+                                 const struct pm_machine_capacity *reserved, double now)
 {
     size_t size =
         sizeof(struct pm_machine_capacity) * (pm_workers_all(scheduler->workers)->len + 1);
     struct pm_machine_capacity *trial = g_memdup2(reserved, size);
     struct pm_zone_spread spread = {0};
-    uint32_t cleared = 0;
+    uint32_t fitting = 0;
 
     request.dry_run = true;
-    while (cleared < request.job->task_count &&
-           pm_scheduler_clear_machine(scheduler, &request, trial, &spread, now))
-        cleared++;
+    while (fitting < request.job->task_count &&
+           pm_scheduler_preempt_for_task(scheduler, &request, trial, &spread, now))
+        fitting++;
     g_free(trial);
-    return cleared == request.job->task_count;
+    return fitting == request.job->task_count;
 }
 
 void pm_scheduler_preempt_for_gang(struct pm_scheduler *scheduler, struct pm_job *job,
                                    struct pm_machine_capacity *reserved, double now)
 {
-    struct pm_clear_request request = {.job = job, .only_zone = -1};
+    struct pm_preemption_request request = {.job = job, .only_zone = -1};
     struct pm_zone_spread spread = {0};
     int zones = job->spec->same_zone ? scheduler->tables->settings->zone_count : 1;
     int zone = 0;
@@ -131,7 +134,7 @@
         return;
     for (; zone < zones; zone++) {
         request.only_zone = job->spec->same_zone ? zone : -1;
-        if (can_clear_gang(scheduler, request, reserved, now))
+        if (can_preempt_for_gang(scheduler, request, reserved, now))
             break;
     }
     if (zone == zones)
@@ -139,7 +142,7 @@
     job->scheduling.reservation_until = now + PM_GANG_RESERVATION_S;
     for (uint32_t i = 0; i < job->task_count; i++) {
         struct pm_machine *machine =
-            pm_scheduler_clear_machine(scheduler, &request, reserved, &spread, now);
+            pm_scheduler_preempt_for_task(scheduler, &request, reserved, &spread, now);
         if (!machine)
             break;
         machine->reservation.gang = job;
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -1,9 +1,9 @@
-/* Preempts work for the unmet demand of a plan. */
+/* Preempts work for a plan's unmet demand. */
 #include "scheduler/internal.h"
 
-enum { TASKS_CLEARED_PER_JOB_MAX = 16 }; /* by one plan */
+enum { TASKS_PER_JOB_MAX = 16 }; /* tasks of one job for which one plan preempts */
 
-/* The lowest priority of anything that runs. */
+/* The lowest priority of any placement. */
 static enum pm_priority find_lowest_priority(struct pm_scheduler *scheduler)
 {
     GPtrArray *machines = pm_workers_all(scheduler->workers);
@@ -19,7 +19,7 @@
     return lowest;
 }
 
-/* Whether a team other than this one uses more than its guarantee. */
+/* Whether any other team uses more than its guarantee. */
 static bool is_other_team_beyond_guarantee(const struct pm_scheduler *scheduler, int team)
 {
     for (int other = 0; other < scheduler->tables->settings->team_count; other++)
@@ -28,7 +28,7 @@
     return false;
 }
 
-/* Whether anything that runs may be preempted for the job. */
+/* Whether any placement may be preempted for the job. Avoids searches that must fail. */
 static bool may_preempt_anything(const struct pm_scheduler *scheduler, const struct pm_job *job,
                                  enum pm_priority lowest)
 {
@@ -36,19 +36,19 @@
            (scheduler->has_full_view && is_other_team_beyond_guarantee(scheduler, job->spec->team));
 }
 
-static void clear_for_tasks(struct pm_scheduler *scheduler, struct pm_job *job, uint32_t tasks,
-                            struct pm_machine_capacity *reserved, double now)
+static void preempt_for_tasks(struct pm_scheduler *scheduler, struct pm_job *job, uint32_t tasks,
+                              struct pm_machine_capacity *reserved, double now)
 {
-    const struct pm_clear_request request = {.job = job, .only_zone = -1};
+    const struct pm_preemption_request request = {.job = job, .only_zone = -1};
     struct pm_zone_spread spread;
 
     pm_scheduler_count_zones(job, &spread);
-    for (uint32_t i = 0; i < MIN(tasks, TASKS_CLEARED_PER_JOB_MAX); i++) {
+    for (uint32_t i = 0; i < MIN(tasks, TASKS_PER_JOB_MAX); i++) {
         struct pm_requirements requirements =
             pm_scheduler_requirements(scheduler, job, &spread, job->spec->team);
         if (pm_scheduler_is_unschedulable(scheduler, &requirements))
             return;
-        if (!pm_scheduler_clear_machine(scheduler, &request, reserved, &spread, now)) {
+        if (!pm_scheduler_preempt_for_task(scheduler, &request, reserved, &spread, now)) {
             pm_scheduler_mark_unschedulable(scheduler, &requirements);
             return;
         }
@@ -60,16 +60,16 @@
 {
     struct pm_job *job = demand->job;
 
-    /* A replica that rather waits for a boot would not use the capacity: what was preempted would
-     * be placed there again, and so on without end. */
-    if (pm_scheduler_awaits_boot(scheduler, job))
+    /* A replica that waits for a booting machine would not use the capacity. The preempted work
+     * would be placed there again, and preempted again, without end. */
+    if (pm_scheduler_may_await_boot(scheduler, job))
         return;
     if (job->delegated)
         return; /* the leader revokes machines for it */
     if (job->spec->kind == PM_WORKLOAD_GANG)
         pm_scheduler_preempt_for_gang(scheduler, job, reserved, now);
     else if (may_preempt_anything(scheduler, job, lowest))
-        clear_for_tasks(scheduler, job, demand->tasks, reserved, now);
+        preempt_for_tasks(scheduler, job, demand->tasks, reserved, now);
 }
 
 void pm_scheduler_preempt(struct pm_scheduler *scheduler, double now)
--- a/src/scheduler/preemption_rules.c
+++ b/src/scheduler/preemption_rules.c
@@ -1,7 +1,7 @@
-/* Which work may preempt which. */
+/* The rules by which work may preempt other work. */
 #include "scheduler/internal.h"
 
-/* Granted beyond a checkpoint's duration, so that it ends in time */
+/* Added to the duration of a checkpoint, so that it completes within the grace period. */
 #define CHECKPOINT_MARGIN_S 1.0
 
 /* Whether one more task of the job is within its team's guarantee. */
@@ -20,8 +20,8 @@
            scheduler->tables->settings->teams[team].cpus + PM_EPSILON;
 }
 
-/* Urgent work beyond its team's guarantee leaves alone what another team has within its own: that
- * could preempt it in turn, and so on without end. */
+/* Urgent work beyond its team's guarantee may not preempt work within another team's guarantee.
+ * That work could preempt it in turn, and the two would preempt each other for ever. */
 static bool may_preempt_as_urgent(const struct pm_scheduler *scheduler, const struct pm_job *job,
                                   int other_team)
 {
@@ -30,7 +30,7 @@
            pm_scheduler_is_beyond_guarantee(scheduler, other_team);
 }
 
-/* Work beyond its team's guarantee yields to a team that is within its own. */
+/* A team within its guarantee may preempt work of a team that is beyond its own. */
 static bool may_preempt_for_guarantee(const struct pm_scheduler *scheduler,
                                       const struct pm_job *job, const struct pm_job *other)
 {
@@ -39,8 +39,8 @@
            pm_scheduler_is_beyond_guarantee(scheduler, other->spec->team);
 }
 
-/* A charged task is protected for its minimum runtime, then yields, if it can resume, to a team of
- * a lower ratio. */
+/* A charged task is protected for its minimum runtime. After that, a team with a lower usage ratio
+ * may preempt it if it can resume from a checkpoint. */
 static bool may_preempt_by_ratio(const struct pm_scheduler *scheduler, const struct pm_job *job,
                                  const struct pm_placement *placement, double now)
 {
@@ -52,8 +52,8 @@
            usage_ratio[job->spec->team] < usage_ratio[other->team];
 }
 
-bool pm_scheduler_yields_to(const struct pm_scheduler *scheduler, const struct pm_job *job,
-                            const struct pm_job *other)
+bool pm_scheduler_is_preemptible_by(const struct pm_scheduler *scheduler, const struct pm_job *job,
+                                    const struct pm_job *other)
 {
     int team = job->spec->team;
 
@@ -64,9 +64,9 @@
             pm_scheduler_is_beyond_guarantee(scheduler, team));
 }
 
-/* Unallocated work yields at once to work of a higher priority. Beyond that, a guarantee preempts
- * whatever is below production, and no rule but that one preempts work of equal or higher priority;
- * so the ratio alone does not decide. */
+/* Work of a higher priority may preempt unallocated work immediately. Other work below production
+ * may be preempted for a guarantee, which is the only rule that allows preempting work of equal or
+ * higher priority: a lower usage ratio alone does not. */
 bool pm_scheduler_may_preempt(const struct pm_scheduler *scheduler, const struct pm_job *job,
                               const struct pm_placement *placement, double now)
 {
--- a/src/scheduler/preemption_search.c
+++ b/src/scheduler/preemption_search.c
@@ -1,31 +1,33 @@
-/* Finds the machine where capacity for one task is cleared with least loss, and clears it. */
+/* Finds the machine where preemption for one task loses least work, and preempts there. */
 #include "scheduler/internal.h"
 #include "base/log.h"
 
 #include <math.h>
 
-#define CLEARING_S 4.0       /* most tasks that are stopped have ended within this */
-#define FETCH_COST_PER_S 1e4 /* a fetch costs more than whatever a preemption loses */
-#define PREEMPTION_COST 1.0  /* of a preemption, besides the work that it loses */
+/* How long a machine is reserved for the job that preempts there. By then, most of the stopped
+ * tasks have ended. */
+#define RESERVATION_S 4.0
+#define FETCH_COST_PER_S 1e4 /* an image fetch outweighs any work lost by preemption */
+#define PREEMPTION_COST 1.0  /* per preemption, in addition to the work that it loses */
 
 /* A placement that may be preempted. */
 struct preemptible {
     struct pm_placement *placement;
-    double loss_s; /* of its work */
+    double loss_s; /* work lost by stopping it now */
 };
 
-/* A machine where something may be preempted, and the processors on it that work of a priority
- * could have at most: what is free, is being stopped, or runs at a lower one. Found once a plan, so
- * that each task that wants capacity passes over most machines without a look at their placements.
- */
+/* A machine where something may be preempted. `cpus_for` is, by priority, the most processors that
+ * work of that priority could get there: those that are free, are being freed, or are used at a
+ * lower priority. Computed once per plan, so that the search for each task can skip most machines
+ * without looking at their placements. */
 struct candidate {
     struct pm_machine *machine;
     double cpus_for[PM_PRIORITIES];
 };
 
-/* The preemptions that clear a machine for one task. */
-struct clearance {
-    guint preemptions; /* of the first placements in `preemption.preemptible` */
+/* The placements to preempt on a machine so that one more task fits, and what that costs. */
+struct preemption_set {
+    guint count; /* how many of the first entries of `preemption.preemptible` */
     double cost;
 };
 
@@ -44,7 +46,7 @@
 static void add_candidate(struct pm_scheduler *scheduler, struct pm_machine *machine)
 {
     struct candidate candidate = {.machine = machine};
-    bool is_useful = machine->free.cpus > PM_EPSILON; /* free capacity serves without preemption */
+    bool is_useful = machine->free.cpus > PM_EPSILON; /* free capacity needs no preemption */
 
     for (int priority = 0; priority < PM_PRIORITIES; priority++)
         candidate.cpus_for[priority] = machine->free.cpus;
@@ -74,7 +76,7 @@
     }
 }
 
-/* What is lost when the task is stopped now, in seconds of its work. */
+/* The work lost by stopping the task now, in seconds of its run time. */
 static double loss_s(const struct pm_placement *placement, double now)
 {
     const struct pm_spec *spec = placement->job->spec;
@@ -98,7 +100,7 @@
     return &g_array_index(scheduler->preemption.preemptible, struct preemptible, index);
 }
 
-static void add_request(struct pm_machine_capacity *capacity, const struct pm_spec *spec)
+static void add_capacity(struct pm_machine_capacity *capacity, const struct pm_spec *spec)
 {
     capacity->cpus += spec->cpus;
     capacity->gpus += spec->gpus;
@@ -111,8 +113,8 @@
            capacity->ram_gb + PM_EPSILON >= spec->ram_gb;
 }
 
-/* Collects what the job may preempt on the machine, least loss first, and adds what is being
- * stopped to `available`. */
+/* Collects the placements on the machine that the job may preempt, least loss first, and adds the
+ * capacity of tasks that are already being stopped to `available`. */
 static void find_preemptible(struct pm_scheduler *scheduler, const struct pm_job *job,
                              const struct pm_machine *machine,
                              struct pm_machine_capacity *available, double now)
@@ -123,7 +125,7 @@
     for (guint i = 0; i < machine->placements->len; i++) {
         struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
         if (placement->should_stop && placement->state != PM_PLACEMENT_ENDED)
-            add_request(available, placement->job->spec);
+            add_capacity(available, placement->job->spec);
         else if (pm_scheduler_may_preempt(scheduler, job, placement, now))
             g_array_append_vals(preemptible,
                                 &(struct preemptible){placement, loss_s(placement, now)}, 1);
@@ -131,17 +133,18 @@
     g_array_sort(preemptible, compare_by_loss);
 }
 
-/* Whether one more task of the job fits on the machine once some placements are preempted, besides
- * what is being stopped already. */
-static bool can_clear(struct pm_scheduler *scheduler, const struct pm_job *job,
-                      const struct pm_machine *machine, const struct pm_machine_capacity *reserved,
-                      struct clearance *out, double now)
+/* Finds the placements to preempt so that one more task of the job fits on the machine, in addition
+ * to the tasks that are already being stopped. Returns false if the task cannot be made to fit. */
+static bool find_preemption_set(struct pm_scheduler *scheduler, const struct pm_job *job,
+                                const struct pm_machine *machine,
+                                const struct pm_machine_capacity *reserved,
+                                struct preemption_set *out, double now)
 {
     const struct pm_spec *spec = job->spec;
     const struct pm_machine_capacity *reserved_here = &reserved[machine->index];
     struct pm_machine_capacity available = machine->free;
 
-    *out = (struct clearance){0};
+    *out = (struct preemption_set){0};
     if (!pm_scheduler_has_image(machine, spec->image))
         out->cost = FETCH_COST_PER_S *
                     (1 + pm_scheduler_fetch_backlog_s(scheduler, machine, spec) +
@@ -151,19 +154,19 @@
     available.cpus -= reserved_here->cpus;
     available.gpus -= reserved_here->gpus;
     available.ram_gb -= reserved_here->ram_gb;
-    for (; !fits(spec, &available); out->preemptions++) {
+    for (; !fits(spec, &available); out->count++) {
         const struct preemptible *next;
-        if (out->preemptions == scheduler->preemption.preemptible->len)
+        if (out->count == scheduler->preemption.preemptible->len)
             return false;
-        next = preemptible_at(scheduler, out->preemptions);
-        add_request(&available, next->placement->job->spec);
+        next = preemptible_at(scheduler, out->count);
+        add_capacity(&available, next->placement->job->spec);
         out->cost += PREEMPTION_COST + next->loss_s * next->placement->job->spec->cpus;
     }
     return true;
 }
 
 static struct pm_machine *find_cheapest(struct pm_scheduler *scheduler,
-                                        const struct pm_clear_request *request,
+                                        const struct pm_preemption_request *request,
                                         const struct pm_machine_capacity *reserved,
                                         const struct pm_zone_spread *spread, double now)
 {
@@ -177,7 +180,7 @@
     for (guint i = 0; i < candidates->len; i++) {
         const struct candidate *candidate = &g_array_index(candidates, struct candidate, i);
         struct pm_machine *machine = candidate->machine;
-        struct clearance clearance;
+        struct preemption_set preemption_set;
         if (candidate->cpus_for[below] - reserved[machine->index].cpus + PM_EPSILON <
                 job->spec->cpus ||
             (only_zone >= 0 && machine->zone != only_zone) ||
@@ -185,26 +188,26 @@
                                              machine->spot) ||
             !pm_scheduler_is_zone_allowed(job, spread, machine->zone) ||
             pm_scheduler_is_reserved_for_other_gang(machine, job, now) ||
-            !can_clear(scheduler, job, machine, reserved, &clearance, now) ||
-            clearance.cost >= best_cost)
+            !find_preemption_set(scheduler, job, machine, reserved, &preemption_set, now) ||
+            preemption_set.cost >= best_cost)
             continue;
         best = machine;
-        best_cost = clearance.cost;
+        best_cost = preemption_set.cost;
     }
     return best;
 }
 
-static void preempt_on(struct pm_scheduler *scheduler, struct pm_job *job,
-                       struct pm_machine *machine, const struct pm_machine_capacity *reserved,
-                       double now)
+static void preempt_on_machine(struct pm_scheduler *scheduler, struct pm_job *job,
+                               struct pm_machine *machine,
+                               const struct pm_machine_capacity *reserved, double now)
 {
-    struct clearance clearance;
+    struct preemption_set preemption_set;
 
-    can_clear(scheduler, job, machine, reserved, &clearance, now);
-    for (guint i = 0; i < clearance.preemptions; i++) {
+    find_preemption_set(scheduler, job, machine, reserved, &preemption_set, now);
+    for (guint i = 0; i < preemption_set.count; i++) {
         struct pm_placement *placement = preemptible_at(scheduler, i)->placement;
         const struct pm_spec *spec = placement->job->spec;
-        pm_info("scheduler.preempted", "%s/%u on %s for %s", placement->job->id,
+        pm_info("scheduler.preempted", "task %s/%u on machine %s for job %s", placement->job->id,
                 placement->task_index, machine->name, job->id);
         pm_placement_stop(placement,
                           pm_scheduler_grace_s(placement, job->priority == PM_PRIORITY_PRODUCTION));
@@ -213,21 +216,21 @@
     }
     scheduler->guarantee.reserved_cpus[job->spec->team] += job->spec->cpus;
     machine->reservation.job = job;
-    machine->reservation.until = now + CLEARING_S;
+    machine->reservation.until = now + RESERVATION_S;
 }
 
-struct pm_machine *pm_scheduler_clear_machine(struct pm_scheduler *scheduler,
-                                              const struct pm_clear_request *request,
-                                              struct pm_machine_capacity *reserved,
-                                              struct pm_zone_spread *spread, double now)
+struct pm_machine *pm_scheduler_preempt_for_task(struct pm_scheduler *scheduler,
+                                                 const struct pm_preemption_request *request,
+                                                 struct pm_machine_capacity *reserved,
+                                                 struct pm_zone_spread *spread, double now)
 {
     struct pm_machine *best = find_cheapest(scheduler, request, reserved, spread, now);
 
     if (!best)
         return NULL;
     if (!request->dry_run)
-        preempt_on(scheduler, request->job, best, reserved, now);
-    add_request(&reserved[best->index], request->job->spec);
+        preempt_on_machine(scheduler, request->job, best, reserved, now);
+    add_capacity(&reserved[best->index], request->job->spec);
     pm_scheduler_add_to_spread(spread, best);
     return best;
 }
--- a/src/scheduler/ranking.c
+++ b/src/scheduler/ranking.c
@@ -4,18 +4,18 @@
 #include <math.h>
 #include <string.h>
 
-#define NO_DEADLINE_CPU_S 1e12 /* more than any job's remaining work */
-#define PLACED_TASK_DONE 0.5   /* how much of a placed task counts as done, on average */
+#define NO_DEADLINE_CPU_S 1e12     /* more than any job's remaining work */
+#define PLACED_TASK_DONE_SHARE 0.5 /* of a placed task's work, on average */
 
-/* A job with dependencies does not wait for capacity until they are met. When they were is in the
- * store, so that a new leader counts from the same moment. */
+/* A job does not wait for capacity until its dependencies are met. The time at which they were met
+ * is stored, so that a new leader counts from the same time. */
 double pm_scheduler_waiting_since(const struct pm_job *job)
 {
     return job->spec->dependency_count ? job->scheduling.waiting_since_wall
                                        : job->spec->submitted_wall;
 }
 
-/* When the job's dependencies were met; where that was stored without its time, from now on. */
+/* When the job's dependencies were met, or now if the store has no time for that. */
 static double dependencies_met_wall(const struct pm_job *job, double wall)
 {
     if (job->dependencies.met_wall <= 0 || isinf(job->dependencies.met_wall))
@@ -33,9 +33,10 @@
     return strcmp(left->id, right->id);
 }
 
-/* By what the rules of preemption give precedence to; 0: neither. Production goes first, whatever
- * the ratios: it may preempt the rest, so ranking it lower would only start work in order to stop
- * it. Urgent work follows, for the same reason. Unallocated work gets what is left. */
+/* Compares by the precedence that the preemption rules imply; 0 if it is equal. Production work
+ * goes first, regardless of the ratios: it may preempt the rest, so if it ranked lower, other work
+ * would be started only to be preempted. Urgent work follows for the same reason. Unallocated work
+ * comes last. */
 static int compare_by_precedence(const struct pm_job *left, const struct pm_job *right)
 {
     if ((left->priority == PM_PRIORITY_PRODUCTION) != (right->priority == PM_PRIORITY_PRODUCTION))
@@ -47,7 +48,7 @@
     return 0;
 }
 
-/* Starving jobs first, the oldest before the others; 0: neither. */
+/* Puts starving jobs first, the longest waiting before the others; 0 if neither goes first. */
 static int compare_by_starvation(const struct pm_job *left, const struct pm_job *right)
 {
     if (left->scheduling.is_starving != right->scheduling.is_starving)
@@ -93,18 +94,18 @@
     uint32_t placed = job->work.placed_count;
     double remaining;
 
-    if (job->delegated) /* the leader knows of these what their shards' owners have stored */
+    if (job->delegated) /* the leader knows only what the shard's owner has stored */
         pm_job_count_tasks(job, &done, &placed);
-    remaining = (job->task_count - MIN(done, job->task_count) - PLACED_TASK_DONE * placed) *
+    remaining = (job->task_count - MIN(done, job->task_count) - PLACED_TASK_DONE_SHARE * placed) *
                 job->spec->cpus * (pm_scheduler_estimate_run_s(scheduler, job) + 1);
     return isinf(job->deadline_wall) ? remaining + NO_DEADLINE_CPU_S : remaining;
 }
 
-/* What has least work left goes first within its team and priority. When there is more work than
- * the machines can do, that keeps most jobs in time, whichever measure of time the users apply, and
- * needs no estimate of what the machines will do, which a few late jobs would upset for all behind
- * them. A job without a deadline goes after those that have one. */
-void pm_scheduler_measure_remaining(struct pm_scheduler *scheduler)
+/* Within its team and priority, the job with the least remaining work goes first. When there is
+ * more work than the machines can do, this lets the most jobs end on time, however users measure
+ * that. It needs no forecast of the machines' throughput, which a few late jobs would falsify for
+ * all jobs behind them. A job without a deadline goes after the jobs with one. */
+void pm_scheduler_update_remaining_work(struct pm_scheduler *scheduler)
 {
     GPtrArray *active = pm_jobs_active(scheduler->jobs);
 
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -1,4 +1,4 @@
-/* The scheduler's life cycle, and the steps of one plan. */
+/* The scheduler's lifecycle, and the steps of one plan. */
 #include "scheduler/internal.h"
 
 #include <string.h>
@@ -56,8 +56,8 @@
     scheduler->is_writable = is_writable;
 }
 
-/* Finds once what the plan looks up for each task, so that its work grows with what can change and
- * not with the fleet. */
+/* Computes once what the plan looks up for each task, so that the cost of a plan grows with the
+ * machines that still have capacity rather than with the fleet. */
 static void fill_plan_cache(struct pm_scheduler *scheduler, double now)
 {
     struct pm_plan_cache *cache = &scheduler->cache;
@@ -79,14 +79,14 @@
     }
 }
 
-void pm_scheduler_begin(struct pm_scheduler *scheduler, double now, double wall)
+void pm_scheduler_begin_plan(struct pm_scheduler *scheduler, double now, double wall)
 {
     scheduler->run.actions = 0;
     scheduler->totals.counted_at = -1;
     scheduler->run.wall = wall;
     pm_scheduler_charge_occupancy(scheduler, now, wall);
     pm_scheduler_stop_disallowed_tasks(scheduler, now);
-    pm_scheduler_measure_remaining(scheduler);
+    pm_scheduler_update_remaining_work(scheduler);
     pm_scheduler_mark_starving(scheduler, now);
     pm_scheduler_update_cold_start(scheduler, now);
     fill_plan_cache(scheduler, now);
@@ -108,8 +108,8 @@
     pm_scheduler_rank(scheduler, queue);
 }
 
-/* What is within a guarantee goes before what is beyond one, and the ratios rank both. Otherwise
- * work that was preempted for a guarantee would be the first to get its capacity back. */
+/* Places work within a guarantee before work beyond one, each ranked by usage ratio. Otherwise work
+ * that was preempted for a guarantee would be the first to get its capacity back. */
 int pm_scheduler_place(struct pm_scheduler *scheduler, double now)
 {
     const GPtrArray *queue = scheduler->run.queue;
@@ -126,14 +126,14 @@
         struct pm_job *job = g_ptr_array_index(queue, i);
         if (scheduler->run.actions < PM_PLAN_ACTIONS_MAX)
             pm_scheduler_place_job(scheduler, job, false, now);
-        pm_scheduler_note_demand(scheduler, job, counted_cpus, now);
+        pm_scheduler_record_demand(scheduler, job, counted_cpus, now);
     }
     return scheduler->run.actions;
 }
 
-int pm_scheduler_run(struct pm_scheduler *scheduler, double now, double wall)
+int pm_scheduler_run_plan(struct pm_scheduler *scheduler, double now, double wall)
 {
-    pm_scheduler_begin(scheduler, now, wall);
+    pm_scheduler_begin_plan(scheduler, now, wall);
     pm_scheduler_place(scheduler, now);
     pm_scheduler_preempt(scheduler, now);
     return scheduler->run.actions;
--- a/src/scheduler/shard_leasing.c
+++ b/src/scheduler/shard_leasing.c
@@ -1,15 +1,16 @@
-/* What may be leased to shards: idle machines, and tasks within a guarantee; and which leased
- * machine may be revoked. Called by the shards slice on the leader, after pm_scheduler_begin(). */
+/* Selects the idle machines and the tasks within a guarantee that may be leased to shards, and
+ * decides which leased machines may be revoked. Called by the shards slice on the leader, after
+ * pm_scheduler_begin_plan(). */
 #include "scheduler/internal.h"
 
 #include <math.h>
 
-/* The parts of an idle machine's score. */
+/* The terms of an idle machine's score. */
 #define IMAGE_BONUS 3.0            /* the image is cached */
 #define SPOT_BONUS 5.0             /* ordinary machines are kept for services */
-#define UNUSED_CAPACITY_WEIGHT 2.0 /* of the share of the machine that the job would not use */
+#define UNUSED_CAPACITY_WEIGHT 2.0 /* times the share of the machine that the job would not use */
 
-uint32_t pm_scheduler_tasks_within_guarantee(struct pm_scheduler *scheduler,
+uint32_t pm_scheduler_claim_guaranteed_tasks(struct pm_scheduler *scheduler,
                                              const struct pm_job *job)
 {
     const struct pm_spec *spec = job->spec;
@@ -60,7 +61,7 @@
     if (machine->spot)
         return true;
     if (leasing->headroom_cpus < 0) {
-        scheduler->totals.counted_at = -1; /* this plan has placed tasks since they were counted */
+        scheduler->totals.counted_at = -1; /* recount: this plan may have placed tasks since */
         leasing->headroom_cpus = pm_scheduler_headroom_cpus(scheduler, now);
     }
     return leasing->headroom_cpus - machine->free.cpus >= scheduler->reserve_cpus;
--- a/src/scheduler/state.h
+++ b/src/scheduler/state.h
@@ -1,21 +1,23 @@
-/* The scheduler's state, grouped by the file that writes it; nobody outside the slice includes it.
- * Guarded, as all state of a controller, by the controller's lock. */
+/* The scheduler's state, grouped by the file that writes it; not included outside the slice.
+ * Guarded by the controller's lock, like all state of a controller. */
 #ifndef PM_SCHEDULER_STATE_H
 #define PM_SCHEDULER_STATE_H
 
 #include "scheduler/scheduler.h"
 
 enum {
-    PM_OCCUPANCY_BUCKETS = 96, /* that the window of occupied time is divided into */
+    PM_OCCUPANCY_BUCKETS = 96, /* equal parts of the window of occupied time */
     PM_CLASSES_MAX = 256,      /* classes whose run times are measured */
-    PM_PLAN_ACTIONS_MAX = 400, /* placements made or stopped by one plan, for the lock's sake */
-    PM_MARKETS = 2,            /* ordinary and spot */
+    /* Placements made or stopped by one plan; limits how long it holds the controller's lock. */
+    PM_PLAN_ACTIONS_MAX = 400,
+    PM_MARKETS = 2, /* ordinary and spot */
     PM_PRIORITIES = PM_PRIORITY_PRODUCTION + 1
 };
-#define PM_EPSILON 1e-6           /* amounts that differ by less are equal */
-#define PM_GANG_RESERVATION_S 8.0 /* capacity is kept for a gang for so long */
-#define PM_SERVICE_SHARE 0.25     /* of a machine: see pm_scheduler_uses_service_share() */
-/* A start counts only if nothing stops it for a while: a replica is not moved sooner. */
+#define PM_EPSILON 1e-6           /* amounts that differ by less count as equal */
+#define PM_GANG_RESERVATION_S 8.0 /* how long capacity is reserved for a gang */
+#define PM_SERVICE_SHARE 0.25     /* of a machine; see pm_scheduler_uses_service_share() */
+/* How long a replica runs before it may be moved: a start counts only if nothing stops it for a
+ * while. */
 #define PM_REPLICA_SETTLED_S 35.0
 
 /* A team's occupied machine-seconds within the window. */
@@ -24,97 +26,98 @@
     double sum;
 };
 
-/* occupancy.c, and ledger_codec.c when a new leader starts. */
+/* Written by occupancy.c, and by ledger_codec.c when a new leader starts. */
 struct pm_occupancy {
     struct pm_occupancy_ledger ledger[PM_TEAMS_MAX];
-    long current_bucket; /* counted in time of day */
-    double charged_at;   /* monotonic: occupied time is charged up to here, 0: never */
+    long current_bucket; /* number of the bucket of the current time of day */
+    double charged_at;   /* monotonic: occupied time is charged up to this time, 0: not yet */
 };
 
-/* Processors per team, for the guarantees. Counted by occupancy.c at the start of a plan; whatever
- * places, preempts or leases adds to them. */
+/* Processors by team that the guarantees are compared with. occupancy.c counts them at the start of
+ * a plan; placing, preempting and leasing add to them. */
 struct pm_guarantee_usage {
     double used_cpus[PM_TEAMS_MAX];     /* of all placements */
-    double stopping_cpus[PM_TEAMS_MAX]; /* of those, the ones that are being stopped */
-    double reserved_cpus[PM_TEAMS_MAX]; /* being made free for the team */
+    double stopping_cpus[PM_TEAMS_MAX]; /* the part of used_cpus that is being stopped */
+    double reserved_cpus[PM_TEAMS_MAX]; /* being freed for the team by preemption */
 };
 
-/* An amount of what quota limits. */
+/* Amounts of the resources that a quota limits. */
 struct pm_quota_amount {
     double cpus, gpus;
 };
 
 struct pm_team_usage {
-    struct pm_quota_amount placed;   /* placements, until they are proven to be over */
-    struct pm_quota_amount leased;   /* what leases to shards allow at once */
-    struct pm_quota_amount orphaned; /* tasks that a worker reports without a placement */
-    struct pm_quota_amount reported; /* of placed and orphaned: what workers report right now */
+    struct pm_quota_amount placed;   /* placements that are not proven to have ended */
+    struct pm_quota_amount leased;   /* tasks that leases allow shards to run at once */
+    struct pm_quota_amount orphaned; /* tasks that workers report but that have no placement */
+    struct pm_quota_amount reported; /* the part of placed and orphaned that workers report now */
 };
 
-/* quota.c */
+/* Written by quota.c. */
 struct pm_quota_usage {
     struct pm_team_usage team[PM_TEAMS_MAX];
-    double exceeded_logged_at[PM_TEAMS_MAX]; /* monotonic: last logged as over quota, 0: never */
-    bool has_unchecked_starts;               /* something was placed since the last recheck */
+    double exceeded_logged_at[PM_TEAMS_MAX]; /* monotonic: last logged as over quota, 0: not yet */
+    bool has_unchecked_starts;               /* placements were proposed since the last recheck */
     uint64_t violations;
 };
 
-/* The plan under way. scheduler.c, and whatever places or stops counts its actions. */
+/* The current plan. Written by scheduler.c; whatever places or stops tasks counts its actions. */
 struct pm_plan_run {
     double wall; /* time of day */
     int actions; /* placements made or stopped so far */
     double usage_ratio[PM_TEAMS_MAX];
-    GPtrArray *queue; /* of struct pm_job, borrowed: those with waiting tasks, in rank order */
+    GPtrArray *queue; /* of struct pm_job, borrowed: the jobs with waiting tasks, in rank order */
 };
 
-/* What the plan under way looks up often, found once. scheduler.c (task_placement.c and
- * preemption.c remove full machines and add unschedulable requirements). */
+/* What the current plan looks up often, computed once. Written by scheduler.c; task_placement.c
+ * removes full machines, and task_placement.c and preemption.c add unschedulable requirements. */
 struct pm_plan_cache {
     GPtrArray *open_machines; /* borrowed: usable, and not full */
-    GArray *unschedulable;    /* of struct pm_requirements: do not fit, and capacity only shrinks
-                                 within a plan */
+    /* Of struct pm_requirements: those that no machine meets. They stay unmet for the rest of the
+     * plan, because capacity only shrinks within a plan. */
+    GArray *unschedulable;
     bool is_boot_expected[PM_TYPES_MAX][PM_ZONES_MAX][PM_MARKETS];
 };
 
-/* capacity.c */
+/* Written by capacity.c. */
 struct pm_capacity_totals {
-    double counted_at; /* monotonic, below 0: not counted */
+    double counted_at; /* monotonic, negative: not counted yet */
     double headroom_cpus, largest_service_cpus, batch_cpus;
 };
 
-/* cold_start.c */
+/* Written by cold_start.c. */
 struct pm_cold_start {
-    double until; /* monotonic: no service ran a while before this */
+    double until; /* monotonic: the end of the latest cold start */
     bool is_active;
 };
 
-/* shard_leasing.c */
+/* Written by shard_leasing.c. */
 struct pm_machine_leasing {
     GPtrArray *idle_machines; /* borrowed */
-    double headroom_cpus;     /* that leases may still use, below 0: not counted yet */
+    double headroom_cpus;     /* that leases may still use, negative: not counted yet */
 };
 
-/* preemption_search.c: kept between plans so that their memory is reused. */
+/* Written by preemption_search.c. Kept between plans to reuse the memory. */
 struct pm_preemption_scratch {
     GArray *candidates;  /* machines where something may be preempted */
-    GArray *preemptible; /* placements that may be preempted on the machine looked at */
+    GArray *preemptible; /* placements that may be preempted on the machine being searched */
 };
 
 struct pm_scheduler {
-    /* Set when it is made. */
+    /* Set on creation. */
     struct pm_name_tables *tables;
     struct pm_jobs *jobs;
     struct pm_workers *workers;
     const struct pm_operator_settings *operator_settings;
 
     /* Set by the controller. */
-    double reserve_cpus; /* on ordinary machines, kept for services */
+    double reserve_cpus; /* on ordinary machines, kept free for services */
     bool has_full_view, is_writable;
 
     struct pm_occupancy occupancy;
     struct pm_guarantee_usage guarantee;
     struct pm_quota_usage quota;
-    double run_time_factor[PM_CLASSES_MAX]; /* run_time.c: measured over estimated, 0: unknown */
+    double run_time_factor[PM_CLASSES_MAX]; /* run_time.c: measured / estimated, 0: unknown */
     GArray *unmet_demand;                   /* demand.c: of struct pm_unmet_demand */
     struct pm_plan_run run;
     struct pm_plan_cache cache;
--- a/src/scheduler/task_placement.c
+++ b/src/scheduler/task_placement.c
@@ -9,16 +9,17 @@
     const struct pm_team_setting *team = &scheduler->tables->settings->teams[spec->team];
 
     if (job->work.placed_count + tasks > job->parallelism)
-        return false; /* the shard's lease allows no more at once */
+        return false; /* the shard's lease allows no more tasks at once */
     if (spec->kind == PM_WORKLOAD_ARRAY && job->work.placed_count &&
         pm_failures_is_job_failing(job))
-        return false; /* one at a time */
+        return false; /* a failing job runs one task at a time */
     if (within_guarantee &&
         (scheduler->guarantee.used_cpus[spec->team] + tasks * spec->cpus >
              team->cpus + PM_EPSILON ||
          pm_quota_total(scheduler, spec->team).gpus + tasks * spec->gpus > team->gpus + PM_EPSILON))
         return false;
-    /* Quota is always checked: leases count against it though their tasks do not run yet. */
+    /* The quota is checked even within the guarantee: leases count against it before their tasks
+     * run. */
     return pm_quota_allows(scheduler, spec, tasks);
 }
 
@@ -29,8 +30,9 @@
     const struct pm_team_usage *usage = &scheduler->quota.team[job->spec->team];
 
     pm_debug("scheduler.placed",
-             "%s/%u attempt %u on %s, %s uses %g of %g: placed %g, leased %g, orphaned %g", job->id,
-             index, attempt, machine->name, team->name,
+             "task %s/%u attempt %u on machine %s; team %s uses %g of %g cpus: "
+             "placed %g, leased %g, orphaned %g",
+             job->id, index, attempt, machine->name, team->name,
              pm_quota_total(scheduler, job->spec->team).cpus, team->cpus_max, usage->placed.cpus,
              usage->leased.cpus, usage->orphaned.cpus);
 }
@@ -51,7 +53,8 @@
     log_placement(scheduler, job, index, attempt, machine);
 }
 
-/* The first task from `from` on that waits and does not back off, or the job's task count. */
+/* Returns the first task at or after `from` that is waiting and not in back-off, or the job's task
+ * count if there is none. */
 static uint32_t next_waiting_task(const struct pm_name_tables *tables, struct pm_job *job,
                                   uint32_t from, double now)
 {
@@ -61,13 +64,13 @@
             continue;
         if (job->spec->kind == PM_WORKLOAD_GANG || pm_job_value_has_room(tables, job, i))
             return i;
-        /* The others of this half chunk, too, wait until its stored value has room again. */
+        /* The stored value is full: skip the other tasks of this half chunk too. */
         i |= PM_HALF_CHUNK_TASKS - 1;
     }
     return job->task_count;
 }
 
-/* Moves the job's hint past tasks that are placed or done, and returns it. */
+/* Advances the job's `first_waiting_hint` past tasks that are placed or done, and returns it. */
 static uint32_t advance_waiting_hint(struct pm_job *job)
 {
     while (job->work.first_waiting_hint < job->task_count) {
@@ -79,8 +82,8 @@
     return job->work.first_waiting_hint;
 }
 
-/* The machine for the job's next task, NULL: it fits nowhere. `previous`: where the one before was
- * placed; array tasks fill a machine before another one is looked for. */
+/* Returns the machine for the job's next task, or NULL if the task fits nowhere. `previous` is the
+ * machine of the job's last placed task, or NULL: array tasks fill it before another is chosen. */
 static struct pm_machine *choose_machine(struct pm_scheduler *scheduler, const struct pm_job *job,
                                          struct pm_machine *previous,
                                          const struct pm_zone_spread *spread, double now)
@@ -115,7 +118,7 @@
             return;
         machine = choose_machine(scheduler, job, machine, &spread, now);
         if (!machine ||
-            pm_scheduler_should_preempt_elsewhere(scheduler, machine, job, &spread, now) ||
+            pm_scheduler_should_await_preemption(scheduler, machine, job, &spread, now) ||
             pm_scheduler_should_await_boot(scheduler, machine, job))
             return;
         pm_scheduler_place_task(scheduler, job, index, machine, ++job->work.last_attempt, &spread,
@@ -123,8 +126,8 @@
     }
 }
 
-/* Whether a whole gang may start: none of its tasks backs off, and those of its last attempt are
- * over. Until then these occupy their machines, and bind the gang to their zone. */
+/* Whether a whole gang may start: none of its tasks is in back-off, and all tasks of its last
+ * attempt have ended. Until then those occupy their machines, and bind the gang to their zone. */
 static bool is_gang_ready(const struct pm_scheduler *scheduler, struct pm_job *job, double now)
 {
     if (job->work.placed_count || job->work.done_count ||
--- a/src/scheduler/tests/test_scale.c
+++ b/src/scheduler/tests/test_scale.c
@@ -156,7 +156,7 @@
     (void)state;
     do {
         uint32_t placed;
-        pm_scheduler_run(fixture.scheduler, NOW, NOW);
+        pm_scheduler_run_plan(fixture.scheduler, NOW, NOW);
         placed = large->work.placed_count + small->work.placed_count;
         assert_true(placed - before <= PLAN_ACTIONS);
         before = placed;
@@ -208,7 +208,7 @@
 
     (void)state;
     add_replicas(job, REPLICAS);
-    pm_scheduler_begin(fixture.scheduler, NOW, NOW);
+    pm_scheduler_begin_plan(fixture.scheduler, NOW, NOW);
     pm_scheduler_consolidate(fixture.scheduler, NOW);
     for (int i = 0; i < REPLICAS; i++) {
         const struct pm_machine *machine = pm_workers_at(fixture.workers, i);
@@ -249,7 +249,7 @@
     spec.cpus = 16;
     spec.ram_gb = 64;
     fixture_feed(&fixture.tables, fixture.jobs, "job-2", &spec, 2);
-    pm_scheduler_run(fixture.scheduler, NOW, NOW);
+    pm_scheduler_run_plan(fixture.scheduler, NOW, NOW);
     for (guint i = 0; i < machine->placements->len; i++)
         stopped += placement_at(machine, i)->should_stop;
     assert_int_equal(stopped, TASKS);
--- a/src/scheduler/tests/trace_inputs.h
+++ b/src/scheduler/tests/trace_inputs.h
@@ -243,7 +243,7 @@
 static void run_plan(struct trace_world *world, char **words)
 {
     (void)words;
-    pm_scheduler_run(world->scheduler, world->now, trace_wall(world));
+    pm_scheduler_run_plan(world->scheduler, world->now, trace_wall(world));
 }
 
 static void make_durable(struct trace_world *world, struct pm_placement *placement)
--- a/src/shards/machine_assignment.c
+++ b/src/shards/machine_assignment.c
@@ -212,7 +212,7 @@
         uint32_t missing;
         if (!waiting->tasks)
             continue;
-        guaranteed = pm_scheduler_tasks_within_guarantee(shards->scheduler, waiting->job);
+        guaranteed = pm_scheduler_claim_guaranteed_tasks(shards->scheduler, waiting->job);
         missing = assign_for_tasks(plan, waiting, MIN(waiting->tasks, guaranteed));
         if (missing && may_revoke)
             pm_shards_revoke_for_guarantee(shards, waiting->job, missing, plan->used);
--- a/src/shards/tests/test_shards.c
+++ b/src/shards/tests/test_shards.c
@@ -9,7 +9,7 @@
 {
     double now = pm_clock_monotonic();
 
-    pm_scheduler_begin(leader.scheduler, now, 1e6 + now);
+    pm_scheduler_begin_plan(leader.scheduler, now, 1e6 + now);
     pm_shards_assign_jobs(leader.shards, now);
     pm_shards_assign_machines(leader.shards, now);
     pm_shards_exchange(leader.shards, now);
@@ -109,7 +109,7 @@
 {
     double now = pm_clock_monotonic();
 
-    pm_scheduler_begin(leader.scheduler, now, 1e6 + now);
+    pm_scheduler_begin_plan(leader.scheduler, now, 1e6 + now);
     pm_scheduler_place(leader.scheduler, now);
     pm_shards_assign_machines(leader.shards, now);
 }
@@ -194,7 +194,7 @@
     write_job(&leader, "job-1", false);
     leader.settings.store_value_kb =
         0.2; /* a shard with the job, but not with a machine beside it */
-    pm_scheduler_begin(leader.scheduler, pm_clock_monotonic(), 1e6);
+    pm_scheduler_begin_plan(leader.scheduler, pm_clock_monotonic(), 1e6);
     pm_shards_assign_jobs(leader.shards, pm_clock_monotonic());
     assert_false(pm_jobs_find(leader.jobs, "job-1")->delegated);
     leader.settings.store_value_kb = 0.4;
