--- a/src/scheduler/bin_packing.c
+++ b/src/scheduler/bin_packing.c
@@ -83,8 +83,8 @@
     return count;
 }
 
-/* Spreads services over the machines. Every machine then caches many images over time, and keeps
- * some capacity to start the next service at once, which array tasks use until then. */
+/* Spreads services over the machines. Over time every machine then caches every image, and
+ * each keeps some capacity to start the next service at once, which array tasks use until then. */
 static double add_service_score(struct pm_scheduler *scheduler, const struct pm_machine *machine,
                                 const struct pm_job *job, double score)
 {
--- a/src/scheduler/mandatory_stops.c
+++ b/src/scheduler/mandatory_stops.c
@@ -34,8 +34,9 @@
            remaining_s > -OVERRUN_MAX_S && remaining_s < left_s * NOTICE_USABLE_SHARE;
 }
 
-/* Stops the tasks on a machine that will be interrupted, except those that will probably end in
- * time. Tasks that can checkpoint get a grace period for that; a gang is stopped as a whole. */
+/* Stops the tasks on a machine that will be interrupted, except array and gang tasks that will
+ * probably end in time. Replicas are placed again elsewhere. Tasks that can checkpoint get a grace
+ * period for that; a gang is stopped as a whole. */
 static void stop_for_interruption(struct pm_scheduler *scheduler, const struct pm_machine *machine,
                                   double now)
 {
--- a/src/scheduler/occupancy.c
+++ b/src/scheduler/occupancy.c
@@ -6,7 +6,7 @@
 #include "scheduler/internal.h"
 
 #define CHARGED_SPAN_MAX_S 5.0 /* a longer gap between plans is charged up to this */
-#define BUDGET_SHARE_MIN 1e-3  /* lower bound of a team's share of all budgets */
+#define BUDGET_SHARE_MIN 1e-3  /* lower bound of a team's share, for one with hardly any budget */
 #define SECONDS_PER_HOUR 3600
 
 /* Best-effort work has a minimum runtime of zero: it is unallocated, which means that it is not
