--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -56,7 +56,7 @@
 
 /* Applies the value that was written to `key` at `revision`. Keys of other modules and values older
  * than the known one are ignored. Returns the job that changed, or NULL if none did. A malformed
- * value is logged; its job stays known, but is not run. */
+ * value is logged; if it is the first value of a job, the job becomes known, but is not run. */
 struct pm_job *pm_jobs_apply_put(struct pm_jobs *jobs, const char *key, const cbor_item_t *value,
                                  uint64_t revision);
 
--- a/src/jobs/task.h
+++ b/src/jobs/task.h
@@ -32,7 +32,7 @@
     uint32_t incarnation; /* of the worker */
     enum pm_placement_state state;
     bool should_stop;     /* the task is to be killed */
-    bool stop_acked;      /* the kill was pushed, and the push has not failed */
+    bool stop_pushed;     /* the kill was pushed, and the push has not failed */
     bool seen_in_message; /* the worker's message that is being applied lists the task */
     double grace_s;       /* how long the task may take to stop */
     double placed_at;     /* when it was placed, or recovered from the replica */
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -76,7 +76,7 @@
 
 static bool is_kill_push_due(const struct pm_placement *placement, const struct pm_machine *machine)
 {
-    return is_kill_due(placement, machine) && !placement->stop_acked;
+    return is_kill_due(placement, machine) && !placement->stop_pushed;
 }
 
 bool pm_worker_push_is_due(const struct pm_machine *machine)
@@ -118,7 +118,7 @@
             machine->push.has_launches = true;
         } else if (is_kill_push_due(placement, machine)) {
             add_kill(list, placement);
-            placement->stop_acked = true;
+            placement->stop_pushed = true;
         }
     }
 }
--- a/src/workers/placements.c
+++ b/src/workers/placements.c
@@ -93,7 +93,7 @@
     if (placement->should_stop && placement->grace_s <= grace_s)
         return;
     placement->should_stop = true;
-    placement->stop_acked = false;
+    placement->stop_pushed = false;
     placement->grace_s = grace_s;
 }
 
--- a/src/workers/push.c
+++ b/src/workers/push.c
@@ -24,7 +24,7 @@
         placement->launch_push = 0;
     }
     if (status != 200)
-        placement->stop_acked = false;
+        placement->stop_pushed = false;
 }
 
 bool pm_worker_push_done(struct pm_machine *machine, uint64_t number, uint64_t epoch, int status)
