--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -96,7 +96,8 @@
 void pm_autoscaler_request_machine_types(struct pm_autoscaler *autoscaler, double now);
 /* Decodes the provider's list of machine types, or the stored copy of it (key p/types), into
  * `tables`. Returns false if the list is empty or an entry is malformed; the entries before the
- * malformed one have then been applied. Types beyond PM_TYPES_MAX are logged and skipped. */
+ * malformed one have then been applied. Types beyond PM_MACHINE_TYPES_MAX are logged and skipped.
+ */
 bool pm_machine_types_decode(struct pm_name_tables *tables, const cbor_item_t *models);
 
 /* ---- sizing.c ---- */
--- a/src/scheduler/consolidation.c
+++ b/src/scheduler/consolidation.c
@@ -93,7 +93,7 @@
 }
 
 /* The price of the machine's unused capacity. */
-static double unused_price(const struct pm_type *type, const struct pm_machine *machine)
+static double unused_price(const struct pm_machine_type *type, const struct pm_machine *machine)
 {
     double used_cpus = type->cpus - pm_scheduler_preemptible_cpus(machine);
 
@@ -115,7 +115,7 @@
 
     for (guint i = 0; i < machines->len; i++) {
         struct pm_machine *machine = g_ptr_array_index(machines, i);
-        const struct pm_type *type;
+        const struct pm_machine_type *type;
         double unused;
         if (!machine || !is_drainable(scheduler, machine, now))
             continue;
--- a/src/scheduler/state.h
+++ b/src/scheduler/state.h
@@ -76,7 +76,7 @@
     /* Of struct pm_requirements: those that no machine meets. They stay unmet for the rest of the
      * plan, because capacity only shrinks within a plan. */
     GArray *unschedulable;
-    bool is_boot_expected[PM_TYPES_MAX][PM_ZONES_MAX][PM_MARKETS];
+    bool is_boot_expected[PM_MACHINE_TYPES_MAX][PM_ZONES_MAX][PM_MARKETS];
 };
 
 /* Written by capacity.c. */
--- a/src/shards/job_assignment.c
+++ b/src/shards/job_assignment.c
@@ -57,9 +57,9 @@
  * and none of its tasks has been placed or done by the leader. */
 static bool is_delegable(const struct pm_job *job)
 {
-    return job->state == PM_JOB_LIVE && has_delegable_spec(job) && !job->dependencies.unmet &&
+    return job->state == PM_JOB_LIVE && has_delegable_spec(job) && !job->dependencies.unmet_count &&
            !pm_failures_is_job_failing(job) && !job->delegated && !job->work.placed_count &&
-           !job->work.done_count && !job->write_back.attempted;
+           !job->work.done_count && !job->write_back.chunk_write_attempted;
 }
 
 /* Returns the number of processors that all tasks of the shard's live jobs request. */
