--- a/src/leadership/campaign.c
+++ b/src/leadership/campaign.c
@@ -1,5 +1,5 @@
-/* Becoming the leader: a lease, then p/epoch and p/lead in one transaction, then waiting until the
- * replica includes that transaction. */
+/* Becoming the leader in three steps: request a lease, write p/epoch and p/lead in one transaction,
+ * and wait until the replica includes that transaction. */
 #include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
@@ -24,7 +24,7 @@
 
     if (!term->is_leader || !term->catch_up_revision)
         return;
-    if (!ok) { /* the watch is slow: keep waiting */
+    if (!ok) { /* the watch lags behind: wait again */
         pm_store_wait_for_revision(election->store, term->catch_up_revision, on_caught_up,
                                    election);
         return;
@@ -35,12 +35,13 @@
 
 static void end_campaign(struct pm_election *election, double now)
 {
-    election->candidacy.is_in_flight = false;
-    election->candidacy.lock_free_since = now; /* the next campaign waits its turn again */
+    election->candidacy.campaign_in_flight = false;
+    election->candidacy.lock_free_since = now; /* the delay before a campaign starts over */
 }
 
-/* `revision` is that of the transaction. Confirmed since it was sent; but pm_election_is_confirmed
- * waits for the replica to catch up. */
+/* Begins a term after the campaign's transaction succeeded with this revision. The epoch counts as
+ * confirmed from the time when the transaction was sent, but pm_election_is_confirmed stays false
+ * until the replica has caught up with it. */
 static void begin_term(struct pm_election *election, const struct pm_epoch_txn *epoch_txn,
                        uint64_t revision, double now)
 {
@@ -55,11 +56,12 @@
     term->catch_up_revision = revision;
     confirmation->checked_at = now;
     confirmation->confirmed_at = epoch_txn->sent_at;
-    confirmation->gapless_since = epoch_txn->sent_at;
-    confirmation->fresh_at = epoch_txn->sent_at;
+    confirmation->continuous_since = epoch_txn->sent_at;
+    confirmation->fresh_as_of = epoch_txn->sent_at;
     pm_election_reset_term_acks(election, term->epoch, now);
     election->shard.revision = 0;
-    pm_info("election.elected", "epoch %llu", (unsigned long long)term->epoch);
+    pm_info("election.elected", "this controller leads in epoch %llu",
+            (unsigned long long)term->epoch);
     pm_store_wait_for_revision(election->store, revision, on_caught_up, election);
 }
 
@@ -74,7 +76,8 @@
     if (result == PM_STORE_OK)
         begin_term(epoch_txn->election, epoch_txn, store_revision, now);
     else
-        pm_debug("election.campaign_failed", "status %d (%s)", result,
+        pm_debug("election.campaign_failed",
+                 "the transaction to acquire the leader's lock failed: status %d (%s)", result,
                  pm_store_result_name(result));
     g_free(epoch_txn);
 }
@@ -93,8 +96,8 @@
     pm_txn_compare(&txn, PM_KEY_LEADER_LOCK, election->replica.lock_revision);
     pm_election_put_epoch(election, &txn, epoch_txn->epoch);
     pm_election_put_lock(election, &txn, lease_id);
-    /* A leader owns no shard: the machines of its own return to the leader's in the same
-     * transaction. */
+    /* A leader owns no shard. Deleting this controller's shard in the same transaction puts the
+     * shard's machines under the new leader. */
     snprintf(shard_key, sizeof shard_key, PM_KEY_SHARD_PREFIX "%s", election->settings->name);
     pm_txn_delete(&txn, shard_key);
     pm_store_commit(election->store, &txn, on_campaign_committed, epoch_txn);
@@ -108,8 +111,9 @@
         end_campaign(election, pm_clock_monotonic());
         return;
     }
-    /* Another controller may have been elected meanwhile, and the replica know it by now: the
-     * transaction compares what the replica knows, so it would take the lock away again. */
+    /* Another controller may have been elected while the request for the lease was in flight. If
+     * the replica shows that already, the transaction would compare the current revisions, succeed,
+     * and take the lock from that leader. */
     if (!pm_election_is_lock_free(election)) {
         end_campaign(election, pm_clock_monotonic());
         pm_store_lease_revoke(election->store, lease_id);
@@ -120,7 +124,7 @@
 
 void pm_election_campaign(struct pm_election *election)
 {
-    election->candidacy.is_in_flight = true;
+    election->candidacy.campaign_in_flight = true;
     pm_store_lease_grant(election->store, election->operator_settings->leader_ttl_s,
                          on_lease_granted, election);
 }
--- a/src/leadership/cancellation_messages.c
+++ b/src/leadership/cancellation_messages.c
@@ -1,4 +1,4 @@
-/* Publishing cancellations to the peers by POST /cancelled, and answering theirs. */
+/* Publishing cancellations to the peers by POST /cancelled, and handling the requests of peers. */
 #include "base/clock.h"
 #include "base/log.h"
 #include "leadership/cancellation_internal.h"
@@ -14,7 +14,7 @@
 };
 #define RESPONSE_TIMEOUT_S 0.5
 
-/* A request in flight; its callback frees it. */
+/* The cancellations of a request in flight. The request's callback frees it. */
 struct publication {
     struct pm_cancel_quorum *quorum;
     int peer;
@@ -34,8 +34,9 @@
            pending->attempts[peer] < PM_CANCELLATION_ATTEMPTS_MAX;
 }
 
-/* What the peer does not know yet; NULL: nothing. The caller frees it. */
-static struct publication *collect(struct pm_cancel_quorum *quorum, int peer)
+/* Returns the pending cancellations that must be sent to the peer, at most
+ * CANCELLATIONS_PER_REQUEST. NULL if there are none; the caller frees the result. */
+static struct publication *collect_unsent(struct pm_cancel_quorum *quorum, int peer)
 {
     struct publication *publication = g_malloc0(
         sizeof *publication + CANCELLATIONS_PER_REQUEST * sizeof publication->cancellations[0]);
@@ -59,8 +60,8 @@
     return NULL;
 }
 
-/* The request's body, of `size` bytes; the caller frees it. */
-static unsigned char *encode(struct publication *publication, size_t *size)
+/* Encodes the body of the request, of `size` bytes; the caller frees it. */
+static unsigned char *encode_request(struct publication *publication, size_t *size)
 {
     const struct pm_cancel_quorum *quorum = publication->quorum;
     Pm__CancellationRequest request = PM__CANCELLATION_REQUEST__INIT;
@@ -84,15 +85,17 @@
     return data;
 }
 
-/* Several users may wait for the same cancellation. */
+/* Records, in every pending entry of the cancellation, that the peer has responded to the request
+ * with it or that the request failed. There are several entries if several users wait for the same
+ * cancellation. */
 static void note_outcome(struct pm_cancel_quorum *quorum, int peer,
-                         const struct published_cancellation *cancellation, bool has_answered)
+                         const struct published_cancellation *cancellation, bool has_responded)
 {
     for (guint i = 0; i < quorum->pending->len; i++) {
         struct pm_pending_cancellation *pending = g_ptr_array_index(quorum->pending, i);
         if (pending->revision != cancellation->revision || strcmp(pending->id, cancellation->id))
             continue;
-        if (has_answered)
+        if (has_responded)
             pending->has_acked[peer] = true;
         else
             pending->attempts[peer]++;
@@ -115,11 +118,12 @@
         pm__cancellation_response__free_unpacked(response, NULL);
     }
     g_free(publication);
-    pm_cancel_quorum_end_settled(quorum, pm_clock_monotonic());
+    pm_cancel_quorum_complete_settled(quorum, pm_clock_monotonic());
     pm_cancel_quorum_send_to_peers(quorum);
 }
 
-/* One request to a peer at a time: what becomes pending meanwhile goes with the next. */
+/* Sends the peer one request at a time: cancellations that become pending while it is in flight go
+ * into the next. */
 static void send_to_peer(struct pm_cancel_quorum *quorum, int peer)
 {
     struct publication *publication;
@@ -128,11 +132,11 @@
 
     if (quorum->peers.is_request_in_flight[peer])
         return;
-    publication = collect(quorum, peer);
+    publication = collect_unsent(quorum, peer);
     if (!publication)
         return;
     quorum->peers.is_request_in_flight[peer] = true;
-    data = encode(publication, &size);
+    data = encode_request(publication, &size);
     pm_http_call(quorum->http, quorum->settings->peers[peer].addr, "POST", "/cancelled", data, size,
                  RESPONSE_TIMEOUT_S, RECEIVED_RESPONSE_SIZE_MAX, on_response, publication);
     g_free(data);
@@ -144,7 +148,7 @@
         send_to_peer(quorum, i);
 }
 
-/* ---- answering ---- */
+/* ---- handling requests ---- */
 
 static void apply_request(struct pm_cancel_quorum *quorum, int peer,
                           const Pm__CancellationRequest *message)
@@ -178,12 +182,13 @@
     int peer = message ? pm_settings_find_peer(quorum->settings, message->from) : -1;
 
     if (peer < 0) {
-        pm_error("cancellation.bad_message", "malformed, or from a controller that is not known");
+        pm_error("cancellation.bad_message", "rejected a POST /cancelled request: it is malformed, "
+                                             "or its sender is not a configured peer");
         pm_http_reply(request, 400, NULL, 0, 0);
     } else {
         apply_request(quorum, peer, message);
         reply(quorum, request);
-        pm_cancel_quorum_end_settled(quorum, pm_clock_monotonic());
+        pm_cancel_quorum_complete_settled(quorum, pm_clock_monotonic());
     }
     if (message)
         pm__cancellation_request__free_unpacked(message, NULL);
--- a/src/leadership/cancellation_quorum.c
+++ b/src/leadership/cancellation_quorum.c
@@ -7,18 +7,19 @@
 #include <ev.h>
 #include <glib.h>
 
-#define PUBLISH_TIMEOUT_S 1.1 /* users wait 2 s for an answer */
+/* Must be shorter than the 2 s that users wait for an answer. */
+#define PUBLISH_TIMEOUT_S 1.1
 #define TICK_S 0.1
 
-/* What is known of a pending cancellation. */
+/* How many controllers know a pending cancellation. */
 struct ack_count {
-    int known;    /* controllers that know of it, ourselves included */
-    int possible; /* those that may still answer */
+    int known;    /* controllers that know it, including this one */
+    int possible; /* peers that may still acknowledge it */
 };
 
 bool pm_cancel_quorum_is_acked(const struct pm_cancel_quorum *quorum, uint64_t revision)
 {
-    int reached = 1; /* ourselves */
+    int reached = 1; /* this controller */
 
     for (int i = 0; i < quorum->settings->peer_count; i++)
         reached += quorum->peers.store_revision[i] >= revision;
@@ -45,8 +46,8 @@
     return acks;
 }
 
-/* Removes the cancellation with this index, calls back, and frees it. */
-static void end_pending(struct pm_cancel_quorum *quorum, guint index, bool ok)
+/* Removes the cancellation with this index, calls its callback, and frees it. */
+static void complete_pending(struct pm_cancel_quorum *quorum, guint index, bool ok)
 {
     struct pm_pending_cancellation *pending = g_ptr_array_index(quorum->pending, index);
 
@@ -55,8 +56,9 @@
     g_free(pending);
 }
 
-/* Ends the cancellation with this index if it is settled; false: it goes on. */
-static bool end_if_settled(struct pm_cancel_quorum *quorum, guint index, double now)
+/* Completes the cancellation with this index if it is settled. Returns false if it is still
+ * pending. */
+static bool complete_if_settled(struct pm_cancel_quorum *quorum, guint index, double now)
 {
     const struct pm_pending_cancellation *pending = g_ptr_array_index(quorum->pending, index);
     struct ack_count acks = count_acks(quorum, pending);
@@ -66,17 +68,18 @@
     if (!ok && now < pending->deadline && acks.known + acks.possible >= needed)
         return false;
     if (!ok)
-        pm_debug("cancellation.not_acked", "%s: known to %d of %d controllers", pending->id,
-                 acks.known, quorum->settings->cluster_size);
-    end_pending(quorum, index, ok);
+        pm_debug("cancellation.not_acked",
+                 "cancellation of job %s is not confirmed: only %d of %d controllers know it",
+                 pending->id, acks.known, quorum->settings->cluster_size);
+    complete_pending(quorum, index, ok);
     return true;
 }
 
-void pm_cancel_quorum_end_settled(struct pm_cancel_quorum *quorum, double now)
+void pm_cancel_quorum_complete_settled(struct pm_cancel_quorum *quorum, double now)
 {
     for (guint i = 0; i < quorum->pending->len;) {
-        bool has_ended = end_if_settled(quorum, i, now);
-        i = has_ended ? 0 : i + 1; /* from the start again: the callback may have added some */
+        bool is_complete = complete_if_settled(quorum, i, now);
+        i = is_complete ? 0 : i + 1; /* restart: the callback may have added entries */
     }
     if (!quorum->pending->len)
         ev_timer_stop(quorum->loop, &quorum->timer);
@@ -110,7 +113,8 @@
     *known = MAX(*known, store_revision);
 }
 
-/* Ending the last pending cancellation stops the timer; it goes on for an acknowledgement. */
+/* Completing the last pending cancellation stops the timer. Restarts it if an acknowledgement is
+ * still pending. */
 static void on_timer(struct ev_loop *loop, ev_timer *timer, int events)
 {
     struct pm_cancel_quorum *quorum = timer->data;
@@ -118,8 +122,8 @@
 
     (void)events;
     pm_cancel_quorum_acknowledge_if_due(quorum, now);
-    pm_cancel_quorum_end_settled(quorum, now);
-    if (pm_cancel_quorum_has_acknowledgement_due(quorum))
+    pm_cancel_quorum_complete_settled(quorum, now);
+    if (pm_cancel_quorum_has_pending_acknowledgement(quorum))
         ev_timer_again(loop, timer);
 }
 
--- a/src/leadership/confirmation.c
+++ b/src/leadership/confirmation.c
@@ -1,28 +1,31 @@
-/* Until when the epoch counts as confirmed. Three things extend it: a transaction that compared the
- * epoch's revision (confirm_epoch), a check made for that alone (check_epoch), and, in an outage, a
- * majority of votes (outage.c). Each counts from when it was sent, since the epoch may have changed
- * right after it was answered.
+/* How long the epoch counts as confirmed. Three things confirm it: a transaction that compared the
+ * epoch's revision (pm_election_confirm_epoch), a transaction sent only for that check
+ * (pm_election_check_epoch), and, in an outage, a majority of votes (outage.c). Each confirmation
+ * counts from when the request was sent, since the epoch may have changed right after the state
+ * service or the peers processed it.
  *
- * With a confirmation goes freshness: the state service may serve us while our watch hangs, so the
- * replica, too, has to reach the revision that the service had. */
+ * A confirmed epoch is not enough: the state service may serve our requests while our watch hangs.
+ * So the replica must also be fresh, that is, reach the revision that the service had. */
 #include "base/keys.h"
 #include "base/clock.h"
 #include "leadership/internal.h"
 
 #include <glib.h>
 
-/* How old, at most, the replica of a controller that answers workers may be. */
+/* The maximum staleness of the replica of a controller that answers workers. */
 #define STALENESS_MAX_S 6.0
 
-/* What is valid for `duration_s` by any clock, measured by ours, which may be the slower one. */
-static double shortened(double duration_s)
+/* Shortens a duration so that it has not passed by any other clock when it ends by ours, which may
+ * be the slower one. */
+static double deduct_clock_drift(double duration_s)
 {
     return duration_s * (1 - PM_CLOCK_DRIFT_MAX);
 }
 
 /* ---- freshness of the replica ---- */
 
-/* Half of what a lease leaves of the time that a cancellation may take, if that is less. */
+/* Returns STALENESS_MAX_S, or less: half of the time that remains of the cancellation deadline
+ * after one lease. */
 static double replica_staleness_max_s(const struct pm_settings *settings)
 {
     double slack_s = (settings->cancel_deadline_s - settings->lease_s) / 2;
@@ -42,18 +45,19 @@
     struct pm_election_confirmation *confirmation = &((struct pm_election *)arg)->confirmation;
 
     if (ok)
-        confirmation->fresh_at = MAX(confirmation->fresh_at, confirmation->awaited_sent_at);
+        confirmation->fresh_as_of = MAX(confirmation->fresh_as_of, confirmation->awaited_sent_at);
     confirmation->awaited_revision = 0;
 }
 
-/* The state service was at `store_revision` when it answered what was sent at `sent_at`. */
+/* Updates the freshness of the replica after the state service processed, at `store_revision`, a
+ * request that was sent at `sent_at`. */
 static void track_freshness(struct pm_election *election, double sent_at, uint64_t store_revision)
 {
     struct pm_election_confirmation *confirmation = &election->confirmation;
 
     if (pm_store_is_ready(election->store) &&
         pm_store_revision(election->store) >= store_revision) {
-        confirmation->fresh_at = MAX(confirmation->fresh_at, sent_at);
+        confirmation->fresh_as_of = MAX(confirmation->fresh_as_of, sent_at);
         return;
     }
     if (confirmation->awaited_revision)
@@ -69,8 +73,9 @@
 {
     struct pm_election_confirmation *confirmation = &election->confirmation;
 
-    if (sent_at > confirmation->confirmed_at + shortened(election->operator_settings->confirm_s))
-        confirmation->gapless_since = sent_at;
+    if (sent_at >
+        confirmation->confirmed_at + deduct_clock_drift(election->operator_settings->confirm_s))
+        confirmation->continuous_since = sent_at;
     confirmation->confirmed_at = MAX(confirmation->confirmed_at, sent_at);
 }
 
@@ -83,9 +88,9 @@
     track_freshness(election, sent_at, store_revision);
 }
 
-/* A transaction conflicted on our epoch's revision, and the replica has caught up with that. Either
- * the epoch is another controller's, or it is our own, advanced by a transaction whose answer was
- * lost; then the replica's feed has had it adopted already. */
+/* Called when the replica has caught up after a transaction conflicted on the revision of our
+ * epoch. Either another controller advanced the epoch, or this one did, by a transaction whose
+ * response was lost. In the second case replica_feed.c has already adopted the new epoch. */
 static void on_conflict_caught_up(void *arg, bool ok)
 {
     struct pm_election *election = arg;
@@ -96,10 +101,10 @@
 
 static void handle_check_ok(struct pm_election *election, double sent_at, uint64_t store_revision)
 {
-    bool is_first = !election->confirmation.confirmed_at;
+    bool is_first_confirmation = !election->confirmation.confirmed_at;
 
     pm_election_confirm_epoch(election, sent_at, store_revision);
-    if (is_first)
+    if (is_first_confirmation)
         election->hooks.epoch_confirmed(election->hooks.arg);
 }
 
@@ -119,7 +124,7 @@
     struct pm_election *election = epoch_txn->election;
     bool is_current = pm_election_may_act(election) &&
                       pm_election_epoch(election) == epoch_txn->epoch &&
-                      election->term.is_leader == epoch_txn->as_leader;
+                      election->term.is_leader == epoch_txn->sent_as_leader;
 
     (void)conflicting_keys;
     election->confirmation.check_in_flight = false;
@@ -139,7 +144,7 @@
     election->confirmation.checked_at = now;
     epoch_txn->election = election;
     epoch_txn->epoch = pm_election_epoch(election);
-    epoch_txn->as_leader = election->term.is_leader;
+    epoch_txn->sent_as_leader = election->term.is_leader;
     epoch_txn->sent_at = now;
     pm_txn_compare(&txn, PM_KEY_EPOCH, pm_election_epoch_revision(election));
     if (!election->term.is_leader)
@@ -160,8 +165,9 @@
 
     if (election->term.is_leader || revision == shard->revision)
         return;
-    /* A shard that is written anew but stays ours keeps its confirmation: whoever revokes it has to
-     * wait until our last one is old anyway. A new shard needs one first. */
+    /* If the shard that we own was only rewritten, the confirmation stays valid: a leader that
+     * revokes the shard waits for our last confirmation to expire in any case. A shard that we did
+     * not own before needs a confirmation first. */
     if (!shard->revision || !revision)
         election->confirmation.confirmed_at = 0;
     shard->revision = revision;
@@ -172,15 +178,15 @@
         pm_election_check_epoch(election, pm_clock_monotonic());
 }
 
-/* ---- what follows from it ---- */
+/* ---- deadlines ---- */
 
 double pm_election_confirmation_deadline(const struct pm_election *election)
 {
     const struct pm_election_confirmation *confirmation = &election->confirmation;
     double epoch_deadline =
-        confirmation->confirmed_at + shortened(election->operator_settings->confirm_s);
+        confirmation->confirmed_at + deduct_clock_drift(election->operator_settings->confirm_s);
     double replica_deadline =
-        confirmation->fresh_at + shortened(replica_staleness_max_s(election->settings));
+        confirmation->fresh_as_of + deduct_clock_drift(replica_staleness_max_s(election->settings));
 
     return MIN(epoch_deadline, replica_deadline);
 }
@@ -193,8 +199,8 @@
 
 double pm_election_exclusive_since(const struct pm_election *election)
 {
-    double others_until_s = election->operator_settings->confirm_s + PM_ELECTION_REFUSAL_MAX_AGE_S;
+    double others_valid_s = election->operator_settings->confirm_s + PM_ELECTION_REFUSAL_MAX_AGE_S;
 
-    return election->confirmation.gapless_since + others_until_s * (1 + PM_CLOCK_DRIFT_MAX) +
+    return election->confirmation.continuous_since + others_valid_s * (1 + PM_CLOCK_DRIFT_MAX) +
            PM_ELECTION_TICK_S;
 }
--- a/src/leadership/election.c
+++ b/src/leadership/election.c
@@ -7,7 +7,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Who stepped down of its own accord leaves the lock to the others for so long. */
+/* How long a controller that stepped down voluntarily leaves the lock to the others. */
 #define STEP_DOWN_BACKOFF_S 15.0
 
 struct pm_election *pm_election_new(struct ev_loop *loop, struct pm_store *store,
@@ -66,23 +66,23 @@
     return replica->lock_holder;
 }
 
-void pm_election_end_term(struct pm_election *election, const char *why)
+void pm_election_end_term(struct pm_election *election, const char *reason)
 {
     if (!election->term.is_leader)
         return;
-    pm_info("election.stepped_down", "epoch %llu: %s", (unsigned long long)election->term.epoch,
-            why);
+    pm_info("election.stepped_down", "ended the term in epoch %llu: %s",
+            (unsigned long long)election->term.epoch, reason);
     election->term.is_leader = false;
     election->confirmation.confirmed_at = 0;
     election->candidacy.lock_free_since = 0;
     election->hooks.stepped_down(election->hooks.arg);
 }
 
-void pm_election_step_down(struct pm_election *election, const char *why)
+void pm_election_step_down(struct pm_election *election, const char *reason)
 {
     if (!election->term.is_leader)
         return;
     election->candidacy.backoff_until = pm_clock_monotonic() + STEP_DOWN_BACKOFF_S;
     pm_store_lease_revoke(election->store, election->term.lease_id);
-    pm_election_end_term(election, why);
+    pm_election_end_term(election, reason);
 }
--- a/src/leadership/election.h
+++ b/src/leadership/election.h
@@ -1,22 +1,22 @@
-/* Leader election, and the fencing token (the epoch) under which controllers command workers.
+/* Leader election, and the epoch: the fencing token under which controllers command workers.
  *
- * Owns who leads, in which epoch, until when that counts as confirmed, and which protocol version
- * all controllers run. Exchanges these with the other controllers by POST /peer.
+ * Owns who leads, in which epoch, how long that counts as confirmed, and which protocol version all
+ * controllers run. Controllers exchange this by POST /peer.
  *
- * Called by the controller (src/cmd/pumicemount), by the shards and by the API, in the event-loop
- * thread or the planner thread, always under struct pm_controller.lock. A timer of its own drives
- * it in the event-loop thread. No function blocks: requests are queued, and answers arrive in the
+ * Called by the controller (src/cmd/pumicemount), the shards and the API, in the event-loop thread
+ * or the planner thread, always under struct pm_controller.lock. The election's own timer runs in
+ * the event-loop thread. No function blocks: requests are queued, and their responses arrive in the
  * event-loop thread.
  *
  * Keys, all read from the replica's feed and written by the transactions of this slice:
- *   p/epoch        the epoch, and who advanced it. Changes by compare-and-set only. Its number is
- *                  the fencing token that workers obey, and every placement is written on the
- *                  condition of its revision.
+ *   p/epoch        the epoch, and the controller that advanced it. Changes only by
+ *                  compare-and-swap. Its number is the fencing token that workers obey, and every
+ *                  placement is written on the condition of its revision.
  *   p/lead         the leader's lock, attached to a lease: while it exists, the others do not
  *                  campaign. It only saves needless campaigns; all safety rests on p/epoch.
  *   p/speaks/NAME  the protocol version of the controller NAME
- *   p/speaks       the protocol version that every controller runs at least
- * Deletes p/b/NAME, this controller's own shard, when it is elected.
+ *   p/speaks       a lower bound of the protocol versions that the controllers run
+ * A controller that is elected also deletes p/b/NAME, its own shard.
  *
  * All times are monotonic seconds (pm_clock_monotonic). */
 #ifndef PM_LEADERSHIP_ELECTION_H
@@ -33,138 +33,160 @@
 struct pm_election;
 struct pm_cancellation; /* jobs slice */
 
-/* What the controller does upon changes. All are called in the event-loop thread; those of the term
- * also within the function that causes them (step down, advance epoch). */
+/* Callbacks to the controller, all called in the event-loop thread. `stepped_down` and
+ * `epoch_advanced` are also called from inside the function that causes them, such as
+ * pm_election_step_down. */
 struct pm_election_hooks {
     /* This controller leads, and its replica includes the write that made it the leader. */
     void (*elected)(void *arg, uint64_t epoch);
-    /* It leads no more. */
+    /* This controller no longer leads. */
     void (*stepped_down)(void *arg);
-    /* It still leads, in this later epoch. */
+    /* This controller still leads, now in this later epoch. */
     void (*epoch_advanced)(void *arg, uint64_t epoch);
-    /* The first confirmation since this controller was given a shard, which may be used now. */
+    /* The epoch was confirmed for the first time since this controller was given a shard, which may
+     * be used from now on. */
     void (*epoch_confirmed)(void *arg);
-    /* A peer knows that this job's cancellation is durable, at that revision of the job's key; `id`
-     * is borrowed, and not yet checked. */
+    /* A peer knows that the cancellation of job `id` is durable, at this revision of the job's key.
+     * `id` is borrowed and not yet validated. */
     void (*cancelled)(void *arg, const char *id, uint64_t revision);
-    /* The jobs known to be cancelled after `revision`, as pm_jobs_list_cancellations returns them:
-     * borrowed until the jobs change, `count` of them, about `most` at most, `more` if some are
-     * left. */
-    const struct pm_cancellation *(*list_cancellations)(void *arg, uint64_t revision, size_t most,
-                                                        size_t *count, bool *more);
+    /* Returns the jobs known to be cancelled after `revision`, as pm_jobs_list_cancellations does:
+     * `count` of them, at most about `limit`; `has_more` tells whether some are left. Borrowed
+     * until the jobs change. */
+    const struct pm_cancellation *(*list_cancellations)(void *arg, uint64_t revision, size_t limit,
+                                                        size_t *count, bool *has_more);
     /* The replica of the peer with this index has reached `store_revision`. */
     void (*peer_reached_revision)(void *arg, int peer, uint64_t store_revision);
     void *arg;
 };
 
-/* What the links slice adds: it observes which controllers and workers reach one another, sends its
- * views along with the answers to peers, and lets controllers with worse links campaign later. */
+/* Callbacks to the links slice, which observes which controllers and workers reach one another. It
+ * adds its views to the responses to peers, and lets controllers with worse links campaign later.
+ */
 struct pm_election_links {
-    double poll_interval_s; /* peers are polled at least so often */
-    /* The views for an answer to a peer; the caller frees them with g_free. */
+    double poll_interval_s; /* peers are polled at least this often */
+    /* Returns the views for a response to a peer; the caller frees them with g_free. */
     unsigned char *(*encode_views)(void *arg, size_t *size);
-    /* The views in the answer of the peer with this index, to a request sent at `asked_at`;
-     * borrowed. */
+    /* Receives the views, borrowed, from the response of the peer with this index to a request that
+     * was sent at `sent_at`. */
     void (*decode_views)(void *arg, int peer, const unsigned char *data, size_t size,
-                         double asked_at);
+                         double sent_at);
     /* A request of the peer with this index has arrived. */
     void (*peer_request_received)(void *arg, int peer);
-    /* How many seconds longer than others this controller waits before it campaigns. */
-    double (*candidate_wait_s)(void *arg);
+    /* Returns how many seconds longer than others this controller waits before it campaigns. */
+    double (*extra_campaign_delay_s)(void *arg);
     void *arg;
 };
 
-/* Starts its timer on `loop`. All pointers but `hooks`, which is copied, are borrowed and must
- * outlive it. Never NULL; the caller frees it with pm_election_free. */
+/* Creates an election and starts its timer on `loop`. `hooks` is copied; all other pointers are
+ * borrowed and must outlive the election. Never returns NULL; the caller frees the result with
+ * pm_election_free. */
 struct pm_election *pm_election_new(struct ev_loop *loop, struct pm_store *store,
                                     struct pm_http_client *http, const struct pm_settings *settings,
                                     const struct pm_operator_settings *operator_settings,
                                     const struct pm_election_hooks *hooks);
-/* Stops the timer and frees it. No request of it may be in flight: their answers would reach freed
- * memory. */
+/* Stops the timer and frees the election. No request of it may be in flight: the response would
+ * reach freed memory. */
 void pm_election_free(struct pm_election *election);
-/* From now on peers are polled for the sake of `links` too, and carry its views. Copies `links`. */
+/* From now on polls the peers at least every `links->poll_interval_s`, and exchanges the views of
+ * the links in the responses. Copies `links`. */
 void pm_election_attach_links(struct pm_election *election, const struct pm_election_links *links);
 
-/* The replica's feed: a put of p/epoch, p/lead, p/speaks or p/speaks/NAME; other keys, and values
- * that can't be read, change nothing. A put older than what is known changes nothing either. */
+/* ---- the replica's feed ---- */
+
+/* Applies a put of p/epoch, p/lead, p/speaks or p/speaks/NAME. Ignores other keys, values that
+ * can't be decoded, and puts older than what is known. */
 void pm_election_apply_put(struct pm_election *election, const char *key, const cbor_item_t *value,
                            uint64_t revision);
-/* The replica's feed: a delete of p/lead; other keys change nothing. */
+/* Applies a delete of p/lead; ignores other keys. */
 void pm_election_apply_delete(struct pm_election *election, const char *key, uint64_t revision);
-/* The replica's feed: a new listing begins. p/lead counts as free unless the listing has it. */
+/* Begins a new listing of the replica. p/lead counts as free unless the listing has it. */
 void pm_election_snapshot_begin(struct pm_election *election);
 
-/* The epoch that this controller acts in: its own as the leader, else the latest that its replica
- * has; 0: none. */
+/* ---- who leads, in which epoch ---- */
+
+/* The epoch that this controller acts in: the leader's own, or for others the latest in the
+ * replica; 0 if there is none. */
 uint64_t pm_election_epoch(const struct pm_election *election);
-/* The revision of p/epoch that belongs to pm_election_epoch, to be compared in transactions. */
+/* The revision of p/epoch that belongs to pm_election_epoch, for comparison in transactions. */
 uint64_t pm_election_epoch_revision(const struct pm_election *election);
-/* The name of this process, unlike that of any other that has run or will run; borrowed, constant
- * for its life. */
+/* The id of this process, different from that of any other process that has run or will run.
+ * Borrowed; constant until pm_election_free. */
 const char *pm_election_incarnation_id(const struct pm_election *election);
-/* The name of the controller that leads as far as the replica knows, borrowed until the next change
- * of p/lead; NULL when nobody does or it is this one. */
+/* The name of the controller that leads according to the replica, borrowed until p/lead changes
+ * next. NULL if nobody leads or this controller does. */
 const char *pm_election_other_leader(const struct pm_election *election);
 /* The protocol version (base/protocol.h) that every controller named in the settings is known to
- * run; it never falls. The leader writes it once each has published its own. A controller that has
- * not done so counts as the first version, since an earlier program may still run there. */
+ * run. It never falls. The leader writes it once every controller has published its own; until
+ * then the result is the first version, since an earlier program may still run somewhere. */
 unsigned pm_election_protocol_version(const struct pm_election *election);
 
+/* ---- confirmation of the epoch ---- */
+
 /* Whether this controller may answer workers with 200: it leads or owns a shard, the epoch was
  * confirmed less than operator_settings.confirm_s ago, and its replica has every cancellation that
- * was confirmed to a user before about the same time (safety invariants 5 and 7). */
+ * was confirmed to a user before a time that is at most about as long ago (safety invariants 5 and
+ * 7). */
 bool pm_election_is_confirmed(const struct pm_election *election, double now);
-/* The time at which pm_election_is_confirmed ends unless the epoch is confirmed anew. What was
- * decided on the strength of it must not be sent later: the process may have been suspended in
- * between. */
+/* The time at which pm_election_is_confirmed turns false unless the epoch is confirmed again. A
+ * response that was decided while it was true must not be sent after this time: the process may
+ * have been suspended between deciding and sending. */
 double pm_election_confirmation_deadline(const struct pm_election *election);
-/* A transaction that compared the epoch's revision succeeded: it was sent at `sent_at`, and the
- * state service had `store_revision` then. Changes nothing unless this controller leads or owns a
- * shard. */
+/* Confirms the epoch: a transaction that compared its revision succeeded. The transaction was sent
+ * at `sent_at`, and the state service had `store_revision` after it. Does nothing unless this
+ * controller leads or owns a shard. */
 void pm_election_confirm_epoch(struct pm_election *election, double sent_at,
                                uint64_t store_revision);
-/* As the leader, checks p/epoch at the state service at once: a transaction conflicted on it, or a
- * peer knows a later epoch. Nothing if that is under way already. */
+/* As the leader, checks p/epoch at the state service at once, after a transaction conflicted on it
+ * or when a peer knows a later epoch. Does nothing while a check or an advance is in flight. */
 void pm_election_recheck_epoch(struct pm_election *election);
-/* For how many seconds after a cancellation was confirmed to its user a controller that does not
- * know it may still renew the lease of the job's worker. From then on the task ends within a
- * lease. */
+/* Upper bound of the seconds after a cancellation was confirmed to its user during which a
+ * controller that does not know the cancellation may still renew the lease of the job's worker.
+ * After that the task ends within one lease. */
 double pm_election_staleness_bound_s(const struct pm_settings *settings,
                                      const struct pm_operator_settings *operator_settings);
-/* The time since when no other controller can have answered workers in this one's stead: ever since
- * it was confirmed without a gap and not refused by the state service. */
+/* The time since when no other controller can have answered workers in place of this one. It
+ * follows from how long this controller has been confirmed without interruption and has not been
+ * refused by the state service. */
 double pm_election_exclusive_since(const struct pm_election *election);
-/* The time since when every renewal of a worker's lease was by a controller that knew `epoch`:
- * operator_settings.confirm_s, with the clocks' drift, after a majority acknowledged that epoch.
- * `epoch` 0 stands for the first epoch of this term. INFINITY while no majority has acknowledged
- * it, and when this controller does not lead. */
+/* The time since when only controllers that knew `epoch` can have renewed a worker's lease: a
+ * majority had acknowledged `epoch`, and operator_settings.confirm_s had passed since, allowing for
+ * clock drift. `epoch` 0 means the first epoch of this term that a majority acknowledged. INFINITY
+ * until a majority has acknowledged it, and when this controller does not lead. */
 double pm_election_lease_lower_bound(const struct pm_election *election, uint64_t epoch);
 
-/* As the leader, advances the epoch, so that workers refuse what is still under way with the old
- * one. With `key`, the same transaction deletes that key if it still has `revision`. Nothing when
- * not leading, not caught up yet, or while another advance is in flight; failures are not reported,
- * success is by the hook epoch_advanced. */
+/* ---- changing the epoch, the term or the shard ---- */
+
+/* As the leader, advances the epoch, so that workers refuse commands of the old one that are still
+ * in flight. If `key` is not NULL, the same transaction deletes that key, on the condition that it
+ * still has `revision`. Does nothing when not leading, before the replica has caught up, or while
+ * another advance is in flight. Success is reported by the hook `epoch_advanced`; failure is not
+ * reported. */
 void pm_election_advance_epoch(struct pm_election *election, const char *key, uint64_t revision);
-/* As the leader, revokes the lease of the lock, and does not campaign for a while unless nobody
- * else does. `why` is for the log. Nothing when not leading. */
-void pm_election_step_down(struct pm_election *election, const char *why);
-/* As a follower: this controller owns the shard that stands under `key` with `revision`; 0: none.
- * The epoch is from now on confirmed together with that revision. Nothing when leading. */
+/* As the leader, ends the term and revokes the lease of the leader's lock. This controller then
+ * does not campaign for a while, unless no other does. `reason` is only logged. Does nothing when
+ * not leading. */
+void pm_election_step_down(struct pm_election *election, const char *reason);
+/* As a follower, records that this controller owns the shard stored under `key` at `revision`, or
+ * none if `revision` is 0. Checks of the epoch compare that revision too from now on. Does nothing
+ * when leading. */
 void pm_election_set_owned_shard(struct pm_election *election, const char *key, uint64_t revision);
 
-/* Whether the state service refuses this controller while it lately served a peer. */
+/* ---- outages of the state service ---- */
+
+/* Whether the state service refuses this controller although it recently served a peer. */
 bool pm_election_is_refused_alone(const struct pm_election *election, double now);
 /* Whether this follower may answer workers, with the epoch but without commands, so that their
- * leases do not expire: the state service is out and the leader does not answer. Takes a majority
- * of controllers that have a replica, know no later epoch and are refused themselves: one that is
- * refused alone never finds that. */
+ * leases do not expire while the state service is out and the leader does not respond. It needs the
+ * votes of a majority of controllers that have a replica, know no later epoch and are refused
+ * themselves; so a controller that alone is refused never gets them. */
 bool pm_election_may_renew_in_outage(const struct pm_election *election, double now);
-/* The time at which pm_election_may_renew_in_outage ends unless a majority confirms it anew. */
+/* The time at which pm_election_may_renew_in_outage turns false unless a majority votes again. */
 double pm_election_outage_renewal_deadline(const struct pm_election *election);
 
-/* POST /peer on the peers' listen address. Answers `request` before it returns: 200, or 400 when it
- * can't be read or its sender is not in the settings. */
+/* ---- peers ---- */
+
+/* Handles POST /peer on the peers' listen address. Responds to `request` before it returns: with
+ * 200, or with 400 if the request can't be decoded or its sender is not in the settings. */
 void pm_election_handle_peer_request(struct pm_election *election, struct pm_http_request *request);
 
 #endif
--- a/src/leadership/epoch.c
+++ b/src/leadership/epoch.c
@@ -1,4 +1,4 @@
-/* Advancing the epoch while leading. */
+/* Advancing the epoch during a term. */
 #include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
@@ -12,10 +12,10 @@
     term->epoch = election->replica.epoch = epoch;
     term->epoch_revision = election->replica.epoch_revision = revision;
     term->epoch_advanced_at = now;
-    /* Acknowledged anew: an owner whose shard was revoked with the old epoch may answer its workers
-     * until a majority knows this one. */
+    /* The acknowledgements start over: an owner whose shard was revoked together with the old epoch
+     * may still be confirmed, and answer its workers, until a majority knows the new one. */
     pm_election_reset_epoch_acks(election, epoch, now);
-    pm_info("election.epoch_advanced", "epoch %llu", (unsigned long long)epoch);
+    pm_info("election.epoch_advanced", "advanced the epoch to %llu", (unsigned long long)epoch);
     election->hooks.epoch_advanced(election->hooks.arg, epoch);
 }
 
--- a/src/leadership/epoch_acks.c
+++ b/src/leadership/epoch_acks.c
@@ -1,5 +1,6 @@
-/* Which peers know the epoch of the term. Once a majority does, no controller that does not know it
- * gets confirmed by one any more, so leases of workers end by the rules of this epoch. */
+/* Which peers know the epoch of the term. Once a majority knows it, no majority can confirm an
+ * earlier epoch any more. So after the earlier confirmations have expired, only controllers that
+ * know this epoch renew workers' leases (pm_election_lease_lower_bound). */
 #include "base/clock.h"
 #include "leadership/internal.h"
 
@@ -22,7 +23,7 @@
     acks->quorum_at = 0;
     if (pm_quorum_size(election->settings) <= 1)
         note_quorum(acks, now);
-    election->poll.sent_at = 0; /* the timer asks at once */
+    election->poll.sent_at = 0; /* makes the timer poll the peers at once */
 }
 
 void pm_election_reset_term_acks(struct pm_election *election, uint64_t epoch, double now)
--- a/src/leadership/outage.c
+++ b/src/leadership/outage.c
@@ -1,21 +1,22 @@
-/* Outages of the state service: telling them from being refused alone, and the votes of a majority
- * by which controllers go on answering workers meanwhile.
+/* Outages of the state service: how a controller tells an outage from being the only one refused,
+ * and the votes by which a majority lets controllers go on answering workers during an outage.
  *
- * A vote says: this controller has read the state, knows no later epoch, and has sent all that it
- * knows to be cancelled after our replica's revision (safety invariant 7). A majority of them
- * confirms the epoch for whoever may act in it. For a follower, votes of those who are refused
- * themselves let it renew workers' leases in the stead of a leader that does not answer. */
+ * A peer's vote means that the peer has read the state, knows no later epoch, and has sent us all
+ * cancellations that it knows after our replica's revision (safety invariant 7). A majority of
+ * votes confirms the epoch for a leader or the owner of a shard. A follower counts the votes of
+ * peers that are refused themselves: a majority of those lets it renew workers' leases in place of
+ * a leader that does not respond. */
 #include "base/clock.h"
 #include "leadership/internal.h"
 
 #include <glib.h>
 
-/* An outage has to last this long before followers answer workers: by then its leader has noticed
- * it. */
+/* How long an outage must last before followers renew leases. By then the leader has noticed the
+ * outage too. */
 #define RENEWAL_DELAY_S 2.5
-/* A leader that has not answered for this long does not answer workers either, as it seems. */
+/* A leader that has not responded to us for this long is assumed not to answer workers either. */
 #define LEADER_SILENCE_S 1.5
-/* That a peer is served counts for this long. */
+/* How long a peer's report that the state service serves it stays valid. */
 #define PEER_SERVED_MAX_AGE_S 2.5
 
 bool pm_election_is_refused_now(const struct pm_election *election, double now)
@@ -34,12 +35,13 @@
     }
     if (!outage->refused_since)
         outage->refused_since = now;
-    election->confirmation.gapless_since = now;
+    election->confirmation.continuous_since = now;
 }
 
 void pm_election_reset_votes(struct pm_election *election, double now)
 {
-    /* Who leads, or owns a shard, has read the state; a follower without one uses no such vote. */
+    /* Our own vote needs no check that we have read the state: a leader or the owner of a shard
+     * has, and other controllers do not use these votes. */
     election->poll.votes = 1;
     election->outage.votes =
         pm_store_is_ready(election->store) && pm_election_is_refused_now(election, now);
@@ -54,9 +56,9 @@
            vote->highest_epoch <= epoch;
 }
 
-/* We are one of the majority: what we were sent of cancellations counts as much as what the others
- * were. */
-static void count_for_confirmation(struct pm_election *election, double sent_at)
+/* A majority's votes also make the replica count as fresh: the voters have sent us all
+ * cancellations that they know, and we, who belong to the majority, already know our own. */
+static void count_confirmation_vote(struct pm_election *election, double sent_at)
 {
     struct pm_election_confirmation *confirmation = &election->confirmation;
 
@@ -65,10 +67,10 @@
         !pm_store_is_refusing(election->store))
         return;
     pm_election_note_confirmed(election, sent_at);
-    confirmation->fresh_at = MAX(confirmation->fresh_at, sent_at);
+    confirmation->fresh_as_of = MAX(confirmation->fresh_as_of, sent_at);
 }
 
-static void count_for_renewal(struct pm_election *election, double sent_at)
+static void count_renewal_vote(struct pm_election *election, double sent_at)
 {
     struct pm_election_outage *outage = &election->outage;
 
@@ -84,9 +86,9 @@
     if (!is_valid_vote(election, vote))
         return;
     if (pm_election_may_act(election))
-        count_for_confirmation(election, vote->sent_at);
+        count_confirmation_vote(election, vote->sent_at);
     if (!election->term.is_leader && vote->is_refused)
-        count_for_renewal(election, vote->sent_at);
+        count_renewal_vote(election, vote->sent_at);
 }
 
 bool pm_election_is_refused_alone(const struct pm_election *election, double now)
--- a/src/leadership/peer_endpoint.c
+++ b/src/leadership/peer_endpoint.c
@@ -1,4 +1,5 @@
-/* Answering POST /peer: what this controller knows of epochs, cancellations and links. */
+/* Handling POST /peer: responds with what this controller knows about epochs, cancellations and
+ * links. */
 #include "base/clock.h"
 #include "base/log.h"
 #include "base/protocol.h"
@@ -8,14 +9,15 @@
 
 #include <glib.h>
 
-/* How many cancellations a response carries, about: all of one revision go together. */
+/* The approximate maximum of cancellations in a response. Exceeded when the last ones share a
+ * revision, since all of one revision go into the same response. */
 enum { CANCELLATIONS_PER_RESPONSE = 300 };
-/* The state service counts as serving for this long after an answer: with a quiet watch answers are
- * at most this far apart. */
+/* How long after its last response the state service counts as serving this controller. While
+ * nothing changes, responses to the watch are at most this far apart. */
 #define SERVED_MAX_AGE_S 6.0
 
-/* The cancellations of a response: `list` points to the `entries`, whose ids are borrowed from the
- * jobs. */
+/* The cancellations of a response. `list` holds pointers to `entries`, whose ids are borrowed from
+ * the jobs. */
 struct cancellation_page {
     Pm__Cancellation *entries;
     Pm__Cancellation **list;
@@ -41,7 +43,7 @@
     return page;
 }
 
-static bool is_served(const struct pm_election *election, double now)
+static bool is_store_serving(const struct pm_election *election, double now)
 {
     return !pm_store_is_refusing(election->store) &&
            now - pm_store_last_served_at(election->store) < SERVED_MAX_AGE_S;
@@ -59,7 +61,7 @@
     response.from = (char *)election->settings->name;
     response.highest_epoch = MAX(election->replica.epoch, election->poll.highest_epoch);
     response.has_state = pm_store_is_ready(election->store);
-    response.store_serving = is_served(election, now);
+    response.store_serving = is_store_serving(election, now);
     response.store_refusing = pm_election_is_refused_now(election, now);
     response.store_revision = pm_store_revision(election->store);
     response.has_cancellations = true;
@@ -94,7 +96,8 @@
     int peer = message ? pm_settings_find_peer(election->settings, message->from) : -1;
 
     if (peer < 0) {
-        pm_error("election.bad_message", "malformed, or from a controller that is not known");
+        pm_error("election.bad_message", "rejected a POST /peer request: it is malformed, or its "
+                                         "sender is not a configured peer");
         pm_http_reply(request, 400, NULL, 0, 0);
     } else {
         apply_request(election, peer, message);
--- a/src/leadership/peer_poll.c
+++ b/src/leadership/peer_poll.c
@@ -1,5 +1,5 @@
-/* Asking the peers, by POST /peer, which epochs they know and what was cancelled; their answers
- * acknowledge the epoch of the term and vote in an outage. */
+/* Asking the peers, by POST /peer, which epochs they know and which jobs were cancelled. Their
+ * responses acknowledge the epoch of the term, and are votes in an outage. */
 #include "base/clock.h"
 #include "base/protocol.h"
 #include "leadership/internal.h"
@@ -11,19 +11,21 @@
 enum { REQUEST_SIZE_MAX = 256, RESPONSE_SIZE_MAX = 64 * 1024 };
 #define RESPONSE_TIMEOUT_S 1.0
 
-/* A question to one peer, which may take several requests: the answer comes by pages. Owned by the
- * request in flight; freed by its callback, or passed on to the next. */
+/* A query to one peer. It may take several requests, since the cancellations come in pages. Owned
+ * by the request in flight, whose callback frees it or passes it on to the request for the next
+ * page. */
 struct peer_query {
     struct pm_election *election;
     int peer;
     int round;
     double sent_at;          /* of the request for the first page */
-    uint64_t store_revision; /* that our replica had then */
+    uint64_t store_revision; /* of our replica at that time */
 };
 
 static void on_response(void *arg, int status, const unsigned char *body, size_t size);
 
-/* Consumes `query`. `after`: the revision of the last cancellation that the pages before had. */
+/* Sends a request for the page of cancellations after the revision `after`, 0 for the first page.
+ * Takes ownership of `query`. */
 static void send_request(struct peer_query *query, uint64_t after)
 {
     struct pm_election *election = query->election;
@@ -51,13 +53,15 @@
     election->poll.highest_epoch = MAX(election->poll.highest_epoch, response->highest_epoch);
     if (!term->is_leader || response->highest_epoch < term->epoch)
         return;
-    /* Our own advance in flight, which that peer may have read already, finds out by itself. */
+    /* The later epoch may be our own: the peer may have read the result of an advance whose
+     * response is still in flight. The callback of the advance then handles either outcome. */
     if (response->highest_epoch > term->epoch && !term->advance_in_flight)
         pm_election_recheck_epoch(election);
     pm_election_note_epoch_acked(election, peer);
 }
 
-/* Returns the revision after which the next page begins; 0: this was the last one. */
+/* Applies the cancellations and the revision that the peer's replica has reached. Returns the
+ * revision after which the next page begins, 0 if this was the last page. */
 static uint64_t apply_cancellations(struct pm_election *election, int peer,
                                     const Pm__PeerResponse *response)
 {
@@ -84,7 +88,7 @@
     pm_election_count_vote(query->election, &vote);
 }
 
-/* Consumes `query`. */
+/* Requests the next page, or counts the vote after the last one. Takes ownership of `query`. */
 static void apply_response(struct peer_query *query, const Pm__PeerResponse *response)
 {
     struct pm_election *election = query->election;
--- a/src/leadership/records.c
+++ b/src/leadership/records.c
@@ -1,11 +1,11 @@
-/* The stored form of the election's keys. Each is a CBOR map; the field names are fixed by what
- * earlier versions have stored:
- *   p/epoch        epoch: the number; leader: name of the controller that advanced it; boot: its
- *                  incarnation
- *   p/lead         leader: name of the holder of the lock; boot: its incarnation
- *   p/speaks/NAME  version: the protocol version that this controller runs
- *   p/speaks       version: the one that every controller runs at least
- * Pure functions of their arguments. */
+/* Encoding and decoding of the election's keys. Each value is a CBOR map. The field names must not
+ * change, since earlier versions have stored them:
+ *   p/epoch        epoch: the number; leader: name of the controller that advanced it; boot: that
+ *                  controller's incarnation
+ *   p/lead         leader: name of the holder of the lock; boot: that controller's incarnation
+ *   p/speaks/NAME  version: the protocol version that the controller NAME runs
+ *   p/speaks       version: a lower bound of the protocol versions that the controllers run
+ * All functions depend on nothing but their arguments. */
 #include "base/keys.h"
 #include "leadership/internal.h"
 
@@ -52,7 +52,7 @@
     pm_txn_put_end(txn, NO_LEASE);
 }
 
-/* A text that can't be read is "", or the part of it that could be. */
+/* Reads a text field into `out`. What can't be read becomes "", or the part that could be read. */
 static void read_text(const cbor_item_t *value, const char *field, char *out, size_t size)
 {
     memset(out, 0, size);
--- a/src/leadership/replica_acknowledgement.c
+++ b/src/leadership/replica_acknowledgement.c
@@ -1,7 +1,7 @@
-/* Acknowledging by way of the state service how far this controller's replica has come, and reading
- * what the peers acknowledge there.
+/* Acknowledging through the state service which revision this controller's replica has reached, and
+ * reading the acknowledgements of the peers.
  *
- * Stored: p/seen/CONTROLLER is a CBOR map; its field `edition` is the store revision that the
+ * The value of p/seen/CONTROLLER is a CBOR map. Its field `edition` is the store revision that the
  * replica of that controller has reached. */
 #include "base/keys.h"
 #include "base/clock.h"
@@ -14,11 +14,12 @@
 
 #define STORE_REVISION_FIELD "edition"
 
-/* A message that publishes a cancellation arrives within this of reading it. */
+/* How long after reading a cancellation to wait for a peer to publish it, before acknowledging it
+ * through the state service. */
 #define PUBLICATION_GRACE_S 0.6
 #define WRITE_INTERVAL_S 1.5
 
-static bool decode(const cbor_item_t *value, uint64_t *store_revision)
+static bool decode_record(const cbor_item_t *value, uint64_t *store_revision)
 {
     return pm_cbor_read_count(pm_cbor_get(value, STORE_REVISION_FIELD), store_revision);
 }
@@ -45,10 +46,10 @@
     if (strncmp(key, PM_KEY_ACKED_REVISION_PREFIX, prefix_size))
         return;
     peer = pm_settings_find_peer(quorum->settings, key + prefix_size);
-    if (peer < 0 || !decode(value, &store_revision))
+    if (peer < 0 || !decode_record(value, &store_revision))
         return;
     pm_cancel_quorum_note_peer_revision(quorum, peer, store_revision);
-    pm_cancel_quorum_end_settled(quorum, pm_clock_monotonic());
+    pm_cancel_quorum_complete_settled(quorum, pm_clock_monotonic());
 }
 
 void pm_cancel_quorum_note_cancellation_read(struct pm_cancel_quorum *quorum, uint64_t revision)
@@ -80,7 +81,9 @@
     (void)store_revision;
     (void)conflicting_keys;
     acknowledgement->write_in_flight = false;
-    if (result != PM_STORE_OK) /* due again: any revision stands for the replica's present one */
+    /* After a failure the write is due again. Any revision but 0 does, since the write stores the
+     * revision that the replica has by then. */
+    if (result != PM_STORE_OK)
         acknowledgement->unpublished_revision = MAX(acknowledgement->unpublished_revision, 1);
 }
 
@@ -111,7 +114,7 @@
     pm_store_commit(quorum->store, &txn, on_committed, quorum);
 }
 
-bool pm_cancel_quorum_has_acknowledgement_due(const struct pm_cancel_quorum *quorum)
+bool pm_cancel_quorum_has_pending_acknowledgement(const struct pm_cancel_quorum *quorum)
 {
     return quorum->acknowledgement.unpublished_revision || quorum->acknowledgement.write_in_flight;
 }
--- a/src/leadership/replica_feed.c
+++ b/src/leadership/replica_feed.c
@@ -1,4 +1,4 @@
-/* Applying the replica's feed: the epoch, the leader's lock, protocol versions. */
+/* Applying the replica's feed to the epoch, the leader's lock and the protocol versions. */
 #include "base/keys.h"
 #include "base/clock.h"
 #include "leadership/internal.h"
@@ -19,7 +19,7 @@
     replica->epoch = epoch;
     replica->epoch_revision = revision;
     if (election->term.is_leader && epoch > election->term.epoch) {
-        if (is_ours) /* by a transaction whose answer was lost */
+        if (is_ours) /* written by a transaction whose response was lost */
             pm_election_adopt_epoch(election, epoch, revision);
         else
             pm_election_end_term(election, "another controller has advanced the epoch and leads");
@@ -40,7 +40,7 @@
     pm_election_decode_lock(value, replica->lock_holder, replica->lock_incarnation_id);
 }
 
-/* The incarnation is left: it is looked at only while the lock has a holder. */
+/* Leaves `lock_incarnation_id` unchanged: it is used only while the lock has a holder. */
 static void note_lock_free(struct pm_election *election)
 {
     election->replica.lock_revision = 0;
--- a/src/leadership/timer.c
+++ b/src/leadership/timer.c
@@ -1,6 +1,6 @@
-/* What falls due by time: stepping down, advancing and checking the epoch, polling the peers,
- * publishing the protocol version, keeping the lease of the lock alive, campaigning. One function a
- * step; on_timer has their order. */
+/* The periodic work of the election: stepping down, advancing and checking the epoch, polling the
+ * peers, publishing the protocol version, keeping the lease of the lock alive, and campaigning.
+ * Each step has its own function; on_timer calls them in order. */
 #include "base/clock.h"
 #include "base/protocol.h"
 #include "leadership/internal.h"
@@ -9,28 +9,34 @@
 #include <glib.h>
 
 #define FIRST_TICK_S 0.05
-/* The epoch is advanced this often, in leases of workers. A command that was carried out may arrive
- * again later than a lease after it: for a task that has ended and was forgotten since, a launch
- * would start it anew. By then its worker has accepted a later fencing token and refuses this one,
- * or is another incarnation. */
+/* The age at which the epoch is advanced, as a share of a worker's lease. It is below 1 because a
+ * duplicate of a launch command may arrive more than a lease after the first was carried out. If
+ * the task has ended since and its worker has forgotten it, the duplicate would start it again. But
+ * by then the worker has accepted a later fencing token and refuses the duplicate, or the worker is
+ * a new incarnation. */
 #define LEASES_PER_EPOCH 0.7
+/* Interval of attempts to advance the epoch. */
 #define ADVANCE_RETRY_S 1.0
-/* A confirmation is valid for confirm_s: so many checks, or polls, are made within that time. */
+/* How many checks of the epoch are made in confirm_s, for which a confirmation is valid. */
 #define CHECKS_PER_CONFIRMATION 3
+/* How many times the peers are polled in confirm_s while the epoch depends on their responses. */
 #define POLLS_PER_CONFIRMATION 4
-/* Until all are known to run this program's protocol version, they are asked so often. */
+/* Interval of polls until all controllers are known to run this program's protocol version. */
 #define VERSION_POLL_INTERVAL_S 0.7
+/* How often the lease of the leader's lock is renewed in its time to live. */
 #define RENEWALS_PER_LEASE 3.5
-/* A controller that stepped down campaigns all the same when the lock stays free for so long. */
+/* A controller that stepped down campaigns before its back-off has ended if the lock has been free
+ * for this long. */
 #define LOCK_FREE_BACKOFF_MAX_S 4
-/* Candidates wait a little apart, by name, so that two that see the lock free at once seldom
- * collide. */
+/* The delay before a campaign: a fixed delay plus 0 to CAMPAIGN_DELAY_STEPS - 1 steps. The number
+ * of steps depends on the controller's name, so that two controllers which see the lock free at the
+ * same time seldom collide. */
 #define CAMPAIGN_DELAY_S 0.02
 #define CAMPAIGN_DELAY_STEP_S 0.15
 #define CAMPAIGN_DELAY_STEPS 3
 
-/* A leader that neither the state service nor a majority of peers has confirmed for this long may
- * have a successor that it does not know of. */
+/* Ends the term if neither the state service nor a majority of controllers has confirmed the epoch
+ * for so long that a successor may lead unknown to this controller. Returns whether it did. */
 static bool step_down_if_unconfirmed(struct pm_election *election, double now)
 {
     const struct pm_operator_settings *operator_settings = election->operator_settings;
@@ -38,7 +44,9 @@
 
     if (!election->term.is_leader || now - election->confirmation.confirmed_at <= deadline_s)
         return false;
-    pm_election_end_term(election, "the epoch was not confirmed for too long");
+    pm_election_end_term(
+        election,
+        "neither the state service nor a majority of controllers confirmed the epoch in time");
     return true;
 }
 
@@ -74,8 +82,9 @@
         pm_election_poll_peers(election, now);
 }
 
-/* A leader polls until a majority knows its epoch. In an outage everybody does: to confirm the
- * epoch, or to tell an outage from being refused alone. */
+/* A leader polls the peers until a majority knows its epoch. While the state service refuses us,
+ * every controller polls: to confirm the epoch by votes, and to find out whether it is the only one
+ * refused. */
 static void poll_peers_for_epoch(struct pm_election *election, double now)
 {
     bool needs_acks = election->term.is_leader && !election->acks.quorum_at;
@@ -122,14 +131,14 @@
     pm_store_lease_keep_alive(election->store, term->lease_id, on_lease_kept_alive, election);
 }
 
-/* How long the lock has to be free before this controller campaigns. */
+/* How long the lock must have been free before this controller campaigns. */
 static double campaign_delay_s(const struct pm_election *election)
 {
     guint step = g_str_hash(election->settings->name) % CAMPAIGN_DELAY_STEPS;
     double delay_s = CAMPAIGN_DELAY_S + CAMPAIGN_DELAY_STEP_S * step;
 
-    if (election->links.candidate_wait_s)
-        delay_s += election->links.candidate_wait_s(election->links.arg);
+    if (election->links.extra_campaign_delay_s)
+        delay_s += election->links.extra_campaign_delay_s(election->links.arg);
     return delay_s;
 }
 
@@ -137,7 +146,7 @@
 {
     struct pm_election_candidacy *candidacy = &election->candidacy;
 
-    if (candidacy->is_in_flight || !pm_store_is_ready(election->store) ||
+    if (candidacy->campaign_in_flight || !pm_store_is_ready(election->store) ||
         !pm_election_is_lock_free(election)) {
         candidacy->lock_free_since = 0;
         return;
--- a/src/leadership/versions.c
+++ b/src/leadership/versions.c
@@ -1,5 +1,6 @@
-/* Which protocol version every controller runs: each publishes its own, by its messages and under
- * p/speaks/NAME, and the leader writes p/speaks once it knows all of them. */
+/* Agreeing on a protocol version: each controller publishes its own, in its messages and under
+ * p/speaks/NAME. Once the leader knows the versions of all controllers, it writes the lowest to
+ * p/speaks. */
 #include "base/keys.h"
 #include "base/log.h"
 #include "base/protocol.h"
@@ -11,7 +12,7 @@
 
 #define WRITE_INTERVAL_S 0.7
 
-/* ---- what is known ---- */
+/* ---- reading versions ---- */
 
 void pm_election_apply_version(struct pm_election *election, const char *controller,
                                const cbor_item_t *value)
@@ -25,7 +26,7 @@
     if (!strcmp(controller, election->settings->name) && version >= PM_PROTOCOL_VERSION)
         versions->is_published = true;
     peer = pm_settings_find_peer(election->settings, controller);
-    if (peer >= 0) /* a later one than ours makes no difference here */
+    if (peer >= 0) /* versions later than ours count as ours */
         pm_election_note_peer_version(election, peer, (unsigned)MIN(version, PM_PROTOCOL_VERSION));
 }
 
@@ -53,7 +54,7 @@
     return MAX(election->versions.common, PM_PROTOCOL_FIRST);
 }
 
-/* The lowest version that a controller is known to run; 0 while one has not named its own. */
+/* The lowest version of all controllers, ours included; 0 until every peer has named its own. */
 static unsigned find_lowest_version(const struct pm_election *election)
 {
     unsigned lowest = PM_PROTOCOL_VERSION;
@@ -63,14 +64,14 @@
     return lowest;
 }
 
-/* ---- writing it ---- */
+/* ---- writing versions ---- */
 
 static void on_version_committed(void *arg, enum pm_store_result result, uint64_t store_revision,
                                  const cbor_item_t *conflicting_keys)
 {
     struct pm_election *election = arg;
 
-    (void)result; /* the watch reports what was written; what was not falls due again */
+    (void)result; /* a success is seen by the watch; a failed write is due again */
     (void)store_revision;
     (void)conflicting_keys;
     election->versions.write_in_flight = false;
