--- a/src/leadership/cancellation_internal.h
+++ b/src/leadership/cancellation_internal.h
@@ -20,8 +20,10 @@
     char id[PM_CANCELLATION_ID_SIZE];
     uint64_t revision;
     double deadline;
-    bool has_acked[PM_PEERS_MAX];   /* the peer has responded to a request with it */
-    uint8_t attempts[PM_PEERS_MAX]; /* failed requests to the peer */
+    bool has_acked[PM_PEERS_MAX]; /* the peer has responded to a request with it */
+    /* Failed requests to the peer. After PM_CANCELLATION_ATTEMPTS_MAX of them the cancellation is
+     * not sent to that peer again. */
+    uint8_t attempts[PM_PEERS_MAX];
     pm_cancel_quorum_done *done;
     void *done_arg;
 };
--- a/src/leadership/confirmation.c
+++ b/src/leadership/confirmation.c
@@ -113,7 +113,7 @@
     if (election->term.is_leader)
         pm_store_wait_for_revision(election->store, store_revision, on_conflict_caught_up,
                                    election);
-    else /* The watch reports what became of the shard; this check does not put off the next. */
+    else /* The watch reports the change of the shard; this check does not delay the next. */
         election->confirmation.checked_at = 0;
 }
 
--- a/src/leadership/election.h
+++ b/src/leadership/election.h
@@ -60,8 +60,7 @@
 };
 
 /* Callbacks to the links slice, which observes which controllers and workers reach one another. It
- * adds its views to the responses to peers, and lets controllers with worse links campaign later.
- */
+ * adds its views to responses to peers, and lets controllers with worse links campaign later. */
 struct pm_election_links {
     double poll_interval_s; /* peers are polled at least this often */
     /* Returns the views for a response to a peer; the caller frees them with g_free. */
@@ -123,9 +122,8 @@
 /* ---- confirmation of the epoch ---- */
 
 /* Whether this controller may answer workers with 200: it leads or owns a shard, the epoch was
- * confirmed less than operator_settings.confirm_s ago, and its replica has every cancellation that
- * was confirmed to a user before a time that is at most about as long ago (safety invariants 5 and
- * 7). */
+ * confirmed less than operator_settings.confirm_s ago, and it knows every cancellation that was
+ * confirmed to a user more than pm_election_staleness_bound_s ago (safety invariants 5 and 7). */
 bool pm_election_is_confirmed(const struct pm_election *election, double now);
 /* The time at which pm_election_is_confirmed turns false unless the epoch is confirmed again. A
  * response that was decided while it was true must not be sent after this time: the process may
--- a/src/leadership/epoch_acks.c
+++ b/src/leadership/epoch_acks.c
@@ -35,7 +35,7 @@
 void pm_election_note_epoch_acked(struct pm_election *election, int peer)
 {
     struct pm_election_acks *acks = &election->acks;
-    int acked = 1; /* ourselves */
+    int acked = 1; /* this controller */
 
     acks->has_acked[peer] = true;
     if (acks->quorum_at)
--- a/src/leadership/internal.h
+++ b/src/leadership/internal.h
@@ -46,8 +46,7 @@
     uint64_t lease_id;           /* of the leader's lock */
     uint64_t epoch;              /* the latest that this controller wrote */
     uint64_t epoch_revision;     /* revision of p/epoch after that write */
-    uint64_t catch_up_revision;  /* the replica must reach it before the leader acts; 0 once it
-                                    has */
+    uint64_t catch_up_revision;  /* the replica must reach it before we act; 0 once reached */
     double epoch_advanced_at;    /* when the current epoch began */
     double advance_attempted_at; /* the last attempt that was made because of the epoch's age */
     bool advance_in_flight;
@@ -196,7 +195,8 @@
 
 /* ---- confirmation.c ---- */
 
-/* Records that the epoch was in force at `sent_at`. Does not change how fresh the replica is. */
+/* Records that the epoch was found in force by a request that was sent at `sent_at`. Leaves the
+ * freshness of the replica unchanged. */
 void pm_election_note_confirmed(struct pm_election *election, double sent_at);
 /* Sends a transaction that checks whether p/epoch, and for a follower the key of its shard, still
  * have the revisions that we know. Must not be called while a check is in flight. */
@@ -210,14 +210,14 @@
     double sent_at; /* of the request */
     uint64_t highest_epoch;
     bool has_replica; /* the peer has read the state since it started */
-    bool
-        has_cancellations; /* it has sent all cancellations it knows after our replica's revision */
-    bool is_refused;       /* the state service refuses it */
+    /* The peer has sent all cancellations that it knows after our replica's revision. */
+    bool has_cancellations;
+    bool is_refused; /* the state service refuses the peer */
 };
 
-/* Whether the state service's last response was a 503, within PM_ELECTION_REFUSAL_MAX_AGE_S. A
- * controller that gets no response at all does not count as refused: it may be the only one that is
- * cut off. */
+/* Whether the state service's last response was a 503, no older than PM_ELECTION_REFUSAL_MAX_AGE_S.
+ * A controller that gets no response at all does not count as refused: it may be the only one that
+ * is cut off. */
 bool pm_election_is_refused_now(const struct pm_election *election, double now);
 /* Tracks since when the state service refuses us. Called by the timer. */
 void pm_election_track_refusals(struct pm_election *election, double now);
--- a/src/leadership/tests/controller_fixtures.h
+++ b/src/leadership/tests/controller_fixtures.h
@@ -1,6 +1,6 @@
-/* Fixture of the leadership tests: controllers that know one another, reduced to election,
- * cancellation quorum, store and jobs, in this process, against a fake state service. Each test
- * gets a loop and a state service of its own. A controller lives until the process ends. */
+/* Fixture of the leadership tests: a cluster of controllers in this process, against a fake state
+ * service. Each controller consists of an election, a cancellation quorum, a store client and the
+ * jobs only. Each test has its own event loop and state service. Controllers are never freed. */
 #ifndef PM_LEADERSHIP_TESTS_CONTROLLER_FIXTURES_H
 #define PM_LEADERSHIP_TESTS_CONTROLLER_FIXTURES_H
 
@@ -23,7 +23,7 @@
 #include <cmocka.h>
 
 static struct ev_loop *loop;
-static struct fake_store *state;
+static struct fake_store *state_service;
 
 struct controller {
     struct pm_settings settings;
@@ -35,8 +35,9 @@
     struct pm_cancel_quorum *cancel_quorum;
     struct pm_name_tables tables;
     struct pm_jobs *jobs;
-    const char *store_addr; /* NULL: the state service's first one */
-    /* As the hooks were called last; 0: not yet. */
+    const char *store_addr; /* NULL means the first address of the state service */
+    /* The epochs that the hooks `elected` and `epoch_advanced` were last called with; 0 before the
+     * first call. */
     uint64_t elected_epoch, advanced_epoch;
     int step_down_count;
 };
@@ -47,7 +48,7 @@
 {
     (void)arg;
     loop = ev_loop_new(EVFLAG_AUTO);
-    state = fake_store_new(loop);
+    state_service = fake_store_new(loop);
     return 0;
 }
 
@@ -110,10 +111,10 @@
 }
 
 static inline const struct pm_cancellation *
-on_list_cancellations(void *arg, uint64_t revision, size_t most, size_t *count, bool *more)
+on_list_cancellations(void *arg, uint64_t revision, size_t limit, size_t *count, bool *has_more)
 {
-    return pm_jobs_list_cancellations(((struct controller *)arg)->jobs, revision, most, count,
-                                      more);
+    return pm_jobs_list_cancellations(((struct controller *)arg)->jobs, revision, limit, count,
+                                      has_more);
 }
 
 static inline void on_peer_reached_revision(void *arg, int peer, uint64_t store_revision)
@@ -132,29 +133,29 @@
         pm_election_handle_peer_request(controller->election, request);
 }
 
-/* Gives the first `count` controllers names and addresses, and one another as peers. */
-static inline void configure_cluster(struct controller *all, int count)
+/* Initializes `count` controllers with names and addresses, and makes them peers of one another. */
+static inline void configure_cluster(struct controller *cluster, int count)
 {
     for (int i = 0; i < count; i++) {
-        memset(&all[i], 0, sizeof all[i]);
-        pm_operator_settings_defaults(&all[i].operator_settings);
-        fixture_begin(&all[i].tables, &all[i].settings);
-        all[i].settings.cluster_size = count;
-        snprintf(all[i].settings.name, PM_NAME_MAX, "n%d", i);
-        snprintf(all[i].settings.peer_listen_addr, 64, "127.0.0.1:%d", event_loop_free_port());
+        memset(&cluster[i], 0, sizeof cluster[i]);
+        pm_operator_settings_defaults(&cluster[i].operator_settings);
+        fixture_begin(&cluster[i].tables, &cluster[i].settings);
+        cluster[i].settings.cluster_size = count;
+        snprintf(cluster[i].settings.name, PM_NAME_MAX, "n%d", i);
+        snprintf(cluster[i].settings.peer_listen_addr, 64, "127.0.0.1:%d", event_loop_free_port());
     }
     for (int i = 0; i < count; i++)
         for (int j = 0; j < count; j++) {
             struct pm_peer_setting *peer;
             if (i == j)
                 continue;
-            peer = &all[i].settings.peers[all[i].settings.peer_count++];
-            g_strlcpy(peer->name, all[j].settings.name, sizeof peer->name);
-            g_strlcpy(peer->addr, all[j].settings.peer_listen_addr, sizeof peer->addr);
+            peer = &cluster[i].settings.peers[cluster[i].settings.peer_count++];
+            g_strlcpy(peer->name, cluster[j].settings.name, sizeof peer->name);
+            g_strlcpy(peer->addr, cluster[j].settings.peer_listen_addr, sizeof peer->addr);
         }
 }
 
-/* Listens for its peers, for the first time or again. */
+/* Starts listening for requests of the peers. Also reopens an endpoint that a test has closed. */
 static inline void open_peer_endpoint(struct controller *controller)
 {
     controller->peer_server = pm_http_server_new(loop, controller->settings.peer_listen_addr, 16,
@@ -166,11 +167,11 @@
 {
     controller->http = pm_http_client_new(loop, 64);
     controller->jobs = pm_jobs_new(&controller->tables);
-    controller->store =
-        pm_store_new(loop, controller->http,
-                     controller->store_addr ? controller->store_addr : fake_store_addr(state), 1000,
-                     &(struct pm_store_observer){on_key_put, on_key_deleted, on_snapshot_begin,
-                                                 on_snapshot_end, on_caught_up, controller});
+    controller->store = pm_store_new(
+        loop, controller->http,
+        controller->store_addr ? controller->store_addr : fake_store_addr(state_service), 1000,
+        &(struct pm_store_observer){on_key_put, on_key_deleted, on_snapshot_begin, on_snapshot_end,
+                                    on_caught_up, controller});
     controller->election = pm_election_new(
         loop, controller->store, controller->http, &controller->settings,
         &controller->operator_settings,
@@ -216,7 +217,7 @@
            PM_PROTOCOL_DEPENDENCIES;
 }
 
-static inline bool is_past(void *arg)
+static inline bool is_deadline_past(void *arg)
 {
     return pm_clock_monotonic() > *(double *)arg;
 }
@@ -226,17 +227,18 @@
     return isfinite(pm_election_lease_lower_bound(((struct controller *)arg)->election, 0));
 }
 
-/* Runs the loop for that long. */
+/* Runs the event loop for this many seconds. */
 static inline void run_for(double seconds)
 {
     double deadline = pm_clock_monotonic() + seconds;
 
-    assert_true(event_loop_run_until(loop, is_past, &deadline));
+    assert_true(event_loop_run_until(loop, is_deadline_past, &deadline));
 }
 
 /* ---- requests ---- */
 
-/* For calls whose status alone is of interest. */
+/* Callback for requests of which only the status is checked. `arg` is an int, 0 before the
+ * response. */
 static inline void on_status(void *arg, int status, const unsigned char *body, size_t size)
 {
     (void)body;
@@ -249,7 +251,7 @@
     return *(int *)arg != 0;
 }
 
-/* The controllers of a test live until the process ends, as those of a daemon do. */
+/* Turns leak detection off: the controllers of a test are not freed, as in the daemon. */
 const char *__asan_default_options(void);
 const char *__asan_default_options(void)
 {
--- a/src/leadership/tests/test_cancellation_quorum.c
+++ b/src/leadership/tests/test_cancellation_quorum.c
@@ -1,36 +1,39 @@
 /* Safety invariant 7: in an outage of the state service nobody renews a lease without knowing every
- * cancellation that was confirmed to a user. The scenario that it is for: the state service refuses
- * the leader alone, another controller confirms cancellations, then the service refuses all. */
+ * cancellation that was confirmed to a user. The failure that it prevents: the state service
+ * refuses only the leader, another controller confirms a cancellation to its user, and then the
+ * service refuses all controllers. The leader, whose replica lacks the cancellation, must not be
+ * confirmed by votes and renew the lease under which the cancelled job runs. */
 #include "controller_fixtures.h"
 #include "../../jobs/tests/recorded_values.h"
 #include "shard.pb-c.h"
 
-/* Three controllers: the first leads, and uses the second address of the state service. */
-static void begin_cluster(struct controller *all)
+/* Starts three controllers. The first one leads. It uses the second address of the state service,
+ * so that a test can cut it off alone. */
+static void begin_cluster(struct controller *cluster)
 {
-    configure_cluster(all, 3);
-    all[0].store_addr = fake_store_second_addr(state);
+    configure_cluster(cluster, 3);
+    cluster[0].store_addr = fake_store_second_addr(state_service);
     for (int i = 0; i < 3; i++) {
-        all[i].settings.lease_s = 12;
-        all[i].settings.cancel_deadline_s = 42;
+        cluster[i].settings.lease_s = 12;
+        cluster[i].settings.cancel_deadline_s = 42;
     }
-    start_controller(&all[0]);
-    assert_true(event_loop_run_until(loop, is_elected, &all[0]));
-    start_controller(&all[1]);
-    start_controller(&all[2]);
-    assert_true(event_loop_run_until(loop, has_replica, &all[1]));
-    assert_true(event_loop_run_until(loop, has_replica, &all[2]));
-    assert_true(event_loop_run_until(loop, is_confirmed, &all[0]));
-    assert_true(event_loop_run_until(loop, has_common_version,
-                                     &all[0])); /* it polls no peer for that any more */
+    start_controller(&cluster[0]);
+    assert_true(event_loop_run_until(loop, is_elected, &cluster[0]));
+    start_controller(&cluster[1]);
+    start_controller(&cluster[2]);
+    assert_true(event_loop_run_until(loop, has_replica, &cluster[1]));
+    assert_true(event_loop_run_until(loop, has_replica, &cluster[2]));
+    assert_true(event_loop_run_until(loop, is_confirmed, &cluster[0]));
+    /* From then on the leader no longer polls its peers for their versions. */
+    assert_true(event_loop_run_until(loop, has_common_version, &cluster[0]));
 }
 
-/* The same, and the state service refuses the leader alone. */
-static void begin_with_refused_leader(struct controller *all)
+/* Starts the cluster of begin_cluster; then the state service refuses only the leader. */
+static void begin_with_refused_leader(struct controller *cluster)
 {
-    begin_cluster(all);
-    fake_store_set_second_access(state, FAKE_STORE_REFUSES);
-    assert_true(event_loop_run_until(loop, is_refused, &all[0]));
+    begin_cluster(cluster);
+    fake_store_set_second_access(state_service, FAKE_STORE_REFUSES);
+    assert_true(event_loop_run_until(loop, is_refused, &cluster[0]));
 }
 
 struct commit_result {
@@ -50,7 +53,7 @@
     return ((struct commit_result *)arg)->status != 0;
 }
 
-/* Makes a cancellation durable, as the API would; returns its revision. */
+/* Writes a cancellation to the state service, as the API would. Returns its revision. */
 static uint64_t commit_cancellation(struct controller *controller, const char *id)
 {
     struct pm_txn txn = {0};
@@ -80,7 +83,8 @@
     return *(enum outcome *)arg != PENDING;
 }
 
-/* Whether the user would be answered "cancelled", or else 503. */
+/* Publishes a cancellation. Returns whether the user would be answered "cancelled" rather than
+ * 503. */
 static bool confirm_to_user(struct controller *controller, const char *id, uint64_t revision)
 {
     enum outcome outcome = PENDING;
@@ -101,17 +105,18 @@
     return pm_jobs_cancellation_revision(((struct controller *)arg)->jobs, "job-1") != 0;
 }
 
-/* The leader, refused alone, is sent the cancellation before it is confirmed to the user. */
+/* A leader that alone is refused gets the cancellation from the controller that confirms it to the
+ * user. */
 static void refused_leader_is_sent_the_cancellation(void **arg)
 {
-    struct controller *all = g_new0(struct controller, 3);
+    struct controller *cluster = g_new0(struct controller, 3);
 
     (void)arg;
-    begin_with_refused_leader(all);
-    assert_true(confirm_to_user(&all[1], "job-1", commit_cancellation(&all[1], "job-1")));
-    assert_true(event_loop_run_until(loop, knows_cancellation, &all[0]));
-    assert_true(
-        event_loop_run_until(loop, is_confirmed, &all[0])); /* and still answers its workers */
+    begin_with_refused_leader(cluster);
+    assert_true(confirm_to_user(&cluster[1], "job-1", commit_cancellation(&cluster[1], "job-1")));
+    assert_true(event_loop_run_until(loop, knows_cancellation, &cluster[0]));
+    /* The leader still answers its workers. */
+    assert_true(event_loop_run_until(loop, is_confirmed, &cluster[0]));
 }
 
 static bool is_confirmed_without_cancellation(const struct controller *controller)
@@ -119,74 +124,78 @@
     return is_confirmed((void *)controller) && !knows_cancellation((void *)controller);
 }
 
-/* The message does not reach the leader, but a majority knows the cancellation; then the state
- * service refuses all. Once its earlier confirmation has expired, the leader is confirmed only by
- * votes of peers that have sent it the cancellation. */
+/* The published cancellation does not reach the leader, but a majority knows it; then the state
+ * service refuses all controllers. Once the leader's earlier confirmation has expired, the leader
+ * is confirmed only by votes of peers that have sent it the cancellation. */
 static void no_lease_renewal_without_the_cancellation_in_an_outage(void **arg)
 {
-    struct controller *all = g_new0(struct controller, 3);
+    struct controller *cluster = g_new0(struct controller, 3);
     double confirmed_at;
 
     (void)arg;
-    begin_with_refused_leader(all);
-    close_peer_endpoint(&all[0]);
-    assert_true(confirm_to_user(&all[1], "job-1", commit_cancellation(&all[1], "job-1")));
+    begin_with_refused_leader(cluster);
+    close_peer_endpoint(&cluster[0]);
+    assert_true(confirm_to_user(&cluster[1], "job-1", commit_cancellation(&cluster[1], "job-1")));
     confirmed_at = pm_clock_monotonic();
-    fake_store_set_outage(state, true);
-    /* From then on it is confirmed only with the cancellation; and in the end it is. */
+    fake_store_set_outage(state_service, true);
+    /* After the staleness bound the leader is confirmed only if it knows the cancellation; at the
+     * end it knows the cancellation and is confirmed. */
     while (pm_clock_monotonic() < confirmed_at + 4) {
         run_for(0.02);
-        if (pm_clock_monotonic() > confirmed_at + pm_election_staleness_bound_s(
-                                                      &all[0].settings, &all[0].operator_settings))
-            assert_false(is_confirmed_without_cancellation(&all[0]));
+        if (pm_clock_monotonic() >
+            confirmed_at +
+                pm_election_staleness_bound_s(&cluster[0].settings, &cluster[0].operator_settings))
+            assert_false(is_confirmed_without_cancellation(&cluster[0]));
     }
-    assert_true(knows_cancellation(&all[0]));
-    assert_true(is_confirmed(&all[0]));
+    assert_true(knows_cancellation(&cluster[0]));
+    assert_true(is_confirmed(&cluster[0]));
 }
 
-/* The confirming controller is lost right after its answer: another one of its majority sends the
- * cancellation. */
+/* The controller that confirmed the cancellation fails right after its answer to the user. Another
+ * controller of the majority sends the cancellation to the leader. */
 static void confirming_controller_may_be_lost(void **arg)
 {
-    struct controller *all = g_new0(struct controller, 3);
+    struct controller *cluster = g_new0(struct controller, 3);
 
     (void)arg;
-    begin_with_refused_leader(all);
-    close_peer_endpoint(&all[0]);
-    assert_true(confirm_to_user(&all[1], "job-1", commit_cancellation(&all[1], "job-1")));
-    close_peer_endpoint(&all[1]);
-    fake_store_set_outage(state, true);
-    assert_true(event_loop_run_until(loop, knows_cancellation, &all[0]));
+    begin_with_refused_leader(cluster);
+    close_peer_endpoint(&cluster[0]);
+    assert_true(confirm_to_user(&cluster[1], "job-1", commit_cancellation(&cluster[1], "job-1")));
+    close_peer_endpoint(&cluster[1]);
+    fake_store_set_outage(state_service, true);
+    assert_true(event_loop_run_until(loop, knows_cancellation, &cluster[0]));
     run_for(2.5);
-    assert_true(is_confirmed(&all[0]));
-    /* Without the last peer nobody can send what was cancelled: it answers no worker. */
-    close_peer_endpoint(&all[2]);
-    assert_true(event_loop_run_until(loop, is_unconfirmed, &all[0]));
+    assert_true(is_confirmed(&cluster[0]));
+    /* Without its last peer the leader can't learn what was cancelled, so it must not answer
+     * workers. */
+    close_peer_endpoint(&cluster[2]);
+    assert_true(event_loop_run_until(loop, is_unconfirmed, &cluster[0]));
     run_for(1);
-    assert_false(is_confirmed(&all[0]));
+    assert_false(is_confirmed(&cluster[0]));
 }
 
-/* Without a majority the cancellation is not confirmed to the user, and that is known soon: it is
- * durable, but a leader could renew leases without knowing it. A repeat needs the majority alone.
- */
+/* Without a majority the cancellation is not confirmed to the user: it is durable, but a leader
+ * that does not know it could renew leases. The failure is reported before the publish timeout. The
+ * user may repeat the request, which succeeds as soon as a majority is reached, without another
+ * write. */
 static void cancellation_without_a_majority_is_not_confirmed(void **arg)
 {
-    struct controller *all = g_new0(struct controller, 3);
+    struct controller *cluster = g_new0(struct controller, 3);
     uint64_t revision;
     double published_at;
 
     (void)arg;
-    begin_cluster(all);
-    fake_store_set_second_access(state, FAKE_STORE_REFUSES);
-    close_peer_endpoint(&all[0]);
-    close_peer_endpoint(&all[2]);
-    revision = commit_cancellation(&all[1], "job-1");
+    begin_cluster(cluster);
+    fake_store_set_second_access(state_service, FAKE_STORE_REFUSES);
+    close_peer_endpoint(&cluster[0]);
+    close_peer_endpoint(&cluster[2]);
+    revision = commit_cancellation(&cluster[1], "job-1");
     published_at = pm_clock_monotonic();
-    assert_false(confirm_to_user(&all[1], "job-1", revision));
+    assert_false(confirm_to_user(&cluster[1], "job-1", revision));
     assert_true(pm_clock_monotonic() - published_at < 0.9);
-    open_peer_endpoint(&all[2]);
-    assert_true(confirm_to_user(&all[1], "job-1", revision));
-    assert_true(knows_cancellation(&all[2]));
+    open_peer_endpoint(&cluster[2]);
+    assert_true(confirm_to_user(&cluster[1], "job-1", revision));
+    assert_true(knows_cancellation(&cluster[2]));
 }
 
 struct awaited_ack {
@@ -201,105 +210,109 @@
     return pm_cancel_quorum_is_acked(awaited->controller->cancel_quorum, awaited->revision);
 }
 
-/* Controllers that do not reach one another acknowledge through the state service how far their
- * replicas have come: cancellations are confirmed to users all the same. */
+/* Controllers that do not reach one another acknowledge through the state service which revision
+ * their replicas have reached, so cancellations can still be confirmed to users. */
 static void acknowledgement_through_the_state_service(void **arg)
 {
-    struct controller *all = g_new0(struct controller, 3);
-    struct awaited_ack awaited = {&all[1], 0};
+    struct controller *cluster = g_new0(struct controller, 3);
+    struct awaited_ack awaited = {&cluster[1], 0};
 
     (void)arg;
-    begin_cluster(all);
+    begin_cluster(cluster);
     for (int i = 0; i < 3; i++)
-        close_peer_endpoint(&all[i]);
-    awaited.revision = commit_cancellation(&all[1], "job-1");
-    assert_false(confirm_to_user(&all[1], "job-1", awaited.revision));
+        close_peer_endpoint(&cluster[i]);
+    awaited.revision = commit_cancellation(&cluster[1], "job-1");
+    assert_false(confirm_to_user(&cluster[1], "job-1", awaited.revision));
     assert_true(event_loop_run_until(loop, is_acked, &awaited));
-    assert_true(confirm_to_user(&all[1], "job-1", awaited.revision));
+    assert_true(confirm_to_user(&cluster[1], "job-1", awaited.revision));
 }
 
 static bool knows_all_cancellations(void *arg)
 {
     size_t count;
-    bool more;
+    bool has_more;
 
-    pm_jobs_list_cancellations(((struct controller *)arg)->jobs, 0, 5000, &count, &more);
+    pm_jobs_list_cancellations(((struct controller *)arg)->jobs, 0, 5000, &count, &has_more);
     return count == 1000;
 }
 
-/* More cancellations than fit in one message: the vote counts once the last page has arrived. */
+/* More cancellations than fit in one response: the vote counts once the last page has arrived. */
 static void long_lists_are_paged(void **arg)
 {
-    struct controller *all = g_new0(struct controller, 3);
+    struct controller *cluster = g_new0(struct controller, 3);
     char id[32];
 
     (void)arg;
-    begin_cluster(all);
+    begin_cluster(cluster);
     run_for(0.2);
-    fake_store_set_second_access(state, FAKE_STORE_REFUSES);
-    assert_true(event_loop_run_until(loop, is_refused, &all[0]));
-    /* Several of one transaction each, so of one revision, and out of order. */
+    fake_store_set_second_access(state_service, FAKE_STORE_REFUSES);
+    assert_true(event_loop_run_until(loop, is_refused, &cluster[0]));
+    /* Several cancellations share a revision, as if written by one transaction, and they arrive out
+     * of order. */
     for (int i = 0; i < 1000; i++) {
         snprintf(id, sizeof id, "job-%d", i);
-        pm_jobs_apply_cancellation(all[1].jobs, id, 100000 + (uint64_t)((i * 7) % 1000) / 12);
-        pm_jobs_apply_cancellation(all[2].jobs, id, 100000 + (uint64_t)((i * 7) % 1000) / 12);
+        pm_jobs_apply_cancellation(cluster[1].jobs, id, 100000 + (uint64_t)((i * 7) % 1000) / 12);
+        pm_jobs_apply_cancellation(cluster[2].jobs, id, 100000 + (uint64_t)((i * 7) % 1000) / 12);
     }
-    fake_store_set_outage(state, true);
-    assert_true(event_loop_run_until(loop, knows_all_cancellations, &all[0]));
+    fake_store_set_outage(state_service, true);
+    assert_true(event_loop_run_until(loop, knows_all_cancellations, &cluster[0]));
     run_for(2.5);
-    assert_true(is_confirmed(&all[0]));
+    assert_true(is_confirmed(&cluster[0]));
 }
 
-/* The state service answers the leader, but its watch hangs: the epoch is confirmed, the replica is
- * not fresh. */
+/* The state service answers the leader's transactions, but the leader's watch hangs: the epoch is
+ * confirmed, but the replica is not fresh. */
 static void lagging_replica_prevents_confirmation(void **arg)
 {
-    struct controller *all = g_new0(struct controller, 3);
+    struct controller *cluster = g_new0(struct controller, 3);
     double confirmed_at;
 
     (void)arg;
-    configure_cluster(all, 3);
-    all[0].store_addr = fake_store_second_addr(state);
-    all[0].settings.lease_s =
-        60; /* no advance of the epoch meanwhile, which would poll the peers */
-    all[0].settings.cancel_deadline_s = 64;
-    start_controller(&all[0]);
-    assert_true(event_loop_run_until(loop, is_elected, &all[0]));
-    start_controller(&all[1]);
-    start_controller(&all[2]);
-    assert_true(event_loop_run_until(loop, has_replica, &all[1]));
-    assert_true(event_loop_run_until(loop, has_replica, &all[2]));
-    assert_true(event_loop_run_until(loop, is_confirmed, &all[0]));
-    assert_true(event_loop_run_until(loop, has_common_version, &all[0]));
-    fake_store_set_second_access(state, FAKE_STORE_WATCHES_HANG);
-    close_peer_endpoint(&all[0]);
-    assert_true(confirm_to_user(&all[1], "job-1", commit_cancellation(&all[1], "job-1")));
+    configure_cluster(cluster, 3);
+    cluster[0].store_addr = fake_store_second_addr(state_service);
+    /* So long a lease that the epoch is not advanced during the test, since that would poll the
+     * peers. */
+    cluster[0].settings.lease_s = 60;
+    cluster[0].settings.cancel_deadline_s = 64;
+    start_controller(&cluster[0]);
+    assert_true(event_loop_run_until(loop, is_elected, &cluster[0]));
+    start_controller(&cluster[1]);
+    start_controller(&cluster[2]);
+    assert_true(event_loop_run_until(loop, has_replica, &cluster[1]));
+    assert_true(event_loop_run_until(loop, has_replica, &cluster[2]));
+    assert_true(event_loop_run_until(loop, is_confirmed, &cluster[0]));
+    assert_true(event_loop_run_until(loop, has_common_version, &cluster[0]));
+    fake_store_set_second_access(state_service, FAKE_STORE_WATCHES_HANG);
+    close_peer_endpoint(&cluster[0]);
+    assert_true(confirm_to_user(&cluster[1], "job-1", commit_cancellation(&cluster[1], "job-1")));
     confirmed_at = pm_clock_monotonic();
     while (pm_clock_monotonic() < confirmed_at + 4) {
         run_for(0.02);
-        if (pm_clock_monotonic() > confirmed_at + pm_election_staleness_bound_s(
-                                                      &all[0].settings, &all[0].operator_settings))
-            assert_false(is_confirmed_without_cancellation(&all[0]));
+        if (pm_clock_monotonic() >
+            confirmed_at +
+                pm_election_staleness_bound_s(&cluster[0].settings, &cluster[0].operator_settings))
+            assert_false(is_confirmed_without_cancellation(&cluster[0]));
     }
-    fake_store_set_second_access(state, FAKE_STORE_SERVES);
-    assert_true(event_loop_run_until(loop, knows_cancellation, &all[0]));
-    assert_true(event_loop_run_until(loop, is_confirmed, &all[0]));
+    fake_store_set_second_access(state_service, FAKE_STORE_SERVES);
+    assert_true(event_loop_run_until(loop, knows_cancellation, &cluster[0]));
+    assert_true(event_loop_run_until(loop, is_confirmed, &cluster[0]));
 }
 
 /* After the last renewal by a controller that does not know the cancellation, a whole lease fits
- * into what is left of the cancellation's deadline, with the clocks' drift, at every ratio of the
- * two. */
+ * into the rest of the cancellation deadline, allowing for clock drift. Tested with several ratios
+ * of lease to deadline. */
 static void staleness_bound_leaves_time_for_a_lease(void **arg)
 {
-    static const double sites[][2] = {{12, 42}, {26.5, 56.5}, {44, 74}, {10, 20}, {60, 66}};
+    static const double lease_and_deadline_s[][2] = {
+        {12, 42}, {26.5, 56.5}, {44, 74}, {10, 20}, {60, 66}};
     struct pm_operator_settings operator_settings;
 
     (void)arg;
     pm_operator_settings_defaults(&operator_settings);
-    for (size_t i = 0; i < G_N_ELEMENTS(sites); i++) {
+    for (size_t i = 0; i < G_N_ELEMENTS(lease_and_deadline_s); i++) {
         struct pm_settings *settings = g_new0(struct pm_settings, 1);
-        settings->lease_s = sites[i][0];
-        settings->cancel_deadline_s = sites[i][1];
+        settings->lease_s = lease_and_deadline_s[i][0];
+        settings->cancel_deadline_s = lease_and_deadline_s[i][1];
         assert_true(
             (pm_election_staleness_bound_s(settings, &operator_settings) + settings->lease_s) *
                 (1 + 2 * PM_CLOCK_DRIFT_MAX) <
@@ -319,51 +332,52 @@
     return status;
 }
 
-/* Malformed messages end no process and change nothing; a repeated one counts once. */
+/* Malformed messages are rejected or ignored: they neither end the process nor change anything. A
+ * message that is repeated is applied once. */
 static void malformed_messages_change_nothing(void **arg)
 {
-    struct controller *all = g_new0(struct controller, 3);
+    struct controller *cluster = g_new0(struct controller, 3);
     Pm__CancellationRequest message = PM__CANCELLATION_REQUEST__INIT;
     Pm__Cancellation entry = PM__CANCELLATION__INIT;
     Pm__Cancellation *list[] = {&entry};
     unsigned char data[256];
     char *large = g_malloc0(100 * 1024);
     size_t count;
-    bool more;
+    bool has_more;
 
     (void)arg;
-    begin_cluster(all);
-    assert_int_equal(post(&all[1], &all[0], "/cancelled", "\xff\xff\xff", 3), 400);
-    assert_int_equal(post(&all[1], &all[0], "/peer", "\xff\xff\xff", 3), 400);
-    assert_int_equal(post(&all[1], &all[0], "/cancelled", large, 100 * 1024), 413);
+    begin_cluster(cluster);
+    assert_int_equal(post(&cluster[1], &cluster[0], "/cancelled", "\xff\xff\xff", 3), 400);
+    assert_int_equal(post(&cluster[1], &cluster[0], "/peer", "\xff\xff\xff", 3), 400);
+    assert_int_equal(post(&cluster[1], &cluster[0], "/cancelled", large, 100 * 1024), 413);
     entry.id = "job-1";
     entry.revision = 3;
     message.cancelled = list;
     message.n_cancelled = 1;
     message.from = "nobody";
-    assert_int_equal(
-        post(&all[1], &all[0], "/cancelled", data, pm__cancellation_request__pack(&message, data)),
-        400);
-    assert_false(knows_cancellation(&all[0]));
+    assert_int_equal(post(&cluster[1], &cluster[0], "/cancelled", data,
+                          pm__cancellation_request__pack(&message, data)),
+                     400);
+    assert_false(knows_cancellation(&cluster[0]));
     message.from = "n1";
     entry.id = "../../epoch";
-    assert_int_equal(
-        post(&all[1], &all[0], "/cancelled", data, pm__cancellation_request__pack(&message, data)),
-        200);
-    pm_jobs_list_cancellations(all[0].jobs, 0, 10, &count, &more);
+    assert_int_equal(post(&cluster[1], &cluster[0], "/cancelled", data,
+                          pm__cancellation_request__pack(&message, data)),
+                     200);
+    pm_jobs_list_cancellations(cluster[0].jobs, 0, 10, &count, &has_more);
     assert_int_equal(count, 0);
     entry.id = "job-1";
     for (int i = 0; i < 3; i++)
-        assert_int_equal(post(&all[1], &all[0], "/cancelled", data,
+        assert_int_equal(post(&cluster[1], &cluster[0], "/cancelled", data,
                               pm__cancellation_request__pack(&message, data)),
                          200);
-    pm_jobs_list_cancellations(all[0].jobs, 0, 10, &count, &more);
+    pm_jobs_list_cancellations(cluster[0].jobs, 0, 10, &count, &has_more);
     assert_int_equal(count, 1);
-    assert_false(more);
+    assert_false(has_more);
     g_free(large);
 }
 
-/* Messages of the previous version are read as they were meant, and name no protocol version. */
+/* Recorded messages of the previous version are decoded correctly, and name no protocol version. */
 static void reads_messages_of_the_previous_version(void **arg)
 {
     size_t size;
--- a/src/leadership/tests/test_election_versions.c
+++ b/src/leadership/tests/test_election_versions.c
@@ -1,45 +1,47 @@
-/* The protocol version that all controllers run, through upgrades. */
+/* The common protocol version of all controllers during upgrades. */
 #include "controller_fixtures.h"
 
-/* What the previous version would misread is used once every controller named in the settings is
- * known to run this one: a controller that has sent no message counts as old, and so does one whose
- * messages name no version. Once known, this outlives the processes that knew it. */
+/* Formats that the previous version would misread are used once every controller named in the
+ * settings is known to run this version. A controller that has sent no message, or whose messages
+ * name no version, counts as running an old one. The common version is stored, so that processes
+ * started later read it. */
 static void common_version_needs_every_controller(void **arg)
 {
-    struct controller *all = g_new0(struct controller, 4);
+    struct controller *cluster = g_new0(struct controller, 4);
     Pm__PeerRequest message = PM__PEER_REQUEST__INIT;
     unsigned char data[64];
     int status = 0;
 
     (void)arg;
-    configure_cluster(all, 3);
-    start_controller(&all[0]);
-    start_controller(&all[1]);
-    assert_true(event_loop_run_until(loop, has_replica, &all[0]));
-    assert_true(event_loop_run_until(loop, has_replica, &all[1]));
-    message.from = "n2"; /* as the previous version asks */
-    pm_http_call(all[1].http, all[0].settings.peer_listen_addr, "POST", "/peer", data,
+    configure_cluster(cluster, 3);
+    start_controller(&cluster[0]);
+    start_controller(&cluster[1]);
+    assert_true(event_loop_run_until(loop, has_replica, &cluster[0]));
+    assert_true(event_loop_run_until(loop, has_replica, &cluster[1]));
+    message.from = "n2"; /* a request of the previous version names no version */
+    pm_http_call(cluster[1].http, cluster[0].settings.peer_listen_addr, "POST", "/peer", data,
                  pm__peer_request__pack(&message, data), 30, 4096, on_status, &status);
     assert_true(event_loop_run_until(loop, has_status, &status));
     assert_int_equal(status, 200);
     run_for(2);
-    assert_false(has_common_version(&all[0]));
-    assert_int_equal(fake_store_revision(state, "p/speaks"), 0);
-    /* It is upgraded. Its messages do not arrive, but its version in the state service does. */
-    start_controller(&all[2]);
+    assert_false(has_common_version(&cluster[0]));
+    assert_int_equal(fake_store_revision(state_service, "p/speaks"), 0);
+    /* n2 is upgraded. No messages arrive any more, but the others read its version in the state
+     * service. */
+    start_controller(&cluster[2]);
     for (int i = 0; i < 3; i++)
-        pm_http_server_free(all[i].peer_server);
-    assert_true(event_loop_run_until(loop, has_common_version, &all[0]));
-    assert_true(event_loop_run_until(loop, has_common_version, &all[2]));
+        pm_http_server_free(cluster[i].peer_server);
+    assert_true(event_loop_run_until(loop, has_common_version, &cluster[0]));
+    assert_true(event_loop_run_until(loop, has_common_version, &cluster[2]));
     /* A new process reads the common version. */
-    all[3].settings = all[1].settings;
-    all[3].operator_settings = all[1].operator_settings;
-    fixture_begin(&all[3].tables, &all[3].settings);
-    start_controller(&all[3]);
-    assert_true(event_loop_run_until(loop, has_common_version, &all[3]));
+    cluster[3].settings = cluster[1].settings;
+    cluster[3].operator_settings = cluster[1].operator_settings;
+    fixture_begin(&cluster[3].tables, &cluster[3].settings);
+    start_controller(&cluster[3]);
+    assert_true(event_loop_run_until(loop, has_common_version, &cluster[3]));
 }
 
-/* A controller of the previous version: it answers as that one does, and never names a version. */
+/* Responds as a controller of the previous version does, which never names a version. */
 static void on_old_version_request(void *arg, struct pm_http_request *request)
 {
     Pm__PeerResponse response = PM__PEER_RESPONSE__INIT;
@@ -47,7 +49,7 @@
     unsigned char data[128];
 
     (void)arg;
-    assert_non_null(message); /* it reads what this version sends */
+    assert_non_null(message); /* the previous version can decode what this one sends */
     response.from = "n2";
     response.highest_epoch = message->epoch;
     response.has_state = true;
@@ -67,7 +69,7 @@
     return server;
 }
 
-/* The third controller asks as the previous version does. */
+/* Sends a request from the third controller to `receiver`, as the previous version would. */
 static void ask_as_old_version(struct controller *sender, const struct controller *receiver)
 {
     Pm__PeerRequest message = PM__PEER_REQUEST__INIT;
@@ -81,26 +83,27 @@
     assert_int_equal(status, 200);
 }
 
-/* Two run this version, the third the previous one. The first uses the second address of the state
- * service, so that a test can cut off that one alone. Returns the server of the third. */
-static struct pm_http_server *start_mixed_versions(struct controller *all)
+/* Starts two controllers of this version and one, the third, of the previous version. The first
+ * uses the second address of the state service, so that a test can cut it off alone. Returns the
+ * server of the third. */
+static struct pm_http_server *start_mixed_versions(struct controller *cluster)
 {
     struct pm_http_server *old_version;
 
-    configure_cluster(all, 3);
-    old_version = start_old_version(&all[2]);
-    all[0].store_addr = fake_store_second_addr(state);
-    start_controller(&all[0]);
-    assert_true(event_loop_run_until(loop, is_elected, &all[0]));
-    start_controller(&all[1]);
-    assert_true(event_loop_run_until(loop, has_replica, &all[1]));
+    configure_cluster(cluster, 3);
+    old_version = start_old_version(&cluster[2]);
+    cluster[0].store_addr = fake_store_second_addr(state_service);
+    start_controller(&cluster[0]);
+    assert_true(event_loop_run_until(loop, is_elected, &cluster[0]));
+    start_controller(&cluster[1]);
+    assert_true(event_loop_run_until(loop, has_replica, &cluster[1]));
     run_for(2);
-    assert_int_equal(fake_store_revision(state, "p/speaks"), 0);
+    assert_int_equal(fake_store_revision(state_service, "p/speaks"), 0);
     return old_version;
 }
 
-/* How soon all have to know the common version after they can: well within the 60 s that users
- * wait. The fake state service and the loopback answer at once. */
+/* How soon all controllers must know the common version once nothing prevents it. It is well below
+ * the 60 s that users wait, since the fake state service and the loopback respond at once. */
 #define COMMON_VERSION_MAX_S 3.0
 
 static void assert_common_version_soon(struct controller *controller, double since)
@@ -109,105 +112,105 @@
     assert_true(pm_clock_monotonic() - since < COMMON_VERSION_MAX_S);
 }
 
-/* The last controller is upgraded during an outage: nothing can be written then, and at its end all
- * know the common version. */
+/* The last controller is upgraded during an outage, when nothing can be written. Soon after the
+ * outage all controllers know the common version. */
 static void last_upgrade_during_an_outage(void **arg)
 {
-    struct controller *all = g_new0(struct controller, 3);
-    struct pm_http_server *old_version = start_mixed_versions(all);
+    struct controller *cluster = g_new0(struct controller, 3);
+    struct pm_http_server *old_version = start_mixed_versions(cluster);
     double outage_ended_at;
 
     (void)arg;
-    fake_store_set_outage(state, true);
-    assert_true(event_loop_run_until(loop, is_refused, &all[0]));
+    fake_store_set_outage(state_service, true);
+    assert_true(event_loop_run_until(loop, is_refused, &cluster[0]));
     pm_http_server_free(old_version);
-    start_controller(&all[2]);
+    start_controller(&cluster[2]);
     run_for(1.5);
-    assert_false(has_common_version(&all[0]));
+    assert_false(has_common_version(&cluster[0]));
     outage_ended_at = pm_clock_monotonic();
-    fake_store_set_outage(state, false);
+    fake_store_set_outage(state_service, false);
     for (int i = 0; i < 3; i++)
-        assert_common_version_soon(&all[i], outage_ended_at);
+        assert_common_version_soon(&cluster[i], outage_ended_at);
 }
 
-/* The last controller does not reach the state service: its messages name its version to the
- * others. */
+/* The last controller that is upgraded does not reach the state service. The others learn its
+ * version from its messages. */
 static void last_upgrade_without_the_state_service(void **arg)
 {
-    struct controller *all = g_new0(struct controller, 3);
-    struct pm_http_server *old_version = start_mixed_versions(all);
+    struct controller *cluster = g_new0(struct controller, 3);
+    struct pm_http_server *old_version = start_mixed_versions(cluster);
     double since;
 
     (void)arg;
-    all[2].store_addr = "127.0.0.1:9"; /* nobody listens there */
+    cluster[2].store_addr = "127.0.0.1:9"; /* nobody listens there */
     pm_http_server_free(old_version);
-    start_controller(&all[2]);
+    start_controller(&cluster[2]);
     since = pm_clock_monotonic();
-    assert_common_version_soon(&all[0], since);
-    assert_common_version_soon(&all[1], since);
-    assert_false(has_common_version(&all[2]));
-    assert_false(has_replica(&all[2]));
+    assert_common_version_soon(&cluster[0], since);
+    assert_common_version_soon(&cluster[1], since);
+    assert_false(has_common_version(&cluster[2]));
+    assert_false(has_replica(&cluster[2]));
 }
 
-/* The last controller restarts in the old version while the others are being upgraded. */
+/* The last controller restarts in the old version before it is upgraded. */
 static void restart_in_the_old_version(void **arg)
 {
-    struct controller *all = g_new0(struct controller, 3);
-    struct pm_http_server *old_version = start_mixed_versions(all);
+    struct controller *cluster = g_new0(struct controller, 3);
+    struct pm_http_server *old_version = start_mixed_versions(cluster);
     double since;
 
     (void)arg;
     pm_http_server_free(old_version);
     run_for(1);
-    old_version = start_old_version(&all[2]);
-    ask_as_old_version(&all[1], &all[0]);
+    old_version = start_old_version(&cluster[2]);
+    ask_as_old_version(&cluster[1], &cluster[0]);
     run_for(2);
-    assert_false(has_common_version(&all[0]));
+    assert_false(has_common_version(&cluster[0]));
     pm_http_server_free(old_version);
-    start_controller(&all[2]);
+    start_controller(&cluster[2]);
     since = pm_clock_monotonic();
-    assert_common_version_soon(&all[0], since);
-    /* A delayed message of the old version does not lower what is known. */
-    ask_as_old_version(&all[1], &all[0]);
-    ask_as_old_version(&all[0], &all[1]);
+    assert_common_version_soon(&cluster[0], since);
+    /* A delayed message of the old version does not lower the known version. */
+    ask_as_old_version(&cluster[1], &cluster[0]);
+    ask_as_old_version(&cluster[0], &cluster[1]);
     run_for(1);
-    assert_true(has_common_version(&all[0]));
-    assert_true(has_common_version(&all[1]));
+    assert_true(has_common_version(&cluster[0]));
+    assert_true(has_common_version(&cluster[1]));
 }
 
-/* The leader is lost when half are upgraded: its successor knows which version each runs, and
- * writes the common one. */
+/* The leader fails in the middle of an upgrade. Its successor learns which version each controller
+ * runs, and writes the common version. */
 static void leader_lost_in_the_middle_of_an_upgrade(void **arg)
 {
-    struct controller *all = g_new0(struct controller, 3);
-    struct pm_http_server *old_version = start_mixed_versions(all);
+    struct controller *cluster = g_new0(struct controller, 3);
+    struct pm_http_server *old_version = start_mixed_versions(cluster);
     double since;
 
     (void)arg;
-    pm_http_server_free(all[0].peer_server); /* its peers get no answer any more */
-    fake_store_set_second_access(state, FAKE_STORE_REFUSES);
-    fake_store_revoke_all_leases(state);
-    assert_true(event_loop_run_until(loop, is_elected, &all[1]));
-    assert_false(has_common_version(&all[1]));
+    pm_http_server_free(cluster[0].peer_server); /* its peers get no response any more */
+    fake_store_set_second_access(state_service, FAKE_STORE_REFUSES);
+    fake_store_revoke_all_leases(state_service);
+    assert_true(event_loop_run_until(loop, is_elected, &cluster[1]));
+    assert_false(has_common_version(&cluster[1]));
     pm_http_server_free(old_version);
-    start_controller(&all[2]);
+    start_controller(&cluster[2]);
     since = pm_clock_monotonic();
-    assert_common_version_soon(&all[1], since);
+    assert_common_version_soon(&cluster[1], since);
 }
 
-/* With mixed versions an outage is survived as ever: a controller of the previous version counts
- * for a majority. */
+/* With mixed versions, the vote of a controller of the previous version counts towards a majority
+ * in an outage. */
 static void old_version_votes_in_an_outage(void **arg)
 {
-    struct controller *all = g_new0(struct controller, 3);
+    struct controller *cluster = g_new0(struct controller, 3);
 
     (void)arg;
-    start_mixed_versions(all);
-    fake_store_set_outage(state, true);
-    assert_true(event_loop_run_until(loop, is_refused, &all[0]));
-    pm_http_server_free(all[1].peer_server);
-    run_for(2 * all[0].operator_settings.confirm_s);
-    assert_true(event_loop_run_until(loop, is_confirmed, &all[0]));
+    start_mixed_versions(cluster);
+    fake_store_set_outage(state_service, true);
+    assert_true(event_loop_run_until(loop, is_refused, &cluster[0]));
+    pm_http_server_free(cluster[1].peer_server);
+    run_for(2 * cluster[0].operator_settings.confirm_s);
+    assert_true(event_loop_run_until(loop, is_confirmed, &cluster[0]));
 }
 
 int main(void)
--- a/src/leadership/timer.c
+++ b/src/leadership/timer.c
@@ -9,10 +9,10 @@
 #include <glib.h>
 
 #define FIRST_TICK_S 0.05
-/* The age at which the epoch is advanced, as a share of a worker's lease. It is below 1 because a
- * duplicate of a launch command may arrive more than a lease after the first was carried out. If
- * the task has ended since and its worker has forgotten it, the duplicate would start it again. But
- * by then the worker has accepted a later fencing token and refuses the duplicate, or the worker is
+/* The age at which the epoch is advanced, as a share of a worker's lease. A duplicate of a launch
+ * command may arrive more than a lease after the first was carried out. If the task has ended since
+ * and its worker has forgotten it, the duplicate would start it again. Since this share is below 1,
+ * the worker has by then accepted a later fencing token and refuses the duplicate, or the worker is
  * a new incarnation. */
 #define LEASES_PER_EPOCH 0.7
 /* Interval of attempts to advance the epoch. */
