--- a/src/api/api.c
+++ b/src/api/api.c
@@ -6,7 +6,7 @@
 #define JOBS_PATH "/work"
 #define CANCEL_ACTION "/abort"
 
-/* Copies an id that is not ended by a NUL. False when it has not the form of a job's id. */
+/* Copies `length` bytes of `text` as a job's id. Returns false if they are not a valid id. */
 static bool copy_job_id(char *id, const char *text, size_t length)
 {
     if (length >= PM_ID_MAX)
@@ -16,7 +16,8 @@
     return pm_job_id_is_valid(id);
 }
 
-/* `path` is what follows the slash behind JOBS_PATH: ID, or ID and CANCEL_ACTION. */
+/* `path` is the part of the request's path after JOBS_PATH and a slash: ID, or ID followed by
+ * CANCEL_ACTION. */
 static void handle_poll_or_cancellation(struct pm_api *api, struct pm_http_request *http,
                                         const char *path)
 {
@@ -68,7 +69,7 @@
     api->cancel_quorum = cancel_quorum;
     api->limit =
         pm_concurrency_limit_new(operator_settings->admit_min, operator_settings->admit_max);
-    pm_api_writes_init(api);
+    pm_api_write_queue_init(api);
     return api;
 }
 
--- a/src/api/cancellation.c
+++ b/src/api/cancellation.c
@@ -1,4 +1,5 @@
-/* Cancellations: what they write, and the answer once a majority of controllers knows them. */
+/* Cancellations: the value that is written, and the answer once a majority of controllers knows the
+ * cancellation. */
 #include "api/internal.h"
 
 void pm_api_encode_cancelled_job(const struct pm_api *api, const struct pm_job *job,
@@ -12,7 +13,8 @@
 {
     struct pm_api_request *request = arg;
 
-    /* Without a majority the job stays cancelled: a repeat needs the majority, nothing else. */
+    /* Without a majority the job stays cancelled, and a repeated request only waits for the
+     * majority. */
     if (ok)
         pm_api_reply_status(request, pm_jobs_find(request->api->jobs, request->id));
     else
--- a/src/api/concurrency_limit.c
+++ b/src/api/concurrency_limit.c
@@ -3,20 +3,23 @@
 #include <glib.h>
 
 enum { INITIAL_LIMIT = 64 };
-#define PRIORITY_SHARE 1.5     /* of the limit, that priority requests may fill */
-#define STORE_LATENCIES 4.0    /* a request waits for so many answers of the store, at most */
-#define UNNOTICED_S 0.1        /* below this nobody notices a wait: no reason to refuse anybody */
-#define SLOWDOWN 4.0           /* over the baseline: the sign of overload */
-#define RECENT_WEIGHT 0.1      /* of the latest duration in the recent mean */
-#define BASELINE_WEIGHT 0.0001 /* a long overload must not become the baseline */
-#define DECREASE 0.98          /* at each request that ends under overload */
+#define PRIORITY_FACTOR 1.5 /* priority requests are admitted up to this multiple of the limit */
+/* A request waits for at most this number of answers of the state service. */
+#define STORE_LATENCY_FACTOR 4.0
+/* Users do not notice shorter durations, so these are no reason to refuse requests. */
+#define NOTICEABLE_S 0.1
+#define OVERLOAD_FACTOR 4.0 /* durations above this multiple of the baseline indicate overload */
+#define RECENT_WEIGHT 0.1   /* of the latest duration in the recent mean */
+/* Weight of the latest duration in the baseline: a long overload must not become the baseline. */
+#define BASELINE_WEIGHT 0.0001
+#define DECREASE_FACTOR 0.98 /* of the limit, at each request that ends during overload */
 
 struct pm_concurrency_limit {
     unsigned min, max;
     unsigned in_progress;
     double current;    /* between min and max */
-    double baseline_s; /* slowly rising floor of the durations; 0: none yet */
-    double recent_s;   /* quickly moving mean; 0: none yet */
+    double baseline_s; /* slowly rising minimum of the durations; 0 before the first */
+    double recent_s;   /* moving mean of the latest durations; 0 before the first */
 };
 
 struct pm_concurrency_limit *pm_concurrency_limit_new(unsigned min, unsigned max)
@@ -41,7 +44,7 @@
 
 bool pm_concurrency_limit_acquire(struct pm_concurrency_limit *limit, bool is_priority)
 {
-    double allowed = is_priority ? limit->current * PRIORITY_SHARE : limit->current;
+    double allowed = is_priority ? limit->current * PRIORITY_FACTOR : limit->current;
 
     if (limit->in_progress >= (unsigned)allowed)
         return false;
@@ -49,7 +52,7 @@
     return true;
 }
 
-static void measure(struct pm_concurrency_limit *limit, double duration_s)
+static void record_duration(struct pm_concurrency_limit *limit, double duration_s)
 {
     if (limit->recent_s > 0)
         limit->recent_s = limit->recent_s * (1 - RECENT_WEIGHT) + duration_s * RECENT_WEIGHT;
@@ -69,11 +72,11 @@
 
     if (limit->in_progress)
         limit->in_progress--;
-    measure(limit, duration_s);
-    acceptable_s = MAX(UNNOTICED_S, SLOWDOWN * limit->baseline_s);
-    acceptable_s = MAX(acceptable_s, STORE_LATENCIES * store_latency_s);
+    record_duration(limit, duration_s);
+    acceptable_s = MAX(NOTICEABLE_S, OVERLOAD_FACTOR * limit->baseline_s);
+    acceptable_s = MAX(acceptable_s, STORE_LATENCY_FACTOR * store_latency_s);
     if (limit->recent_s > acceptable_s)
-        limit->current = MAX(limit->min, limit->current * DECREASE);
+        limit->current = MAX(limit->min, limit->current * DECREASE_FACTOR);
     else if (is_half_used)
         limit->current = MIN(limit->max, limit->current + 1);
 }
--- a/src/api/replies.c
+++ b/src/api/replies.c
@@ -1,7 +1,7 @@
-/* Answers to users: the encoders of their bodies. Each ends its request. */
+/* Replies to users, with the encoding of their bodies. */
 #include "api/internal.h"
 
-/* Answers with `body`, which is freed (NULL: no body), and ends the request. */
+/* Answers the request with `body`, which is freed and may be NULL, and ends the request. */
 static void reply(struct pm_api_request *request, enum pm_api_status status, struct pm_buffer *body,
                   int retry_after_s)
 {
--- a/src/api/request.c
+++ b/src/api/request.c
@@ -1,4 +1,4 @@
-/* A user's request from its admission to its end, and what it waits for in between. */
+/* The life cycle of a user's request: admission, waiting for the replica, and the end. */
 #include "api/internal.h"
 #include "base/clock.h"
 
--- a/src/api/submission.c
+++ b/src/api/submission.c
@@ -1,5 +1,5 @@
-/* Submissions: decoding, the checks that need the replica, and the overflow lists, which name the
- * needed jobs that the job's own value has no room for. */
+/* Submissions: decoding, the checks that need the replica, and the overflow lists, which hold the
+ * dependencies that do not fit into the job's own value. */
 #include "api/internal.h"
 #include "base/clock.h"
 
@@ -10,15 +10,15 @@
 
 /* ---- decoding ---- */
 
-/* Whether the submission is a repeat for a job that is known. What was accepted once is never
- * checked again: settings and machine types may have changed since. */
+/* Whether the submission repeats that of a known job. An accepted submission is not validated
+ * again, since settings and machine types may have changed in the meantime. */
 static bool is_known_job(const struct pm_api *api, const cbor_item_t *body, char *id)
 {
     return pm_cbor_read_text(pm_cbor_get(body, "name_id"), id, PM_ID_MAX) &&
            pm_jobs_find(api->jobs, id);
 }
 
-static enum pm_api_status status_of(enum pm_submission_result result)
+static enum pm_api_status status_for_result(enum pm_submission_result result)
 {
     switch (result) {
     case PM_SUBMISSION_VALID:
@@ -33,16 +33,17 @@
     return PM_API_UNAVAILABLE;
 }
 
-/* PM_API_OK, or the status of the answer and its reason. `*dependency_ids` is owned by the caller
- * for PM_API_OK, and NULL when the job needs no others. */
-static enum pm_api_status decode(const struct pm_api *api, const cbor_item_t *body, char *id,
-                                 struct pm_spec *spec, GPtrArray **dependency_ids,
-                                 const char **reason)
+/* Decodes a submission. Returns PM_API_OK, or the status of the answer with the reason in
+ * `*reason`. For PM_API_OK the caller owns `*dependency_ids`, which is NULL if the job has no
+ * dependencies. */
+static enum pm_api_status decode_submission(const struct pm_api *api, const cbor_item_t *body,
+                                            char *id, struct pm_spec *spec,
+                                            GPtrArray **dependency_ids, const char **reason)
 {
     enum pm_submission_result result = pm_submission_decode(api->tables, body, id, spec, reason);
 
     if (result != PM_SUBMISSION_VALID)
-        return status_of(result);
+        return status_for_result(result);
     if (!pm_dependency_ids_decode(body, dependency_ids)) {
         *reason = "awaits";
         return PM_API_BAD_REQUEST;
@@ -50,7 +51,8 @@
     return PM_API_OK;
 }
 
-/* NULL when the submission was answered. */
+/* Decodes and admits the submission of an unknown job. Returns NULL if the submission is invalid or
+ * not admitted, and was therefore answered already. */
 static struct pm_api_request *admit_new_job(struct pm_api *api, struct pm_http_request *http,
                                             const cbor_item_t *body)
 {
@@ -59,7 +61,7 @@
     char id[PM_ID_MAX] = "";
     struct pm_spec spec;
     const char *reason = "";
-    enum pm_api_status status = decode(api, body, id, &spec, &dependency_ids, &reason);
+    enum pm_api_status status = decode_submission(api, body, id, &spec, &dependency_ids, &reason);
 
     if (status != PM_API_OK) {
         pm_api_reply_error(http, status, reason);
@@ -113,7 +115,8 @@
 
 /* ---- checks ---- */
 
-/* The size, in the form that the state service limits, of the job's value without what it needs. */
+/* Returns the size of the job's value without its dependencies, measured as JSON, the form to which
+ * the limit of the state service applies. */
 static size_t value_size(const struct pm_api_request *request)
 {
     struct pm_buffer encoded = {0};
@@ -128,8 +131,9 @@
     return size;
 }
 
-/* Why the new job must not depend on the job `id`, as far as the replica knows; NULL: it may. */
-static const char *find_dependency_fault(const struct pm_api_request *request, const char *id)
+/* Returns why the new job must not depend on the job `id` according to the replica, or NULL if it
+ * may. */
+static const char *find_dependency_error(const struct pm_api_request *request, const char *id)
 {
     const struct pm_job *job = pm_jobs_find(request->api->jobs, id);
 
@@ -138,40 +142,41 @@
     if (!job)
         return "it needs a job that was never accepted";
     if (job->spec && job->spec->kind == PM_WORKLOAD_SERVICE)
-        return "it needs a service"; /* which never ends by itself */
+        return "it needs a service"; /* a service does not end unless it is cancelled */
     return NULL;
 }
 
-/* Why the new job can't be stored or can never run, as far as the replica knows; NULL: no reason.
- */
-static const char *find_fault(struct pm_api_request *request)
+/* Returns why the new job cannot be stored or can never run according to the replica, or NULL if
+ * there is no reason. */
+static const char *find_submission_error(struct pm_api_request *request)
 {
     struct pm_api_submission *submission = &request->submission;
     const GPtrArray *ids = submission->dependency_ids;
-    const char *fault = NULL;
+    const char *error = NULL;
 
     if (!submission->value_size)
         submission->value_size = value_size(request);
-    /* A value above the limit would have the whole transaction that writes it rejected. */
+    /* The state service rejects a whole transaction if one of its values is above the limit. */
     if ((double)submission->value_size >
         request->api->tables->settings->store_value_kb * BYTES_PER_KB)
         return "too large to be kept";
-    for (guint i = 0; ids && !fault && i < ids->len; i++)
-        fault = find_dependency_fault(request, g_ptr_array_index(ids, i));
-    return fault;
+    for (guint i = 0; ids && !error && i < ids->len; i++)
+        error = find_dependency_error(request, g_ptr_array_index(ids, i));
+    return error;
 }
 
-/* A fault is final only once the replica is as new as the request: the needed jobs may have been
- * accepted just now, and so may the job itself, by a controller with other settings. */
-static void reject_when_current(struct pm_api_request *request, const char *fault)
+/* Rejects the submission, but only once the replica is as new as the request: other controllers may
+ * just have accepted the job's dependencies, or the job itself under other settings. */
+static void reject_when_current(struct pm_api_request *request, const char *error)
 {
     if (request->is_replica_current)
-        pm_api_reply_rejected(request, fault);
+        pm_api_reply_rejected(request, error);
     else
         pm_api_request_await_replica(request);
 }
 
-/* Ids become indices only once they are known to be jobs, since an interned name is never freed. */
+/* Interns the ids of the dependencies. This happens only after the ids are known to be jobs, since
+ * an interned name is never freed. */
 static void intern_dependencies(struct pm_api_request *request)
 {
     struct pm_api_submission *submission = &request->submission;
@@ -205,8 +210,8 @@
     pm_api_request_process(request);
 }
 
-/* They are written before the job's own value, and mean nothing until that exists. A repeat of the
- * submission writes the same values again. */
+/* Writes the next overflow lists. They are written before the job's own value and have no effect
+ * until that exists. A repeated submission writes the same values again. */
 static void write_overflow_lists(struct pm_api_request *request)
 {
     struct pm_api_submission *submission = &request->submission;
@@ -231,20 +236,20 @@
 void pm_api_process_new_job(struct pm_api_request *request)
 {
     const struct pm_api_submission *submission = &request->submission;
-    const char *fault;
+    const char *error;
 
     if (submission->dependency_ids && !request->api->dependencies_enabled) {
         pm_api_reply_unavailable(request, PM_API_RETRY_LATER_S);
         return;
     }
-    fault = find_fault(request);
-    if (fault) {
-        reject_when_current(request, fault);
+    error = find_submission_error(request);
+    if (error) {
+        reject_when_current(request, error);
         return;
     }
     intern_dependencies(request);
     if (submission->overflow_lists_written < submission->spec->overflow_lists)
         write_overflow_lists(request);
-    else /* the write's condition, that the key does not exist, needs no linearizable read before */
+    else /* the write is conditional on the key not existing, so no linearizable read is needed */
         pm_api_enqueue_write(request);
 }
--- a/src/api/tests/test_concurrency_limit.c
+++ b/src/api/tests/test_concurrency_limit.c
@@ -1,4 +1,4 @@
-/* The limit on requests in progress follows the times that are measured, within its bounds. */
+/* Tests how the limit on requests in progress follows the measured durations within its bounds. */
 #include "api/concurrency_limit.h"
 
 #include <setjmp.h>
@@ -6,8 +6,8 @@
 #include <stddef.h>
 #include <cmocka.h>
 
-/* Up to so many requests at a time, each of that duration, while the state service takes
- * `store_latency_s` for an answer. */
+/* Runs up to `request_count` concurrent requests of `duration_s` each, while the latency of the
+ * state service is `store_latency_s`. */
 static void run_requests_with_latency(struct pm_concurrency_limit *limit, unsigned request_count,
                                       double duration_s, double store_latency_s)
 {
@@ -19,14 +19,15 @@
         pm_concurrency_limit_release(limit, duration_s, store_latency_s);
 }
 
-/* The same, while the state service is quick. */
+/* The same with a fast state service. */
 static void run_requests(struct pm_concurrency_limit *limit, unsigned request_count,
                          double duration_s)
 {
     run_requests_with_latency(limit, request_count, duration_s, 0.004);
 }
 
-/* When the state service alone is slow, refusing users makes nothing faster. */
+/* Guards against refusing requests while only the state service is slow, which would not make it
+ * any faster. */
 static void a_slow_state_service_does_not_lower_the_limit(void **state)
 {
     struct pm_concurrency_limit *limit = pm_concurrency_limit_new(8, 256);
@@ -38,7 +39,7 @@
         run_requests_with_latency(limit, 1000, 0.2, 0.07);
     assert_int_equal(pm_concurrency_limit_current(limit), 256);
     for (int i = 0; i < 50; i++)
-        run_requests_with_latency(limit, 1000, 2.0, 0.07); /* longer than its latency explains */
+        run_requests_with_latency(limit, 1000, 2.0, 0.07); /* longer than the latency explains */
     assert_int_equal(pm_concurrency_limit_current(limit), 8);
     pm_concurrency_limit_free(limit);
 }
@@ -60,18 +61,18 @@
 static void follows_measured_durations(void **state)
 {
     struct pm_concurrency_limit *limit = pm_concurrency_limit_new(8, 256);
-    unsigned limit_when_quick;
+    unsigned limit_when_fast;
     unsigned limit_when_slow;
 
     (void)state;
     for (int i = 0; i < 50; i++)
         run_requests(limit, 1000, 0.01);
-    limit_when_quick = pm_concurrency_limit_current(limit);
-    assert_int_equal(limit_when_quick, 256); /* quick, and all used: up to the bound */
+    limit_when_fast = pm_concurrency_limit_current(limit);
+    assert_int_equal(limit_when_fast, 256); /* fast, and fully used: rises to the maximum */
     for (int i = 0; i < 50; i++)
         run_requests(limit, 1000, 2.0);
     limit_when_slow = pm_concurrency_limit_current(limit);
-    assert_int_equal(limit_when_slow, 8); /* much slower than usual: down to the other bound */
+    assert_int_equal(limit_when_slow, 8); /* much slower than usual: falls to the minimum */
     for (int i = 0; i < 200; i++)
         run_requests(limit, 1000, 0.01);
     assert_true(pm_concurrency_limit_current(limit) > limit_when_slow);
--- a/src/api/write_batch.c
+++ b/src/api/write_batch.c
@@ -1,5 +1,5 @@
-/* Batched writes: several submissions and cancellations in one transaction, each on the condition
- * of its own job's key, within the write budget. */
+/* Batched writes within the write budget. One transaction holds several submissions and
+ * cancellations, and has a condition on the key of each of their jobs. */
 #include "base/keys.h"
 #include "api/internal.h"
 #include "base/clock.h"
@@ -8,12 +8,13 @@
 #include <string.h>
 
 enum { BATCHES_IN_FLIGHT_MAX = 4, JOB_KEY_SIZE = 64 };
-#define QUEUED_MAX_S 3.0         /* clients wait 5 s: they get a 503 before that */
-#define NO_BUDGET_DELAY_S 0.05   /* until the next attempt when the write budget is used up */
-#define NEXT_BATCH_DELAY_S 0.001 /* after the state service has executed or judged a batch */
-#define FAILURE_DELAY_S 0.1      /* after any other result */
+/* A request that is older than this is answered 503, before its client times out after 5 s. */
+#define QUEUED_MAX_S 3.0
+#define NO_BUDGET_DELAY_S 0.05   /* until the next attempt while the write budget is used up */
+#define NEXT_BATCH_DELAY_S 0.001 /* after a batch was executed, or rejected with a conflict */
+#define FAILURE_DELAY_S 0.1      /* after a batch with any other result */
 
-/* A transaction in flight. */
+/* A transaction under construction or in flight, with the requests that it writes. */
 struct write_batch {
     struct pm_api *api;
     GPtrArray *requests; /* of struct pm_api_request; not owned */
@@ -39,7 +40,7 @@
     snprintf(key, JOB_KEY_SIZE, PM_KEY_JOB_PREFIX "%s", id);
 }
 
-/* Has the queue sent in a while, unless that is due already. */
+/* Starts the timer that sends the queue, unless the queue is empty or the timer is running. */
 static void schedule_flush(struct pm_api *api, double delay_s)
 {
     ev_timer *timer = &api->writes.timer;
@@ -77,15 +78,14 @@
     return false;
 }
 
-/* Whether a batch with this result is known not to have been executed, and worth another attempt.
- */
+/* Whether a batch with this result was certainly not executed, and another attempt may succeed. */
 static bool may_retry(enum pm_store_result result)
 {
     return result == PM_STORE_CONFLICT || result == PM_STORE_THROTTLED ||
            result == PM_STORE_NOT_SENT;
 }
 
-static void complete(struct pm_api_request *request, uint64_t store_revision)
+static void complete_request(struct pm_api_request *request, uint64_t store_revision)
 {
     if (request->kind == PM_API_SUBMIT)
         pm_api_reply_accepted(request);
@@ -99,7 +99,7 @@
     struct pm_api *api = request->api;
 
     if (result == PM_STORE_OK) {
-        complete(request, store_revision);
+        complete_request(request, store_revision);
         return;
     }
     if (result == PM_STORE_CONFLICT && is_job_conflicting(conflicting_keys, request->id)) {
@@ -149,14 +149,15 @@
     pm_txn_put(txn, key);
     if (request->kind == PM_API_SUBMIT)
         pm_api_encode_new_job(request, &txn->writes);
-    else if (job) /* a job that is cancelled is always known */
+    else if (job) /* always true, since cancellations of unknown jobs are answered 404 */
         pm_api_encode_cancelled_job(batch->api, job, &txn->writes);
     pm_txn_put_end(txn, 0);
     g_ptr_array_add(batch->requests, request);
 }
 
-/* Adds the request to the batch, unless it has waited too long, or no longer needs to be written,
- * or has to go after another one for the same job. */
+/* Adds the request to the batch. A request that has waited too long is answered 503, one that no
+ * longer needs to be written is processed again, and one whose job is in the batch already goes
+ * back to the queue. */
 static void add_request(struct write_batch *batch, struct pm_txn *txn,
                         struct pm_api_request *request, double now)
 {
@@ -173,7 +174,8 @@
         add_write(batch, txn, request, job);
 }
 
-/* Sends one transaction. False: the write budget is used up, or nothing queued can be written. */
+/* Sends one batch. Returns false if the write budget is used up, or if no queued request can be
+ * written. */
 static bool send_batch(struct pm_api *api, double now)
 {
     GQueue *queue = &api->writes.requests;
@@ -228,7 +230,7 @@
     flush(timer->data);
 }
 
-void pm_api_writes_init(struct pm_api *api)
+void pm_api_write_queue_init(struct pm_api *api)
 {
     g_queue_init(&api->writes.requests);
     ev_init(&api->writes.timer, on_timer);
