--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -56,11 +56,11 @@
     g_strlcpy(inventory->last_name, listed.name, sizeof inventory->last_name);
     g_hash_table_add(inventory->listed, g_strdup(listed.name));
     machine = pm_workers_find(autoscaler->workers, listed.name);
-    if ((machine && machine->state == PM_MACHINE_RELEASING) ||
+    if ((machine && machine->state == PM_MACHINE_TERMINATING) ||
         pm_autoscaler_is_terminated(autoscaler, listed.name))
         return;
     if (!machine) {
-        machine = pm_workers_add(autoscaler->workers, listed.name);
+        machine = pm_workers_find_or_add(autoscaler->workers, listed.name);
         machine->provider.rented_at = now - listed.age_s;
     }
     if (machine->type < 0)
@@ -110,7 +110,7 @@
 
     for (guint i = 0; i < machines->len; i++) {
         struct pm_machine *machine = g_ptr_array_index(machines, i);
-        if (!machine || machine->state == PM_MACHINE_RELEASING ||
+        if (!machine || machine->state == PM_MACHINE_TERMINATING ||
             g_hash_table_contains(autoscaler->inventory.listed, machine->name))
             continue;
         if (is_proven_lost(autoscaler, machine, lag_s, now) && !machine->provider.absent_since)
--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -31,7 +31,7 @@
 void pm_autoscaler_mark_for_termination(struct pm_machine *machine, const char *reason)
 {
     pm_info("autoscaler.scale_in", "%s is marked for termination: %s", machine->name, reason);
-    machine->state = PM_MACHINE_RELEASING;
+    machine->state = PM_MACHINE_TERMINATING;
     machine->provider.terminate_retry_at = 0;
 }
 
@@ -178,7 +178,7 @@
 
     for (guint i = 0; i < machines->len; i++) {
         const struct pm_machine *machine = g_ptr_array_index(machines, i);
-        count += machine && machine->state != PM_MACHINE_RELEASING;
+        count += machine && machine->state != PM_MACHINE_TERMINATING;
     }
     return count;
 }
@@ -205,7 +205,7 @@
     for (guint i = 0; i < machines->len; i++) {
         struct pm_machine *machine = g_ptr_array_index(machines, i);
         const char *reason;
-        if (!machine || machine->state == PM_MACHINE_RELEASING)
+        if (!machine || machine->state == PM_MACHINE_TERMINATING)
             continue;
         reason = lost_reason(autoscaler, machine, now);
         /* Only the owner of a shard knows whether a machine in the shard is needed. */
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -56,9 +56,9 @@
 {
     const struct pm_autoscaler *autoscaler = call->autoscaler;
     const struct pm_scale_out_request *request = &call->request;
-    struct pm_machine *machine = pm_workers_add(autoscaler->workers, name);
+    struct pm_machine *machine = pm_workers_find_or_add(autoscaler->workers, name);
 
-    if (machine->state == PM_MACHINE_RELEASING)
+    if (machine->state == PM_MACHINE_TERMINATING)
         return; /* the answer to a repeated request, after the machine was marked for termination */
     machine->provider.rented_at = call->sent_at;
     if (machine->type >= 0)
--- a/src/autoscaler/sizing.c
+++ b/src/autoscaler/sizing.c
@@ -6,7 +6,7 @@
  * about to be interrupted by the provider. */
 static bool counts_as_capacity(const struct pm_machine *machine)
 {
-    return machine->state != PM_MACHINE_RELEASING && !machine->heartbeat.spot_interruption_at;
+    return machine->state != PM_MACHINE_TERMINATING && !machine->heartbeat.spot_interruption_at;
 }
 
 /* Whether tasks may be packed on the machine. Only booting machines are used, because the scheduler
--- a/src/autoscaler/termination.c
+++ b/src/autoscaler/termination.c
@@ -115,8 +115,8 @@
         struct pm_machine *machine;
         if (pm_autoscaler_is_terminated(autoscaler, name))
             continue;
-        machine = pm_workers_add(autoscaler->workers, name);
-        machine->state = PM_MACHINE_RELEASING;
+        machine = pm_workers_find_or_add(autoscaler->workers, name);
+        machine->state = PM_MACHINE_TERMINATING;
         machine->provider.terminate_retry_at = INFINITY; /* retried with the intent */
     }
 }
@@ -176,7 +176,7 @@
 
 static bool is_termination_due(const struct pm_machine *machine, double now)
 {
-    return machine && machine->state == PM_MACHINE_RELEASING &&
+    return machine && machine->state == PM_MACHINE_TERMINATING &&
            machine->provider.terminate_retry_at <= now;
 }
 
--- a/src/autoscaler/tests/autoscaler_fixtures.h
+++ b/src/autoscaler/tests/autoscaler_fixtures.h
@@ -86,7 +86,7 @@
 static inline struct pm_machine *add_booting_machine(const char *name, int type, bool spot,
                                                      double age_s)
 {
-    struct pm_machine *machine = pm_workers_add(workers, name);
+    struct pm_machine *machine = pm_workers_find_or_add(workers, name);
 
     pm_workers_set_type(workers, machine, type);
     machine->zone = 0;
--- a/src/autoscaler/tests/test_autoscaler_boots.c
+++ b/src/autoscaler/tests/test_autoscaler_boots.c
@@ -52,7 +52,7 @@
     pm_autoscaler_mark_scale_in(autoscaler, NOW);
     assert_int_equal(stuck->state, PM_MACHINE_BOOTING);
     pm_autoscaler_mark_scale_in(autoscaler, NOW + 15);
-    assert_int_equal(stuck->state, PM_MACHINE_RELEASING);
+    assert_int_equal(stuck->state, PM_MACHINE_TERMINATING);
 }
 
 static void machine_of_a_late_kind_times_out_later(void **state)
@@ -68,7 +68,7 @@
     pm_autoscaler_mark_scale_in(autoscaler, NOW + 200);
     assert_int_equal(late->state, PM_MACHINE_BOOTING);
     pm_autoscaler_mark_scale_in(autoscaler, NOW + 300);
-    assert_int_equal(late->state, PM_MACHINE_RELEASING);
+    assert_int_equal(late->state, PM_MACHINE_TERMINATING);
 }
 
 int main(void)
--- a/src/autoscaler/tests/test_autoscaler_scale_in.c
+++ b/src/autoscaler/tests/test_autoscaler_scale_in.c
@@ -37,7 +37,7 @@
 static struct pm_machine *add_machine_in_zone(const char *name, int zone, bool has_reported,
                                               double age_s)
 {
-    struct pm_machine *machine = pm_workers_add(workers, name);
+    struct pm_machine *machine = pm_workers_find_or_add(workers, name);
 
     pm_workers_set_type(workers, machine, SMALL_TYPE);
     machine->zone = zone;
@@ -78,7 +78,7 @@
 {
     (void)state;
     assert_int_equal(mark_silent_zone(&(struct zone_knowledge){46, 20, false, true}),
-                     PM_MACHINE_RELEASING);
+                     PM_MACHINE_TERMINATING);
 }
 
 static void zone_silent_for_less_is_kept(void **state)
@@ -131,8 +131,8 @@
  * pushes without an answer. */
 static void silence_of_a_machine_in_a_shard_is_judged_by_the_owner(void **state)
 {
-    struct pm_machine *owned = pm_workers_add(workers, "i-000001");
-    struct pm_machine *other = pm_workers_add(workers, "i-000002");
+    struct pm_machine *owned = pm_workers_find_or_add(workers, "i-000001");
+    struct pm_machine *other = pm_workers_find_or_add(workers, "i-000002");
 
     (void)state;
     settings.heartbeat_s = 5;
--- a/src/cmd/plan-bench/main.c
+++ b/src/cmd/plan-bench/main.c
@@ -223,7 +223,7 @@
     char name[32];
 
     snprintf(name, sizeof name, "i-%06d", index);
-    machine = pm_workers_add(bench.workers, name);
+    machine = pm_workers_find_or_add(bench.workers, name);
     pm_workers_set_type(bench.workers, machine, index % 4 == 0);
     machine->zone = index / 2 % 2;
     machine->spot = index % 3 > 0;
--- a/src/cmd/pumicemount/leadership_events.c
+++ b/src/cmd/pumicemount/leadership_events.c
@@ -20,7 +20,7 @@
                               double now)
 {
     const char *name = pm_names_text(controller->tables.machine_names, stored->machine_index);
-    struct pm_machine *machine = pm_workers_add(controller->workers, name);
+    struct pm_machine *machine = pm_workers_find_or_add(controller->workers, name);
 
     pm_workers_add_placement(controller->workers, job, task_index, machine, stored->attempt,
                              stored->incarnation, PM_PLACEMENT_DURABLE, now);
--- a/src/cmd/pumicemount/reconciliation.c
+++ b/src/cmd/pumicemount/reconciliation.c
@@ -75,12 +75,12 @@
 static double lease_lower_bound(struct pm_controller *controller, struct pm_machine *machine)
 {
     struct pm_machine_lease *lease = &machine->lease;
-    double bound = lease->lower_bound;
+    double bound = lease->exclusive_since;
 
     if (!bound && controller->is_leader) {
         bound = pm_election_lease_lower_bound(controller->election, lease->reclaimed_epoch);
         if (lease->reclaimed_epoch && isfinite(bound))
-            lease->lower_bound = bound;
+            lease->exclusive_since = bound;
     }
     return MAX(bound, pm_election_exclusive_since(controller->election));
 }
@@ -148,7 +148,7 @@
 
     for (guint i = 0; i < machines->len; i++) {
         struct pm_machine *machine = g_ptr_array_index(machines, i);
-        if (!machine || machine->state == PM_MACHINE_RELEASING || machine->shard.owner)
+        if (!machine || machine->state == PM_MACHINE_TERMINATING || machine->shard.owner)
             continue;
         is_outcome_unknown |= has_unknown_outcome(controller, machine, now);
         if (probes >= PROBES_MAX)
--- a/src/cmd/pumicemount/worker_endpoint.c
+++ b/src/cmd/pumicemount/worker_endpoint.c
@@ -273,7 +273,7 @@
      * lease. A worker that has lost its memory gets the same answer, and moves on to its next
      * incarnation. The heartbeat of a machine that was heard just now was overtaken by its answer
      * to a push. */
-    if (machine->state == PM_MACHINE_RELEASING ||
+    if (machine->state == PM_MACHINE_TERMINATING ||
         (!fresh && heartbeat->now - machine->heartbeat.last_message_at > OVERTAKEN_S)) {
         reply_unavailable(heartbeat->request);
         return;
--- a/src/jobs/tests/test_commit.c
+++ b/src/jobs/tests/test_commit.c
@@ -14,7 +14,7 @@
 
 static struct pm_placement *propose_placement(struct pm_job *job)
 {
-    struct pm_machine *machine = pm_workers_add(workers, "i-000001");
+    struct pm_machine *machine = pm_workers_find_or_add(workers, "i-000001");
     struct pm_placement *placement;
 
     machine->state = PM_MACHINE_UP;
@@ -296,7 +296,7 @@
 static void a_whole_chunk_is_split_into_halves(void **arg)
 {
     struct pm_job *job;
-    struct pm_machine *machine = pm_workers_add(workers, "i-000002");
+    struct pm_machine *machine = pm_workers_find_or_add(workers, "i-000002");
 
     (void)arg;
     job = submit_accepted("job-2");
--- a/src/scheduler/capacity.c
+++ b/src/scheduler/capacity.c
@@ -60,7 +60,7 @@
     *totals = (struct pm_capacity_totals){.counted_at = now};
     for (guint i = 0; i < machines->len; i++) {
         const struct pm_machine *machine = g_ptr_array_index(machines, i);
-        if (machine && machine->type >= 0 && machine->state != PM_MACHINE_RELEASING)
+        if (machine && machine->type >= 0 && machine->state != PM_MACHINE_TERMINATING)
             add_machine(scheduler, machine, totals, now);
     }
     return totals;
--- a/src/scheduler/tests/test_occupancy.c
+++ b/src/scheduler/tests/test_occupancy.c
@@ -21,7 +21,7 @@
     settings->zone_count = 2;
     g_strlcpy(settings->zone_names[0], "a", sizeof settings->zone_names[0]);
     g_strlcpy(settings->zone_names[1], "b", sizeof settings->zone_names[1]);
-    machine = pm_workers_add(fixture->workers, "i-000231");
+    machine = pm_workers_find_or_add(fixture->workers, "i-000231");
     pm_workers_set_type(fixture->workers, machine, 0);
     machine->zone = 1;
     machine->heartbeat.is_known = true;
--- a/src/scheduler/tests/test_scale.c
+++ b/src/scheduler/tests/test_scale.c
@@ -52,7 +52,7 @@
     struct pm_machine *machine;
 
     snprintf(name, sizeof name, "i-%06d", FIRST_MACHINE_NUMBER + index);
-    machine = pm_workers_add(fixture.workers, name);
+    machine = pm_workers_find_or_add(fixture.workers, name);
     pm_workers_set_type(fixture.workers, machine, 0);
     machine->zone = 0;
     machine->state = PM_MACHINE_UP;
--- a/src/scheduler/tests/trace_inputs.h
+++ b/src/scheduler/tests/trace_inputs.h
@@ -39,7 +39,7 @@
 /* booting MACHINE type=T zone=Z */
 static void run_booting(struct trace_world *world, char **words)
 {
-    struct pm_machine *machine = pm_workers_add(world->workers, words[1]);
+    struct pm_machine *machine = pm_workers_find_or_add(world->workers, words[1]);
     const char *type = trace_text(words, "type", "small");
 
     pm_workers_set_type(world->workers, machine, pm_names_find(world->tables.type_names, type));
@@ -113,7 +113,7 @@
 static void run_stored_placement(struct trace_world *world, char **words)
 {
     char **part = g_strsplit_set(words[1], "/:", 3);
-    struct pm_machine *machine = pm_workers_add(world->workers, words[2]);
+    struct pm_machine *machine = pm_workers_find_or_add(world->workers, words[2]);
 
     pm_workers_add_placement(
         world->workers, pm_jobs_find(world->jobs, part[0]), (uint32_t)strtoul(part[1], NULL, 10),
--- a/src/shards/adoption.c
+++ b/src/shards/adoption.c
@@ -5,8 +5,8 @@
 static void adopt_machine(struct pm_shards *shards, struct pm_shard *shard, int index, double now)
 {
     struct pm_shard_machine entry = {.index = index, .state = PM_SHARD_MACHINE_OWNED};
-    struct pm_machine *machine =
-        pm_workers_add(shards->workers, pm_names_text(shards->tables->machine_names, index));
+    struct pm_machine *machine = pm_workers_find_or_add(
+        shards->workers, pm_names_text(shards->tables->machine_names, index));
 
     machine->shard.owner = (int)(shard - shards->shard) + 1;
     machine->state = PM_MACHINE_UP;
--- a/src/shards/ownership.c
+++ b/src/shards/ownership.c
@@ -34,13 +34,14 @@
     if (!pm_shard_value_machine_name(item, name) || pm_workers_find(shards->workers, name))
         return;
     pm_shard_value_decode_machine(shards->tables, item, &stored);
-    machine = pm_workers_add(shards->workers, name);
+    machine = pm_workers_find_or_add(shards->workers, name);
     machine->state = PM_MACHINE_UP;
     machine->provider.is_listed = true;
     machine->provider.rented_at = now; /* the leader has proof that it exists */
     machine->heartbeat.last_message_at = now;
     machine->heartbeat.incarnation = stored.incarnation;
-    machine->lease.lower_bound = now; /* the leader last answered its worker no later than this */
+    /* the leader last answered its worker no later than this */
+    machine->lease.exclusive_since = now;
     g_strlcpy(machine->endpoint, stored.endpoint, sizeof machine->endpoint);
     machine->spot = stored.spot;
     machine->zone = stored.zone;
--- a/src/shards/revocation.c
+++ b/src/shards/revocation.c
@@ -74,7 +74,7 @@
     machine->shard.owner = 0;
     machine->heartbeat.is_known = false;
     machine->heartbeat.last_message_at = pm_clock_monotonic();
-    machine->lease.lower_bound = 0; /* until a majority has acknowledged the new epoch */
+    machine->lease.exclusive_since = 0; /* until a majority has acknowledged the new epoch */
     machine->lease.reclaimed_epoch = pm_election_epoch(shards->election);
 }
 
--- a/src/shards/shard_write.c
+++ b/src/shards/shard_write.c
@@ -24,7 +24,7 @@
         machine->shard.owner = 0;
         machine->heartbeat.is_known = false;
         machine->heartbeat.last_message_at = now;
-        machine->lease.lower_bound = now;
+        machine->lease.exclusive_since = now;
         machine->provider.idle_since = 0;
     }
     shards->hooks.changed(shards->hooks.arg);
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -1,14 +1,14 @@
-/* Encodes the commands that are due at a machine. The wire names of commands stand here. */
+/* Encodes the commands that are due for a machine. Defines the field names of commands. */
 #include "workers/internal.h"
 
 #include <stdio.h>
 
 enum {
-    COMMANDS_MAX = 400, /* keeps an answer well below 64 KiB */
+    COMMANDS_MAX = 400, /* in one message, which keeps it well below 64 KiB */
     TASK_NAME_BYTES = 64
 };
 
-#define NO_GRACE_PERIOD (-1.0) /* the command has none */
+#define NO_GRACE_PERIOD (-1.0) /* the command carries no grace period */
 
 /* A list of commands under construction. */
 struct command_list {
@@ -50,7 +50,7 @@
                 placement->grace_s);
 }
 
-/* ---- what is due ---- */
+/* ---- due commands ---- */
 
 static bool is_launch_due(const struct pm_placement *placement, const struct pm_machine *machine)
 {
@@ -59,7 +59,8 @@
            machine->state == PM_MACHINE_UP;
 }
 
-/* A launch is pushed once; after that it goes out with the answers to heartbeats. */
+/* A launch is not pushed again while an earlier push or answer that carried it may still arrive.
+ * Meanwhile it is repeated in the answers to heartbeats. */
 static bool is_launch_push_due(const struct pm_placement *placement,
                                const struct pm_machine *machine)
 {
@@ -89,9 +90,10 @@
     return false;
 }
 
-/* No forget while a copy of a launch may be under way: it would start the task anew. That is so
- * while a push is in flight or of unknown outcome, and while the worker would still obey an earlier
- * token. Nor before the exit is durable: one that is forgotten and nobody wrote down is lost. */
+/* Whether the worker may be told to forget the exited task. It may not while a copy of the launch
+ * may still arrive, since that would start the task again: while a push is in flight or has an
+ * unknown outcome, or while the worker would still obey an earlier token. Nor may it before the
+ * exit is durable, since the exit would be lost with this controller. */
 static bool may_forget(const struct pm_machine *machine, const struct pm_task_ref *task,
                        uint64_t epoch)
 {
@@ -101,7 +103,7 @@
         machine->heartbeat.fencing_token < epoch)
         return false;
     if (!task->job->chunks)
-        return true; /* the job is over, durably */
+        return true; /* the final state of the job is durable */
     chunk = task->job->chunks[task->task_index / PM_CHUNK_TASKS];
     return !chunk || (!chunk->write_back.dirty && !chunk->write_back.in_flight);
 }
@@ -123,7 +125,7 @@
     }
 }
 
-static void add_answered_commands(struct command_list *list, struct pm_machine *machine)
+static void add_reply_commands(struct command_list *list, struct pm_machine *machine)
 {
     for (guint i = 0; i < machine->placements->len && !is_full(list); i++) {
         struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
@@ -167,7 +169,7 @@
     if (push) {
         add_pushed_commands(&list, machine);
     } else {
-        add_answered_commands(&list, machine);
+        add_reply_commands(&list, machine);
         add_orphan_kills(&list, machine);
         add_forgets(&list, machine, epoch);
     }
--- a/src/workers/failures.c
+++ b/src/workers/failures.c
@@ -1,23 +1,27 @@
-/* Failure attribution: each exit of a task is counted for its job and for its machine. */
+/* Failure attribution: counts the exits of tasks per job and per machine. */
 #include "workers/failures.h"
 #include "base/log.h"
 
 enum {
-    /* A job is failing after failures on so many distinct machines, none of them known to be
-     * faulty, or after so many in a row wherever they were: the only machine of its kind has no
-     * second one to compare with. */
+    /* A job is failing once its tasks have failed on this number of distinct machines. Here and
+     * below, failures on machines that were known to be faulty are not counted. */
     FAILING_MACHINES_MIN = 2,
+    /* A job is also failing after this number of consecutive failures on any machines. This covers
+     * a job that only one machine can run, so that there is no second machine to compare with. */
     FAILING_TASKS_MIN = 4,
-    FAULTY_SCORE_MIN = 3,
-    RECORDS_MAX = 8, /* jobs recorded against a machine; the oldest gives way */
-    RETRY_DOUBLINGS_MAX = 4,
-    BACKOFF_DOUBLINGS_MAX = 6
+    FAULTY_SCORE_MIN = 3,     /* a machine with this score is faulty */
+    RECORDS_MAX = 8,          /* jobs recorded per machine; the oldest record is evicted */
+    RETRY_DOUBLINGS_MAX = 4,  /* of RETRY_DELAY_S */
+    BACKOFF_DOUBLINGS_MAX = 6 /* of BACKOFF_S */
 };
 
-/* A task that failed backs off for twice this, then twice as long, and so on */
+/* Back-off of a task whose launch was refused. After a failure the task backs off for twice this,
+ * and the delay doubles with each further failure. */
 #define BACKOFF_S 0.5
-#define SOUND_REPLICA_S 20.0 /* a replica that has run for so long is sound, and so is its job */
-#define RETRY_S 2.0 /* after a failure of a failing job; twice as long after each further one */
+/* A replica that has run for this long counts as a success. */
+#define HEALTHY_REPLICA_S 20.0
+/* Delay before a failing job is retried. It doubles with each further failure. */
+#define RETRY_DELAY_S 2.0
 
 bool pm_failures_is_job_failing(const struct pm_job *job)
 {
@@ -32,9 +36,9 @@
     return now >= job->failures.retry_at;
 }
 
-/* What one job's failures count against the machine: nothing if the job fails everywhere, all of
- * them if it is known to succeed elsewhere, and one while nothing else is known of it. */
-static unsigned score_of(const struct pm_failure_record *record)
+/* Returns how many of one job's failures are attributed to the machine: none if the job is failing,
+ * all if a task of the job has succeeded, and one if neither is known yet. */
+static unsigned record_score(const struct pm_failure_record *record)
 {
     if (pm_failures_is_job_failing(record->job))
         return 0;
@@ -46,7 +50,8 @@
     unsigned score = 0;
 
     for (guint i = 0; machine->failures.records && i < machine->failures.records->len; i++)
-        score += score_of(&g_array_index(machine->failures.records, struct pm_failure_record, i));
+        score +=
+            record_score(&g_array_index(machine->failures.records, struct pm_failure_record, i));
     return machine->failures.quarantined_by_owner ? MAX(score, FAULTY_SCORE_MIN) : score;
 }
 
@@ -93,14 +98,15 @@
     failures->machines[failures->machine_count++] = machine->index;
 }
 
-/* Tasks that were started together fail at about the same time: that makes one round. */
+/* Sets the time of the next retry. Tasks that were started together fail at about the same time, so
+ * failures before the retry is due do not lengthen the delay. */
 static void schedule_retry(struct pm_job *job, double now)
 {
     struct pm_job_failures *failures = &job->failures;
 
     if (now < failures->retry_at)
         return;
-    failures->retry_at = now + RETRY_S * (1 << failures->retry_rounds);
+    failures->retry_at = now + RETRY_DELAY_S * (1 << failures->retry_rounds);
     if (failures->retry_rounds < RETRY_DOUBLINGS_MAX)
         failures->retry_rounds++;
 }
@@ -110,23 +116,25 @@
     bool was_failing = pm_failures_is_job_failing(job);
     bool was_faulty = pm_failures_is_machine_faulty(machine);
 
-    /* What fails on a faulty machine says nothing about the job. */
+    /* A failure on a faulty machine does not count against the job. */
     if (!was_faulty)
         record_on_job(job, machine);
     record_on_machine(machine, job);
     if (pm_failures_is_job_failing(job))
         schedule_retry(job, now);
-    /* Logged once, not for every task. */
+    /* The changes of state are logged, not each failure. */
     if (!was_failing && pm_failures_is_job_failing(job))
-        pm_info("job.failing", "%s fails wherever it runs: one task at a time is tried", job->id);
+        pm_info("job.failing", "job %s keeps failing; it is retried with one task at a time",
+                job->id);
     if (!was_faulty && pm_failures_is_machine_faulty(machine))
-        pm_info("machine.quarantined", "%s: tasks fail there that do not elsewhere", machine->name);
+        pm_info("machine.quarantined", "%s: tasks fail there whose jobs do not fail elsewhere",
+                machine->name);
 }
 
 static void note_success(struct pm_job *job, struct pm_machine *machine)
 {
     if (pm_failures_is_job_failing(job))
-        pm_info("job.recovered", "%s has succeeded on %s", job->id, machine->name);
+        pm_info("job.recovered", "a task of job %s succeeded on %s", job->id, machine->name);
     job->failures = (struct pm_job_failures){.has_succeeded = true};
     if (machine->failures.records)
         g_array_set_size(machine->failures.records, 0);
@@ -135,7 +143,7 @@
 void pm_failures_note_running(const struct pm_placement *placement, double now)
 {
     if (placement->job->spec->kind != PM_WORKLOAD_SERVICE ||
-        !placement->job->failures.consecutive || now - placement->running_since < SOUND_REPLICA_S)
+        !placement->job->failures.consecutive || now - placement->running_since < HEALTHY_REPLICA_S)
         return;
     note_success(placement->job, placement->machine);
 }
--- a/src/workers/heartbeat.c
+++ b/src/workers/heartbeat.c
@@ -1,4 +1,5 @@
-/* Applies what a worker reports: its tasks, what their absence proves, and whether it hears us. */
+/* Applies workers' reports: updates placements, ends those whose tasks are provably absent, and
+ * detects workers that answers do not reach. */
 #include "base/log.h"
 #include "workers/failures.h"
 #include "workers/internal.h"
@@ -7,7 +8,8 @@
 
 /* ---- images ---- */
 
-/* Least recently used images give way where the machine's disk is full. */
+/* Evicts the least recently used images that no longer fit on the machine's disk. The most recent
+ * one always stays. */
 static void evict_images(struct pm_machine_images *images, double disk_gb)
 {
     double free_gb = disk_gb;
@@ -19,9 +21,9 @@
     }
 }
 
-/* A task that has got past its fetch shows that its image is there. */
-static void note_image_use(const struct pm_workers *workers, struct pm_machine *machine,
-                           const struct pm_spec *spec)
+/* Records that the image is cached on the machine, since a task there has finished fetching it. */
+static void record_image_use(const struct pm_workers *workers, struct pm_machine *machine,
+                             const struct pm_spec *spec)
 {
     struct pm_machine_images *images = &machine->images;
     struct pm_cached_image used = {spec->image, spec->image_gb};
@@ -42,7 +44,7 @@
 
 /* ---- tasks ---- */
 
-/* The placement that the task was started for; NULL: there is none, so that it is an orphan. */
+/* Returns the placement for which the task was started, or NULL if the task is an orphan. */
 static struct pm_placement *find_placement(const struct pm_machine *machine,
                                            const struct pm_task_ref *ref)
 {
@@ -67,8 +69,8 @@
         return;
     }
     g_array_append_val(machine->heartbeat.orphan_tasks, *ref);
-    pm_info("worker.orphan_task", "%s has %s try %u, which has no placement there", machine->name,
-            task->name, task->attempt);
+    pm_info("worker.orphan_task", "%s reports %s attempt %u, which has no placement there",
+            machine->name, task->name, task->attempt);
 }
 
 static void apply_exit(struct pm_workers *workers, struct pm_placement *placement,
@@ -127,7 +129,7 @@
         return;
     }
     if (task->state != PM_WORKER_TASK_FETCHING)
-        note_image_use(workers, machine, ref->job->spec);
+        record_image_use(workers, machine, ref->job->spec);
     apply_progress(workers, placement, task->state, now);
 }
 
@@ -138,7 +140,8 @@
     struct pm_task_ref ref;
 
     if (!pm_reported_task_decode(item, &task) || !task.has_state) {
-        pm_error("worker.bad_task", "unreadable entry from %s", machine->name);
+        pm_error("worker.bad_task", "%s reports a task entry that cannot be decoded",
+                 machine->name);
         return;
     }
     ref.job = pm_jobs_find(workers->jobs, task.job_id);
@@ -149,14 +152,16 @@
         return;
     }
     if (workers->ignored_tasks++ == 0)
-        pm_error("worker.bad_task", "%s reports %s, unknown here", machine->name, task.name);
+        pm_error("worker.bad_task", "%s reports %s, whose job, index or state is unknown here",
+                 machine->name, task.name);
 }
 
 /* ---- absence ---- */
 
-/* Whether a copy of the launch may still arrive: in a push without an answer (until the worker has
- * seen a later token, or is in a later incarnation), or in an answer to a heartbeat (until the next
- * heartbeat, for the worker has one in flight at a time and drops late answers). */
+/* Whether a message that carries the launch may still reach the worker. An unanswered push may do
+ * so until the worker has seen a later token or begun a later incarnation. The answer to a
+ * heartbeat may do so until the next heartbeat arrives, since a worker has only one heartbeat in
+ * flight and drops late answers. */
 static bool may_launch_arrive(const struct pm_placement *placement,
                               const struct pm_machine *machine, enum pm_task_list_source source)
 {
@@ -168,8 +173,8 @@
            (placement->launch_outcome_unknown && machine->push.unknown_outcome_epoch);
 }
 
-/* Absence from a message that is newer than all others proves nothing while the launch may arrive.
- */
+/* Whether the task's absence from the latest message proves that the task does not run there. The
+ * worker has to have seen the current epoch, and no launch may still be under way. */
 static bool is_absence_proven(const struct pm_placement *placement,
                               const struct pm_machine *machine, enum pm_task_list_source source,
                               uint64_t epoch)
@@ -179,7 +184,8 @@
            !may_launch_arrive(placement, machine, source);
 }
 
-/* Ends placements whose tasks are not there, and can't come there any more. */
+/* Ends the placements whose tasks are absent from the machine and can no longer be started there. A
+ * launch that never arrived is made due again instead. */
 static void apply_absence(struct pm_workers *workers, struct pm_machine *machine,
                           enum pm_task_list_source source, uint64_t epoch, double now)
 {
@@ -192,17 +198,19 @@
         placement->launch_reply_sequence = placement->launch_push = 0;
         placement->launch_outcome_unknown = false;
         if (!placement->should_stop && placement->state <= PM_PLACEMENT_DURABLE) {
-            i++; /* the launch never arrived: it is sent anew, as the same attempt */
+            i++; /* the launch never arrived; it is sent again, as the same attempt */
             continue;
         }
         pm_workers_end_placement(workers, placement, PM_TASK_EXIT_LOST, false, now);
-        i = 0; /* the array has changed its order */
+        i = 0; /* the removal has reordered the array */
     }
 }
 
 /* ---- delivery ---- */
 
-static bool shows_no_launch(const struct pm_machine *machine)
+/* Whether a launch went out in the answer to an earlier heartbeat, and the worker still does not
+ * report the task. */
+static bool is_launch_missing(const struct pm_machine *machine)
 {
     for (guint i = 0; i < machine->placements->len; i++) {
         const struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
@@ -213,8 +221,9 @@
     return false;
 }
 
-/* Signs that the answer to an earlier heartbeat never arrived. Any of them may come of one lost
- * message: a push then asks the worker, and its answer clears them. */
+/* Records a delivery failure if the heartbeat shows that the answer to an earlier one never
+ * arrived. A single lost message can cause this; a push then probes the worker, and its reply
+ * resets the count of failures. */
 static void check_delivery(struct pm_machine *machine, bool is_new_incarnation, double lease_s,
                            double now)
 {
@@ -222,12 +231,15 @@
     const struct pm_machine_delivery *delivery = &machine->delivery;
 
     if (is_new_incarnation && delivery->acked_epoch && now - machine->lease.last_acked_at < lease_s)
-        pm_machine_note_delivery_failure(machine, "its lease ran out though we answered", now);
+        pm_machine_note_delivery_failure(
+            machine, "its lease expired though its heartbeats were answered", now);
     else if (delivery->acked_epoch && heartbeat->sequence > delivery->acked_sequence &&
              heartbeat->fencing_token < delivery->acked_epoch)
-        pm_machine_note_delivery_failure(machine, "it has not taken our token", now);
-    else if (shows_no_launch(machine))
-        pm_machine_note_delivery_failure(machine, "it shows no trace of a command", now);
+        pm_machine_note_delivery_failure(machine,
+                                         "it has not adopted the fencing token of an answer", now);
+    else if (is_launch_missing(machine))
+        pm_machine_note_delivery_failure(
+            machine, "it does not report the task of a launch that an answer carried", now);
 }
 
 /* ---- the report as a whole ---- */
@@ -240,8 +252,9 @@
     return report->incarnation == known->incarnation && report->sequence <= known->sequence;
 }
 
-/* What earlier incarnations held was killed with their lease. Placements recovered from the state
- * service may be of the new one already: those stay. */
+/* Ends the placements of earlier incarnations, whose tasks were killed when the lease expired.
+ * Placements that were recovered from the state service may belong to the new incarnation already,
+ * and stay. */
 static void begin_incarnation(struct pm_workers *workers, struct pm_machine *machine,
                               uint64_t incarnation, double now)
 {
@@ -252,7 +265,7 @@
             continue;
         }
         pm_workers_end_placement(workers, placement, PM_TASK_EXIT_LOST, false, now);
-        i = 0; /* the array has changed its order */
+        i = 0; /* the removal has reordered the array */
     }
     if (machine->heartbeat.incarnation)
         machine->images.count = 0;
@@ -276,8 +289,8 @@
         report->has_interruption_notice ? now + report->interruption_in_s : 0;
 }
 
-/* A later token, or a later incarnation, keeps launches of unknown outcome from being carried out.
- */
+/* Clears the unknown outcome of a push once the worker has seen a later token or begun a later
+ * incarnation: from then on the worker refuses the launches of that push. */
 static void clear_unknown_outcome(struct pm_machine *machine)
 {
     struct pm_machine_push *push = &machine->push;
@@ -336,12 +349,12 @@
     *fresh = false;
     if (!pm_report_decode(item, &report))
         return NULL;
-    machine = pm_workers_add(workers, report.machine);
+    machine = pm_workers_find_or_add(workers, report.machine);
     if (!pm_report_decode_identity(workers, item, machine))
         return NULL;
     if (is_stale(&machine->heartbeat, &report)) {
         machine->heartbeat.last_stale_at = now;
-        return machine; /* its list is as old as itself */
+        return machine;
     }
     *fresh = true;
     apply_report(workers, machine, &report, source, now);
--- a/src/workers/heartbeat_codec.c
+++ b/src/workers/heartbeat_codec.c
@@ -1,5 +1,4 @@
-/* Decodes what a worker reports. The wire names of heartbeats, and of the reports that answer
- * pushes, stand here. */
+/* Decodes workers' reports. Defines the field names of heartbeats and of the replies to pushes. */
 #include "workers/internal.h"
 
 #include <stdlib.h>
@@ -49,7 +48,7 @@
     if (!strcmp(cause, "stopped"))
         return PM_TASK_EXIT_STOPPED;
     if (!strcmp(cause, "mates_gone") || !strcmp(cause, "incomplete"))
-        return PM_TASK_EXIT_GANG;
+        return PM_TASK_EXIT_GANG_INCOMPLETE;
     if (!strcmp(cause, "error"))
         return PM_TASK_EXIT_ERROR;
     return PM_TASK_EXIT_REFUSED;
--- a/src/workers/machine_health.c
+++ b/src/workers/machine_health.c
@@ -1,27 +1,28 @@
-/* What messages, and their absence, say of a machine: whether it is there, whether what we send
- * reaches it, and whether its lease has expired. */
+/* Derives the state of a machine from its messages and its silence: whether it exists, whether
+ * answers and commands reach it, and whether its worker's lease has expired. */
 #include "base/clock.h"
 #include "base/log.h"
 #include "workers/internal.h"
 
-/* A heartbeat is missed after so many intervals and this span: intervals vary by a quarter. */
+/* A heartbeat counts as missed after this number of heartbeat intervals plus the margin. Workers
+ * vary their interval by a quarter. */
 #define MISSED_INTERVALS 1.6
-#define MISSED_S 1.0
-/* A worker that finds no controller tries each of them; one with a new leader finds it within this.
- */
+#define MISSED_MARGIN_S 1.0
+/* After a change of leader a worker tries one controller after the other. It finds the new leader
+ * within this number of heartbeat intervals plus the margin. */
 #define NOT_REPORTING_INTERVALS 2
-#define NOT_REPORTING_S 4.0
-/* Deliveries that fail within less than this may have one cause. */
-#define UNREACHABLE_S 1.5
+#define NOT_REPORTING_MARGIN_S 4.0
+/* Delivery failures that span less than this may have a single cause. */
+#define UNREACHABLE_MIN_S 1.5
 #define LEASE_MARGIN_S 0.2 /* for the time from a decision to its effect */
 
-enum { UNREACHABLE_FAILURES = 2 };
+enum { UNREACHABLE_FAILURES_MIN = 2 };
 
 bool pm_machine_missed_heartbeat(const struct pm_machine *machine,
                                  const struct pm_settings *settings, double now)
 {
     return now - machine->heartbeat.last_message_at >=
-           MISSED_INTERVALS * settings->heartbeat_s + MISSED_S;
+           MISSED_INTERVALS * settings->heartbeat_s + MISSED_MARGIN_S;
 }
 
 bool pm_machine_is_not_reporting(const struct pm_machine *machine,
@@ -31,7 +32,7 @@
 
     return heartbeat->is_known && heartbeat->last_message_at > heartbeat->last_at &&
            now - heartbeat->last_at >=
-               NOT_REPORTING_INTERVALS * settings->heartbeat_s + NOT_REPORTING_S;
+               NOT_REPORTING_INTERVALS * settings->heartbeat_s + NOT_REPORTING_MARGIN_S;
 }
 
 bool pm_machine_is_verified(const struct pm_machine *machine)
@@ -44,10 +45,10 @@
 {
     const struct pm_machine_delivery *delivery = &machine->delivery;
 
-    /* Of a machine that sends no heartbeats either, silence is what tells. */
-    return delivery->failures >= UNREACHABLE_FAILURES &&
+    /* A machine that has sent no message since is silent, not unreachable. */
+    return delivery->failures >= UNREACHABLE_FAILURES_MIN &&
            machine->heartbeat.last_message_at >= delivery->failed_at &&
-           now - delivery->failing_since > UNREACHABLE_S;
+           now - delivery->failing_since > UNREACHABLE_MIN_S;
 }
 
 void pm_machine_note_delivery_failure(struct pm_machine *machine, const char *why, double now)
@@ -79,14 +80,14 @@
     return is_empty && !may_get_commands && heartbeat->is_known;
 }
 
-/* A worker's lease runs from its last answered heartbeat, or, in an incarnation in which none was
- * answered, from that incarnation's begin: a machine that only answered pushes so far is not
- * silent. */
-bool pm_workers_is_lease_expired(const struct pm_machine *machine, double lower_bound,
+/* A worker's lease runs from its last answered heartbeat or, if none was answered in the current
+ * incarnation, from the start of that incarnation: the lease of a worker that has only answered
+ * pushes so far does not count as expired from the outset. */
+bool pm_workers_is_lease_expired(const struct pm_machine *machine, double exclusive_since,
                                  double lease_s, double now)
 {
     const struct pm_machine_lease *lease = &machine->lease;
-    double renewed_at = MAX(MAX(lease->last_acked_at, lease->incarnation_seen_at), lower_bound);
+    double renewed_at = MAX(MAX(lease->last_acked_at, lease->incarnation_seen_at), exclusive_since);
 
     return now > renewed_at + lease_s * (1 + 2 * PM_CLOCK_DRIFT_MAX) + LEASE_MARGIN_S;
 }
--- a/src/workers/machines.c
+++ b/src/workers/machines.c
@@ -1,4 +1,4 @@
-/* The table of machines, by their dense index. */
+/* The table of machines, indexed by the dense index of their names. */
 #include "workers/internal.h"
 
 #include <string.h>
@@ -32,7 +32,7 @@
     return pm_workers_at(workers, pm_names_find(workers->tables->machine_names, name));
 }
 
-struct pm_machine *pm_workers_add(struct pm_workers *workers, const char *name)
+struct pm_machine *pm_workers_find_or_add(struct pm_workers *workers, const char *name)
 {
     int index = pm_names_intern(workers->tables->machine_names, name);
     struct pm_machine *machine;
@@ -96,8 +96,8 @@
     if (machine->type >= 0 || type < 0 || type >= workers->tables->type_count)
         return;
     machine->type = type;
-    machine->free.cpus +=
-        machine_type->cpus; /* placements recovered before are taken off already */
+    /* Added, since placements that were recovered before have been subtracted already. */
+    machine->free.cpus += machine_type->cpus;
     machine->free.gpus += machine_type->gpus;
     machine->free.ram_gb += machine_type->ram_gb;
 }
--- a/src/workers/placements.c
+++ b/src/workers/placements.c
@@ -1,15 +1,15 @@
-/* Placements: a task's assignment to a machine, and the capacity that it takes there. */
+/* Placements: the assignments of tasks to machines, and the capacity that they allocate there. */
 #include "workers/failures.h"
 #include "workers/internal.h"
 
-static void take_capacity(struct pm_machine *machine, const struct pm_spec *spec)
+static void allocate_capacity(struct pm_machine *machine, const struct pm_spec *spec)
 {
     machine->free.cpus -= spec->cpus;
     machine->free.gpus -= spec->gpus;
     machine->free.ram_gb -= spec->ram_gb;
 }
 
-static void return_capacity(struct pm_machine *machine, const struct pm_spec *spec)
+static void release_capacity(struct pm_machine *machine, const struct pm_spec *spec)
 {
     machine->free.cpus += spec->cpus;
     machine->free.gpus += spec->gpus;
@@ -33,20 +33,20 @@
     placement->state = state;
     placement->placed_at = now;
     g_ptr_array_add(machine->placements, placement);
-    take_capacity(machine, job->spec);
+    allocate_capacity(machine, job->spec);
     machine->provider.idle_since = 0;
     pm_job_task(job, task_index)->placement = placement;
     pm_job_count_placement(job, task_index, 1);
     return placement;
 }
 
-/* The placement holds nothing any more: its capacity and its task are free again. */
+/* Releases the placement's capacity, and makes its task available to other placements. */
 static void release_placement(struct pm_placement *placement)
 {
     struct pm_job *job = placement->job;
     struct pm_task *task = pm_job_task(job, placement->task_index);
 
-    return_capacity(placement->machine, job->spec);
+    release_capacity(placement->machine, job->spec);
     placement->state = PM_PLACEMENT_ENDED;
     if (task->placement == placement)
         task->placement = NULL;
--- a/src/workers/push.c
+++ b/src/workers/push.c
@@ -1,5 +1,4 @@
-/* Pushes of commands (POST /do): one at a time to a machine, numbered, and settled by their answer.
- */
+/* Pushes of commands (POST /do). They are numbered, and each machine has at most one in flight. */
 #include "base/http.h"
 #include "workers/internal.h"
 
@@ -19,8 +18,9 @@
         if (placement->launch_push == number)
             placement->launch_push = 0;
     } else if (placement->launch_push <= number) {
-        /* The machine answers: what is still not there is sent anew. That says nothing of an
-         * earlier push that had no answer: its launch may be carried out yet. */
+        /* The worker answered, so a launch that it does not report is sent again. The answer proves
+         * nothing about an earlier push without an answer, whose launch may still be carried out,
+         * so `launch_outcome_unknown` stays. */
         placement->launch_push = 0;
     }
     if (status != 200)
@@ -34,7 +34,7 @@
     machine->push.in_flight = 0;
     for (guint i = 0; i < machine->placements->len; i++)
         settle_placement(g_ptr_array_index(machine->placements, i), number, status);
-    /* Whatever became of the launches that it carried, a copy may still arrive minutes late. */
+    /* A copy of an unanswered push may still arrive minutes later. */
     if (status == PM_HTTP_NO_ANSWER && machine->push.has_launches) {
         machine->push.unknown_outcome_epoch = epoch;
         machine->push.unknown_outcome_incarnation = machine->heartbeat.incarnation;
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -1,13 +1,14 @@
-/* Machines and their workers: heartbeats, commands, placements, and what is proven gone.
+/* Machines and their workers: heartbeats, commands, placements, and proof that tasks have ended.
  *
  * Owns all machines and placements of a controller. Called from the event-loop thread and the
- * planner's, with the controller's lock; no I/O, and the time is an argument. Stores nothing: after
- * a change of leader placements are recovered from the chunks of the jobs slice, and the rest from
- * heartbeats.
+ * planner thread with the controller's lock held. Does no I/O; the time is an argument. Stores
+ * nothing: after a change of leader, placements are recovered from the chunks of the jobs slice,
+ * and the rest from heartbeats.
  *
- * A placement is freed only by proof (safety invariant 3): a newer message of a worker that has
- * seen our epoch, a later incarnation, a confirmed termination, or a lease that nobody can have
- * renewed. */
+ * A placement is freed only when its task provably no longer runs (safety invariant 3). The proof
+ * is a newer message from a worker that has seen the current epoch, a later incarnation of the
+ * worker, a confirmed termination of the machine, or a lease that has expired and that no
+ * controller can have renewed. */
 #ifndef PM_WORKERS_WORKERS_H
 #define PM_WORKERS_WORKERS_H
 
@@ -15,114 +16,126 @@
 #include "jobs/jobs.h"
 
 enum pm_machine_state {
-    PM_MACHINE_BOOTING,  /* rented, no heartbeat yet */
-    PM_MACHINE_UP,       /* its worker has reported */
-    PM_MACHINE_RELEASING /* being terminated: never used again */
+    PM_MACHINE_BOOTING,    /* rented; no message from its worker yet */
+    PM_MACHINE_UP,         /* its worker has reported */
+    PM_MACHINE_TERMINATING /* being terminated; it is never used again */
 };
 
 /* Why a placement ended. */
 enum pm_task_exit {
     PM_TASK_EXIT_NONE,
-    PM_TASK_EXIT_DONE,
-    PM_TASK_EXIT_STOPPED,
-    PM_TASK_EXIT_ERROR,
-    PM_TASK_EXIT_REFUSED,
-    PM_TASK_EXIT_GANG,
-    PM_TASK_EXIT_LOST
+    PM_TASK_EXIT_DONE,            /* the task completed */
+    PM_TASK_EXIT_STOPPED,         /* the task was killed */
+    PM_TASK_EXIT_ERROR,           /* the task failed */
+    PM_TASK_EXIT_REFUSED,         /* the worker refused to launch the task */
+    PM_TASK_EXIT_GANG_INCOMPLETE, /* other tasks of its gang did not start, or have ended */
+    PM_TASK_EXIT_LOST             /* the task provably no longer runs, but no exit was reported */
 };
 
 enum { PM_CACHED_IMAGES_MAX = 32 };
 
-struct pm_failure_record { /* a job whose tasks failed on a machine since the last that succeeded */
+/* Failures of one job's tasks on a machine since a task last succeeded on that machine. */
+struct pm_failure_record {
     const struct pm_job *job;
     unsigned failures;
 };
 
-/* Resources of a machine that no placement holds. */
+/* Resources of a machine that are not allocated to a placement. */
 struct pm_machine_capacity {
     double cpus, gpus, ram_gb;
 };
 
-/* What the worker's heartbeats and replies say. Written by heartbeat.c. */
+/* State reported by the worker's heartbeats and its replies to pushes. Written by heartbeat.c. */
 struct pm_machine_heartbeat {
-    uint64_t incarnation;     /* of the worker: rises each time its lease expires */
-    uint64_t min_incarnation; /* earlier ones are proven to be over */
+    /* The worker's incarnation. The worker increases it each time its lease expires. */
+    uint64_t incarnation;
+    uint64_t min_incarnation; /* tasks of lower incarnations are proven to have ended */
     uint64_t sequence;        /* of the latest message within the incarnation */
-    uint64_t fencing_token;   /* the highest that the worker has seen */
-    bool is_known;            /* a heartbeat has reached this controller since it became active */
-    double last_message_at;   /* monotonic: the latest message of any sort */
-    double last_at;           /* monotonic: the latest heartbeat, or since when one is awaited */
-    double last_stale_at;     /* monotonic: a message last came that was older than one before it */
-    double spot_interruption_at; /* monotonic: the provider takes the machine then, 0: no notice */
-    GArray *exited_tasks;        /* of struct pm_task_ref: exited there, to be forgotten */
-    GArray *orphan_tasks; /* of struct pm_task_ref: run there without a placement, to be killed */
+    uint64_t fencing_token;   /* highest token that the worker has seen */
+    /* A message has reached this controller since it became active, or since the machine last
+     * returned from a shard. */
+    bool is_known;
+    double last_message_at; /* monotonic: time of the latest message of any kind */
+    double last_at;         /* monotonic: time of the latest heartbeat, or start of the wait */
+    double last_stale_at;   /* monotonic: when a copy or an outdated message last arrived */
+    /* Monotonic: when the provider will reclaim the spot machine. 0 if it gave no notice. */
+    double spot_interruption_at;
+    /* Of struct pm_task_ref: tasks that exited there, and that the worker is to forget. */
+    GArray *exited_tasks;
+    /* Of struct pm_task_ref: tasks that run there without a placement, and are to be killed. */
+    GArray *orphan_tasks;
 };
 
-/* Whether what we send arrives: that a heartbeat comes is no sign that its answer does. A failure
- * is a command or a token that a later heartbeat shows no trace of, or a push without an answer. */
+/* Whether messages of this controller reach the worker. A heartbeat that arrives does not show that
+ * its answer does. A delivery failure is recorded when a push gets no answer, or when a later
+ * heartbeat shows no trace of a command or a fencing token that an earlier answer carried. */
 struct pm_machine_delivery {
-    uint32_t failures;               /* so far, without a success between */
-    double failing_since, failed_at; /* monotonic: the first and the last of them */
-    uint64_t acked_epoch;            /* of the last heartbeat that was answered with 200, */
-    uint64_t acked_sequence;         /* and its sequence number */
+    uint32_t failures;               /* failures since the worker last answered a push */
+    double failing_since, failed_at; /* monotonic: the first and the last of these failures */
+    uint64_t acked_epoch;            /* epoch under which a heartbeat was last answered with 200 */
+    uint64_t acked_sequence;         /* sequence number of that heartbeat */
 };
 
-/* What is known of the worker's lease: when it began at the earliest and was last renewed. */
+/* Bounds on when the worker's lease was last renewed. */
 struct pm_machine_lease {
-    double
-        lower_bound; /* monotonic: since then no other controller can have renewed it, 0: unknown */
-    uint64_t reclaimed_epoch; /* the epoch that took the machine back from a shard, 0: none did */
-    double
-        incarnation_seen_at; /* monotonic: first message of its incarnation, which began no later */
-    double last_acked_at;    /* monotonic: this controller last answered a heartbeat with 200 */
+    /* Monotonic: no other controller can have renewed the lease after this. 0 if unknown. */
+    double exclusive_since;
+    /* The epoch under which the machine was reclaimed from a shard. 0 if it never was. */
+    uint64_t reclaimed_epoch;
+    /* Monotonic: first message of the incarnation, and so an upper bound for its start. */
+    double incarnation_seen_at;
+    double last_acked_at; /* monotonic: this controller last answered a heartbeat with 200 */
 };
 
-/* Commands that are pushed to the worker with POST /do, one request at a time. */
+/* Pushes: commands that are sent to the worker with POST /do, one request at a time. */
 struct pm_machine_push {
-    bool has_answered;              /* the worker has answered one */
-    uint64_t in_flight;             /* the number of the request that has no answer yet, 0: none */
-    bool has_launches;              /* it carries launches */
-    double retry_at;                /* monotonic: no request is sent before */
-    double failed_at;               /* monotonic: one last failed */
-    uint64_t unknown_outcome_epoch; /* of one with launches that got no answer, 0: none */
+    bool has_answered;  /* the worker has answered a push */
+    uint64_t in_flight; /* number of the push without an answer yet, 0 if there is none */
+    bool has_launches;  /* the push in flight carries launches */
+    double retry_at;    /* monotonic: no push is sent before this */
+    double failed_at;   /* monotonic: when a push last failed */
+    /* Epoch and incarnation of a push that carried launches and got no answer. The epoch is 0 if
+     * there is none. */
+    uint64_t unknown_outcome_epoch;
     uint64_t unknown_outcome_incarnation;
 };
 
-/* The machine's part in shards. Written by the shards slice. */
+/* Which shard the machine is in. Written by the shards slice. */
 struct pm_machine_shard {
-    int owner; /* on the leader: 1 + the index of the peer that owns it, 0: the leader itself */
-    double reported_silent_at; /* monotonic, on the leader: the owner last missed its heartbeats, */
-    double silent_since;       /* and has missed them ever since */
+    /* On the leader: 1 + the index of the peer that owns the machine, 0 if the leader owns it. */
+    int owner;
+    double reported_silent_at; /* monotonic, on the leader: when the owner last reported silence */
+    double silent_since;       /* monotonic: when the uninterrupted reports of silence began */
     bool revoking;             /* on the owner: the leader has asked for the machine back */
     bool returned; /* on the owner: given back, though the stored shard still lists it */
 };
 
-/* What the machine is kept free for. Written by the scheduler. */
+/* What the machine's capacity is reserved for. Written by the scheduler. */
 struct pm_machine_reservation {
-    const struct pm_job *gang; /* a gang that waits for capacity here, NULL: none */
-    const struct pm_job *job;  /* tasks are being preempted here for this job, NULL: none */
-    double until;              /* monotonic: of the latter */
-    bool draining;             /* being emptied, to be terminated */
+    const struct pm_job *gang; /* a gang that waits for capacity here, or NULL */
+    const struct pm_job *job;  /* the job for which tasks are being preempted here, or NULL */
+    double until;              /* monotonic: when the reservation for `job` ends */
+    bool draining;             /* being emptied, so that it can be terminated */
 };
 
 /* The machine as the provider knows it. Written by the autoscaler. */
 struct pm_machine_provider {
-    double rented_at;          /* monotonic */
-    double idle_since;         /* monotonic, 0: it is not idle */
-    double absent_since;       /* monotonic: missing from the inventory, 0: it is listed */
-    double running_since;      /* monotonic: first listed as running, 0: never */
-    bool is_listed;            /* the inventory has named it */
-    bool has_failed;           /* it stopped by itself */
-    double terminate_retry_at; /* monotonic: no request to terminate it is sent before */
+    double rented_at;          /* monotonic, 0 if not known */
+    double idle_since;         /* monotonic, 0 if the machine is not idle */
+    double absent_since;       /* monotonic: missing from the inventory since, 0 if it is listed */
+    double running_since;      /* monotonic: first listed as running, 0 if it never was */
+    bool is_listed;            /* the inventory has listed the machine */
+    bool has_failed;           /* the provider has listed the machine as failed */
+    double terminate_retry_at; /* monotonic: no request to terminate it is sent before this */
 };
 
-/* What failed tasks say of the machine (failures.h). */
+/* Failures of tasks on the machine (failures.h). */
 struct pm_machine_failures {
-    GArray *records;           /* of struct pm_failure_record, NULL: none */
-    bool quarantined_by_owner; /* the owner of its shard found it faulty */
+    GArray *records;           /* of struct pm_failure_record, NULL if there are none */
+    bool quarantined_by_owner; /* the owner of the machine's shard reported it as faulty */
 };
 
-/* Images on the machine, latest use first, as far as is known. */
+/* The images that are known to be cached on the machine, most recently used first. */
 struct pm_machine_images {
     int count;
     struct pm_cached_image {
@@ -132,9 +145,9 @@
 };
 
 /* A machine and its worker. Each embedded structure is written by one part of the program, which
- * its comment names. What every plan reads comes first, what is large comes last. */
+ * the structure's comment names. Fields that every plan reads come first, large fields last. */
 struct pm_machine {
-    int index, type, zone; /* dense indices; type and zone are -1 until known */
+    int index, type, zone; /* dense indices; `type` and `zone` are -1 until known */
     bool spot;
     enum pm_machine_state state;
     GPtrArray *placements; /* of struct pm_placement, owned */
@@ -152,7 +165,7 @@
     char endpoint[64];
 };
 
-/* A task and its attempt, as a worker names it. */
+/* One attempt of a task, as a worker identifies it. */
 struct pm_task_ref {
     struct pm_job *job;
     uint32_t task_index, attempt;
@@ -161,112 +174,119 @@
 struct pm_workers;
 
 struct pm_workers_hooks {
-    /* A placement's task has ended or is proven gone. The placement holds nothing any more, and is
-     * freed after this call. `saved`: its progress was checkpointed. */
+    /* The placement's task has ended, or provably no longer runs. The placement's capacity has been
+     * released, and the placement is freed after this call. `saved` tells whether the task's
+     * progress was checkpointed. */
     void (*placement_ended)(void *arg, struct pm_placement *placement, enum pm_task_exit end,
                             bool saved, double now);
-    /* A placement's task was first seen running. */
+    /* The placement's task was reported as running for the first time. */
     void (*placement_running)(void *arg, struct pm_placement *placement, double now);
     void *arg;
 };
 
 /* ---- machines.c: the table of machines ---- */
 
-/* An empty table; `tables` and `jobs` are borrowed, `hooks` are copied. */
+/* Creates an empty table. `tables` and `jobs` are borrowed, `hooks` is copied. */
 struct pm_workers *pm_workers_new(struct pm_name_tables *tables, struct pm_jobs *jobs,
                                   const struct pm_workers_hooks *hooks);
-/* Frees all machines and placements; no hook is called. */
+/* Frees the table with its machines and placements. Calls no hook. */
 void pm_workers_free(struct pm_workers *workers);
-/* All machines, by index; entries may be NULL. Owned by the table. */
+/* Returns all machines by index, owned by the table. Entries may be NULL. */
 GPtrArray *pm_workers_all(struct pm_workers *workers);
-/* The machine of that name, NULL: none. */
+/* Returns the machine of that name, or NULL. */
 struct pm_machine *pm_workers_find(struct pm_workers *workers, const char *name);
-/* The machine of that index, NULL: none. */
+/* Returns the machine at that index, or NULL. */
 struct pm_machine *pm_workers_at(struct pm_workers *workers, int index);
-/* The machine of that name, made when missing: booting, and of unknown type and zone. */
-struct pm_machine *pm_workers_add(struct pm_workers *workers, const char *name);
-/* Frees the machine with its placements; no hook is called. */
+/* Returns the machine of that name. A machine that is not in the table is added as booting, with
+ * unknown type and zone. */
+struct pm_machine *pm_workers_find_or_add(struct pm_workers *workers, const char *name);
+/* Frees the machine with its placements. Calls no hook. */
 void pm_workers_remove(struct pm_workers *workers, struct pm_machine *machine);
-/* Frees all machines and placements: on becoming active, or no longer being it. */
+/* Frees all machines and placements, when the controller becomes active or ceases to be. Calls no
+ * hook. */
 void pm_workers_reset(struct pm_workers *workers);
-/* Sets the machine's type, and adds the capacity that goes with it, once. An unknown type changes
- * nothing. */
+/* Sets the machine's type and adds the type's capacity to its free capacity. Does nothing if the
+ * machine has a type already, or if `type` is unknown. */
 void pm_workers_set_type(struct pm_workers *workers, struct pm_machine *machine, int type);
 
-/* ---- machine_health.c: what messages and silence say of a machine ---- */
+/* ---- machine_health.c: the state of a machine's connection and lease ---- */
 
-/* Whether the machine is known to be there: rented by us or listed, or its worker has answered a
- * push. A heartbeat alone may be a copy that comes long after its machine is gone. */
+/* Whether the machine is known to exist: it was rented by this cluster, the inventory has listed
+ * it, or its worker has answered a push. A heartbeat is no proof, since a delayed copy may arrive
+ * long after its machine was terminated. */
 bool pm_machine_is_verified(const struct pm_machine *machine);
-/* Whether our answers and commands do not arrive there though its heartbeats do: a one-way
- * partition. */
+/* Whether there is a one-way partition: the worker's heartbeats arrive here, but answers and
+ * commands do not reach the worker. */
 bool pm_machine_is_unreachable(const struct pm_machine *machine, double now);
-/* Notes a sign that something we sent did not arrive; `why` is for the log. */
+/* Records a sign that an answer or a command did not reach the worker. `why` is logged. */
 void pm_machine_note_delivery_failure(struct pm_machine *machine, const char *why, double now);
-/* Notes that a heartbeat was answered with 200, under that epoch. */
+/* Records that the latest heartbeat was answered with 200 under that epoch. */
 void pm_machine_note_ack(struct pm_machine *machine, uint64_t epoch, double now);
-/* Whether the worker answers pushes while its heartbeats do not arrive here: nothing renews its
- * lease. */
+/* Whether the worker answers pushes but its heartbeats do not arrive here, so that its lease is not
+ * renewed. */
 bool pm_machine_is_not_reporting(const struct pm_machine *machine,
                                  const struct pm_settings *settings, double now);
-/* Whether nothing came from the worker for longer than heartbeats ever take. */
+/* Whether the worker has sent no message for longer than the longest heartbeat interval. */
 bool pm_machine_missed_heartbeat(const struct pm_machine *machine,
                                  const struct pm_settings *settings, double now);
-/* Whether nothing is on the machine, and no command to it is under way or of unknown outcome. */
+/* Whether the machine is empty and stays so: it has no placements, its worker has seen `epoch` and
+ * reports no tasks, and no command to it is in flight or has an unknown outcome. */
 bool pm_machine_is_drained(const struct pm_machine *machine, uint64_t epoch);
-/* Whether the worker's lease has expired for certain, so that its tasks are killed. `lower_bound`
- * is the monotonic time since when no other controller can have renewed it, INFINITY if that is not
- * known. */
-bool pm_workers_is_lease_expired(const struct pm_machine *machine, double lower_bound,
+/* Whether the worker's lease has certainly expired, so that the worker has killed its tasks.
+ * `exclusive_since` is the monotonic time after which no other controller can have renewed the
+ * lease, INFINITY if that is not known. */
+bool pm_workers_is_lease_expired(const struct pm_machine *machine, double exclusive_since,
                                  double lease_s, double now);
 
 /* ---- placements.c ---- */
 
-/* Makes a placement of the task on the machine, in that state, and takes its capacity. Owned by the
- * machine, and freed when it ends or is removed. */
+/* Adds a placement of the task on the machine, in that state, and allocates its capacity. The
+ * machine owns the placement, which is freed when it ends or is removed. */
 struct pm_placement *pm_workers_add_placement(struct pm_workers *workers, struct pm_job *job,
                                               uint32_t task_index, struct pm_machine *machine,
                                               uint32_t attempt, uint64_t incarnation,
                                               enum pm_placement_state state, double now);
-/* Frees a placement that has ended, or that was proposed and never became durable. */
+/* Frees a placement that has ended, or that never became durable. Calls no hook. */
 void pm_workers_remove_placement(struct pm_workers *workers, struct pm_placement *placement);
 /* Ends all placements on the machine as lost: its lease has expired, or it was terminated. */
 void pm_workers_mark_lost(struct pm_workers *workers, struct pm_machine *machine, double now);
-/* Has the task killed with that grace period, in seconds; a longer one than before changes nothing.
- */
+/* Marks the placement's task to be killed with a grace period of `grace_s` seconds. Does nothing if
+ * the task is to be killed already with a grace period that is no longer than this. */
 void pm_placement_stop(struct pm_placement *placement, double grace_s);
 
 /* ---- heartbeat.c ---- */
 
-/* What carries a worker's list of tasks: a heartbeat, or its answer to a push. */
+/* The message that carries a worker's report: a heartbeat, or the reply to a push. */
 enum pm_task_list_source { PM_SOURCE_HEARTBEAT, PM_SOURCE_PUSH };
 
-/* Applies a worker's report. Returns its machine, made when missing, or NULL when the report is
- * malformed. `fresh` tells whether it was newer than what is known; if it was not, nothing of it
- * was applied. `epoch` is the one in force. */
+/* Applies a worker's report. Returns the worker's machine, which is added if it is missing, or NULL
+ * if the report is malformed. `*fresh` is set to whether the report is newer than all earlier ones;
+ * if not, its tasks and its header are not applied. `epoch` is the current one. */
 struct pm_machine *pm_workers_apply_heartbeat(struct pm_workers *workers, const cbor_item_t *item,
                                               enum pm_task_list_source source, uint64_t epoch,
                                               double now, bool *fresh);
 
 /* ---- commands.c, push.c ---- */
 
-/* Encodes the commands that are due for the machine as a CBOR list, and returns how many. With
- * `push`, launches and kills that were not sent yet, and the placements concerned are marked as
- * sent by the push in flight; else all that the answer to a heartbeat is to carry. */
+/* Encodes the commands that are due for the machine as a CBOR list, and returns their number. With
+ * `push`, these are the launches and kills that were not sent yet, and their placements are marked
+ * as sent by the push in flight. Otherwise these are all commands that the answer to a heartbeat
+ * has to carry. */
 int pm_workers_encode_commands(struct pm_machine *machine, bool push, uint64_t epoch,
                                struct pm_buffer *out);
-/* Encodes a kill for each task in the report whose job is known to be cancelled, by the attempt
- * reported, and nothing else: a list that is safe to send whoever may command the worker. */
+/* Encodes a kill of the reported attempt for each task in the report whose job is known to be
+ * cancelled, and no other command. Even a controller that does not own the machine may send this
+ * list. */
 void pm_workers_encode_cancel_kills(struct pm_workers *workers, const cbor_item_t *report,
                                     struct pm_buffer *out);
-/* Whether a push would carry any command. */
+/* Whether a push would carry at least one command. */
 bool pm_worker_push_is_due(const struct pm_machine *machine);
-/* Begins a push; its number is never 0, and never the same twice, also after a reset. Called before
- * pm_workers_encode_commands. */
+/* Begins a push and returns its number, which is never 0 and never reused, not even after a reset.
+ * Called before pm_workers_encode_commands. */
 uint64_t pm_worker_push_begin(struct pm_workers *workers, struct pm_machine *machine);
-/* Settles the push of that number, sent at `epoch`; `status` is that of HTTP, PM_HTTP_NO_ANSWER
- * (its launches have an unknown outcome) or PM_HTTP_NOT_SENT. False: it is not the one in flight,
- * but from before a reset. */
+/* Records the result of the push of that number, which was sent under `epoch`. `status` is the HTTP
+ * status, PM_HTTP_NO_ANSWER (its launches have an unknown outcome) or PM_HTTP_NOT_SENT. Returns
+ * false and does nothing if the push is not the one in flight, but from before a reset. */
 bool pm_worker_push_done(struct pm_machine *machine, uint64_t number, uint64_t epoch, int status);
 
 #endif
