--- a/src/cmd/pumicemount/worker_endpoint.c
+++ b/src/cmd/pumicemount/worker_endpoint.c
@@ -1,36 +1,40 @@
-/* Workers: their heartbeats (POST /v1/report) are answered here, and commands are pushed to them
- * (POST /do). Wire names of both are mapped in this file and in the workers slice. */
+/* Answers workers' heartbeats (POST /v1/report) and pushes commands to workers (POST /do). The
+ * field names of both messages appear in this file and in the workers slice. */
 #include "base/clock.h"
 #include "base/log.h"
 #include "internal.h"
 
 #include <string.h>
 
-#define PUSH_TIMEOUT_S 3.0  /* a push with commands and no answer by then has an unknown outcome */
-#define PROBE_TIMEOUT_S 1.5 /* one without commands asks only whether the worker is there */
-#define PUSH_RETRY_S 0.7
-#define OVERTAKEN_S 2.0 /* a heartbeat may come so much later than a message sent after it */
+/* A push with commands that is not answered within this time has an unknown outcome. */
+#define PUSH_TIMEOUT_S 3.0
+/* For a push without commands, which only checks that the worker responds. */
+#define PROBE_TIMEOUT_S 1.5
+#define PUSH_RETRY_S 0.7 /* from a failed push to the next push to the machine */
+/* The longest delay by which a heartbeat may arrive after a message that was sent later. */
+#define REORDERING_MAX_S 2.0
 
 enum {
-    PUSH_SOCKET_SHARE = 8,           /* of the sockets, one in so many for pushes at a time */
-    PUSH_ANSWER_BYTES = 1024 * 1024, /* a worker's report */
-    FIRST_INCARNATION = 1,           /* of a worker, by the protocol */
-    RETRY_AFTER_S = 1
+    PUSH_SOCKETS_DIVISOR = 8,        /* pushes may use one socket in this many */
+    PUSH_ANSWER_BYTES = 1024 * 1024, /* the longest answer, which is a worker's report */
+    FIRST_INCARNATION = 1,           /* a worker's first incarnation, by the protocol */
+    RETRY_AFTER_S = 1                /* in an answer with status 503 */
 };
 
 /* ---- pushing commands ---- */
 
-/* A push that is under way. */
+/* A push in flight. */
 struct push {
     struct pm_controller *controller;
-    int machine; /* its index: the machine may go meanwhile */
+    int machine; /* the machine's index, because the machine may be removed meanwhile */
     uint64_t number, epoch;
-    double deadline; /* monotonic: not written later */
-    double sent_at;
+    double deadline; /* monotonic: the request is not written after this time */
+    double sent_at;  /* monotonic */
 };
 
-/* One that was not written in time says nothing about the machine. */
-static bool was_dropped_here(const struct push *push, int status)
+/* Whether the push was dropped because it could not be written before its deadline, which says
+ * nothing about the machine. */
+static bool has_missed_deadline(const struct push *push, int status)
 {
     return status == PM_HTTP_NOT_SENT && pm_clock_monotonic() > push->deadline;
 }
@@ -40,9 +44,9 @@
     double now = pm_clock_monotonic();
 
     machine->push.failed_at = now;
-    /* A machine that boots can't answer, and a process that was not run has missed answers. */
+    /* A booting machine can't answer, and a process that was suspended has missed answers. */
     if (machine->heartbeat.is_known && !pm_links_is_lagging(controller->links, now))
-        pm_machine_note_delivery_failure(machine, "a /do has no answer", now);
+        pm_machine_note_delivery_failure(machine, "a push got no answer", now);
     machine->push.retry_at = now + PUSH_RETRY_S;
 }
 
@@ -57,7 +61,8 @@
     pm_controller_commit(controller);
 }
 
-/* Settles the push, unless it is from before the working state was reset. */
+/* Records the push's outcome, unless the working state was reset after the push was sent. Then
+ * pushes the commands that became due meanwhile. */
 static void settle_push(const struct push *push, struct pm_machine *machine, int status,
                         const cbor_item_t *report)
 {
@@ -66,7 +71,7 @@
 
     if (!pm_worker_push_done(machine, push->number, push->epoch, outcome))
         return;
-    if (status < 0 && !was_dropped_here(push, status))
+    if (status < 0 && !has_missed_deadline(push, status))
         note_push_failure(controller, machine);
     if (report)
         apply_push_answer(controller, report);
@@ -85,7 +90,7 @@
     if (machine && machine->heartbeat.is_known && status != PM_HTTP_NOT_SENT)
         pm_links_record_command_result(controller->links, machine->zone, status > 0, push->sent_at,
                                        pm_clock_monotonic());
-    if (status == 200 || status == 409) /* both bring the worker's report */
+    if (status == 200 || status == 409) /* both carry the worker's report */
         report = pm_cbor_parse(body, size);
     if (machine)
         settle_push(push, machine, status, report);
@@ -96,7 +101,7 @@
 static bool may_push(const struct pm_controller *controller, const struct pm_machine *machine,
                      bool probe)
 {
-    int pushes_max = controller->settings->sockets / PUSH_SOCKET_SHARE;
+    int pushes_max = controller->settings->sockets / PUSH_SOCKETS_DIVISOR;
 
     if (machine->push.in_flight || controller->pushes_in_flight >= pushes_max ||
         !machine->endpoint[0])
@@ -108,7 +113,7 @@
     return pm_election_is_confirmed(controller->election, pm_clock_monotonic());
 }
 
-/* Returns how many commands it wrote. */
+/* Encodes the body of POST /do with the commands that are due, and returns their number. */
 static int encode_push(struct pm_machine *machine, uint64_t epoch, struct pm_buffer *body)
 {
     uint64_t incarnation = machine->heartbeat.incarnation;
@@ -165,7 +170,8 @@
     pm_http_reply(request, 503, NULL, 0, RETRY_AFTER_S);
 }
 
-/* Redirects the worker to the machine's owner or the leader, if one is known. */
+/* Redirects the worker to the owner of its machine's shard, or else to the leader. Answers 503 if
+ * neither is known. */
 static void reply_redirect(struct pm_controller *controller, struct pm_http_request *request,
                            const char *machine)
 {
@@ -185,8 +191,9 @@
     pm_buffer_free(&body);
 }
 
-/* 200 with the commands that are due for the machine. Without a machine the lease is renewed, and
- * only tasks that are known to be cancelled are killed, of all that the report names. */
+/* Answers 200 with the commands that are due for the machine. If `machine` is NULL, the answer
+ * renews the lease and its only commands are to kill those tasks in the report whose jobs are known
+ * to be cancelled. */
 static void reply_commands(struct pm_controller *controller, struct pm_http_request *request,
                            struct pm_machine *machine, const cbor_item_t *report)
 {
@@ -205,17 +212,19 @@
     pm_buffer_free(&body);
 }
 
-/* A heartbeat as it is being handled. */
+/* A heartbeat that is being handled. */
 struct heartbeat {
     struct pm_http_request *request;
     const cbor_item_t *report;
     char machine[PM_NAME_MAX];
     uint64_t fencing_token; /* the highest that the worker has seen */
-    double now;
+    double now;             /* monotonic */
 };
 
-/* The machine is another controller's, or this controller's working state is not there. */
-static bool is_not_ours(const struct pm_controller *controller, const struct pm_machine *machine)
+/* Whether another controller is responsible for the machine. That holds for every machine while
+ * this controller is not active, because it then has no working state. */
+static bool is_managed_elsewhere(const struct pm_controller *controller,
+                                 const struct pm_machine *machine)
 {
     if (!controller->is_active)
         return true;
@@ -224,7 +233,10 @@
     return !machine || machine->shard.returned;
 }
 
-static void answer_for_another(struct pm_controller *controller, const struct heartbeat *heartbeat)
+/* Redirects the worker, or renews its lease if this follower may do so during an outage of the
+ * state service. */
+static void answer_worker_of_another(struct pm_controller *controller,
+                                     const struct heartbeat *heartbeat)
 {
     struct pm_election *election = controller->election;
 
@@ -237,9 +249,9 @@
     reply_commands(controller, heartbeat->request, NULL, heartbeat->report);
 }
 
-/* Safety invariant 5: a worker is answered 200 only under an epoch that was confirmed within the
- * allowed age, and never with a token below the highest that it has seen. False: it was answered
- * 503. */
+/* Enforces safety invariant 5: a worker is answered 200 only under an epoch that was confirmed
+ * recently enough, and never with a fencing token below the highest that the worker has seen.
+ * Returns false after having answered 503. */
 static bool check_epoch(struct pm_controller *controller, const struct heartbeat *heartbeat)
 {
     uint64_t epoch = pm_election_epoch(controller->election);
@@ -249,8 +261,10 @@
         return true;
     if (is_deposed)
         pm_election_recheck_epoch(controller->election);
-    pm_debug("heartbeat.epoch_unconfirmed", "%s: epoch %llu, its token %llu", heartbeat->machine,
-             (unsigned long long)epoch, (unsigned long long)heartbeat->fencing_token);
+    pm_debug("heartbeat.epoch_unconfirmed",
+             "answered %s with 503: epoch %llu is not confirmed, or its token %llu is higher",
+             heartbeat->machine, (unsigned long long)epoch,
+             (unsigned long long)heartbeat->fencing_token);
     reply_unavailable(heartbeat->request);
     return false;
 }
@@ -269,12 +283,12 @@
         pm_http_reply(heartbeat->request, 400, NULL, 0, 0);
         return;
     }
-    /* A late copy is not answered 200: nothing of it counts, neither as a sign of life nor for the
-     * lease. A worker that has lost its memory gets the same answer, and moves on to its next
-     * incarnation. The heartbeat of a machine that was heard just now was overtaken by its answer
-     * to a push. */
+    /* A copy of an old heartbeat is not answered 200, because it neither shows that the worker runs
+     * nor renews its lease. A worker that has lost its state looks the same: it is answered 503 too
+     * and begins its next incarnation. But if another message of the worker arrived within
+     * REORDERING_MAX_S, the heartbeat was merely overtaken, by the worker's answer to a push. */
     if (machine->state == PM_MACHINE_RELEASING ||
-        (!fresh && heartbeat->now - machine->heartbeat.last_message_at > OVERTAKEN_S)) {
+        (!fresh && heartbeat->now - machine->heartbeat.last_message_at > REORDERING_MAX_S)) {
         reply_unavailable(heartbeat->request);
         return;
     }
@@ -292,7 +306,8 @@
 
     if (controller->is_leader &&
         pm_autoscaler_is_terminated(controller->autoscaler, heartbeat->machine)) {
-        reply_unavailable(heartbeat->request); /* a copy, from a machine that is proven gone */
+        /* The heartbeat is a late copy: the machine's termination has been confirmed. */
+        reply_unavailable(heartbeat->request);
         return;
     }
     if (controller->is_active)
@@ -301,8 +316,8 @@
         pm_links_record_heartbeat(controller->links, machine->zone,
                                   token && token == pm_election_epoch(controller->election),
                                   heartbeat->now);
-    if (is_not_ours(controller, machine))
-        answer_for_another(controller, heartbeat);
+    if (is_managed_elsewhere(controller, machine))
+        answer_worker_of_another(controller, heartbeat);
     else
         answer_own_worker(controller, heartbeat);
 }
