--- a/src/cmd/pumicemount/leadership_events.c
+++ b/src/cmd/pumicemount/leadership_events.c
@@ -1,5 +1,6 @@
-/* What follows from being elected, deposed, or given a shard: the working state is rebuilt from the
- * replica, or dropped. Runs in the event-loop thread. */
+/* Rebuilds or discards the working state when this controller is elected, steps down, or gains or
+ * loses a shard: the hooks of the election, the cancellation quorum and the shards. Runs in the
+ * event-loop thread. */
 #include "base/clock.h"
 #include "base/log.h"
 #include "internal.h"
@@ -7,11 +8,11 @@
 
 #include <string.h>
 
-/* Shares of the state service's write budget. Followers write users' requests and their shards'
- * placements. */
+/* Shares of the state service's write budget. Followers need theirs to write users' requests and
+ * the placements of their shards. */
 #define LEADER_WRITE_SHARE 0.5
-#define LEADER_WRITE_SHARE_MAX 0.9 /* while the watch shows that the others leave so much */
-#define FOLLOWERS_WRITE_SHARE 0.8  /* of all followers together */
+#define LEADER_WRITE_SHARE_MAX 0.9 /* allowed while the watch shows that followers write less */
+#define FOLLOWERS_WRITE_SHARE 0.8  /* divided among all followers */
 
 /* ---- working state ---- */
 
@@ -25,13 +26,14 @@
     pm_workers_add_placement(controller->workers, job, task_index, machine, stored->attempt,
                              stored->incarnation, PM_PLACEMENT_DURABLE, now);
     if (machine->state == PM_MACHINE_BOOTING) {
-        /* Its worker may be silent by now: that is counted from here. */
+        /* The worker may have failed since its last heartbeat to the previous leader, which is not
+         * known here: its silence is measured from now. */
         machine->state = PM_MACHINE_UP;
         machine->heartbeat.last_message_at = now;
     }
 }
 
-/* Makes the job's placements that the state service knows; how many. */
+/* Adds the job's stored placements to the working state, and returns their number. */
 static int recover_placements(struct pm_controller *controller, struct pm_job *job, double now)
 {
     int count = 0;
@@ -86,8 +88,9 @@
 
 /* ---- election ---- */
 
-/* Rebuilds the working state from the replica: what is done, and every placement that is not proven
- * gone. Tasks are then found again in heartbeats rather than started anew. */
+/* Rebuilds the working state from the replica: which tasks are done, and every placement whose task
+ * is not proven gone. Heartbeats then confirm the tasks that still run, so that they are not
+ * started a second time. */
 static void on_elected(void *arg, uint64_t epoch)
 {
     struct pm_controller *controller = arg;
@@ -106,8 +109,8 @@
     controller->elected_at = now;
     pm_controller_tick_roles(controller, now);
     pm_store_set_write_share(controller->store, LEADER_WRITE_SHARE, LEADER_WRITE_SHARE_MAX);
-    pm_info("controller.active", "epoch %llu, %u jobs, %d placements", (unsigned long long)epoch,
-            pm_jobs_active(controller->jobs)->len, placements);
+    pm_info("controller.active", "leading in epoch %llu with %u active jobs and %d placements",
+            (unsigned long long)epoch, pm_jobs_active(controller->jobs)->len, placements);
     pm_controller_plan_soon(controller);
 }
 
@@ -157,8 +160,9 @@
 
     if (!pm_jobs_apply_cancellation(controller->jobs, id, revision))
         return;
-    pm_info("controller.cancelled", "%s, as a peer told before the replica did", id);
-    pm_controller_plan_soon(controller); /* its tasks are killed at once */
+    pm_info("controller.cancelled",
+            "job %s: a peer published its cancellation before the replica had it", id);
+    pm_controller_plan_soon(controller); /* so that the job's tasks are killed at once */
 }
 
 static const struct pm_cancellation *on_list_cancellations(void *arg, uint64_t revision,
@@ -197,7 +201,7 @@
 
 /* ---- shards ---- */
 
-static void on_shards_changed(void *arg)
+static void on_shards_plan_due(void *arg)
 {
     pm_controller_plan_soon(arg);
 }
@@ -214,7 +218,7 @@
     pm_failures_quarantine_machine(machine);
 }
 
-static void on_shard_lost(struct pm_controller *controller)
+static void end_shard_ownership(struct pm_controller *controller)
 {
     pm_election_set_owned_shard(controller->election, controller->own_shard_key, 0);
     if (controller->is_active)
@@ -222,8 +226,8 @@
     controller->is_active = false;
 }
 
-/* This controller owns a shard now, or a different one. */
-static void on_shard_granted(struct pm_controller *controller)
+/* Called when this controller has gained a shard, or when the shard that it owns has changed. */
+static void apply_owned_shard(struct pm_controller *controller)
 {
     uint64_t revision = pm_shards_owned_revision(controller->shards);
 
@@ -236,25 +240,25 @@
     pm_controller_plan_soon(controller);
 }
 
-static void on_shard_owned(void *arg, bool granted)
+static void on_shard_ownership_changed(void *arg, bool has_shard)
 {
     struct pm_controller *controller = arg;
 
     if (controller->is_leader)
         return;
-    if (granted)
-        on_shard_granted(controller);
+    if (has_shard)
+        apply_owned_shard(controller);
     else
-        on_shard_lost(controller);
+        end_shard_ownership(controller);
 }
 
 struct pm_shards_hooks pm_controller_shards_hooks(struct pm_controller *controller)
 {
     return (struct pm_shards_hooks){
-        .plan_due = on_shards_changed,
+        .plan_due = on_shards_plan_due,
         .job_returned = on_job_returned,
         .machine_quarantined = on_machine_quarantined,
-        .ownership_changed = on_shard_owned,
+        .ownership_changed = on_shard_ownership_changed,
         .arg = controller,
     };
 }
--- a/src/cmd/pumicemount/placement_events.c
+++ b/src/cmd/pumicemount/placement_events.c
@@ -1,11 +1,12 @@
-/* What becomes of placements and machines: the hooks of the workers slice, the write-back and the
- * autoscaler. Runs in the event-loop thread; a task's exit also in the planner's, with the lock. */
+/* Handles changes of placements and machines: the hooks of the workers slice, the write-back and
+ * the autoscaler. Runs in the event-loop thread, except that on_placement_ended may also be called
+ * from the planner's thread, with the controller's lock held. */
 #include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
 #include "internal.h"
 
-/* A preempted task does not compete for its capacity before this */
+/* How long a preempted task waits before it competes for capacity again. */
 #define PREEMPTED_BACKOFF_S 1.0
 
 /* ---- write-back ---- */
@@ -46,7 +47,7 @@
 
 /* ---- workers ---- */
 
-/* The tasks of a gang complete together: when one is done, all are. */
+/* Marks all tasks of the gang as done: they complete together, so when one is done, all are. */
 static void mark_gang_done(struct pm_job *job)
 {
     for (uint32_t i = 0; i < job->task_count; i++)
@@ -76,17 +77,18 @@
         pm_job_back_off(placement->job, placement->task_index, now + PREEMPTED_BACKOFF_S);
 }
 
-static void on_placement_ended(void *arg, struct pm_placement *placement, enum pm_task_exit end,
-                               bool saved, double now)
+static void on_placement_ended(void *arg, struct pm_placement *placement,
+                               enum pm_task_exit task_exit, bool saved, double now)
 {
-    static const char *const ends[] = {"",        "done",     "stopped", "failed",
-                                       "refused", "its gang", "gone"};
+    static const char *const exit_names[] = {
+        "", "done", "stopped", "failed", "refused", "gang incomplete", "lost"};
     struct pm_controller *controller = arg;
     struct pm_task *task = pm_job_task(placement->job, placement->task_index);
 
-    pm_debug("task.exited", "%s/%u try %u on %s: %s%s", placement->job->id, placement->task_index,
-             placement->attempt, placement->machine->name, ends[end], saved ? " saved" : "");
-    if (end == PM_TASK_EXIT_DONE)
+    pm_debug("task.exited", "%s/%u attempt %u on %s: %s%s", placement->job->id,
+             placement->task_index, placement->attempt, placement->machine->name,
+             exit_names[task_exit], saved ? ", progress saved" : "");
+    if (task_exit == PM_TASK_EXIT_DONE)
         note_completion(controller, placement, task, now);
     else
         note_interruption(placement, task, now);
@@ -95,9 +97,9 @@
 static void on_placement_running(void *arg, struct pm_placement *placement, double now)
 {
     (void)arg;
-    pm_debug("task.running", "%s/%u try %u on %s after %.2f", placement->job->id,
-             placement->task_index, placement->attempt, placement->machine->name,
-             now - placement->placed_at);
+    pm_debug("task.running", "%s/%u attempt %u on %s, %.2f s after its placement",
+             placement->job->id, placement->task_index, placement->attempt,
+             placement->machine->name, now - placement->placed_at);
 }
 
 struct pm_workers_hooks pm_controller_workers_hooks(struct pm_controller *controller)
@@ -136,8 +138,8 @@
     controller->machine_types.write_in_flight = false;
 }
 
-/* Keeps the types in the state service, for controllers that start while the provider has an
- * outage. */
+/* Writes the machine types to the state service, for controllers that start during an outage of the
+ * provider. */
 static void store_machine_types(struct pm_controller *controller, const cbor_item_t *models)
 {
     struct pm_txn txn = {0};
@@ -156,7 +158,8 @@
     struct pm_controller *controller = arg;
 
     if (!pm_machine_types_decode(&controller->tables, models)) {
-        pm_error("autoscaler.machine_types", "unreadable machine types");
+        pm_error("autoscaler.machine_types",
+                 "the provider's list of machine types is empty or malformed");
         return;
     }
     pm_controller_plan_soon(controller);
--- a/src/cmd/pumicemount/replica_feed.c
+++ b/src/cmd/pumicemount/replica_feed.c
@@ -1,5 +1,5 @@
-/* Dispatches the replica's changes, as the state service's client tells them, to the slices that
- * own the keys. Runs in the event-loop thread. */
+/* Dispatches the changes of the replica, which the state service's client reports, to the slices
+ * that own the keys. Runs in the event-loop thread. */
 #include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
@@ -35,7 +35,7 @@
 {
     controller->ledger.revision = MAX(controller->ledger.revision, revision);
     if (controller->is_leader)
-        return; /* it is our own */
+        return; /* the leader wrote the value itself */
     pm_scheduler_decode_ledger(controller->scheduler, value);
     controller->ledger.value.size = 0;
     pm_cbor_put_item(&controller->ledger.value, value);
@@ -46,7 +46,8 @@
 {
     controller->machine_types.revision = revision;
     if (!controller->tables.type_count && !pm_machine_types_decode(&controller->tables, value))
-        pm_error("autoscaler.machine_types", "unreadable machine types in the state service");
+        pm_error("autoscaler.machine_types",
+                 "the stored list of machine types (p/types) is empty or malformed");
 }
 
 static void apply_job_put(struct pm_controller *controller, const char *key,
@@ -87,7 +88,7 @@
     }
 }
 
-/* Each slice passes over keys that are not its own. */
+/* Each slice ignores the keys that it does not own. */
 static void on_delete(void *arg, const char *key, uint64_t revision)
 {
     struct pm_controller *controller = arg;
@@ -116,7 +117,7 @@
 
     pm_roles_snapshot_end(controller->roles);
     pm_gc_snapshot_end(controller->gc);
-    pm_info("controller.synced", "edition %llu",
+    pm_info("controller.synced", "the replica is complete at store revision %llu",
             (unsigned long long)pm_store_revision(controller->store));
 }
 
