--- a/src/cmd/pumicemount/main.c
+++ b/src/cmd/pumicemount/main.c
@@ -9,7 +9,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-static int fail_settings(const char *path, const char *err)
+/* Prints the error and returns the exit status. */
+static int report_bad_settings(const char *path, const char *err)
 {
     fprintf(stderr, "pumicemount: %s: %s\n", path, err);
     return 2;
@@ -51,14 +52,14 @@
         return 2;
     }
     if (!pm_settings_load(&settings, check ? check : config, err, sizeof err))
-        return fail_settings(check ? check : config, err);
+        return report_bad_settings(check ? check : config, err);
     pm_operator_settings_defaults(&operator_settings);
     if (operator_file &&
         !pm_operator_settings_load(&operator_settings, operator_file, err, sizeof err))
-        return fail_settings(operator_file, err);
+        return report_bad_settings(operator_file, err);
     if (check)
         return 0;
-    /* Two threads share little: one arena keeps the memory in bounds. */
+    /* One malloc arena keeps memory usage bounded; the two threads rarely contend for it. */
     mallopt(M_ARENA_MAX, 1);
     signal(SIGPIPE, SIG_IGN);
     pm_log_setup(getenv("LOG_LEVEL"), settings.name);
@@ -66,10 +67,12 @@
     if (!loop || !pm_controller_new(loop, &settings, &operator_settings))
         return 1;
     for (int i = 0; i < settings.team_count; i++)
-        pm_info("controller.team", "%s: %g cpus, %g at most; %g accelerators, %g at most",
+        pm_info("controller.team",
+                "%s: guaranteed %g cpus, limit %g; guaranteed %g accelerators, limit %g",
                 settings.teams[i].name, settings.teams[i].cpus, settings.teams[i].cpus_max,
                 settings.teams[i].gpus, settings.teams[i].gpus_max);
-    pm_info("controller.start", "%s, serving %s", PM_VERSION, settings.listen_addr);
+    pm_info("controller.start", "version %s, serving users and workers on %s", PM_VERSION,
+            settings.listen_addr);
     ev_run(loop, 0);
     return 0;
 }
