--- a/src/cmd/pumicemount/admin.c
+++ b/src/cmd/pumicemount/admin.c
@@ -1,10 +1,12 @@
-/* What operators' tools ask of a controller, on the address for peers:
+/* Answers the requests of operators' tools, on the address for peers:
  *
- * - GET /toolbox/status: who leads, what this controller sees of the others, counts
+ * - GET /toolbox/status: which controller leads, this controller's links to the others, and counts
+ *   of machines, jobs and tasks
  * - GET /toolbox/cleanup: which stored keys garbage collection would delete, and why
  * - GET /toolbox/job/ID: why a job does not run, as far as this controller knows
  *
- * Reads only, in the event-loop thread. Answers are CBOR maps; src/cmd/pumicectl reads them. */
+ * Changes nothing, and runs in the event-loop thread. Each answer is a CBOR map, which
+ * src/cmd/pumicectl decodes. Its version may differ, so the texts in answers must not change. */
 #include "base/clock.h"
 #include "internal.h"
 #include "workers/failures.h"
@@ -14,9 +16,10 @@
 #define ADMIN_PREFIX "/toolbox/"
 #define ADMIN_JOB_PREFIX ADMIN_PREFIX "job/"
 
-enum { NAMED_JOBS_MAX = 20 }; /* jobs named in one reason */
+enum { NAMED_JOBS_MAX = 20 }; /* the most jobs that are named in one reason */
 
-/* Every answer begins with who gives it, and whether its epoch is confirmed. */
+/* Encodes the fields that begin every answer: the name of this controller, whether it leads, and
+ * whether its epoch is confirmed. */
 static void encode_source(struct pm_controller *controller, struct pm_buffer *out, double now)
 {
     pm_cbor_put_pair_text(out, "controller", controller->settings->name);
@@ -32,7 +35,7 @@
     pm_cbor_put_map(out);
     pm_cbor_put_pair_count(out, "machines_up", (uint64_t)counts.machines_up);
     pm_cbor_put_pair_count(out, "machines_silent", (uint64_t)counts.machines_silent);
-    pm_cbor_put_pair_count(out, "machines_leased_out", (uint64_t)counts.machines_leased);
+    pm_cbor_put_pair_count(out, "machines_leased_out", (uint64_t)counts.machines_assigned);
     pm_cbor_put_pair_count(out, "machines_booting", (uint64_t)counts.machines_booting);
     pm_cbor_put_pair_count(out, "jobs_live", counts.jobs);
     pm_cbor_put_pair_count(out, "tasks_placed", counts.tasks_placed);
@@ -41,7 +44,8 @@
     pm_cbor_put_end(out);
 }
 
-/* Machines leased to other controllers, by owner; the leader knows them. */
+/* Encodes how many machines each other controller owns in its shard. Only the leader knows this; on
+ * other controllers the list is empty. */
 static void encode_shard_owners(struct pm_controller *controller, struct pm_buffer *out)
 {
     GPtrArray *all = pm_workers_all(controller->workers);
@@ -143,8 +147,8 @@
     g_string_free(names, TRUE);
 }
 
-/* What the machines that the job may use have free, as the leader or the owner of a shard sees
- * them. */
+/* Encodes how many tasks of the job fit on the machines that it may use, as far as this controller,
+ * the leader or the owner of a shard, knows these machines. */
 static void encode_capacity(struct pm_controller *controller, const struct pm_job *job,
                             struct pm_buffer *out)
 {
--- a/src/cmd/pumicemount/controller.c
+++ b/src/cmd/pumicemount/controller.c
@@ -1,8 +1,9 @@
-/* Makes one controller: the slices, the servers, and the dispatch of requests.
+/* Creates the controller's slices and servers, and dispatches requests to them.
  *
- * The event-loop thread does all I/O, the planner's thread decides what runs where. The loop holds
- * the controller's lock while it handles the events at hand, and releases it around every wait.
- * Sockets never block, so nobody waits with the lock. */
+ * The event-loop thread does all I/O; the planner's thread decides which task runs on which
+ * machine. The event-loop thread holds the controller's lock while it handles events, and releases
+ * it whenever it waits for new ones. All sockets are non-blocking, so no thread waits for I/O while
+ * it holds the lock. */
 #include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
@@ -12,31 +13,36 @@
 #include <stdio.h>
 #include <string.h>
 
-/* How the sockets are shared out: one in so many for our own requests, one in so many (and a few)
- * stay free, up to one in so many for peers; users and workers have the rest. */
+/* How the limit on open sockets is divided. A divisor of 5 means one socket in 5. Connections of
+ * users and workers get what the other uses leave. */
 enum {
-    CLIENT_SHARE = 5,
-    FREE_SHARE = 20,
-    FREE_SOCKETS = 8,
-    PEER_SHARE = 16,
-    SOCKETS_A_PEER = 8,
+    CLIENT_SOCKETS_DIVISOR = 5, /* for requests that this controller sends */
+    /* Kept free: one socket in SPARE_SOCKETS_DIVISOR, and SPARE_SOCKETS more. */
+    SPARE_SOCKETS_DIVISOR = 20,
+    SPARE_SOCKETS = 8,
+    /* For peers' connections: the smaller of one socket in PEER_SOCKETS_DIVISOR and
+     * SOCKETS_PER_PEER for each peer, but at least PEER_SOCKETS_MIN. */
+    PEER_SOCKETS_DIVISOR = 16,
+    SOCKETS_PER_PEER = 8,
     PEER_SOCKETS_MIN = 16,
     USER_SOCKETS_MIN = 8
 };
 
-/* Of the state service's requests: watches, linearizable reads */
+/* The part of the state service's request rate that all controllers together may use for watches
+ * and linearizable reads. */
 #define STORE_REQUEST_SHARE 0.36
-#define FIRST_RECONCILE_S 0.05
+#define FIRST_RECONCILE_DELAY_S 0.05 /* after the start */
 
 /* ---- requests ---- */
 
 static void handle_readiness_probe(struct pm_controller *controller,
                                    struct pm_http_request *request)
 {
-    bool is_alone = pm_election_is_refused_alone(controller->election, pm_clock_monotonic()) ||
-                    pm_links_is_cut_off(controller->links);
+    bool is_refused_alone =
+        pm_election_is_refused_alone(controller->election, pm_clock_monotonic()) ||
+        pm_links_is_cut_off(controller->links);
 
-    pm_api_handle_readiness_probe(controller->api, request, is_alone);
+    pm_api_handle_readiness_probe(controller->api, request, is_refused_alone);
 }
 
 static void on_user_request(void *arg, struct pm_http_request *request)
@@ -79,7 +85,7 @@
         pm_http_server_new(controller->loop, addr, connections, handler, controller);
 
     if (!server)
-        pm_error("controller.listen", "%s: %s", addr, strerror(errno));
+        pm_error("controller.listen", "can't listen on %s: %s", addr, strerror(errno));
     return server;
 }
 
@@ -87,10 +93,11 @@
 {
     const struct pm_settings *settings = controller->settings;
     int sockets = settings->sockets;
-    int wanted_by_peers = MIN(sockets / PEER_SHARE, SOCKETS_A_PEER * settings->peer_count);
+    int wanted_by_peers =
+        MIN(sockets / PEER_SOCKETS_DIVISOR, SOCKETS_PER_PEER * settings->peer_count);
     int peer_sockets = MAX(PEER_SOCKETS_MIN, wanted_by_peers);
-    int user_sockets =
-        sockets - sockets / CLIENT_SHARE - peer_sockets - sockets / FREE_SHARE - FREE_SOCKETS;
+    int user_sockets = sockets - sockets / CLIENT_SOCKETS_DIVISOR - peer_sockets -
+                       sockets / SPARE_SOCKETS_DIVISOR - SPARE_SOCKETS;
 
     controller->user_server = listen_on(controller, settings->listen_addr,
                                         MAX(USER_SOCKETS_MIN, user_sockets), on_user_request);
@@ -103,14 +110,14 @@
 
 /* ---- construction ---- */
 
-static void before_wait(struct ev_loop *loop)
+static void unlock_before_wait(struct ev_loop *loop)
 {
     struct pm_controller *controller = ev_userdata(loop);
 
     g_mutex_unlock(&controller->lock);
 }
 
-static void after_wait(struct ev_loop *loop)
+static void lock_after_wait(struct ev_loop *loop)
 {
     struct pm_controller *controller = ev_userdata(loop);
 
@@ -121,10 +128,11 @@
 {
     g_mutex_init(&controller->lock);
     ev_set_userdata(controller->loop, controller);
-    ev_set_loop_release_cb(controller->loop, before_wait, after_wait);
+    ev_set_loop_release_cb(controller->loop, unlock_before_wait, lock_after_wait);
 }
 
-/* What decides; of its own I/O there are only the autoscaler's calls to the provider. */
+/* Creates the slices that make decisions. They do no I/O, except for the autoscaler's requests to
+ * the provider. */
 static void init_planning(struct pm_controller *controller)
 {
     const struct pm_operator_settings *operator_settings = controller->operator_settings;
@@ -177,7 +185,7 @@
                                        controller->election, &hooks);
 }
 
-/* What rests on the state service. */
+/* Creates the state service's client and the slices that need it. */
 static void init_replication(struct pm_controller *controller)
 {
     struct pm_commit_hooks commit_hooks = pm_controller_commit_hooks(controller);
@@ -194,8 +202,8 @@
 
 static void start_reconcile_timer(struct pm_controller *controller)
 {
-    ev_timer_init(&controller->reconcile_timer, pm_controller_on_reconcile_timer, FIRST_RECONCILE_S,
-                  PM_CONTROLLER_RECONCILE_S);
+    ev_timer_init(&controller->reconcile_timer, pm_controller_on_reconcile_timer,
+                  FIRST_RECONCILE_DELAY_S, PM_CONTROLLER_RECONCILE_INTERVAL_S);
     controller->reconcile_timer.data = controller;
     ev_timer_start(controller->loop, &controller->reconcile_timer);
 }
@@ -210,7 +218,7 @@
     controller->operator_settings = operator_settings;
     pm_name_tables_init(&controller->tables, settings);
     init_lock(controller);
-    controller->http = pm_http_client_new(loop, settings->sockets / CLIENT_SHARE);
+    controller->http = pm_http_client_new(loop, settings->sockets / CLIENT_SOCKETS_DIVISOR);
     pm_controller_init_links(controller);
     init_planning(controller);
     init_replication(controller);
@@ -219,8 +227,9 @@
     pm_controller_init_planner(controller);
     start_reconcile_timer(controller);
     if (!start_servers(controller))
-        return NULL;                 /* the process ends */
-    g_mutex_lock(&controller->lock); /* the event-loop thread has it until its first wait */
+        return NULL; /* nothing is freed: main ends the process */
+    /* The event loop releases the lock when it first waits. */
+    g_mutex_lock(&controller->lock);
     pm_controller_start_planner(controller);
     return controller;
 }
--- a/src/cmd/pumicemount/internal.h
+++ b/src/cmd/pumicemount/internal.h
@@ -1,5 +1,6 @@
-/* What the files of the daemon share; nobody else includes it. All functions run in the event-loop
- * thread, with `pm_controller.lock` held, unless their comment says otherwise. */
+/* Declarations shared by the files of the daemon, and included by no other program. All functions
+ * run in the event-loop thread, with `pm_controller.lock` held, unless their comment says
+ * otherwise. */
 #ifndef PM_CMD_PUMICEMOUNT_INTERNAL_H
 #define PM_CMD_PUMICEMOUNT_INTERNAL_H
 
@@ -23,60 +24,64 @@
 #include <ev.h>
 #include <glib.h>
 
-#define PM_CONTROLLER_RECONCILE_S 0.5 /* see reconciliation.c */
+/* Interval of the timer in reconciliation.c. */
+#define PM_CONTROLLER_RECONCILE_INTERVAL_S 0.5
 
-/* The stored ledger (p/ledger): what a new leader reads of teams' use, cached images and failures.
- */
+/* The stored ledger (p/ledger): the teams' usage, cached images and failing jobs, as written by the
+ * leader for its successor. */
 struct pm_controller_ledger {
-    struct pm_buffer value; /* as last read, for when this controller is elected */
-    uint64_t revision;
+    struct pm_buffer value; /* the last value read as a follower, applied on election */
+    uint64_t revision;      /* of the key, 0: not stored */
     bool write_in_flight;
-    double written_at; /* monotonic */
+    double written_at; /* monotonic: when this controller last sent a write */
 };
 
 /* The stored machine types (p/types). */
 struct pm_controller_machine_types {
-    uint64_t revision; /* 0: not stored */
+    uint64_t revision; /* of the key, 0: not stored */
     bool write_in_flight;
 };
 
-/* Runs of garbage collection. */
+/* Garbage collection of stored keys. */
 struct pm_controller_gc_run {
-    double checked_at; /* monotonic: stored keys were last looked through */
-    bool in_flight;
+    double last_run_at; /* monotonic: when a run last searched for keys to delete */
+    bool write_in_flight;
 };
 
-/* The planner's thread, and when the next plan is due. */
+/* The planner's thread, and the schedule of its plans. */
 struct pm_controller_planning {
     GThread *thread;
-    GMutex wake_lock; /* guards `is_due` alone; taken after `pm_controller.lock`, never before */
-    GCond wake;
-    bool is_due;
-    ev_async done;     /* sent by the planner after each plan */
-    ev_timer timer;    /* runs while a plan is due soon */
-    double started_at; /* monotonic: the last plan was due */
-    double cost_s;     /* how long plans take, lately */
+    /* Guards `is_due` alone. A thread that needs both locks takes `pm_controller.lock` first. */
+    GMutex wake_lock;
+    GCond wake;             /* signalled when `is_due` becomes true */
+    bool is_due;            /* the planner's thread is to make a plan */
+    ev_async done;          /* sent by the planner after each plan */
+    ev_timer timer;         /* active while a plan is requested and not yet due */
+    double woken_at;        /* monotonic: when the planner's thread was last woken for a plan */
+    double mean_duration_s; /* of a plan, as a moving average */
 };
 
-/* Writing the working state back, as often as its cost allows. */
+/* The schedule of write-backs of the working state: the longer they take, the longer the pause
+ * between two of them. */
 struct pm_controller_committing {
-    ev_timer timer;
-    double ended_at; /* monotonic */
-    double cost_s;   /* lately */
+    ev_timer timer;         /* active while the next write-back waits for its time */
+    double ended_at;        /* monotonic: when the last write-back ended */
+    double mean_duration_s; /* of a write-back, as a moving average */
 };
 
-/* Sizing the fleet, as often as its cost allows. */
-struct pm_controller_sizing {
-    double ended_at; /* monotonic */
-    double cost_s;   /* of the last one */
+/* The schedule of the autoscaler's runs: the longer the last run took, the longer the pause after
+ * it. */
+struct pm_controller_autoscaling {
+    double ended_at;        /* monotonic: when the last run ended */
+    double last_duration_s; /* of the last run */
 };
 
 struct pm_controller {
     struct ev_loop *loop;
     const struct pm_settings *settings;
     const struct pm_operator_settings *operator_settings;
-    /* Guards everything but `planning.wake_lock` and what it guards. The event-loop thread holds it
-     * except while it waits; the planner's thread takes it for one plan. */
+    /* Guards everything except `planning.wake_lock` and what that one guards. The event-loop thread
+     * holds it except while it waits for events; the planner's thread holds it during a plan. */
     GMutex lock;
     struct pm_name_tables tables;
     struct pm_http_client *http;
@@ -86,7 +91,7 @@
     struct pm_election *election;
     struct pm_cancel_quorum *cancel_quorum;
     struct pm_links *links;
-    struct pm_links_trace *trace; /* NULL: none is written */
+    struct pm_links_trace *trace; /* NULL if no trace is written */
     struct pm_roles *roles;
     struct pm_gc *gc;
     struct pm_jobs *jobs;
@@ -96,119 +101,130 @@
     struct pm_autoscaler *autoscaler;
     struct pm_api *api;
     struct pm_shards *shards;
-    /* What this controller is. */
-    bool is_active; /* it leads, or owns a shard, and its working state is rebuilt */
+    /* The part that this controller plays in the cluster. */
+    bool is_active; /* it leads or owns a shard, and its working state has been rebuilt */
     bool is_leader;
-    double elected_at;        /* monotonic */
-    double epoch_advanced_at; /* monotonic: to end unknown outcomes of launches */
-    char own_shard_key[PM_NAME_MAX + 8];
-    bool shards_changed; /* a shard's value has come since the replica last caught up */
-    /* Work of its own. */
+    double elected_at; /* monotonic: when this controller was last elected */
+    /* Monotonic: when this controller last advanced the epoch so that workers refuse launches of
+     * unknown outcome. */
+    double epoch_advanced_at;
+    char own_shard_key[PM_NAME_MAX + 8]; /* of the shard that this controller may own */
+    bool shards_changed; /* a shard's value has arrived since the replica last caught up */
+    /* Work that the controller does itself. */
     struct pm_controller_ledger ledger;
     struct pm_controller_machine_types machine_types;
     struct pm_controller_gc_run gc_run;
     struct pm_controller_planning planning;
     struct pm_controller_committing committing;
-    struct pm_controller_sizing sizing;
+    struct pm_controller_autoscaling autoscaling;
     ev_timer reconcile_timer;
-    double
-        last_heartbeat_at;  /* monotonic: any worker's heartbeat, whether or not it was answered */
-    double state_logged_at; /* monotonic */
-    int pushes_in_flight;
-    bool view_write_in_flight; /* p/links is being written */
+    /* Monotonic: when a heartbeat of any worker last arrived, even if it was not answered. */
+    double last_heartbeat_at;
+    double state_logged_at;    /* monotonic: when controller.state was last logged */
+    int pushes_in_flight;      /* to all machines together */
+    bool view_write_in_flight; /* a write of this controller's own p/links/NAME is in flight */
 };
 
-/* ---- planner.c: the planner's thread, and what follows from a plan ---- */
+/* ---- planner.c: the planner's thread, and the work after each plan ---- */
 
-/* Whether the state service has answered lately, so that placements can be written. */
+/* Whether placements can be written: the state service has answered recently and is not refusing
+ * requests. */
 bool pm_controller_is_store_writable(const struct pm_controller *controller, double now);
-/* Something has changed that the planner ought to see; several changes make one plan. Does nothing
- * on a controller that is not active. */
+/* Requests a plan because something that the planner considers has changed. Requests made before
+ * the plan begins share one plan. Does nothing on a controller that is not active. */
 void pm_controller_plan_soon(struct pm_controller *controller);
-/* Writes back what is due, or sets a timer for when it may be written. */
+/* Writes back the changes that are due, or sets a timer for the time when they may be written. Does
+ * nothing on a controller that is not active. */
 void pm_controller_commit(struct pm_controller *controller);
-/* Makes the timers and watchers of planning and committing. */
+/* Initializes the timers and watchers of planning and write-back. */
 void pm_controller_init_planner(struct pm_controller *controller);
 /* Starts the planner's thread, which never ends. */
 void pm_controller_start_planner(struct pm_controller *controller);
 
 /* ---- worker_endpoint.c: heartbeats, and commands pushed to workers ---- */
 
-/* Pushes the commands that are due to the worker with POST /do, unless a push is in flight; with
- * `probe` also when none are due: the answer is a heartbeat's content, and the worker learns our
- * token. */
+/* Pushes the commands that are due to the worker with POST /do. Does nothing if a push to it is in
+ * flight or may not be sent now, or if no command is due. With `probe`, pushes even if no command
+ * is due: the worker's answer carries its report, and the worker learns our fencing token. */
 void pm_controller_push_commands(struct pm_controller *controller, struct pm_machine *machine,
                                  bool probe);
-/* The same for all machines that this controller places tasks on. */
+/* Does the same, without `probe`, for all machines that this controller places tasks on. */
 void pm_controller_push_all_commands(struct pm_controller *controller);
-/* POST /v1/report: a worker's heartbeat. Replies to the request. */
+/* Handles POST /v1/report, a worker's heartbeat, and replies to it. */
 void pm_controller_handle_heartbeat(struct pm_controller *controller,
                                     struct pm_http_request *request);
 
 /* ---- replica_feed.c: dispatches the replica's changes to the slices ---- */
 
-/* The observer to give to the state service's client. */
+/* Returns the observer for the state service's client. */
 struct pm_store_observer pm_controller_store_observer(struct pm_controller *controller);
 
-/* ---- leadership_events.c: what follows from being elected, deposed, or given a shard ---- */
+/* ---- leadership_events.c: elections, step-downs, epochs and shard ownership ---- */
 
-/* The hooks to give to the election. */
+/* Returns the hooks for the election. */
 struct pm_election_hooks pm_controller_election_hooks(struct pm_controller *controller);
-/* The hooks to give to the quorum of cancellations. */
+/* Returns the hooks for the cancellation quorum. */
 struct pm_cancel_quorum_hooks pm_controller_cancel_quorum_hooks(struct pm_controller *controller);
-/* The hooks to give to the shards slice. */
+/* Returns the hooks for the shards slice. */
 struct pm_shards_hooks pm_controller_shards_hooks(struct pm_controller *controller);
-/* Sets the share of the write budget of a controller that does not lead. */
+/* Sets this controller's share of the state service's write budget to that of a follower. */
 void pm_controller_set_follower_write_share(struct pm_controller *controller);
 
-/* ---- placement_events.c: what becomes of placements and machines ---- */
+/* ---- placement_events.c: changes of placements and machines ---- */
 
-/* The hooks to give to the workers slice. */
+/* Returns the hooks for the workers slice. */
 struct pm_workers_hooks pm_controller_workers_hooks(struct pm_controller *controller);
-/* The hooks to give to the write-back. */
+/* Returns the hooks for the write-back. */
 struct pm_commit_hooks pm_controller_commit_hooks(struct pm_controller *controller);
-/* The hooks to give to the autoscaler. */
+/* Returns the hooks for the autoscaler. */
 struct pm_autoscaler_hooks pm_controller_autoscaler_hooks(struct pm_controller *controller);
 
-/* ---- link_monitor.c: evidence for the links slice, its probes, and what follows ---- */
+/* ---- link_monitor.c: evidence and probes for the links slice, and decisions based on it ---- */
 
-/* Makes the links slice and its trace. */
+/* Creates the links slice and its trace. */
 void pm_controller_init_links(struct pm_controller *controller);
-/* Lets views travel with the election's messages; called once the election is there. */
+/* Lets the election's messages to peers carry views of links. Called once the election exists. */
 void pm_controller_attach_links(struct pm_controller *controller);
-/* Judges the links, probes those without traffic, and writes this controller's view when it is due.
- */
+/* Evaluates the links, probes those without traffic, and writes this controller's view when it is
+ * due. */
 void pm_controller_tick_links(struct pm_controller *controller, double now);
-/* Leader: steps down if another controller is better placed to lead. */
-void pm_controller_yield_lead_if_unfit(struct pm_controller *controller, double now);
+/* On the leader: steps down if another controller can lead better, or if this one has lost its
+ * workers and another may reach them. */
+void pm_controller_step_down_if_unfit(struct pm_controller *controller, double now);
 
 /* ---- singleton_roles.c: roles under a lease, and garbage collection ---- */
 
-/* Makes the roles slice, its audit log and the garbage collector. */
+/* Creates the roles slice, its audit log and the garbage collector. */
 void pm_controller_init_roles(struct pm_controller *controller);
-/* Acquires, renews and releases roles, and collects garbage when it is due. */
+/* Acquires, renews and releases roles, and runs garbage collection when it is due. */
 void pm_controller_tick_roles(struct pm_controller *controller, double now);
 
-/* ---- admin.c: what operators' tools ask ---- */
+/* ---- admin.c: requests of operators' tools ---- */
 
-/* GET /toolbox/... on the peers' address. False: no such path, and no reply was made. */
+/* Handles GET /toolbox/... on the peers' address. Returns false, without having replied, if the
+ * path is unknown. */
 bool pm_controller_handle_admin_request(struct pm_controller *controller,
                                         struct pm_http_request *request);
 
-/* ---- reconciliation.c: what is looked after by the clock ---- */
+/* ---- reconciliation.c: periodic work ---- */
 
 struct pm_controller_counts {
-    int machines_up, machines_silent, machines_leased, machines_booting;
+    /* Machines that are up and not assigned to another controller; those of them whose heartbeats
+     * are missed; machines assigned to the owners of shards; machines that boot. */
+    int machines_up, machines_silent, machines_assigned, machines_booting;
     unsigned jobs; /* that are neither done nor cancelled, or whose tasks are not all proven gone */
+    /* Delegated tasks are those that the owner of a shard has yet to place. */
     unsigned tasks_placed, tasks_waiting, tasks_delegated;
-    double cpus, idle_cpus;
+    double cpus, idle_cpus; /* of machines that are up; idle: free for this controller's tasks */
 };
 
-/* What there is and what waits, for the log and the operators' tool. */
+/* Counts machines, jobs and tasks, for the log and the operators' tool. */
 struct pm_controller_counts pm_controller_count(struct pm_controller *controller, double now);
-/* Asks workers that have not reported to this controller, or whose heartbeats are missed. */
+/* Probes workers that have not reported to this controller, whose heartbeats are late, or that may
+ * not receive what this controller sends. On the leader, advances the epoch if a launch of unknown
+ * outcome requires it. */
 void pm_controller_probe_workers(struct pm_controller *controller, double now);
-/* The reconcile timer's callback. */
+/* Callback of the reconcile timer. */
 void pm_controller_on_reconcile_timer(struct ev_loop *loop, ev_timer *watcher, int events);
 
 #endif
--- a/src/cmd/pumicemount/link_monitor.c
+++ b/src/cmd/pumicemount/link_monitor.c
@@ -1,5 +1,5 @@
-/* Evidence for the links slice from the traffic of the other slices, its probes, and what follows
- * from its judgement. Runs in the event-loop thread. */
+/* Supplies the links slice with evidence from the traffic of the other slices, sends its probes,
+ * and acts on its evaluation of the links. Runs in the event-loop thread. */
 #include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
@@ -8,14 +8,16 @@
 
 #include <stdio.h>
 
-/* A worker is silent after this long, or after so many heartbeat intervals if that is longer. */
+/* A worker counts as silent after the larger of this time and this many heartbeat intervals. */
 #define SILENCE_MIN_S 3.5
 #define SILENCE_INTERVALS 1.6
 #define PROBE_TIMEOUT_S 1.0
 
 enum {
-    SILENT_MACHINES_MIN = 3, /* fewer say nothing about the controller */
-    VIEW_WRITE_BUDGET = 4,   /* changes that have to be free for writing the view */
+    /* With fewer silent or unreachable machines, the fault may well be theirs and not this
+     * controller's. */
+    SILENT_MACHINES_MIN = 3,
+    VIEW_WRITE_BUDGET_MIN = 4, /* changes that must be left in the write budget for the view */
     PROBE_ANSWER_BYTES = 1024 * 1024
 };
 
@@ -38,7 +40,7 @@
                           pm_clock_monotonic());
 }
 
-static void on_peer_heard(void *arg, int peer)
+static void on_peer_request_received(void *arg, int peer)
 {
     pm_links_record_peer_request(((struct pm_controller *)arg)->links, peer, pm_clock_monotonic());
 }
@@ -49,12 +51,14 @@
 }
 
 /* Whether this controller places tasks on the machine. */
-static bool is_ours(const struct pm_controller *controller, const struct pm_machine *machine)
+static bool is_managed_here(const struct pm_controller *controller,
+                            const struct pm_machine *machine)
 {
     return machine && machine->state == PM_MACHINE_UP && !machine->shard.owner &&
            controller->is_active;
 }
 
+/* Adds the address to the census, if it is known and the list is not full. */
 static void add_endpoint(struct pm_links_zone_census *census, const char *endpoint)
 {
     for (int i = 0; i < PM_VIEW_ENDPOINTS && endpoint[0]; i++)
@@ -64,9 +68,10 @@
         }
 }
 
-/* Addresses for the other controllers' probes are those of machines that are heard, and, where
- * there are too few, of silent ones, which another controller may reach. */
-static void count_zones(struct pm_controller *controller, double now)
+/* Counts the machines of each zone, and collects addresses of some for other controllers to probe.
+ * Addresses of machines whose heartbeats arrive come first; where these are too few, those of
+ * silent machines are added, because another controller may reach them. */
+static void record_zone_censuses(struct pm_controller *controller, double now)
 {
     struct pm_links_zone_census census[PM_ZONES_MAX] = {0};
     struct pm_links_zone_census silent[PM_ZONES_MAX] = {0};
@@ -74,7 +79,7 @@
 
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *machine = g_ptr_array_index(all, i);
-        if (!is_ours(controller, machine) || machine->zone < 0)
+        if (!is_managed_here(controller, machine) || machine->zone < 0)
             continue;
         add_endpoint(pm_machine_missed_heartbeat(machine, controller->settings, now)
                          ? &silent[machine->zone]
@@ -94,7 +99,7 @@
 
 /* ---- probes ---- */
 
-/* The HTTP client's observer has told of the call. */
+/* Does nothing, because on_call_ended has already recorded the call. */
 static void on_probe_done(void *arg, int status, const unsigned char *body, size_t size)
 {
     (void)arg;
@@ -103,16 +108,17 @@
     (void)size;
 }
 
-static void on_read_done(void *arg, bool ok)
+/* Does nothing, because on_call_ended has already recorded the call. */
+static void on_state_probe_done(void *arg, bool ok)
 {
     (void)arg;
     (void)ok;
 }
 
-static void probe(struct pm_controller *controller, double now)
+static void send_probes(struct pm_controller *controller, double now)
 {
     if (pm_links_is_state_probe_due(controller->links, now))
-        pm_store_linearizable_read(controller->store, on_read_done, controller);
+        pm_store_linearizable_read(controller->store, on_state_probe_done, controller);
     if (pm_links_is_cloud_probe_due(controller->links, now))
         pm_http_call(controller->http, controller->settings->cloud_addr, "GET", "/machine_types",
                      NULL, 0, PROBE_TIMEOUT_S, PROBE_ANSWER_BYTES, on_probe_done, controller);
@@ -124,7 +130,7 @@
     }
 }
 
-/* ---- what is written and decided ---- */
+/* ---- this controller's view, and stepping down ---- */
 
 static void on_view_written(void *arg, enum pm_store_result result, uint64_t store_revision,
                             const cbor_item_t *conflicting_keys)
@@ -145,7 +151,7 @@
     if (controller->view_write_in_flight || !pm_links_is_write_due(controller->links, now) ||
         !pm_controller_is_store_writable(controller, now) ||
         pm_election_protocol_version(controller->election) < PM_PROTOCOL_LINKS ||
-        pm_store_write_budget(controller->store, now) < VIEW_WRITE_BUDGET)
+        pm_store_write_budget(controller->store, now) < VIEW_WRITE_BUDGET_MIN)
         return;
     controller->view_write_in_flight = true;
     snprintf(key, sizeof key, PM_KEY_VIEW_PREFIX "%s", controller->settings->name);
@@ -155,8 +161,9 @@
     pm_store_commit(controller->store, &txn, on_view_written, controller);
 }
 
-/* Cut off from the workers alone, a leader only lets their leases expire: another one may reach
- * them. */
+/* Steps down if the heartbeats of all workers, or this leader's answers to most of them, no longer
+ * arrive. A leader that is cut off from the workers alone can only let their leases expire, while
+ * another controller may still reach them. */
 static void step_down_if_unreachable(struct pm_controller *controller, double now)
 {
     GPtrArray *all = pm_workers_all(controller->workers);
@@ -169,23 +176,24 @@
         return;
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *machine = g_ptr_array_index(all, i);
-        if (!is_ours(controller, machine))
+        if (!is_managed_here(controller, machine))
             continue;
         up_count++;
-        /* Answers to pushes do not count: a worker whose heartbeats arrive nowhere loses its lease.
-         */
+        /* Answers to pushes do not count, because a worker whose heartbeats reach no controller
+         * loses its lease. */
         silent += now - MAX(machine->heartbeat.last_at, controller->elected_at) >= silence_s;
         unreachable += pm_machine_is_unreachable(machine, now);
     }
-    /* Any heartbeat counts, also one that an outage keeps from being answered. */
+    /* Any heartbeat that arrives counts, even one that can't be answered because of an outage. */
     if (silent >= SILENT_MACHINES_MIN && now - controller->last_heartbeat_at >= silence_s)
-        pm_election_step_down(controller->election, "no worker is heard");
+        pm_election_step_down(controller->election, "no worker's heartbeat arrives");
     else if (unreachable >= SILENT_MACHINES_MIN && 2 * unreachable > up_count &&
              pm_election_is_confirmed(controller->election, now))
-        pm_election_step_down(controller->election, "the workers do not hear us");
+        pm_election_step_down(controller->election,
+                              "most workers do not receive this controller's answers");
 }
 
-void pm_controller_yield_lead_if_unfit(struct pm_controller *controller, double now)
+void pm_controller_step_down_if_unfit(struct pm_controller *controller, double now)
 {
     if (pm_links_should_yield_lead(controller->links, now - controller->elected_at, now))
         pm_election_step_down(controller->election, "another controller has better links");
@@ -197,13 +205,13 @@
 void pm_controller_tick_links(struct pm_controller *controller, double now)
 {
     if (controller->operator_settings->links.observe)
-        count_zones(controller, now);
+        record_zone_censuses(controller, now);
     pm_links_tick(controller->links, controller->is_leader, pm_election_epoch(controller->election),
                   now);
     pm_api_set_cut_off(controller->api, pm_links_is_cut_off(controller->links));
     if (!controller->operator_settings->links.observe)
         return;
-    probe(controller, now);
+    send_probes(controller, now);
     write_view(controller, now);
 }
 
@@ -215,8 +223,8 @@
     if (setting->trace_dir[0]) {
         controller->trace = pm_links_trace_new(setting->trace_dir, controller->settings->name,
                                                setting->trace_mb, err, sizeof err);
-        if (!controller->trace) /* the service goes on without */
-            pm_error("links.trace", "%s", err);
+        if (!controller->trace) /* the controller runs without a trace */
+            pm_error("links.trace", "no trace is written: %s", err);
     }
     controller->links = pm_links_new(controller->settings, setting, controller->trace);
     if (setting->observe)
@@ -230,5 +238,6 @@
     pm_election_attach_links(
         controller->election,
         &(struct pm_election_links){controller->operator_settings->links.probe_s, on_encode_views,
-                                    on_decode_views, on_peer_heard, on_candidate_wait, controller});
+                                    on_decode_views, on_peer_request_received, on_candidate_wait,
+                                    controller});
 }
--- a/src/cmd/pumicemount/planner.c
+++ b/src/cmd/pumicemount/planner.c
@@ -1,23 +1,28 @@
-/* The planner's thread, and what follows from a plan: what is written back, pushed to workers and
- * requested of the provider. Each of these runs again only after a rest that grows with its cost,
- * so that on a large fleet, or a slow machine, workers and users are still answered. */
+/* Runs the planner's thread and the work after each plan: write-back, pushes to workers, and the
+ * autoscaler. Plans, write-backs and autoscaler runs are each followed by a pause that grows with
+ * their duration, so that workers and users are still answered in time with a large fleet or on a
+ * slow machine. */
 #include "base/clock.h"
 #include "internal.h"
 
-#define PLAN_INTERVAL_S 0.03 /* plans are made no more often than this, */
-#define PLAN_REST_FACTOR 8   /* nor before this many times as long as they take, */
-#define PLAN_REST_MAX_S 0.6  /* if that is not longer than this */
-#define SIZING_REST_FACTOR 15
-#define SIZING_REST_MAX_S 1
-#define COMMIT_REST_FACTOR 6
-#define COMMIT_REST_MAX_S 0.05
-#define TIMER_MIN_S 0.002
-#define COST_WEIGHT 0.3 /* of the latest cost in the moving average */
+#define PLAN_INTERVAL_MIN_S 0.03 /* from the start of a plan to the start of the next */
+/* A pause is the duration of the work times a factor, up to a maximum. The pause of plans counts
+ * from the start of the last plan, the other pauses count from the end of the last run. */
+#define PLAN_PAUSE_FACTOR 8
+#define PLAN_PAUSE_MAX_S 0.6
+#define AUTOSCALER_PAUSE_FACTOR 15
+#define AUTOSCALER_PAUSE_MAX_S 1
+#define COMMIT_PAUSE_FACTOR 6
+#define COMMIT_PAUSE_MAX_S 0.05
+#define TIMER_MIN_S 0.002          /* the shortest delay of a timer */
+#define LATEST_DURATION_WEIGHT 0.3 /* of the latest duration in a moving average */
+/* Without an answer for longer than this, the state service counts as not writable. */
 #define STORE_SILENCE_MAX_S 1.5
 
-static double update_cost(double average_s, double latest_s)
+/* Returns the moving average, updated with the latest value. */
+static double update_mean(double mean_s, double latest_s)
 {
-    return average_s * (1 - COST_WEIGHT) + latest_s * COST_WEIGHT;
+    return mean_s * (1 - LATEST_DURATION_WEIGHT) + latest_s * LATEST_DURATION_WEIGHT;
 }
 
 static void restart_timer(struct ev_loop *loop, ev_timer *timer, double seconds)
@@ -71,7 +76,8 @@
         if (controller->is_active && controller->tables.type_count) {
             double started_at = pm_clock_monotonic();
             plan(controller);
-            planning->cost_s = update_cost(planning->cost_s, pm_clock_monotonic() - started_at);
+            planning->mean_duration_s =
+                update_mean(planning->mean_duration_s, pm_clock_monotonic() - started_at);
         }
         g_mutex_unlock(&controller->lock);
         ev_async_send(controller->loop, &planning->done);
@@ -86,7 +92,7 @@
 
     (void)loop;
     (void)events;
-    planning->started_at = pm_clock_monotonic();
+    planning->woken_at = pm_clock_monotonic();
     g_mutex_lock(&planning->wake_lock);
     planning->is_due = true;
     g_cond_signal(&planning->wake);
@@ -96,18 +102,19 @@
 void pm_controller_plan_soon(struct pm_controller *controller)
 {
     struct pm_controller_planning *planning = &controller->planning;
-    double rest;
+    double pause_s;
 
     if (!controller->is_active || ev_is_active(&planning->timer))
         return;
-    rest = MIN(MAX(PLAN_INTERVAL_S, PLAN_REST_FACTOR * planning->cost_s), PLAN_REST_MAX_S);
+    pause_s = MIN(MAX(PLAN_INTERVAL_MIN_S, PLAN_PAUSE_FACTOR * planning->mean_duration_s),
+                  PLAN_PAUSE_MAX_S);
     restart_timer(controller->loop, &planning->timer,
-                  planning->started_at + rest - pm_clock_monotonic());
+                  planning->woken_at + pause_s - pm_clock_monotonic());
 }
 
 /* ---- write-back ---- */
 
-static struct pm_commit_conditions conditions_of(const struct pm_controller *controller)
+static struct pm_commit_conditions commit_conditions(const struct pm_controller *controller)
 {
     struct pm_commit_conditions conditions = {
         .epoch_revision = pm_election_epoch_revision(controller->election),
@@ -124,21 +131,23 @@
 {
     struct pm_controller_committing *committing = &controller->committing;
     double now = pm_clock_monotonic();
-    double rest = MIN(COMMIT_REST_FACTOR * committing->cost_s, COMMIT_REST_MAX_S);
+    double pause_s = MIN(COMMIT_PAUSE_FACTOR * committing->mean_duration_s, COMMIT_PAUSE_MAX_S);
     struct pm_commit_conditions conditions;
     double next_at;
 
     if (!controller->is_active)
         return;
-    if (now < committing->ended_at + rest) { /* what has come since is written together */
-        restart_timer(controller->loop, &committing->timer, committing->ended_at + rest - now);
+    if (now < committing->ended_at + pause_s) {
+        /* The changes that come up during the pause are then written together. */
+        restart_timer(controller->loop, &committing->timer, committing->ended_at + pause_s - now);
         return;
     }
     pm_scheduler_recheck_quota(controller->scheduler, now);
-    conditions = conditions_of(controller);
+    conditions = commit_conditions(controller);
     next_at = pm_commit_run(controller->commit, &conditions, now, pm_clock_wall());
     committing->ended_at = pm_clock_monotonic();
-    committing->cost_s = update_cost(committing->cost_s, committing->ended_at - now);
+    committing->mean_duration_s =
+        update_mean(committing->mean_duration_s, committing->ended_at - now);
     ev_timer_stop(controller->loop, &committing->timer);
     if (next_at > 0)
         restart_timer(controller->loop, &committing->timer, next_at - now);
@@ -151,25 +160,25 @@
     pm_controller_commit(watcher->data);
 }
 
-/* ---- what follows from a plan ---- */
+/* ---- work after a plan ---- */
 
 static void run_autoscaler(struct pm_controller *controller)
 {
-    struct pm_controller_sizing *sizing = &controller->sizing;
+    struct pm_controller_autoscaling *autoscaling = &controller->autoscaling;
     double now = pm_clock_monotonic();
-    double rest = MIN(SIZING_REST_FACTOR * sizing->cost_s, SIZING_REST_MAX_S);
-    bool may_give_up;
+    double pause_s =
+        MIN(AUTOSCALER_PAUSE_FACTOR * autoscaling->last_duration_s, AUTOSCALER_PAUSE_MAX_S);
+    bool may_terminate_silent;
 
-    if (now < sizing->ended_at + rest)
+    if (now < autoscaling->ended_at + pause_s)
         return;
-    /* A process that was not run for a while has missed heartbeats: no machine is given up for
-     * that. */
-    may_give_up = pm_controller_is_store_writable(controller, now) &&
-                  !pm_links_is_lagging(controller->links, now);
-    pm_autoscaler_set_writable(controller->autoscaler, may_give_up, now);
+    /* A process that was suspended has missed heartbeats: no machine is terminated for that. */
+    may_terminate_silent = pm_controller_is_store_writable(controller, now) &&
+                           !pm_links_is_lagging(controller->links, now);
+    pm_autoscaler_set_writable(controller->autoscaler, may_terminate_silent, now);
     pm_autoscaler_run(controller->autoscaler, now, pm_clock_wall());
-    sizing->ended_at = pm_clock_monotonic();
-    sizing->cost_s = sizing->ended_at - now;
+    autoscaling->ended_at = pm_clock_monotonic();
+    autoscaling->last_duration_s = autoscaling->ended_at - now;
 }
 
 static void on_plan_done(struct ev_loop *loop, ev_async *watcher, int events)
--- a/src/cmd/pumicemount/reconciliation.c
+++ b/src/cmd/pumicemount/reconciliation.c
@@ -1,6 +1,6 @@
-/* What is looked after by the clock: leases of workers, workers that are not heard, the stored
- * ledger (p/ledger), and the log of the state. Runs in the event-loop thread every
- * PM_CONTROLLER_RECONCILE_S. */
+/* Periodic work: expiry of workers' leases, probes of workers without recent heartbeats, writes of
+ * the stored ledger (p/ledger), and the log of the cluster's state. Runs in the event-loop thread
+ * every PM_CONTROLLER_RECONCILE_INTERVAL_S. */
 #include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
@@ -10,15 +10,21 @@
 
 #define LEDGER_INTERVAL_S 5.0
 #define LOG_INTERVAL_S 10.0
-#define ADVANCE_EPOCH_INTERVAL_S 6.0 /* for unknown outcomes of launches */
+/* The shortest interval between advances of the epoch for launches of unknown outcome. */
+#define ADVANCE_EPOCH_INTERVAL_S 6.0
+/* The epoch is advanced only for a worker whose last message is younger than this. */
 #define RECENT_MESSAGE_S 3.0
-/* A worker is asked once its heartbeat is late by this factor and this span. */
+/* A heartbeat is late, and the worker is probed, after the heartbeat interval times the factor plus
+ * the fixed delay. */
 #define LATE_HEARTBEAT_FACTOR 1.25
 #define LATE_HEARTBEAT_S 0.4
 
 enum {
-    PROBES_MAX = 150,       /* workers that are asked at a time */
-    LEDGER_WRITE_BUDGET = 6 /* changes that have to be free for the ledger, at first */
+    /* A run sends no more probes once this many workers have a push in flight, so that not all
+     * workers are probed at once. */
+    PROBES_MAX = 150,
+    /* Changes that must be left in the write budget for the ledger to be written on time. */
+    LEDGER_WRITE_BUDGET_MIN = 6
 };
 
 /* ---- the stored ledger ---- */
@@ -31,14 +37,14 @@
 
     (void)conflicting_keys;
     if (result == PM_STORE_REJECTED)
-        pm_error("controller.ledger_rejected", "the state service refuses p/ledger");
+        pm_error("controller.ledger_rejected", "the state service rejected the write of p/ledger");
     if (result == PM_STORE_OK)
         ledger->revision = MAX(ledger->revision, store_revision);
     ledger->write_in_flight = false;
 }
 
-/* Launches come first in the write budget, though not for long: the next leader reads the ledger.
- */
+/* Launches take precedence over the ledger in the write budget, but they delay it by one interval
+ * at most, because the next leader needs it. */
 static bool is_ledger_due(struct pm_controller *controller, double now)
 {
     const struct pm_controller_ledger *ledger = &controller->ledger;
@@ -46,7 +52,7 @@
 
     if (ledger->write_in_flight || age_s < LEDGER_INTERVAL_S)
         return false;
-    return pm_store_write_budget(controller->store, now) >= LEDGER_WRITE_BUDGET ||
+    return pm_store_write_budget(controller->store, now) >= LEDGER_WRITE_BUDGET_MIN ||
            age_s >= 2 * LEDGER_INTERVAL_S;
 }
 
@@ -59,8 +65,8 @@
     controller->ledger.write_in_flight = true;
     controller->ledger.written_at = now;
     pm_txn_compare(&txn, PM_KEY_EPOCH, pm_election_epoch_revision(controller->election));
-    /* A write that is carried out late must not replace a newer one: it would say of a time long
-     * past which zones were silent. */
+    /* A write that is applied late must not replace a newer one: it would restore an outdated
+     * record of which zones were silent. */
     pm_txn_compare(&txn, PM_KEY_LEDGER, controller->ledger.revision);
     pm_txn_put(&txn, PM_KEY_LEDGER);
     pm_scheduler_encode_ledger(controller->scheduler, now, pm_clock_wall(), &txn.writes);
@@ -70,67 +76,72 @@
 
 /* ---- workers' leases ---- */
 
-/* Monotonic time since when no other controller can have renewed the machine's lease; 0: unknown,
- * and INFINITY: not yet. */
-static double lease_lower_bound(struct pm_controller *controller, struct pm_machine *machine)
+/* Returns the monotonic time since which no other controller can have renewed the machine's lease:
+ * 0 if it is unknown, INFINITY if another controller may still renew it. */
+static double lease_exclusive_since(struct pm_controller *controller, struct pm_machine *machine)
 {
     struct pm_machine_lease *lease = &machine->lease;
-    double bound = lease->lower_bound;
+    double exclusive_since = lease->lower_bound;
 
-    if (!bound && controller->is_leader) {
-        bound = pm_election_lease_lower_bound(controller->election, lease->reclaimed_epoch);
-        if (lease->reclaimed_epoch && isfinite(bound))
-            lease->lower_bound = bound;
+    if (!exclusive_since && controller->is_leader) {
+        exclusive_since =
+            pm_election_lease_lower_bound(controller->election, lease->reclaimed_epoch);
+        if (lease->reclaimed_epoch && isfinite(exclusive_since))
+            lease->lower_bound = exclusive_since;
     }
-    return MAX(bound, pm_election_exclusive_since(controller->election));
+    return MAX(exclusive_since, pm_election_exclusive_since(controller->election));
 }
 
-/* A worker whose lease nobody can have renewed has killed its tasks, if it still runs. The lease
- * counts from our last answer to it, or, before we ever answered it, from the lower bound. */
+/* Marks the placements of workers whose lease has certainly expired as lost: such a worker, if it
+ * still runs, has killed its tasks. The lease runs from this controller's last answer to the
+ * worker; before the first answer it runs from the time since which no other controller can have
+ * renewed it. */
 static void expire_leases(struct pm_controller *controller, double now)
 {
     GPtrArray *machines = pm_workers_all(controller->workers);
 
-    /* Cut off, we hear nothing because workers report to a later leader: that proves nothing, and
-     * terminating their machines as idle would end what runs there. */
+    /* A controller that is cut off receives no heartbeats because the workers report to a later
+     * leader. That does not prove that their tasks have ended, and terminating their machines as
+     * idle would kill tasks that still run. */
     if (!pm_election_is_confirmed(controller->election, now))
         return;
     for (guint i = 0; i < machines->len; i++) {
         struct pm_machine *machine = g_ptr_array_index(machines, i);
-        double bound;
+        double exclusive_since;
         if (!machine || !machine->placements->len || machine->shard.owner)
             continue;
-        bound = lease_lower_bound(controller, machine);
-        if (!pm_workers_is_lease_expired(machine, bound, controller->settings->lease_s, now))
+        exclusive_since = lease_exclusive_since(controller, machine);
+        if (!pm_workers_is_lease_expired(machine, exclusive_since, controller->settings->lease_s,
+                                         now))
             continue;
-        pm_info("worker.lease_expired", "%s with %u placements", machine->name,
+        pm_info("worker.lease_expired", "%s: its %u placements are lost", machine->name,
                 machine->placements->len);
         pm_workers_mark_lost(controller->workers, machine, now);
         pm_controller_plan_soon(controller);
     }
 }
 
-/* ---- workers that are not heard ---- */
+/* ---- probes of workers ---- */
 
-/* Whether the worker's answer to a command would tell something. */
-static bool is_worth_probing(const struct pm_controller *controller,
-                             const struct pm_machine *machine, double now)
+/* Whether the worker's answer to a probe would show something that its heartbeats do not. */
+static bool should_probe(const struct pm_controller *controller, const struct pm_machine *machine,
+                         double now)
 {
     double late_s = LATE_HEARTBEAT_FACTOR * controller->settings->heartbeat_s + LATE_HEARTBEAT_S;
 
     if (!machine->heartbeat.is_known && machine->endpoint[0] && machine->provider.is_listed)
         return true;
-    /* Does it receive what we send, and is it there at all? */
+    /* The answer shows that the worker receives what we send, and that its machine exists. */
     if (machine->heartbeat.is_known &&
         (machine->delivery.failures || !pm_machine_is_verified(machine)))
         return true;
-    /* It may reach another controller only. */
+    /* The worker may run and reach only other controllers. */
     return machine->state == PM_MACHINE_UP && now - machine->heartbeat.last_message_at > late_s;
 }
 
-/* Whether a launch to the machine may still be carried out, and a later token would prevent that.
- */
-static bool has_unknown_outcome(const struct pm_controller *controller,
+/* Whether the epoch should be advanced for this machine's sake: a launch that got no answer may
+ * still reach its worker, and the worker would refuse it after seeing a later fencing token. */
+static bool needs_epoch_advance(const struct pm_controller *controller,
                                 const struct pm_machine *machine, double now)
 {
     uint64_t epoch = machine->push.unknown_outcome_epoch;
@@ -143,37 +154,37 @@
 void pm_controller_probe_workers(struct pm_controller *controller, double now)
 {
     GPtrArray *machines = pm_workers_all(controller->workers);
-    bool is_outcome_unknown = false;
+    bool is_epoch_advance_needed = false;
     int probes = 0;
 
     for (guint i = 0; i < machines->len; i++) {
         struct pm_machine *machine = g_ptr_array_index(machines, i);
         if (!machine || machine->state == PM_MACHINE_RELEASING || machine->shard.owner)
             continue;
-        is_outcome_unknown |= has_unknown_outcome(controller, machine, now);
+        is_epoch_advance_needed |= needs_epoch_advance(controller, machine, now);
         if (probes >= PROBES_MAX)
-            continue; /* the next time: not all workers at once */
-        /* The answer is the worker's report, and brings it our token; it comes even where the
-         * incarnation does not match. */
-        if (is_worth_probing(controller, machine, now))
+            continue; /* a later run probes this worker */
+        /* The worker answers with its report and learns our fencing token, even if the incarnation
+         * in the request is not its own. */
+        if (should_probe(controller, machine, now))
             pm_controller_push_commands(controller, machine, true);
         probes += machine->push.in_flight != 0;
     }
-    if (is_outcome_unknown && controller->is_leader &&
+    if (is_epoch_advance_needed && controller->is_leader &&
         now - controller->epoch_advanced_at > ADVANCE_EPOCH_INTERVAL_S) {
         controller->epoch_advanced_at = now;
         pm_election_advance_epoch(controller->election, NULL, 0);
     }
 }
 
-/* ---- the log of the state ---- */
+/* ---- log of the cluster's state ---- */
 
 static void count_machine(struct pm_controller *controller, const struct pm_machine *machine,
                           struct pm_controller_counts *counts, double now)
 {
     counts->machines_up += machine->state == PM_MACHINE_UP && !machine->shard.owner;
     counts->machines_booting += machine->state == PM_MACHINE_BOOTING;
-    counts->machines_leased += machine->shard.owner > 0;
+    counts->machines_assigned += machine->shard.owner > 0;
     counts->machines_silent += machine->state == PM_MACHINE_UP && !machine->shard.owner &&
                                pm_machine_missed_heartbeat(machine, controller->settings, now);
     if (machine->state != PM_MACHINE_UP)
@@ -222,15 +233,15 @@
     controller->state_logged_at = now;
     counts = pm_controller_count(controller, now);
     pm_info("controller.state",
-            "machines up %d (%d silent), leased out %d, booting %d; cpus %.0f, idle %.0f; jobs %u, "
-            "tasks placed %u, waiting %u, at owners of shards %u",
-            counts.machines_up, counts.machines_silent, counts.machines_leased,
+            "machines up %d (%d silent), assigned to shards %d, booting %d; cpus %.0f, idle %.0f; "
+            "active jobs %u; tasks placed %u, waiting %u, delegated to shards %u",
+            counts.machines_up, counts.machines_silent, counts.machines_assigned,
             counts.machines_booting, counts.cpus, counts.idle_cpus, counts.jobs,
             counts.tasks_placed, counts.tasks_waiting, counts.tasks_delegated);
     pm_scheduler_log_quota_usage(controller->scheduler);
 }
 
-/* What an active controller looks after. */
+/* The part of the periodic work that only an active controller does. */
 static void reconcile(struct pm_controller *controller, double now)
 {
     expire_leases(controller, now);
@@ -239,7 +250,7 @@
     if (controller->is_leader) {
         write_ledger(controller, now);
         log_state(controller, now);
-        pm_controller_yield_lead_if_unfit(controller, now);
+        pm_controller_step_down_if_unfit(controller, now);
     }
     pm_controller_plan_soon(controller);
 }
--- a/src/cmd/pumicemount/singleton_roles.c
+++ b/src/cmd/pumicemount/singleton_roles.c
@@ -1,5 +1,5 @@
-/* Singleton roles: the conditions that the roles slice goes by, what follows from it, and garbage
- * collection of stored keys. Runs in the event-loop thread. */
+/* Drives the singleton roles: passes the roles slice its conditions, handles acquired and drained
+ * roles, and collects garbage among the stored keys. Runs in the event-loop thread. */
 #include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
@@ -8,22 +8,26 @@
 
 #include <stdio.h>
 
-#define GC_INTERVAL_S 1.0 /* between two looks through the stored keys */
+#define GC_INTERVAL_S 1.0 /* between two searches for keys to delete */
 
-enum { GC_SPARE_WRITES = 6 }; /* changes that stay free in the write budget */
+/* Changes that garbage collection leaves in the write budget for other writes. */
+enum { GC_RESERVED_WRITES = 6 };
 
 static void on_role_acquired(void *arg)
 {
-    pm_controller_plan_soon(arg); /* the autoscaler finishes the open intents */
+    /* The autoscaler, which runs after the plan, completes the open intents. */
+    pm_controller_plan_soon(arg);
 }
 
-/* Scale-out and scale-in belong to the leader, so that draining one of them makes it step down. */
+/* Only the leader can have the roles scale-out and scale-in, so it steps down if an operator drains
+ * one of them. */
 static void on_role_drained(void *arg, enum pm_role role)
 {
     struct pm_controller *controller = arg;
 
     if (role != PM_ROLE_GARBAGE_COLLECTION)
-        pm_election_step_down(controller->election, "drained by an operator");
+        pm_election_step_down(controller->election,
+                              "an operator drained one of the leader's roles");
 }
 
 /* ---- garbage collection ---- */
@@ -36,31 +40,33 @@
 
     (void)store_revision;
     (void)conflicting_keys;
-    controller->gc_run.in_flight = false;
+    controller->gc_run.write_in_flight = false;
     snprintf(detail, sizeof detail, "status %d", result);
     pm_roles_log_action(controller->roles, PM_ROLE_GARBAGE_COLLECTION, "cleaned", "stored keys",
                         detail);
 }
 
-/* Deletes some keys that nobody needs. The transaction fails for a controller that has lost the
- * role. */
+/* Deletes unused keys, as many as the write budget and the limit of a transaction allow. The
+ * transaction compares the role's fencing token, so it fails if this controller has lost the role.
+ */
 static void collect_garbage(struct pm_controller *controller, double now)
 {
-    int deletes_max = MIN(pm_store_write_budget(controller->store, now) - GC_SPARE_WRITES,
+    int deletes_max = MIN(pm_store_write_budget(controller->store, now) - GC_RESERVED_WRITES,
                           controller->settings->store_txn_ops);
     uint64_t token = pm_roles_token(controller->roles, PM_ROLE_GARBAGE_COLLECTION);
     struct pm_txn txn = {0};
 
-    if (controller->gc_run.in_flight || now - controller->gc_run.checked_at < GC_INTERVAL_S ||
-        deletes_max < 1 || !pm_roles_is_holder(controller->roles, PM_ROLE_GARBAGE_COLLECTION, now))
+    if (controller->gc_run.write_in_flight ||
+        now - controller->gc_run.last_run_at < GC_INTERVAL_S || deletes_max < 1 ||
+        !pm_roles_is_holder(controller->roles, PM_ROLE_GARBAGE_COLLECTION, now))
         return;
-    controller->gc_run.checked_at = now;
+    controller->gc_run.last_run_at = now;
     pm_txn_compare(&txn, PM_KEY_ROLE_PREFIX "clean", token);
     if (!pm_gc_add_due_deletes(controller->gc, &txn, deletes_max, now)) {
         pm_txn_free(&txn);
         return;
     }
-    controller->gc_run.in_flight = true;
+    controller->gc_run.write_in_flight = true;
     pm_store_commit(controller->store, &txn, on_garbage_deleted, controller);
 }
 
@@ -77,7 +83,8 @@
     collect_garbage(controller, now);
 }
 
-/* NULL where none is to be kept, or it can't be written: the service goes on without. */
+/* Returns NULL if the settings ask for no audit log, or if it can't be opened; the controller then
+ * runs without one. */
 static struct pm_audit_log *open_audit_log(const struct pm_controller *controller)
 {
     const struct pm_roles_setting *setting = &controller->operator_settings->roles;
@@ -90,7 +97,7 @@
         pm_audit_log_new(setting->audit_log_dir, controller->settings->name,
                          setting->audit_log_period_s, setting->audit_log_mb, err, sizeof err);
     if (!audit_log)
-        pm_error("audit_log.error", "%s", err);
+        pm_error("audit_log.error", "no audit log is written: %s", err);
     return audit_log;
 }
 
