--- a/src/roles/acquisition.c
+++ b/src/roles/acquisition.c
@@ -1,23 +1,26 @@
-/* Acquiring roles, by one transaction that compares what the replica has, and losing them. */
+/* Acquires roles, by a transaction that compares the revisions of their keys in the replica, and
+ * marks roles as acquired or lost. */
 #include "base/keys.h"
 #include "base/clock.h"
 #include "roles/internal.h"
 
 #include <string.h>
 
-/* A role that is not bound to the leader is acquired after it was without a holder for this long;
- * the leader, which has other work, leaves it to the others for longer. */
-#define VACANT_S 0.6
-#define LEADER_VACANT_S 4.0
+/* A controller acquires a role that is not bound to the leader after the role has been vacant for
+ * this long. */
+#define ACQUIRE_DELAY_S 0.6
+/* The leader has other work, so it waits longer and leaves the role to another controller. */
+#define LEADER_ACQUIRE_DELAY_S 4.0
 
+/* A transaction in flight that acquires roles. */
 struct acquire_request {
     struct pm_roles *roles;
-    bool wanted[PM_ROLE_COUNT];
-    uint64_t lease_id; /* the lease that the keys are attached to */
-    bool as_leader;
+    bool wanted[PM_ROLE_COUNT]; /* the roles that the transaction acquires */
+    uint64_t lease_id;          /* the lease to which it attaches their keys */
+    bool as_leader;             /* it compares the epoch, and is valid only while leading */
 };
 
-/* ---- what this controller has ---- */
+/* ---- roles held by this controller ---- */
 
 bool pm_roles_is_own_holder(const struct pm_roles *roles, const struct pm_role_holder *holder)
 {
@@ -53,8 +56,9 @@
 
 /* ---- the transaction ---- */
 
-/* Whether what the transaction was sent under still holds: another lease, or the loss of leadership
- * in the meantime, makes its success worthless. */
+/* Whether the roles that the transaction acquired may be used. They may not if this controller got
+ * another lease since it sent the transaction, or lost the leadership on which the transaction
+ * relied. */
 static bool is_request_current(const struct acquire_request *request)
 {
     const struct pm_roles *roles = request->roles;
@@ -84,6 +88,7 @@
     g_free(request);
 }
 
+/* Appends the stored value that names this controller as holder. */
 static void encode_holder(const struct pm_roles *roles, struct pm_buffer *out)
 {
     pm_cbor_put_map(out);
@@ -93,6 +98,7 @@
     pm_cbor_put_end(out);
 }
 
+/* Adds the acquisition of one role to the transaction. */
 static void add_acquire(struct pm_roles *roles, struct pm_txn *txn, enum pm_role role)
 {
     const struct pm_role_state *state = &roles->states[role];
@@ -105,7 +111,7 @@
     pm_txn_put_end(txn, roles->lease.id);
     if (!state->drain_request.revision)
         return;
-    /* The request was for the previous holder. */
+    /* The drain request was meant for the previous holder, so it is deleted. */
     pm_role_format_drain_key(role, key, sizeof key);
     pm_txn_compare(txn, key, state->drain_request.revision);
     pm_txn_delete(txn, key);
@@ -132,7 +138,7 @@
     pm_store_commit(roles->store, &txn, on_acquire_done, request);
 }
 
-/* ---- when to acquire ---- */
+/* ---- conditions for acquiring ---- */
 
 static bool may_acquire_as_leader(const struct pm_roles *roles, enum pm_role role)
 {
@@ -155,7 +161,7 @@
         send_acquire(roles, wanted, true);
 }
 
-/* Without a holder, or held by an earlier incarnation of this controller. */
+/* Whether the role has no holder, or is held by an earlier incarnation of this controller. */
 static bool is_vacant(const struct pm_roles *roles, const struct pm_role_holder *holder)
 {
     if (holder->is_unreadable)
@@ -170,16 +176,16 @@
 {
     struct pm_role_state *state = &roles->states[role];
     struct pm_role_claim *claim = &state->claim;
-    double wait_s = roles->conditions.is_leader ? LEADER_VACANT_S : VACANT_S;
+    double delay_s = roles->conditions.is_leader ? LEADER_ACQUIRE_DELAY_S : ACQUIRE_DELAY_S;
     bool wanted[PM_ROLE_COUNT] = {false};
 
     if (claim->token || claim->acquire_in_flight || !is_vacant(roles, &state->holder)) {
-        claim->vacant_at = 0;
+        claim->vacant_since_at = 0;
         return;
     }
-    if (!claim->vacant_at)
-        claim->vacant_at = now;
-    if (now < claim->backoff_until_at || now - claim->vacant_at < wait_s)
+    if (!claim->vacant_since_at)
+        claim->vacant_since_at = now;
+    if (now < claim->backoff_until_at || now - claim->vacant_since_at < delay_s)
         return;
     wanted[role] = true;
     send_acquire(roles, wanted, false);
--- a/src/roles/drain.c
+++ b/src/roles/drain.c
@@ -1,10 +1,11 @@
-/* Releasing a role at an operator's request. */
+/* Releases a role at an operator's request. */
 #include "base/clock.h"
 #include "roles/internal.h"
 
-/* A drained controller leaves the role to the others for this long. */
+/* After a drain, this controller leaves the role to the others for this long. */
 #define DRAIN_BACKOFF_S 15.0
 
+/* A transaction in flight that releases a role. */
 struct drain_transaction {
     struct pm_roles *roles;
     enum pm_role role;
@@ -27,7 +28,7 @@
     (void)store_revision;
     (void)conflicting_keys;
     claim->drain_in_flight = false;
-    /* The replica may have shown the deletes first: then the token is gone already. */
+    /* If the replica's feed showed the deletes before this answer, the role is already marked. */
     if (result == PM_STORE_OK && claim->token == drain->token)
         pm_roles_mark_drained(drain->roles, drain->role);
     g_free(drain);
--- a/src/roles/event_log.c
+++ b/src/roles/event_log.c
@@ -1,4 +1,4 @@
-/* Changes of holder, and actions for intents: to the log, the audit log and the trace. */
+/* Records changes of holders and actions under roles in the log, the audit log and the trace. */
 #include "base/log.h"
 #include "links/trace.h"
 #include "roles/audit_log.h"
@@ -26,8 +26,8 @@
     char token_text[TOKEN_TEXT_SIZE];
 
     snprintf(token_text, sizeof token_text, "%llu", (unsigned long long)token);
-    pm_info("role.change", "%s %s, token %s%s%s", role_name, event, token_text, *reason ? ": " : "",
-            reason);
+    pm_info("role.change", "role %s %s by this controller, fencing token %s%s%s", role_name, event,
+            token_text, *reason ? ": " : "", reason);
     if (roles->trace)
         pm_links_trace_change(roles->trace, "duty", role_name, token_text, event, reason);
     if (roles->audit_log)
--- a/src/roles/internal.h
+++ b/src/roles/internal.h
@@ -1,35 +1,38 @@
-/* Shared by the files of this directory that manage the singleton roles; not included elsewhere. */
+/* Types and functions shared by the files of this directory that manage the singleton roles. Not
+ * included anywhere else. */
 #ifndef PM_ROLES_INTERNAL_H
 #define PM_ROLES_INTERNAL_H
 
 #include "roles/roles.h"
 
-enum { PM_ROLES_INCARNATION_ID_SIZE = 24 }; /* bytes, with the NUL at its end */
+enum { PM_ROLES_INCARNATION_ID_SIZE = 24 }; /* bytes, including the terminating NUL */
 
-/* The holder's key, as the replica has it. Written by replica.c, and by acquisition.c when a
- * transaction of this controller has written the key. */
+/* The role's holder as stored under its key. Updated by replica.c, and by acquisition.c when this
+ * controller's own transaction has written the key. */
 struct pm_role_holder {
-    uint64_t revision; /* 0: there is no holder */
+    uint64_t revision; /* the key's revision, 0 if there is no holder */
     char name[PM_NAME_MAX];
     char incarnation_id[PM_ROLES_INCARNATION_ID_SIZE];
-    bool is_unreadable; /* the value is malformed: the key is left in place */
-    double changed_at;  /* monotonic seconds: the last change of holder; 0: none was seen */
+    bool is_unreadable; /* the stored value is malformed; the key is neither replaced nor deleted */
+    double changed_at;  /* monotonic time of the last change of holder, 0 if none was seen */
 };
 
-/* An operator's request to drain the role, as the replica has it. Written by replica.c. */
+/* An operator's request to drain the role, as stored under its key. Updated by replica.c. */
 struct pm_role_drain_request {
-    uint64_t revision; /* 0: there is no request */
-    uint64_t token;    /* of the holder that is to release the role; 0: none, or malformed */
+    uint64_t revision; /* the key's revision, 0 if there is no request */
+    /* The fencing token of the holder that is to release the role. 0 if there is no request, or its
+     * value is malformed. */
+    uint64_t token;
 };
 
-/* This controller's own claim on the role. Written by acquisition.c, but for what names another
- * file. */
+/* This controller's own claim on the role. Updated by acquisition.c, except for the fields that
+ * name drain.c. */
 struct pm_role_claim {
-    uint64_t token;          /* its fencing token; 0: this controller does not have the role */
-    bool acquire_in_flight;  /* acquisition.c */
-    bool drain_in_flight;    /* drain.c */
-    double vacant_at;        /* monotonic seconds: seen without a holder since; 0: it has one */
-    double backoff_until_at; /* monotonic seconds: not acquired before this time (drain.c) */
+    uint64_t token;          /* own fencing token, 0 if this controller does not hold the role */
+    bool acquire_in_flight;  /* a transaction to acquire the role is in flight */
+    bool drain_in_flight;    /* a transaction to release the role is in flight (drain.c) */
+    double vacant_since_at;  /* monotonic time since which the role is vacant, 0 if it is not */
+    double backoff_until_at; /* monotonic time before which the role is not acquired (drain.c) */
 };
 
 struct pm_role_state {
@@ -38,36 +41,38 @@
     struct pm_role_claim claim;
 };
 
-/* The lease to which the keys of this controller's roles are attached. Written by lease.c. */
+/* The lease to which the keys of this controller's roles are attached. Updated by lease.c. All
+ * times are in monotonic seconds. */
 struct pm_roles_lease {
-    uint64_t id;        /* 0: none */
-    double sent_at;     /* monotonic seconds: when the last grant or keep-alive was sent */
-    double renew_at;    /* monotonic seconds: the next grant or keep-alive is due */
-    double valid_until; /* monotonic seconds: lower bound of its expiry; 0: it has expired */
+    uint64_t id;        /* 0 if this controller has no lease */
+    double sent_at;     /* when the last grant or keep-alive request was sent */
+    double renew_at;    /* when the next grant or keep-alive request is due */
+    double valid_until; /* the lease does not expire before this time, 0 if it has expired */
     bool grant_in_flight, keep_alive_in_flight;
 };
 
-/* Open intents of all controllers. Written by intent_log.c and intent_closing.c, and by replica.c
+/* Open intents of all controllers. Updated by intent_log.c and intent_closing.c, and by replica.c
  * for deletes and snapshots. */
 struct pm_roles_intents {
     GHashTable *open;           /* name to struct pm_intent, owned */
-    GHashTable *writes;         /* name to struct intent_write: transactions in flight */
-    GHashTable *snapshot_names; /* names in the snapshot that is being read; NULL: none is */
-    uint64_t last_number;       /* of an intent that this controller wrote */
+    GHashTable *writes;         /* name to struct intent_write, for each write in flight */
+    GHashTable *snapshot_names; /* names in the snapshot being read, NULL between snapshots */
+    uint64_t last_number;       /* number of the last intent that this controller named */
+    /* For each role, whether a transaction that deletes closing intents is in flight. */
     bool close_in_flight[PM_ROLE_COUNT];
 };
 
 struct pm_roles {
-    /* Fixed when it is made. */
+    /* Set by pm_roles_new and never changed. */
     struct pm_store *store;
     const struct pm_settings *settings;
     const struct pm_roles_setting *setting;
     const char *incarnation_id;
-    struct pm_links_trace *trace;   /* NULL: none is written */
-    struct pm_audit_log *audit_log; /* NULL: none is written */
+    struct pm_links_trace *trace;   /* NULL if no trace is written */
+    struct pm_audit_log *audit_log; /* NULL if no audit log is written */
     struct pm_roles_hooks hooks;
 
-    struct pm_roles_conditions conditions; /* of the last tick */
+    struct pm_roles_conditions conditions; /* as passed to the last tick */
     struct pm_role_state states[PM_ROLE_COUNT];
     struct pm_roles_lease lease;
     struct pm_roles_intents intents;
@@ -75,52 +80,56 @@
 
 /* ---- event_log.c ---- */
 
-/* Writes an acquisition or a loss of the role to the log, the audit log and the trace. `event` and
- * `reason` ("": none) are stored in the audit log as they are. */
+/* Writes the acquisition or loss of the role to the log, the audit log and the trace. `event` and
+ * `reason` are stored unchanged in the audit log and the trace; `reason` may be "". */
 void pm_roles_log_change(struct pm_roles *roles, enum pm_role role, const char *event,
                          uint64_t token, const char *reason);
 
 /* ---- lease.c ---- */
 
-/* Sends a grant, or a keep-alive, when one is due at `now` (monotonic seconds) and none is in
- * flight. */
+/* Requests a lease, or keeps the existing one alive, if that is due at `now` (monotonic seconds)
+ * and no such request is in flight. */
 void pm_roles_keep_lease_alive(struct pm_roles *roles, double now);
 
 /* ---- acquisition.c ---- */
 
-/* Whether the holder's key, as the replica has it, was written by this incarnation. */
+/* Whether the holder is this process: it has this controller's name and incarnation id. */
 bool pm_roles_is_own_holder(const struct pm_roles *roles, const struct pm_role_holder *holder);
-/* Notes that this controller has the role under `token`; does nothing when it is known already. */
+/* Marks the role as held by this controller under `token`. Does nothing if it is already held under
+ * this or a later token. */
 void pm_roles_mark_acquired(struct pm_roles *roles, enum pm_role role, uint64_t token);
-/* Notes that this controller does not have the role any more; does nothing when it did not.
- * `reason` is stored in the audit log. */
+/* Marks the role as no longer held by this controller. Does nothing if the controller did not hold
+ * it. `reason` is stored unchanged in the audit log and the trace. */
 void pm_roles_mark_lost(struct pm_roles *roles, enum pm_role role, const char *reason);
-/* Acquires the roles that are bound to the leader, whoever has them: the compared epoch proves that
- * this controller leads. */
+/* Acquires the roles that are bound to the leader, also from another holder. The transaction
+ * compares the epoch, which proves that this controller leads. */
 void pm_roles_acquire_as_leader(struct pm_roles *roles);
-/* Acquires the role once it has had no holder for long enough at `now` (monotonic seconds). */
+/* Acquires the role if at `now` (monotonic seconds) it has been vacant for long enough and is not
+ * in back-off after a drain. */
 void pm_roles_acquire_if_vacant(struct pm_roles *roles, enum pm_role role, double now);
 
 /* ---- drain.c ---- */
 
-/* Notes that this controller released the role at an operator's request, and calls the hook. */
+/* Marks the role as released at an operator's request, starts its back-off and calls the hook
+ * `drained`. */
 void pm_roles_mark_drained(struct pm_roles *roles, enum pm_role role);
-/* Releases the role if a request to drain names this controller's token. The holder's key and the
- * request are deleted in one transaction. */
+/* Releases the role if a drain request names this controller's fencing token. One transaction
+ * deletes the holder's key and the request. */
 void pm_roles_drain_if_requested(struct pm_roles *roles, enum pm_role role);
 
 /* ---- intent_log.c ---- */
 
-/* Applies a put of an intent's key from the replica. */
+/* Applies a put of an intent's key from the replica's feed. */
 void pm_roles_apply_intent_put(struct pm_roles *roles, const char *key, const cbor_item_t *value,
                                uint64_t revision);
-/* How many intents of the role are open. */
+/* Returns the number of the role's open intents, those of all controllers. */
 unsigned pm_roles_count_open_intents(const struct pm_roles *roles, enum pm_role role);
 
 /* ---- intent_closing.c ---- */
 
-/* Deletes the keys of closing intents, as many as one transaction takes. Below a certain number of
- * them it waits for room in the write budget. `now` in monotonic seconds. */
+/* Deletes the keys of closing intents, up to the limit of one transaction. As long as few intents
+ * are closing, it deletes only as many as the write budget allows. Does nothing if this controller
+ * does not hold the role at `now` (monotonic seconds), or if such a transaction is in flight. */
 void pm_roles_delete_closed_intents(struct pm_roles *roles, enum pm_role role, double now);
 
 #endif
--- a/src/roles/lease.c
+++ b/src/roles/lease.c
@@ -1,10 +1,10 @@
-/* The lease to which the keys of this controller's roles are attached, and until when it allows
- * actions. */
+/* The lease to which the keys of this controller's roles are attached, and the time until which it
+ * allows this controller to act. */
 #include "base/clock.h"
 #include "roles/internal.h"
 
-#define KEEP_ALIVES_PER_TTL 3.5 /* so that two may fail before the lease expires */
-#define GRANT_RETRY_S 0.5
+#define KEEP_ALIVES_PER_TTL 3.5 /* two keep-alives in a row may fail before the lease expires */
+#define GRANT_RETRY_S 0.5       /* interval between requests while there is no lease */
 
 uint64_t pm_roles_token(const struct pm_roles *roles, enum pm_role role)
 {
@@ -21,8 +21,9 @@
     return now < pm_roles_valid_until(roles, role);
 }
 
-/* The lease runs in the state service from some time after the request was sent. Both clocks may
- * drift, hence twice the bound: here it expires no later than there. */
+/* Extends the validity after a grant or a keep-alive was answered. The state service counts the TTL
+ * from when it executed the request, which is later than `sent_at`. The clocks of both machines may
+ * drift, so twice the bound is deducted. The lease thus expires here no later than there. */
 static void extend_validity(struct pm_roles *roles)
 {
     double ttl_s = roles->setting->ttl_s;
@@ -39,7 +40,7 @@
         return;
     roles->lease.id = lease_id;
     extend_validity(roles);
-    pm_roles_tick(roles, &roles->conditions, pm_clock_monotonic()); /* acquire at once */
+    pm_roles_tick(roles, &roles->conditions, pm_clock_monotonic()); /* acquires roles at once */
 }
 
 static void expire(struct pm_roles *roles)
--- a/src/roles/replica.c
+++ b/src/roles/replica.c
@@ -1,4 +1,4 @@
-/* Applies the replica's feed: holders, requests to drain, and which intents are open. */
+/* Applies the replica's feed: the roles' holders, drain requests and open intents. */
 #include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
@@ -6,7 +6,8 @@
 
 #include <string.h>
 
-/* Whether the key starts with `prefix`; if so, sets `name` to what follows, borrowed from `key`. */
+/* Returns whether the key starts with `prefix`. If it does, sets `name` to the rest of the key,
+ * borrowed from `key`. */
 static bool split_key(const char *key, const char *prefix, const char **name)
 {
     if (!g_str_has_prefix(key, prefix))
@@ -17,7 +18,7 @@
 
 /* ---- puts ---- */
 
-/* Reads name, incarnation and lease of the holder. False: the value is malformed. */
+/* Decodes the holder's name, incarnation id and lease. Returns false if the value is malformed. */
 static bool decode_holder(struct pm_role_holder *holder, const cbor_item_t *value,
                           uint64_t *lease_id)
 {
@@ -27,6 +28,7 @@
            pm_cbor_read_count(pm_cbor_get(value, "lease"), lease_id);
 }
 
+/* Decodes the holder. A malformed value is logged, and makes the holder unreadable. */
 static void read_holder(struct pm_role_holder *holder, enum pm_role role, const cbor_item_t *value,
                         uint64_t *lease_id)
 {
@@ -34,8 +36,8 @@
     if (!holder->is_unreadable)
         return;
     pm_error("role.unreadable",
-             PM_KEY_ROLE_PREFIX "%s: malformed value, kept; nobody acquires "
-                                "the role",
+             PM_KEY_ROLE_PREFIX "%s: the holder's value is malformed; the key is kept, and no "
+                                "controller acquires the role",
              pm_role_name(role));
     holder->name[0] = 0;
     holder->incarnation_id[0] = 0;
@@ -61,7 +63,8 @@
     }
     if (lease_id != roles->lease.id)
         return;
-    /* The answer to the transaction that acquired it may have been lost. */
+    /* This controller wrote the key under its current lease, so it holds the role, even if the
+     * answer to the transaction that acquired the role was lost. */
     if (roles->conditions.is_leader || !pm_role_is_bound_to_leader(role))
         pm_roles_mark_acquired(roles, role, revision);
 }
@@ -75,7 +78,8 @@
     if (pm_cbor_read_count(pm_cbor_get(value, "token"), &request->token))
         return;
     request->token = 0;
-    pm_error("role.unreadable", PM_KEY_DRAIN_PREFIX "%s: malformed value, not obeyed",
+    pm_error("role.unreadable",
+             PM_KEY_DRAIN_PREFIX "%s: the drain request is malformed and ignored",
              pm_role_name(role));
 }
 
@@ -93,7 +97,7 @@
         if (pm_role_from_name(name, &role))
             put_holder(roles, role, value, revision);
         else
-            pm_error("role.unreadable", "%s: no such role, kept", key);
+            pm_error("role.unreadable", "%s: there is no such role; the key is kept", key);
         return true;
     }
     if (split_key(key, PM_KEY_DRAIN_PREFIX, &name)) {
@@ -121,7 +125,9 @@
     holder->changed_at = pm_clock_monotonic();
     if (revision <= own_token)
         return;
-    if (is_drain_requested) /* seen before the answer to the drain's transaction, or without one */
+    /* The feed may show the deletes before the drain's transaction is answered, or its answer may
+     * be lost. */
+    if (is_drain_requested)
         pm_roles_mark_drained(roles, role);
     else
         pm_roles_mark_lost(roles, role, "its key has gone");
@@ -162,7 +168,7 @@
     }
 }
 
-/* Removes open intents that the snapshot did not contain. */
+/* Removes the open intents that the snapshot did not contain. */
 static void remove_absent_intents(struct pm_roles_intents *intents)
 {
     GHashTableIter iter;
--- a/src/roles/roles.c
+++ b/src/roles/roles.c
@@ -1,4 +1,4 @@
-/* Construction, the periodic step, and the status for operators. */
+/* Construction, the periodic step and the status report of the singleton roles. */
 #include "roles/internal.h"
 
 /* ---- construction ---- */
@@ -22,7 +22,7 @@
     roles->trace = trace;
     roles->audit_log = audit_log;
     roles->hooks = *hooks;
-    /* Keys are the names inside the values. */
+    /* The keys of both tables are the names inside the intents, so the tables do not free them. */
     roles->intents.open = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_intent);
     roles->intents.writes = g_hash_table_new(g_str_hash, g_str_equal);
     return roles;
--- a/src/roles/roles.h
+++ b/src/roles/roles.h
@@ -1,17 +1,20 @@
 /* Singleton roles: scale-out, scale-in and garbage collection are each done by one controller at a
- * time. This module owns which controller has which role, and the open intents of all of them.
+ * time. This module tracks which controller holds each role, acquires and releases roles for this
+ * controller, and keeps the open intents of all controllers.
  *
- * A role is a key in the state service, attached to a lease of its holder. Its fencing token is the
- * revision at which the holder wrote the key. A holder acts only until its lease expires by its own
- * monotonic clock, and what it writes compares the key with its token, so that nothing of a
- * replaced holder takes effect.
+ * The holder of a role is stored in a key of the state service that is attached to the holder's
+ * lease. The revision at which the holder wrote the key is its fencing token. A holder acts only
+ * until its lease expires by its own monotonic clock, and every transaction that it sends for the
+ * role compares the key's revision with the token. A transaction of a replaced holder therefore
+ * conflicts and changes nothing.
  *
- * Called by the controller (feed, tick, status) and by the autoscaler (intents), in the event-loop
- * thread, under `struct pm_controller.lock`, which also guards all its state. Requests to the state
- * service are asynchronous: their callbacks come in the same thread.
+ * The controller calls the functions for the replica's feed, the tick and the status; the
+ * autoscaler calls those for intents. All calls are made in the event-loop thread under
+ * `struct pm_controller.lock`, which also guards the state of this module. Requests to the state
+ * service are asynchronous, and their callbacks run in the same thread.
  *
- * Keys, read and written: p/duty/NAME and p/drain/NAME (role.h), p/intent/NAME (intent.h). p/epoch
- * is compared, not written. */
+ * Keys that are read and written: p/duty/NAME and p/drain/NAME (see role.h), and p/intent/NAME (see
+ * intent.h). p/epoch is only compared in transactions. */
 #ifndef PM_ROLES_ROLES_H
 #define PM_ROLES_ROLES_H
 
@@ -28,92 +31,97 @@
 struct pm_audit_log;
 
 struct pm_roles_hooks {
-    /* At least one role was acquired: open intents can be completed. */
+    /* Called when this controller has acquired at least one role, whose open intents it can now
+     * complete. */
     void (*acquired)(void *arg);
-    /* The role was released at an operator's request. */
+    /* Called after this controller released the role at an operator's request. */
     void (*drained)(void *arg, enum pm_role role);
     void *arg;
 };
 
-/* What decides whether this controller may acquire and keep roles. */
+/* The conditions under which this controller may acquire and keep roles. */
 struct pm_roles_conditions {
     bool is_supported;       /* every controller runs a version with roles and intents */
-    bool is_leader;          /* scale-out and scale-in are bound to the leader */
-    uint64_t epoch_revision; /* of p/epoch, while leading; else 0 */
+    bool is_leader;          /* this controller leads, which scale-out and scale-in require */
+    uint64_t epoch_revision; /* revision of p/epoch while this controller leads, otherwise 0 */
 };
 
-/* A new instance without roles; the caller owns it. All pointers are borrowed and outlive it, but
- * for `hooks`, which is copied. `incarnation_id` names this process. `trace` and `audit_log` may be
- * NULL. */
+/* Returns an instance that holds no roles, owned by the caller. `hooks` is copied; all other
+ * pointers are borrowed and must outlive the instance. `incarnation_id` identifies this process.
+ * `trace` and `audit_log` may be NULL. */
 struct pm_roles *pm_roles_new(struct pm_store *store, const struct pm_settings *settings,
                               const struct pm_roles_setting *setting, const char *incarnation_id,
                               struct pm_links_trace *trace, struct pm_audit_log *audit_log,
                               const struct pm_roles_hooks *hooks);
-/* Frees it. No request of it may be in flight. */
+/* Frees the instance. None of its requests to the state service may be in flight. */
 void pm_roles_free(struct pm_roles *roles);
 
 /* ---- the replica's feed ---- */
 
-/* Applies a put. False: the key is of another module. */
+/* Applies a put. Returns false if the key belongs to another module. */
 bool pm_roles_apply_put(struct pm_roles *roles, const char *key, const cbor_item_t *value,
                         uint64_t revision);
-/* Applies a delete; keys of other modules are ignored. */
+/* Applies a delete. Ignores keys of other modules. */
 void pm_roles_apply_delete(struct pm_roles *roles, const char *key, uint64_t revision);
-/* A snapshot begins: holders and requests to drain are unknown until they are put again. */
+/* Called when a snapshot begins. Clears all holders and drain requests; those that still exist are
+ * put again by the snapshot. */
 void pm_roles_snapshot_begin(struct pm_roles *roles);
-/* The snapshot is complete: forgets open intents that were not in it, and roles of this controller
- * whose key was not. */
+/* Called when the snapshot is complete. Removes the open intents that it did not contain, and marks
+ * each role of this controller as lost whose key it did not contain. */
 void pm_roles_snapshot_end(struct pm_roles *roles);
 
-/* ---- leases and tokens ---- */
+/* ---- leases and fencing tokens ---- */
 
-/* The longest interval between two calls of pm_roles_tick. */
+/* The controller calls pm_roles_tick at least this often. */
 #define PM_ROLES_TICK_S 0.5
-/* Keeps the lease alive, and acquires and releases what is due under `conditions` (copied) at `now`
- * (monotonic seconds). */
+/* The periodic step: keeps the lease alive, acquires and drains roles as `conditions` allow, and
+ * deletes closed intents. `conditions` is copied. `now` is in monotonic seconds. */
 void pm_roles_tick(struct pm_roles *roles, const struct pm_roles_conditions *conditions,
                    double now);
-/* Whether machines are rented and terminated under roles and intents: the settings enable it, or
- * intents of a controller that has it enabled are open. */
+/* Whether machines are rented and terminated under roles and intents. This requires that all
+ * controllers support roles, and either that this controller's settings enable them or that intents
+ * are open, written by a controller whose settings enable them. */
 bool pm_roles_is_active(const struct pm_roles *roles);
-/* Whether this controller has the role at `now` (monotonic seconds). */
+/* Whether this controller holds the role at `now` (monotonic seconds). */
 bool pm_roles_is_holder(const struct pm_roles *roles, enum pm_role role, double now);
-/* Monotonic time until which a request under the role may be sent; 0: this controller does not have
- * the role. */
+/* Returns the monotonic time until which requests under the role may be sent, or 0 if this
+ * controller does not hold the role. */
 double pm_roles_valid_until(const struct pm_roles *roles, enum pm_role role);
-/* This controller's fencing token for the role; 0: it does not have the role. */
+/* Returns this controller's fencing token for the role, or 0 if it does not hold the role. */
 uint64_t pm_roles_token(const struct pm_roles *roles, enum pm_role role);
 
 /* ---- intents ---- */
 
-/* Called once when the intent's transaction has ended. `name` is borrowed for the call; NULL: the
- * intent is not known to be durable. */
+/* Called once when the intent's transaction has ended. `name` is the intent's name, borrowed for
+ * the call, or NULL if the intent is not known to be durable. */
 typedef void pm_intent_write_done(void *arg, const char *name);
-/* Names the intent and writes it under the role's token and the epoch; consumes `intent` in any
- * case. False: this controller may not write it at `now` (monotonic seconds), and `done` is not
- * called. */
+/* Names the intent and sends the transaction that writes it, which compares the role's fencing
+ * token and the epoch. Always takes ownership of `intent`. Returns false, and never calls `done`,
+ * if this controller does not lead or does not hold the role at `now` (monotonic seconds). */
 bool pm_roles_write_intent(struct pm_roles *roles, struct pm_intent *intent,
                            pm_intent_write_done *done, void *arg, double now);
-/* The role's open intents, oldest first. The caller frees the array; the intents are borrowed until
- * the next event. */
+/* Returns the role's open intents of all controllers, oldest first. The caller frees the array; the
+ * intents are borrowed until the next event. */
 GPtrArray *pm_roles_open_intents(const struct pm_roles *roles, enum pm_role role);
-/* The open intent with this name, borrowed until the next event; NULL: there is none. */
+/* Returns the open intent with this name, borrowed until the next event, or NULL if none exists. */
 struct pm_intent *pm_roles_find_intent(const struct pm_roles *roles, const char *name);
-/* The provider has answered for all of the intent: its key is deleted soon after `now` (monotonic
- * seconds). Does nothing if it is not open. */
+/* Marks the intent as closing because all its calls to the provider are settled. Its key is deleted
+ * together with others, by a transaction that is sent at once if enough intents are closing, and
+ * otherwise by a later tick. Does nothing if no such intent is open. `now` is in monotonic
+ * seconds. */
 void pm_roles_close_intent(struct pm_roles *roles, const char *name, double now);
-/* Notes that no call to the provider is in flight for any intent, and that each may be retried at
- * once. Called when leadership is acquired or lost. */
+/* Marks all open intents as having no call to the provider in flight, so that their calls may be
+ * sent at once. Called when this controller acquires or loses leadership. */
 void pm_roles_reset_calls(struct pm_roles *roles);
 
 /* ---- reporting ---- */
 
-/* Writes what was done for the intent `name` to the audit log and the trace; `event` and `detail`
- * are stored as they are. */
+/* Records an action under the role in the audit log and the trace. `name` is the intent, or
+ * whatever else the action concerns. `event` and `detail` are stored unchanged. */
 void pm_roles_log_action(struct pm_roles *roles, enum pm_role role, const char *event,
                          const char *name, const char *detail);
-/* Appends holders, tokens and the number of open intents to `out` as a list of CBOR maps, for the
- * operators' tool. `now` in monotonic seconds. */
+/* Appends a CBOR list to `out`, for the operator's tool, with one map for each role: its holder,
+ * fencing token and number of open intents. `now` is in monotonic seconds. */
 void pm_roles_encode_status(const struct pm_roles *roles, struct pm_buffer *out, double now);
 
 #endif
--- a/src/roles/tests/test_roles.c
+++ b/src/roles/tests/test_roles.c
@@ -1,5 +1,6 @@
-/* Roles of two controllers in one process, over one simulated state service: which has them, until
- * when, and what a replaced holder is refused. */
+/* Two instances of the roles module in one process, as two controllers, share one fake state
+ * service. Guards against a role that two controllers use at the same time, and against writes of a
+ * replaced holder that take effect. */
 #include "base/keys.h"
 #include "testing/fake_store.h"
 #include "base/clock.h"
@@ -21,7 +22,7 @@
     struct pm_store *store;
     struct pm_roles *roles;
     struct pm_roles_conditions conditions;
-    uint64_t epoch_revision; /* of p/epoch, as the replica has it */
+    uint64_t epoch_revision; /* revision of p/epoch in the replica */
     int acquired_count, drained_count[PM_ROLE_COUNT];
     int written_count, refused_count;
     char last_intent[PM_INTENT_NAME_SIZE];
@@ -31,7 +32,7 @@
 static struct fake_store *state_service;
 static struct pm_http_client *http_client;
 static struct controller first, second;
-static uint64_t put_revision; /* of the last put_number */
+static uint64_t put_revision; /* revision of the last put_number */
 
 static void on_put(void *arg, const char *key, const cbor_item_t *value, uint64_t revision)
 {
@@ -149,7 +150,7 @@
     return put_revision > 0;
 }
 
-/* Puts a map of one number under the key, bypassing the roles. */
+/* Puts a map of one number under the key, bypassing the roles module. */
 static void put_number(const char *key, const char *name, uint64_t number)
 {
     struct pm_txn txn = {0};
@@ -171,7 +172,8 @@
     return controller->epoch_revision == put_revision;
 }
 
-/* This controller leads from now on; the other one is not notified. */
+/* Makes the controller the leader. The other one is told only by its watch, which shows the new
+ * epoch. */
 static void make_leader(struct controller *controller, uint64_t epoch)
 {
     put_number("p/epoch", "epoch", epoch);
@@ -193,8 +195,8 @@
     return 0;
 }
 
-/* Requests are in flight in the loop, the client and the service: these are kept until the process
- * ends. */
+/* The loop, the client and the service still have requests in flight, so they are not freed until
+ * the process ends. */
 static int tear_down(void **arg)
 {
     static GPtrArray *kept;
@@ -245,7 +247,7 @@
     return count;
 }
 
-/* ---- leases ---- */
+/* ---- leases and fencing tokens ---- */
 
 static void leader_has_the_roles_bound_to_it(void **arg)
 {
@@ -256,7 +258,8 @@
     assert_false(has_role(&second, PM_ROLE_SCALE_OUT));
 }
 
-/* Byte for byte as protocol version 5 writes it: {holder: "node-0", boot: "boot-a", lease: 1}. */
+/* Guards against a change of the stored bytes, which are those of protocol version 5 for {holder:
+ * "node-0", boot: "boot-a", lease: 1}. */
 static void holder_is_encoded_as_recorded(void **arg)
 {
     char *written = fake_store_value_hex(state_service, "p/duty/rent");
@@ -267,8 +270,9 @@
     g_free(written);
 }
 
-/* The next leader does not wait until the previous lease expires, and has a higher token. */
-static void next_leader_acquires_them_at_once(void **arg)
+/* The next leader does not wait for the lease of the previous one to expire, and gets a higher
+ * fencing token. */
+static void next_leader_acquires_roles_at_once(void **arg)
 {
     uint64_t token_before = pm_roles_token(first.roles, PM_ROLE_SCALE_IN);
     double started_at = pm_clock_monotonic();
@@ -278,12 +282,12 @@
     assert_true(event_loop_run_until(loop, second_has_scale_in, NULL));
     assert_true(pm_clock_monotonic() - started_at < TTL_S * 0.8);
     assert_true(pm_roles_token(second.roles, PM_ROLE_SCALE_IN) > token_before);
-    run_for(0.1); /* until the watch notifies the first */
+    run_for(0.1); /* until the first controller's watch shows the change */
     assert_false(has_role(&first, PM_ROLE_SCALE_IN));
 }
 
-/* Counted from when the keep-alive was sent, less the clock drift: it expires here before it
- * expires in the state service. */
+/* A holder counts the TTL from when it sent the keep-alive, less the clock drift, so that the lease
+ * expires for the holder before it expires in the state service. */
 static void lease_expires_by_the_monotonic_clock(void **arg)
 {
     double now = pm_clock_monotonic();
@@ -298,7 +302,7 @@
 static void role_is_lost_without_keep_alives(void **arg)
 {
     (void)arg;
-    run_for(TTL_S + 0.3); /* nobody ticks */
+    run_for(TTL_S + 0.3); /* no tick, so no keep-alive is sent */
     assert_int_equal(fake_store_revision(state_service, "p/duty/rent"), 0);
     assert_false(has_role(&first, PM_ROLE_SCALE_OUT));
     assert_false(write_intent(&first, "i-1"));
@@ -327,8 +331,8 @@
     assert_true(pm_roles_is_active(first.roles));
 }
 
-/* Where roles are disabled, open intents of other controllers are completed nevertheless, until
- * none is left. */
+/* A controller whose settings disable roles is active as long as intents of other controllers are
+ * open, so that it can complete them. */
 static void disabled_controller_is_active_while_intents_are_open(void **arg)
 {
     (void)arg;
@@ -345,7 +349,8 @@
     assert_false(pm_roles_is_active(second.roles));
 }
 
-/* A malformed value is kept, and nobody acquires that role; the others are not affected. */
+/* A malformed value is kept, and the controller does not acquire that role. Other roles are not
+ * affected. */
 static void unreadable_holder_is_left_in_place(void **arg)
 {
     (void)arg;
@@ -373,12 +378,12 @@
     assert_int_equal(fake_store_revision(state_service, "p/drain/clean"), 0);
     tick(&first);
     run_for(0.8);
-    tick(&first); /* it backs off */
+    tick(&first); /* in back-off, so it does not acquire the role again */
     assert_false(has_role(&first, PM_ROLE_GARBAGE_COLLECTION));
     assert_true(has_role(&first, PM_ROLE_SCALE_OUT));
 }
 
-/* The request names the token of an earlier holder. */
+/* The drain request names the fencing token of an earlier holder. */
 static void stale_drain_request_is_ignored(void **arg)
 {
     (void)arg;
@@ -407,16 +412,17 @@
     assert_int_equal(count_open_intents(&second), 0);
 }
 
-/* A holder that does not know yet that it was replaced can't make an intent durable. */
+/* A holder that does not know yet that it was replaced can't make an intent durable. The first
+ * controller's watches hang, so it does not see its successor. */
 static void intent_of_a_stale_holder_is_refused(void **arg)
 {
     (void)arg;
     fake_store_set_second_access(state_service, FAKE_STORE_WATCHES_HANG);
     make_leader(&second, 2);
     assert_true(event_loop_run_until(loop, second_has_scale_in, NULL));
-    first.epoch_revision = put_revision; /* the epoch is not what stops it */
+    first.epoch_revision = put_revision; /* so that only the fencing token conflicts */
     tick(&first);
-    assert_true(has_role(&first, PM_ROLE_SCALE_IN)); /* as far as it knows */
+    assert_true(has_role(&first, PM_ROLE_SCALE_IN)); /* by its own, outdated knowledge */
     assert_true(write_intent(&first, "i-1"));
     assert_true(event_loop_run_until(loop, has_write_result, &first));
     assert_int_equal(first.refused_count, 1);
@@ -424,7 +430,7 @@
     fake_store_set_second_access(state_service, FAKE_STORE_SERVES);
 }
 
-/* Executed after the role has another holder: what it compares has changed. */
+/* The delayed write of an intent is executed after the role has another holder, and conflicts. */
 static void late_intent_conflicts(void **arg)
 {
     (void)arg;
@@ -439,7 +445,8 @@
     assert_int_equal(count_open_intents(&second), 0);
 }
 
-/* Executed, and the answer is lost: the watch shows it, and it is open for whoever completes it. */
+/* The write of an intent is executed but its answer is lost. The watch shows the intent, which is
+ * open on both controllers and can be completed. */
 static void intent_with_a_lost_answer_is_open(void **arg)
 {
     (void)arg;
@@ -451,7 +458,7 @@
     assert_int_equal(count_open_intents(&second), 1);
 }
 
-/* It is logged and its key is left in place; other intents are not affected. */
+/* A malformed intent is logged and not open, and its key is kept. Other intents are unaffected. */
 static void malformed_intent_is_left_in_place(void **arg)
 {
     (void)arg;
@@ -477,7 +484,7 @@
     assert_true(first_has_scale_in(NULL));
     pm_store_resync(first.store);
     run_for(0.2);
-    assert_true(has_role(&first, PM_ROLE_SCALE_IN)); /* its own key was in the snapshot */
+    assert_true(has_role(&first, PM_ROLE_SCALE_IN)); /* the snapshot contained its own key */
     assert_int_equal(count_open_intents(&first), 1);
 }
 
@@ -486,7 +493,7 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test_setup_teardown(leader_has_the_roles_bound_to_it, set_up, tear_down),
         cmocka_unit_test_setup_teardown(holder_is_encoded_as_recorded, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(next_leader_acquires_them_at_once, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(next_leader_acquires_roles_at_once, set_up, tear_down),
         cmocka_unit_test_setup_teardown(lease_expires_by_the_monotonic_clock, set_up, tear_down),
         cmocka_unit_test_setup_teardown(role_is_lost_without_keep_alives, set_up, tear_down),
         cmocka_unit_test_setup_teardown(role_outlasts_the_ttl_with_keep_alives, set_up, tear_down),
