--- a/src/autoscaler/intents.c
+++ b/src/autoscaler/intents.c
@@ -26,7 +26,7 @@
 static bool are_rentals_settled(const struct pm_intent *intent)
 {
     for (guint i = 0; i < intent->rentals->len; i++)
-        if (!g_array_index(intent->rentals, struct pm_intent_rental, i).is_answered)
+        if (!g_array_index(intent->rentals, struct pm_intent_rental, i).call_settled)
             return false;
     return true;
 }
@@ -57,7 +57,7 @@
         struct pm_intent_rental *rental =
             &g_array_index(intent->rentals, struct pm_intent_rental, call->rental_index);
         rental->call_in_flight = false;
-        rental->is_answered = is_settled;
+        rental->call_settled = is_settled;
         is_settled = are_rentals_settled(intent);
     }
     intent->call_in_flight = false;
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -152,7 +152,8 @@
     call->request = request;
     call->rental_index = index;
     g_strlcpy(call->intent_name, intent->name, sizeof call->intent_name);
-    pm_intent_format_booking(intent, index, call->idempotency_key, sizeof call->idempotency_key);
+    pm_intent_format_idempotency_key(intent, index, call->idempotency_key,
+                                     sizeof call->idempotency_key);
     return call;
 }
 
@@ -164,7 +165,7 @@
         struct pm_intent_rental *rental =
             &g_array_index(intent->rentals, struct pm_intent_rental, i);
         struct pm_provider_call *call;
-        if (rental->call_in_flight || rental->is_answered ||
+        if (rental->call_in_flight || rental->call_settled ||
             !pm_autoscaler_acquire_request_token(autoscaler, now))
             continue;
         call = rental_call_new(autoscaler, intent, i, now);
--- a/src/roles/intent.c
+++ b/src/roles/intent.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <string.h>
 
-enum { ROLE_NAME_SIZE = 16 }; /* bytes of a stored role name, with the NUL at its end */
+enum { ROLE_NAME_SIZE = 16 }; /* bytes of a stored role name, including the terminating NUL */
 
 struct pm_intent *pm_intent_new(enum pm_role role)
 {
@@ -32,8 +32,8 @@
              (unsigned long long)token, (unsigned long long)number);
 }
 
-void pm_intent_format_booking(const struct pm_intent *intent, guint rental_index, char *out,
-                              size_t size)
+void pm_intent_format_idempotency_key(const struct pm_intent *intent, guint rental_index, char *out,
+                                      size_t size)
 {
     snprintf(out, size, "%s-%u", intent->name, rental_index);
 }
@@ -111,8 +111,8 @@
     return intent->machines->len > 0 && intent->machines->len <= PM_INTENT_MACHINES_MAX;
 }
 
-/* Copies the intent's name from its key. False: the name does not belong to the intent's role and
- * token, or is too long. */
+/* Copies the intent's name from its key. Returns false if the name is too long, or does not begin
+ * with the intent's role and fencing token. */
 static bool decode_name(struct pm_intent *intent, const char *key)
 {
     const char *name = key + strlen(PM_KEY_INTENT_PREFIX);
@@ -126,7 +126,8 @@
     return true;
 }
 
-/* Reads the role of a stored intent. False: there is none that writes intents. */
+/* Reads the role of a stored intent. Returns false if the value names no role, or one that has no
+ * intents. */
 static bool decode_role(const cbor_item_t *value, enum pm_role *out)
 {
     char name[ROLE_NAME_SIZE];
--- a/src/roles/intent_closing.c
+++ b/src/roles/intent_closing.c
@@ -1,15 +1,18 @@
-/* Deleting the keys of intents for which the provider has answered, several in a transaction. */
+/* Deletes the keys of closing intents, several in one transaction. An intent is closing once all
+ * its calls to the provider are settled. */
 #include "base/keys.h"
 #include "roles/internal.h"
 
 #include <stdio.h>
 
 enum {
-    CLOSE_BATCH = 8,         /* so many closing intents are deleted without waiting for the tick */
-    OVER_BUDGET_CLOSING = 32 /* so many are deleted even when the write budget is used up */
+    /* From this number of closing intents on, a transaction is sent at once and not at the tick. */
+    CLOSE_BATCH_MIN = 8,
+    /* From this number on, keys are deleted even if the write budget is used up. */
+    OVER_BUDGET_MIN = 32
 };
 
-/* A transaction in flight that deletes intents. */
+/* A transaction in flight that deletes the keys of closing intents. */
 struct close_transaction {
     struct pm_roles *roles;
     enum pm_role role;
@@ -48,18 +51,18 @@
     return count;
 }
 
-/* How many keys may be deleted now, of `closing` that wait for it. */
+/* Returns how many keys one transaction may delete at `now`, if `closing` intents are closing. */
 static int max_deletes(const struct pm_roles *roles, unsigned closing, double now)
 {
     int txn_ops = roles->settings->store_txn_ops;
 
-    if (closing >= OVER_BUDGET_CLOSING)
+    if (closing >= OVER_BUDGET_MIN)
         return txn_ops;
     return MIN(pm_store_write_budget(roles->store, now), txn_ops);
 }
 
-/* Adds deletes of at most `max_count` closing intents, oldest first, to the transaction, and their
- * names to `names`. */
+/* Adds the deletion of at most `max_count` closing intents to the transaction, oldest first, and
+ * their names to `names`. Each deletion compares the revision of the intent's key. */
 static void add_deletes(const struct pm_roles *roles, enum pm_role role, guint max_count,
                         struct pm_txn *txn, GPtrArray *names)
 {
@@ -108,6 +111,6 @@
         return;
     intent->call_in_flight = false;
     intent->is_closing = true;
-    if (count_closing(roles, intent->role) >= CLOSE_BATCH)
+    if (count_closing(roles, intent->role) >= CLOSE_BATCH_MIN)
         pm_roles_delete_closed_intents(roles, intent->role, now);
 }
--- a/src/roles/intent_log.c
+++ b/src/roles/intent_log.c
@@ -1,4 +1,4 @@
-/* Writing intents, and which of all controllers' intents are open. */
+/* Writes intents, and keeps the table of the open intents of all controllers. */
 #include "base/keys.h"
 #include "base/log.h"
 #include "roles/internal.h"
@@ -6,11 +6,11 @@
 #include <stdio.h>
 #include <string.h>
 
-/* A transaction in flight that writes an intent. */
+/* An intent whose write is in flight. */
 struct intent_write {
     struct pm_roles *roles;
     struct pm_intent *intent; /* owned */
-    bool is_in_replica;       /* the watch has shown the key before the answer came */
+    bool is_in_replica;       /* the watch showed the key before the transaction was answered */
     pm_intent_write_done *done;
     void *arg;
 };
@@ -22,14 +22,15 @@
     struct pm_roles *roles = write->roles;
     struct pm_intent *intent = write->intent;
 
-    intent->call_in_flight = true; /* `done` is about to send the calls */
+    intent->call_in_flight = true; /* `done` sends the calls, so a retry must not */
     g_hash_table_replace(roles->intents.open, intent->name, intent);
     pm_roles_log_action(roles, intent->role, "intended", intent->name, "");
     write->done(write->arg, intent->name);
 }
 
-/* If the transaction was executed after all, the watch will show the intent, and it is open then
- * for whoever has the role. */
+/* Discards an intent whose transaction failed or has an unknown outcome. If the state service
+ * executes the transaction nevertheless, the watch shows the intent, which is then open and is
+ * completed by the holder of the role. */
 static void discard_intent(struct intent_write *write, enum pm_store_result result)
 {
     struct pm_intent *intent = write->intent;
@@ -56,8 +57,8 @@
     g_free(write);
 }
 
-/* The intent is written only while the role's token and the epoch are as this controller knows
- * them, and never over another one. */
+/* Encodes the transaction that writes the intent. It conflicts, and writes nothing, if the role's
+ * fencing token or the epoch has changed, or if the intent's key already exists. */
 static void encode_write(const struct pm_roles *roles, const struct pm_intent *intent,
                          struct pm_txn *txn)
 {
@@ -171,10 +172,11 @@
         return;
     }
     if (g_hash_table_contains(roles->intents.open, name))
-        return; /* intents are written once and never change */
+        return; /* a stored intent never changes, so the known one is kept with its local state */
     intent = pm_intent_decode(key, value, revision);
     if (!intent) {
-        pm_error("role.unreadable", "%s: malformed intent, kept, not carried out", key);
+        pm_error("role.unreadable",
+                 "%s: the intent is malformed; its key is kept, and it is not carried out", key);
         return;
     }
     g_hash_table_replace(roles->intents.open, intent->name, intent);
--- a/src/roles/tests/test_intent.c
+++ b/src/roles/tests/test_intent.c
@@ -1,4 +1,5 @@
-/* The stored form of intents: bytes that every later version can read, and malformed values. */
+/* The stored form of intents. Guards against a change of the bytes that would keep versions of the
+ * controller from reading each other's intents, and against accepting malformed values. */
 #include "base/keys.h"
 #include "../../jobs/tests/recorded_values.h"
 #include "roles/intent.h"
@@ -10,7 +11,8 @@
 #include <string.h>
 #include <cmocka.h>
 
-/* As the first version with intents wrote them; never to be recorded again from later code. */
+/* Values that the first version with intents wrote. They must never be replaced by the output of a
+ * later version. */
 #define STORED_SCALE_OUT                                                                           \
     "bf64647574796472656e7465746f6b656e19071b6772656e74616c739fbf6474797065626d38"                 \
     "647a6f6e65667a6f6e652d306473706f74f565636f756e741832ffbf6474797065626738647a"                 \
@@ -82,7 +84,7 @@
 {
     struct pm_intent *intent = decode_hex(PM_KEY_INTENT_PREFIX "rent-1819-3", STORED_SCALE_OUT);
     const struct pm_intent_rental *rental;
-    char booking[PM_INTENT_NAME_SIZE + 8];
+    char idempotency_key[PM_INTENT_NAME_SIZE + 8];
 
     (void)state;
     assert_non_null(intent);
@@ -94,8 +96,8 @@
     assert_string_equal(rental->zone, "zone-0");
     assert_true(rental->spot);
     assert_int_equal(rental->count, 50);
-    pm_intent_format_booking(intent, 1, booking, sizeof booking);
-    assert_string_equal(booking, "rent-1819-3-1");
+    pm_intent_format_idempotency_key(intent, 1, idempotency_key, sizeof idempotency_key);
+    assert_string_equal(idempotency_key, "rent-1819-3-1");
     pm_intent_free(intent);
     intent = decode_hex(PM_KEY_INTENT_PREFIX "return-1820-4", STORED_SCALE_IN);
     assert_non_null(intent);
@@ -104,7 +106,8 @@
     pm_intent_free(intent);
 }
 
-/* A key of another token or role, and every value that ends early. */
+/* The key has another token or role, or a name that is empty or too long; or the value is
+ * truncated. */
 static void malformed_intents_are_rejected(void **state)
 {
     static const char *const keys[] = {
@@ -123,7 +126,7 @@
     }
 }
 
-/* More than any version writes, or nothing. */
+/* More rentals or instances than any version writes, or no machines at all. */
 static void out_of_bounds_intents_are_rejected(void **state)
 {
     struct pm_intent *too_many_rentals = make_scale_out();
