--- a/src/roles/audit_log.c
+++ b/src/roles/audit_log.c
@@ -1,4 +1,4 @@
-/* Writing the audit log, and deleting its oldest files. */
+/* Writes the audit log, and deletes its oldest files. */
 #include "roles/audit_log.h"
 #include "base/clock.h"
 #include "base/log.h"
@@ -16,8 +16,8 @@
 #include <unistd.h>
 
 enum {
-    QUEUE_MAX = 8192,   /* entries that wait for the writer's thread */
-    FILES_KEPT_MIN = 8, /* a file is closed at this fraction of the size that is kept */
+    QUEUE_MAX = 8192,   /* limit of entries that wait for the writer's thread */
+    FILES_KEPT_MIN = 8, /* a file is closed beyond `max_bytes` divided by this */
     FILE_MODE = 0640,
     DIR_MODE = 0750,
     DIR_SIZE = 256,
@@ -30,25 +30,25 @@
 
 #define PART_SUFFIX ".part"
 
-/* The file that is being written; only the writer's thread uses it. */
+/* The file that is being written. Used only in the writer's thread. */
 struct audit_file {
-    struct archive *archive; /* NULL: none is open */
+    struct archive *archive; /* NULL while no file is open */
     int fd;
-    char path[PATH_SIZE]; /* of the complete file: without PART_SUFFIX */
-    double opened_wall;   /* wall clock, seconds */
-    uint64_t bytes, entries;
+    char path[PATH_SIZE];    /* its final path, without PART_SUFFIX */
+    double opened_wall;      /* wall-clock seconds when it was opened */
+    uint64_t bytes, entries; /* written so far */
 };
 
 struct pm_audit_log {
-    /* Fixed when it is made. */
+    /* Set by pm_audit_log_new and never changed. */
     char dir[DIR_SIZE], controller[CONTROLLER_SIZE];
     double period_s;
-    uint64_t max_bytes; /* of all files of this controller together */
+    uint64_t max_bytes; /* bytes allowed for all files of this controller together */
     struct pm_writer *writer;
-    /* The writer's thread's own. */
+    /* Used only in the writer's thread. */
     struct audit_file file;
-    uint64_t file_count; /* opened so far: the number of the last file */
-    bool error_reported; /* since the last file that could be opened */
+    uint64_t file_count; /* number of files opened so far, part of the next file's name */
+    bool error_reported; /* an error was logged since a file was last opened */
 };
 
 /* ---- deleting old files ---- */
@@ -67,7 +67,8 @@
     return strcmp(*(const char *const *)left, *(const char *const *)right);
 }
 
-/* The paths of this controller's files, oldest first: names are ordered by time. */
+/* Returns the paths of this controller's files, oldest first: their names contain the time at which
+ * they were opened. The caller frees the array. */
 static GPtrArray *list_own_files(const struct pm_audit_log *log)
 {
     GPtrArray *paths = g_ptr_array_new_with_free_func(g_free);
@@ -84,7 +85,7 @@
     return paths;
 }
 
-/* Deletes the oldest files so that the others are within the size that is kept. */
+/* Deletes the oldest files, so that the remaining ones stay within `max_bytes`. */
 static void delete_old_files(const struct pm_audit_log *log)
 {
     GPtrArray *paths = list_own_files(log);
@@ -104,19 +105,21 @@
 
 /* ---- writing, in the writer's thread ---- */
 
-/* Logs what failed, once until a file can be opened again. */
-static void report_error(struct pm_audit_log *log, const char *what)
+/* Logs an error, unless one was logged since a file was last opened. `fallback` describes the error
+ * if the archive library has no message. */
+static void report_error(struct pm_audit_log *log, const char *fallback)
 {
     struct archive *archive = log->file.archive;
     const char *archive_error = archive ? archive_error_string(archive) : NULL;
 
     if (!log->error_reported)
-        pm_error("audit_log.error", "%s: %s; entries are lost", log->file.path,
-                 archive_error ? archive_error : what);
+        pm_error("audit_log.error", "audit log file %s: %s; entries are lost", log->file.path,
+                 archive_error ? archive_error : fallback);
     log->error_reported = true;
 }
 
-/* What a member adds to the archive: its header and its data, padded to whole blocks. */
+/* Returns how many bytes a member takes in the archive: a header of one block, and its data padded
+ * to whole blocks. */
 static uint64_t member_bytes(size_t value_size)
 {
     uint64_t blocks = (value_size + PM_AUDIT_TAR_BLOCK - 1) / PM_AUDIT_TAR_BLOCK;
@@ -137,7 +140,7 @@
     archive_entry_set_mtime(member, (time_t)entry->wall, 0);
 }
 
-/* False: the member is not, or not completely, written. */
+/* Writes the entry as one member. Returns false if it was not written completely. */
 static bool write_member(struct audit_file *file, const struct pm_audit_entry *entry)
 {
     struct archive_entry *member = archive_entry_new();
@@ -161,7 +164,8 @@
     snprintf(out, size, "%s" PART_SUFFIX, file->path);
 }
 
-/* Seals the file and gives it its final name; one that can't be completed keeps PART_SUFFIX. */
+/* Seals and closes the file, then renames it to its final path. If it can't be completed, it keeps
+ * PART_SUFFIX. */
 static void close_file(struct pm_audit_log *log)
 {
     struct audit_file *file = &log->file;
@@ -174,7 +178,7 @@
         return;
     is_complete = write_member(file, &seal) && archive_write_close(file->archive) == ARCHIVE_OK;
     if (!is_complete)
-        report_error(log, "not closed");
+        report_error(log, "the file could not be completed");
     archive_write_free(file->archive);
     file->archive = NULL;
     is_complete &= !fsync(file->fd);
@@ -185,8 +189,9 @@
     delete_old_files(log);
 }
 
-/* Makes file->archive write to file->fd. Blocks are as small as the format allows, so that each
- * entry goes to the disk at its end and is not kept in memory. */
+/* Opens file->archive for writing to file->fd. Uses the smallest block size of the format, so that
+ * the library writes each entry to the file as soon as the entry ends, and buffers
+ * none. */
 static bool open_archive(struct audit_file *file)
 {
     file->archive = archive_write_new();
@@ -195,6 +200,7 @@
            archive_write_open_fd(file->archive, file->fd) == ARCHIVE_OK;
 }
 
+/* Opens a new file. Returns false, after logging the error, if that fails. */
 static bool open_file(struct pm_audit_log *log, double wall)
 {
     struct audit_file *file = &log->file;
@@ -214,15 +220,16 @@
         log->error_reported = false;
         return true;
     }
-    report_error(log, "no archive");
+    report_error(log, "no tar archive could be opened for writing");
     archive_write_free(file->archive);
     file->archive = NULL;
     close(file->fd);
     return false;
 }
 
-/* Wall time may jump either way: a file is closed in both cases. */
-static bool is_file_full(const struct pm_audit_log *log, double wall)
+/* Whether the file is to be closed because of its age or size. The wall clock may jump forward or
+ * back; a jump by a period in either direction closes the file too. */
+static bool should_close_file(const struct pm_audit_log *log, double wall)
 {
     const struct audit_file *file = &log->file;
 
@@ -230,19 +237,20 @@
            file->bytes > log->max_bytes / FILES_KEPT_MIN;
 }
 
+/* Called in the writer's thread for each appended entry. */
 static void write_entry(void *arg, const void *item)
 {
     struct pm_audit_log *log = arg;
     struct pm_audit_entry entry = *(const struct pm_audit_entry *)item;
 
-    if (log->file.archive && is_file_full(log, entry.wall))
+    if (log->file.archive && should_close_file(log, entry.wall))
         close_file(log);
     if (!log->file.archive && !open_file(log, entry.wall))
         return;
     entry.number = ++log->file.entries;
     if (write_member(&log->file, &entry))
         return;
-    report_error(log, "not written");
+    report_error(log, "an entry could not be written");
     close_file(log);
 }
 
--- a/src/roles/audit_log.h
+++ b/src/roles/audit_log.h
@@ -1,14 +1,15 @@
-/* The audit log: who acquired and lost roles, each intent, what was requested of the machine
- * provider for it and what became of that.
+/* The audit log: which roles this controller acquired and lost, its intents, and what it requested
+ * of the machine provider for each intent with the result.
  *
- * Files in one directory, each a tar archive with one member for each entry. A file is closed after
- * a period, or when it is large; it is called NAME.tar from then on, and NAME.tar.part before.
- * After a crash the latter can be read up to its last complete entry. The oldest files are deleted
- * when all together exceed a size.
+ * The log is a directory of files, each a tar archive with one member per entry. A file is called
+ * NAME.tar.part while it is written. It is closed after a period, or earlier if it is large, and
+ * then renamed to NAME.tar. A file that a crash left as NAME.tar.part can be read up to its last
+ * complete entry. The oldest files of the controller are deleted when all its files together exceed
+ * a limit.
  *
- * Entries are appended in the event-loop thread under `struct pm_controller.lock`, and written by a
- * thread of the log's own, so that nobody waits for the disk. Files are read by the operators'
- * tool. The audit log reads and writes no keys of the state service. */
+ * Entries are appended in the event-loop thread under `struct pm_controller.lock`. The log has its
+ * own thread that writes them, so that the event loop never waits for the disk. The operator's tool
+ * reads the files. The audit log uses no keys of the state service. */
 #ifndef PM_ROLES_AUDIT_LOG_H
 #define PM_ROLES_AUDIT_LOG_H
 
@@ -19,29 +20,32 @@
 
 struct pm_audit_log;
 
-/* Opens the log and starts its thread; the caller owns it. `dir` is made if there is none,
- * `period_s` is how long entries go into the same file, `megabytes` bounds the files of this
- * controller together. NULL, with the reason in `err`: the directory can't be written. */
+/* Opens the log in `dir` and starts its thread. Creates the directory if it does not exist.
+ * `period_s` is the period after which a file is closed, and `megabytes` the limit of all files of
+ * this controller together. Returns a log owned by the caller, or NULL if the directory can't be
+ * written; `err` then says why. */
 struct pm_audit_log *pm_audit_log_new(const char *dir, const char *controller, double period_s,
                                       unsigned megabytes, char *err, size_t err_size);
-/* Waits until everything that was appended is written, closes the file and frees the log. */
+/* Waits until all appended entries are written, then closes the file and frees the log. */
 void pm_audit_log_free(struct pm_audit_log *log);
-/* Appends an entry, stamped with the wall clock; texts are copied, and cut to the size of their
- * field. Never waits: an entry that does not fit into the queue is dropped. */
+/* Appends an entry with the current wall-clock time. The texts are copied, and truncated to the
+ * size of their field. Never blocks: if the queue of the writer's thread is full, the entry is
+ * dropped. */
 void pm_audit_log_append(struct pm_audit_log *log, const char *event, const char *role_name,
                          const char *subject, const char *detail);
 
 enum pm_audit_file_state {
     PM_AUDIT_FILE_COMPLETE,
-    PM_AUDIT_FILE_TRUNCATED, /* ends in the middle of an entry, or without the archive's end */
-    PM_AUDIT_FILE_CORRUPT,   /* an entry can't be read, or entries are missing in between */
-    PM_AUDIT_FILE_MISSING    /* there is no such file, or it is no archive */
+    PM_AUDIT_FILE_TRUNCATED, /* ends early: in an entry, or without the seal or the archive's end */
+    PM_AUDIT_FILE_CORRUPT,   /* an entry is malformed, or the numbers of the entries have a gap */
+    PM_AUDIT_FILE_MISSING    /* the file does not exist, or can't be opened as an archive */
 };
 
-/* Called for each entry in order; `entry` is borrowed for the call. */
+/* Called for each entry, in order. `entry` is borrowed for the call. */
 typedef void pm_audit_entry_reader(void *arg, const struct pm_audit_entry *entry);
-/* Calls `reader` for each entry of the file up to the first that can't be read. Returns the file's
- * state; unless it is complete, `why` says what is wrong, else it is empty. */
+/* Calls `reader` for each entry of the file, up to the first entry that can't be read. The seal is
+ * not passed to `reader`. Returns the file's state. Sets `why` to a description of the problem, or
+ * to "" if the file is complete. */
 enum pm_audit_file_state pm_audit_log_read_file(const char *path, pm_audit_entry_reader *reader,
                                                 void *arg, char *why, size_t why_size);
 
--- a/src/roles/audit_log_reader.c
+++ b/src/roles/audit_log_reader.c
@@ -1,4 +1,4 @@
-/* Reading a file of the audit log, also one that its writer never closed. */
+/* Reads a file of the audit log, including one that its writer did not close. */
 #include "roles/audit_log.h"
 
 #include <archive.h>
@@ -6,19 +6,21 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Part of the archive library's messages for a file that ends early. */
+/* Occurs in each message of the archive library about a file that ends early; the first letter is
+ * left out because it may be a capital. */
 #define TRUNCATED_MESSAGE "runcated"
 
-/* What has been read of one file so far. */
+/* The state of reading one file. */
 struct audit_reading {
     struct archive *archive;
-    uint64_t number; /* of the last entry */
-    bool is_sealed;  /* it was the seal */
-    char *why;
+    uint64_t number; /* number of the last entry read, 0 before the first */
+    bool is_sealed;  /* the last entry read was the seal */
+    char *why;       /* set to what is wrong with the file */
     size_t why_size;
 };
 
-/* Reads the entry that follows. PM_AUDIT_FILE_COMPLETE: `entry` was read. */
+/* Reads `entry` from the member. Returns PM_AUDIT_FILE_COMPLETE if it was read, otherwise the state
+ * of the file. */
 static enum pm_audit_file_state read_member(struct audit_reading *reading,
                                             struct archive_entry *member,
                                             struct pm_audit_entry *entry)
@@ -41,8 +43,9 @@
     return PM_AUDIT_FILE_COMPLETE;
 }
 
-/* What the end of the archive says: `code` is the archive library's result there. */
-static enum pm_audit_file_state judge_end(struct audit_reading *reading, int code)
+/* Returns the state of the file after its last readable entry. `code` is the archive library's
+ * result for the request to read the next one. */
+static enum pm_audit_file_state classify_end(struct audit_reading *reading, int code)
 {
     if (code == ARCHIVE_EOF && reading->is_sealed)
         return PM_AUDIT_FILE_COMPLETE;
@@ -69,7 +72,7 @@
         if (!reading->is_sealed)
             reader(arg, &entry);
     }
-    return judge_end(reading, code);
+    return classify_end(reading, code);
 }
 
 enum pm_audit_file_state pm_audit_log_read_file(const char *path, pm_audit_entry_reader *reader,
--- a/src/roles/tests/test_audit_log.c
+++ b/src/roles/tests/test_audit_log.c
@@ -1,4 +1,5 @@
-/* The audit log: read when complete, truncated, open and damaged; bounded in size. */
+/* Audit log files are read up to their last readable entry, whether they are complete, truncated,
+ * still open or damaged. The size of all files together is bounded. */
 #include "base/cbor.h"
 #include "roles/audit_log.h"
 
@@ -24,7 +25,7 @@
     return g_mkdtemp(dir) ? 0 : -1;
 }
 
-/* The names of the files, in order, joined by spaces; owned by the caller. */
+/* Returns the sorted names of the files, joined by spaces. Owned by the caller. */
 static char *list_files(void)
 {
     GDir *directory = g_dir_open(dir, 0, NULL);
@@ -77,7 +78,7 @@
     assert_string_equal(entry->subject, "rent-5-1");
 }
 
-/* Writes a log of so many entries; the path of its only file, owned by the caller. */
+/* Writes a log with `entries` entries. Returns the path of its only file, owned by the caller. */
 static char *write_entries(unsigned entries)
 {
     struct pm_audit_log *log = open_log(3600);
@@ -106,7 +107,7 @@
     g_free(path);
 }
 
-/* As after a crash in the middle of an entry, or of its name. */
+/* The state after a crash while the content or the header of an entry was being written. */
 static void truncated_file_is_read_to_its_last_complete_entry(void **state)
 {
     static const int lengths[] = {2 * ENTRY_BYTES, 2 * ENTRY_BYTES + 100,
@@ -125,8 +126,8 @@
     g_free(path);
 }
 
-/* As after the end of its writer's process: every entry that was appended is read, and the file is
- * reported as never closed. */
+/* The state after the writer's process ended without closing the file: every appended entry is
+ * read, and the file is reported as not closed. */
 static void open_file_is_read(void **state)
 {
     struct pm_audit_log *log = open_log(3600);
@@ -184,7 +185,7 @@
     g_free(path);
 }
 
-/* A megabyte is kept, however much is appended, in several files. */
+/* However much is appended, at most a megabyte is kept, in several files. */
 static void total_size_is_bounded(void **state)
 {
     struct pm_audit_log *log = open_log(3600);
@@ -196,7 +197,7 @@
     for (int i = 0; i < 3000; i++) {
         pm_audit_log_append(log, "sent", "rent", "rent-5-1", "");
         if (i % 1000 == 999)
-            g_usleep(300000); /* the writer keeps up */
+            g_usleep(300000); /* lets the writer empty its queue, so that no entry is dropped */
     }
     pm_audit_log_free(log);
     names = list_files();
