--- a/src/roles/garbage_collector.c
+++ b/src/roles/garbage_collector.c
@@ -5,21 +5,21 @@
 #include <glib.h>
 #include <string.h>
 
-/* A key that is of no use, or a request to drain, which becomes so when its holder changes. */
+/* An obsolete key, or a drain request, which becomes obsolete once the role's holder changes. */
 struct candidate {
     uint64_t revision;
-    double unchanged_since_at; /* monotonic seconds */
-    uint64_t drain_token;      /* named by a request to drain; else 0 */
-    const char *reason;        /* why it is of no use; NULL: it is of use now */
-    bool is_in_snapshot;       /* put since the last snapshot began */
+    double unchanged_since_at; /* monotonic time since which it is unchanged and obsolete */
+    uint64_t drain_token;      /* the fencing token that a drain request names, otherwise 0 */
+    const char *reason;        /* why it is obsolete, or NULL if it is a request still in use */
+    bool is_in_snapshot;       /* it was put since the last snapshot began */
 };
 
 struct pm_gc {
     const struct pm_settings *settings;
-    double after_s;
-    uint64_t holder_tokens[PM_ROLE_COUNT]; /* as the replica has them; 0: none seen */
-    GTree *candidates;                     /* key to struct candidate, by key */
-    bool is_snapshot_open;
+    double delete_after_s;                 /* minimum time unchanged before a key is deleted */
+    uint64_t holder_tokens[PM_ROLE_COUNT]; /* tokens of the last holders seen, 0 if none was */
+    GTree *candidates;                     /* key to struct candidate, ordered by key */
+    bool is_snapshot_open;                 /* a snapshot has begun and is not complete */
 };
 
 static int compare_keys(gconstpointer left, gconstpointer right, gpointer arg)
@@ -28,12 +28,12 @@
     return strcmp(left, right);
 }
 
-struct pm_gc *pm_gc_new(const struct pm_settings *settings, double after_s)
+struct pm_gc *pm_gc_new(const struct pm_settings *settings, double delete_after_s)
 {
     struct pm_gc *collector = g_new0(struct pm_gc, 1);
 
     collector->settings = settings;
-    collector->after_s = after_s;
+    collector->delete_after_s = delete_after_s;
     collector->candidates = g_tree_new_full(compare_keys, NULL, g_free, g_free);
     return collector;
 }
@@ -44,14 +44,14 @@
     g_free(collector);
 }
 
-/* ---- what is of no use ---- */
+/* ---- obsolete keys ---- */
 
 static bool is_controller(const struct pm_settings *settings, const char *name)
 {
     return !strcmp(name, settings->name) || pm_settings_find_peer(settings, name) >= 0;
 }
 
-/* Whether the key belongs to a controller, named after `prefix`, that is not in the settings. */
+/* Whether the key consists of `prefix` and the name of a controller that is not in the settings. */
 static bool is_of_unknown_controller(const struct pm_gc *collector, const char *key,
                                      const char *prefix)
 {
@@ -59,7 +59,7 @@
            !is_controller(collector->settings, key + strlen(prefix));
 }
 
-/* Why the key is of no use, as its name alone shows; NULL: it may be of use. */
+/* Returns why the key is obsolete, as far as its name alone shows, or NULL if it may be in use. */
 static const char *find_reason(const struct pm_gc *collector, const char *key)
 {
     if (is_of_unknown_controller(collector, key, PM_KEY_VIEW_PREFIX))
@@ -69,7 +69,8 @@
     return NULL;
 }
 
-/* Why a request to drain the holder of `drain_token` is of no use; NULL: it is of use. */
+/* Returns why a request to drain the holder with the token `drain_token` is obsolete, or NULL if it
+ * is in use. */
 static const char *find_drain_reason(const struct pm_gc *collector, const char *key,
                                      uint64_t drain_token)
 {
@@ -84,6 +85,8 @@
 
 /* ---- candidates ---- */
 
+/* Adds the candidate. If the key is already a candidate with this revision, that one is kept, with
+ * the time since which it is unchanged. */
 static void add_candidate(struct pm_gc *collector, const char *key, struct candidate candidate)
 {
     struct candidate *known = g_tree_lookup(collector->candidates, key);
@@ -98,11 +101,14 @@
     g_tree_replace(collector->candidates, g_strdup(key), known);
 }
 
+/* The argument of update_drain_reason. */
 struct holder_change {
     const struct pm_gc *collector;
     double now;
 };
 
+/* Updates why a drain request is obsolete after a change of holder. A request counts as
+ * unchanged from when it becomes obsolete. */
 static gboolean update_drain_reason(gpointer key, gpointer value, gpointer arg)
 {
     const struct holder_change *change = arg;
@@ -207,9 +213,10 @@
 
 static bool is_due(const struct pm_gc *collector, const struct candidate *candidate, double now)
 {
-    return candidate->reason && now - candidate->unchanged_since_at >= collector->after_s;
+    return candidate->reason && now - candidate->unchanged_since_at >= collector->delete_after_s;
 }
 
+/* The argument of add_delete_if_due. */
 struct due_deletes {
     const struct pm_gc *collector;
     struct pm_txn *txn;
@@ -245,6 +252,7 @@
 
 /* ---- status ---- */
 
+/* The argument of encode_candidate. */
 struct status_output {
     const struct pm_gc *collector;
     struct pm_buffer *out;
--- a/src/roles/tests/test_garbage_collector.c
+++ b/src/roles/tests/test_garbage_collector.c
@@ -1,4 +1,4 @@
-/* Which stored keys are deleted, and that no others are. */
+/* The garbage collector deletes obsolete stored keys, and no others. */
 #include "roles/garbage_collector.h"
 #include "roles/roles.h"
 
@@ -9,7 +9,7 @@
 #include <string.h>
 #include <cmocka.h>
 
-#define AFTER_S 100.0
+#define DELETE_AFTER_S 100.0
 
 enum { JOBS = 100000, MAX_DELETES = 12 };
 
@@ -23,7 +23,7 @@
     strcpy(settings.name, "node-0");
     strcpy(settings.peers[0].name, "node-1");
     settings.peer_count = 1;
-    collector = pm_gc_new(&settings, AFTER_S);
+    collector = pm_gc_new(&settings, DELETE_AFTER_S);
     return 0;
 }
 
@@ -48,14 +48,15 @@
     pm_buffer_free(&buf);
 }
 
-/* How many keys a collection would delete; asserts that `key` is one of them, unless NULL. */
+/* Returns how many keys a collection at `now` would delete. Asserts that `key` is one of them,
+ * unless it is NULL. */
 static int count_due(double now, const char *key)
 {
     struct pm_txn txn = {0};
     int count = pm_gc_add_due_deletes(collector, &txn, MAX_DELETES, now);
 
     assert_int_equal(count, txn.write_count);
-    assert_int_equal(count, txn.compare_count); /* each compared with its revision */
+    assert_int_equal(count, txn.compare_count); /* the revision of each key is compared */
     if (key)
         assert_non_null(memmem(txn.writes.data, txn.writes.size, key, strlen(key)));
     pm_txn_free(&txn);
@@ -66,12 +67,12 @@
 {
     (void)state;
     put("p/links/node-9", 0, 5, 0);
-    assert_int_equal(count_due(AFTER_S - 1, NULL), 0);
-    assert_int_equal(count_due(AFTER_S, "p/links/node-9"), 1);
-    put("p/links/node-9", 0, 6, AFTER_S); /* it is still written */
-    assert_int_equal(count_due(AFTER_S + 1, NULL), 0);
+    assert_int_equal(count_due(DELETE_AFTER_S - 1, NULL), 0);
+    assert_int_equal(count_due(DELETE_AFTER_S, "p/links/node-9"), 1);
+    put("p/links/node-9", 0, 6, DELETE_AFTER_S); /* the key is still being written */
+    assert_int_equal(count_due(DELETE_AFTER_S + 1, NULL), 0);
     pm_gc_apply_delete(collector, "p/links/node-9", 7);
-    assert_int_equal(count_due(10 * AFTER_S, NULL), 0);
+    assert_int_equal(count_due(10 * DELETE_AFTER_S, NULL), 0);
 }
 
 static void keys_of_known_controllers_are_kept(void **state)
@@ -93,15 +94,15 @@
     (void)state;
     put("p/duty/clean", 0, 7, 0);
     put("p/drain/clean", 7, 8, 0);
-    assert_int_equal(count_due(1e6, NULL), 0); /* its holder has not released the role yet */
+    assert_int_equal(count_due(1e6, NULL), 0); /* the holder has not released the role yet */
     put("p/duty/clean", 0, 9, 50);
-    assert_int_equal(count_due(50 + AFTER_S - 1, NULL), 0);
-    assert_int_equal(count_due(50 + AFTER_S, "p/drain/clean"), 1);
+    assert_int_equal(count_due(50 + DELETE_AFTER_S - 1, NULL), 0);
+    assert_int_equal(count_due(50 + DELETE_AFTER_S, "p/drain/clean"), 1);
     put("p/drain/nonsense", 1, 10, 0);
-    assert_int_equal(count_due(50 + AFTER_S, "p/drain/nonsense"), 2);
+    assert_int_equal(count_due(50 + DELETE_AFTER_S, "p/drain/nonsense"), 2);
 }
 
-/* The first collection of a large state: in small batches, and without the jobs. */
+/* Many keys are obsolete in a large state: they are deleted in small batches, and no job is. */
 static void jobs_are_kept_in_a_large_state(void **state)
 {
     char key[64];
@@ -119,7 +120,7 @@
         snprintf(key, sizeof key, "p/links/gone-%d", i);
         put(key, 0, (uint64_t)JOBS + 1, 0);
     }
-    assert_int_equal(count_due(1e6, NULL), 0); /* not before the snapshot is complete */
+    assert_int_equal(count_due(1e6, NULL), 0); /* the snapshot is not complete */
     pm_gc_snapshot_end(collector);
     while (count_due(1e6, "p/links/gone-")) {
         deleted += MAX_DELETES;
@@ -146,9 +147,9 @@
     put("p/links/node-8", 0, 1, 0);
     put("p/links/node-9", 0, 2, 0);
     pm_gc_snapshot_begin(collector);
-    put("p/links/node-9", 0, 2, 10); /* put again, and unchanged */
+    put("p/links/node-9", 0, 2, 10); /* put again with the same revision */
     pm_gc_snapshot_end(collector);
-    assert_int_equal(count_due(AFTER_S, "p/links/node-9"), 1);
+    assert_int_equal(count_due(DELETE_AFTER_S, "p/links/node-9"), 1);
 }
 
 int main(void)
