--- a/src/roles/tests/provider_call_checker.c
+++ b/src/roles/tests/provider_call_checker.c
@@ -8,20 +8,20 @@
 
 enum { DECIMAL = 10 };
 
-/* An intent as it was written, and what was done for it. */
+/* An intent as it was written, and how many machines were rented for it. */
 struct known_intent {
     struct pm_intent *intent; /* owned */
     double written_at;        /* monotonic seconds */
     bool is_open;
-    uint64_t rented[PM_INTENT_RENTALS_MAX]; /* machines, for each rental */
+    uint64_t rented[PM_INTENT_RENTALS_MAX]; /* number of machines, for each rental */
 };
 
 struct call_checker {
     double lost_after_s;
-    uint64_t current_tokens[PM_ROLE_COUNT]; /* 0: the role has no holder */
-    uint64_t last_tokens[PM_ROLE_COUNT];
-    GHashTable *intents;             /* name to struct known_intent */
-    GHashTable *termination_intents; /* machine to the name of the intent to terminate it */
+    uint64_t current_tokens[PM_ROLE_COUNT]; /* 0 while the role has no holder */
+    uint64_t last_tokens[PM_ROLE_COUNT];    /* of the last holder, also after its key is deleted */
+    GHashTable *intents;                    /* name to struct known_intent */
+    GHashTable *termination_intents;        /* machine to the name of the intent to terminate it */
     unsigned rented, terminated, acquisitions;
     GString *violations;
 };
@@ -60,22 +60,25 @@
     checker->current_tokens[role] = token;
     if (token <= checker->last_tokens[role])
         g_string_append_printf(checker->violations,
-                               "token %llu of %s is no higher than one before\n",
+                               "fencing token %llu of role %s is no higher than the one before\n",
                                (unsigned long long)token, pm_role_name(role));
     checker->last_tokens[role] = token;
     checker->acquisitions += role == PM_ROLE_SCALE_OUT;
 }
 
+/* Checks that a new intent has the current token of its role, and a name that was never used. */
 static void check_new_intent(struct call_checker *checker, const char *key,
                              const struct pm_intent *intent)
 {
     uint64_t current_token = checker->current_tokens[intent->role];
 
     if (intent->token != current_token)
-        g_string_append_printf(checker->violations, "%s is written, while token %llu is in force\n",
-                               key, (unsigned long long)current_token);
+        g_string_append_printf(
+            checker->violations,
+            "%s is written under a stale token: the current fencing token is %llu\n", key,
+            (unsigned long long)current_token);
     if (g_hash_table_contains(checker->intents, intent->name))
-        g_string_append_printf(checker->violations, "%s is written again\n", key);
+        g_string_append_printf(checker->violations, "%s is written a second time\n", key);
 }
 
 static void put_intent(struct call_checker *checker, const char *key, const cbor_item_t *value,
@@ -85,7 +88,7 @@
     struct known_intent *known;
 
     if (!intent) {
-        g_string_append_printf(checker->violations, "%s is malformed\n", key);
+        g_string_append_printf(checker->violations, "the value of %s is malformed\n", key);
         return;
     }
     check_new_intent(checker, key, intent);
@@ -130,18 +133,18 @@
 
 /* ---- calls ---- */
 
-/* The intent that a request to rent names, and sets `rental` to its index there; NULL: there is no
- * such intent. */
-static struct known_intent *find_rental(const struct call_checker *checker, const char *booking,
-                                        guint *rental)
+/* Returns the intent that the idempotency key of a request to rent names, and sets `rental` to the
+ * index of the rental in it. Returns NULL if there is no such rental. */
+static struct known_intent *find_rental(const struct call_checker *checker,
+                                        const char *idempotency_key, guint *rental)
 {
-    const char *suffix = strrchr(booking, '-');
+    const char *suffix = strrchr(idempotency_key, '-');
     char *name;
     struct known_intent *known;
 
     if (!suffix)
         return NULL;
-    name = g_strndup(booking, (gsize)(suffix - booking));
+    name = g_strndup(idempotency_key, (gsize)(suffix - idempotency_key));
     known = g_hash_table_lookup(checker->intents, name);
     g_free(name);
     if (!known || known->intent->role != PM_ROLE_SCALE_OUT)
@@ -157,17 +160,19 @@
 
     checker->rented++;
     if (!known) {
-        g_string_append_printf(checker->violations, "%s is rented as %s, which nobody intended\n",
+        g_string_append_printf(checker->violations,
+                               "machine %s is rented as %s, which no intent contains\n",
                                call->machine, call->booking);
         return;
     }
     if (!known->is_open)
-        g_string_append_printf(checker->violations, "%s is rented as %s, which is closed\n",
+        g_string_append_printf(checker->violations,
+                               "machine %s is rented as %s, whose intent is closed\n",
                                call->machine, call->booking);
     if (++known->rented[rental] >
         g_array_index(known->intent->rentals, struct pm_intent_rental, rental).count)
-        g_string_append_printf(checker->violations, "%s is one more than %s says\n", call->machine,
-                               call->booking);
+        g_string_append_printf(checker->violations, "machine %s is one more than the count of %s\n",
+                               call->machine, call->booking);
 }
 
 static void check_termination(struct call_checker *checker, const struct fake_provider_call *call)
@@ -177,19 +182,20 @@
 
     checker->terminated++;
     if (!known || !known->is_open) {
-        g_string_append_printf(checker->violations, "%s is returned, and no open intent says so\n",
-                               call->machine);
+        g_string_append_printf(checker->violations,
+                               "machine %s is terminated without an open intent\n", call->machine);
         return;
     }
     if (!call->task)
         return;
     if (call->task_started_at > known->written_at)
         g_string_append_printf(checker->violations,
-                               "%s was given %s after its return was intended\n", call->machine,
-                               call->task);
-    else if (call->unanswered_s < checker->lost_after_s)
-        g_string_append_printf(checker->violations, "%s is returned while %s runs there\n",
+                               "machine %s started task %s after the intent to terminate it\n",
                                call->machine, call->task);
+    else if (call->unanswered_s < checker->lost_after_s)
+        g_string_append_printf(checker->violations,
+                               "machine %s is terminated while task %s runs on it\n", call->machine,
+                               call->task);
 }
 
 void call_checker_on_call(struct call_checker *checker, const struct fake_provider_call *call)
--- a/src/roles/tests/provider_call_checker.h
+++ b/src/roles/tests/provider_call_checker.h
@@ -1,10 +1,13 @@
-/* A checker for tests: compares the calls that the simulated machine provider carries out with what
- * the state service contained at that time.
+/* A checker for tests. Compares the calls that the fake machine provider executes with what the
+ * state service contains at that time.
  *
- * Rules: an intent is written under the fencing token in force, and tokens only rise; nothing is
- * rented or terminated without an open intent that says so, and no more than it says; a machine
- * gets no work after its termination was intended, and is terminated while it runs something only
- * if no controller reached it for long. */
+ * Rules:
+ * - An intent is written under the current fencing token of its role, and tokens only increase.
+ * - A machine is rented or terminated only under an open intent, and at most as many machines as
+ *   the intent says.
+ * - No task is started on a machine after the intent to terminate it was written.
+ * - A machine that runs a task is terminated only if no controller has answered the machine's
+ *   heartbeats for a given time. */
 #ifndef PM_ROLES_TESTS_PROVIDER_CALL_CHECKER_H
 #define PM_ROLES_TESTS_PROVIDER_CALL_CHECKER_H
 
@@ -16,27 +19,28 @@
 
 struct call_checker;
 
-/* A checker without violations; the caller owns it. A machine that no controller has answered for
- * `lost_after_s` may be terminated with what runs there. */
+/* Returns a checker without violations, owned by the caller. A machine may be terminated while it
+ * runs a task if no controller has answered its heartbeats for `lost_after_s` seconds. */
 struct call_checker *call_checker_new(double lost_after_s);
 /* Frees the checker. */
 void call_checker_free(struct call_checker *checker);
-/* A key was put, or deleted (`value` NULL), at `now` (monotonic seconds). */
+/* Called for each key that is put, or deleted if `value` is NULL, at `now` (monotonic seconds). */
 void call_checker_on_state_change(struct call_checker *checker, const char *key,
                                   const cbor_item_t *value, uint64_t revision, double now);
-/* The provider carries a request out. */
+/* Called for each machine that the provider rents or terminates. */
 void call_checker_on_call(struct call_checker *checker, const struct fake_provider_call *call);
-/* Forgets the violations found so far: there were no roles yet. */
+/* Discards the violations found so far. For a cluster that had no roles until now, so that machines
+ * were rented without intents. */
 void call_checker_clear_violations(struct call_checker *checker);
-/* How many machines were rented. */
+/* Returns the number of machines rented. */
 unsigned call_checker_rented(const struct call_checker *checker);
-/* How many machines were terminated. */
+/* Returns the number of machines terminated. */
 unsigned call_checker_terminated(const struct call_checker *checker);
-/* How often the role of scaling out was acquired. */
+/* Returns how often the scale-out role was acquired. */
 unsigned call_checker_acquisitions(const struct call_checker *checker);
-/* How many intents are open. */
+/* Returns the number of open intents. */
 unsigned call_checker_open_intents(const struct call_checker *checker);
-/* One line for each broken rule, "" if there is none; borrowed from the checker. */
+/* Returns one line for each violation, "" if there is none. Borrowed from the checker. */
 const char *call_checker_violations(const struct call_checker *checker);
 
 #endif
--- a/src/roles/tests/test_callers.c
+++ b/src/roles/tests/test_callers.c
@@ -1,6 +1,7 @@
-/* Lists where the machine provider is called, and where keys are deleted. Before a new place is
- * added here, make sure that its action is refused when the caller is a replaced holder
- * (docs/design/roles.md). */
+/* Guards against a new call to the machine provider, or a new deletion of keys, that a replaced
+ * holder of a role could still make: every place in the sources that does either is listed here.
+ * Before you add a place, make sure that its action is refused if the caller is a replaced holder
+ * (see docs/design/roles.md). */
 #include <glib.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,7 +15,7 @@
     return strcmp(*(const char *const *)left, *(const char *const *)right);
 }
 
-/* Adds the C files of the directory to `paths`. */
+/* Adds the paths of the directory's C files to `paths`. */
 static void add_sources(GPtrArray *paths, const char *directory)
 {
     GDir *files = g_dir_open(directory, 0, NULL);
@@ -28,8 +29,8 @@
     g_dir_close(files);
 }
 
-/* The sources in order, without the tests and the simulations in testing/, which are part of no
- * installed program. */
+/* Returns the paths of the sources, sorted. Leaves out tests and the fakes in testing/, which are
+ * in no installed program. */
 static GPtrArray *list_sources(void)
 {
     static const char *const roots[] = {"src", "src/cmd"};
@@ -38,7 +39,7 @@
     for (size_t i = 0; i < G_N_ELEMENTS(roots); i++) {
         GDir *root = g_dir_open(roots[i], 0, NULL);
         const char *name;
-        assert_non_null(root); /* the tests run in the root of the sources */
+        assert_non_null(root); /* the working directory of the tests is the repository's root */
         while ((name = g_dir_read_name(root))) {
             char *directory = g_build_filename(roots[i], name, NULL);
             if (strcmp(name, "testing") != 0)
@@ -60,7 +61,8 @@
     return occurrences;
 }
 
-/* "file.c 2, other.c 1": the files that have the text, and how often; owned by the caller. */
+/* Returns the files that contain the text and how often they do, such as "file.c 2, other.c 1".
+ * Owned by the caller. */
 static char *find_callers(const char *needle)
 {
     GPtrArray *paths = list_sources();
@@ -89,7 +91,7 @@
     g_free(callers);
 }
 
-/* Only pm_provider_send rents and terminates; the other calls read. */
+/* Only calls through pm_provider_send rent or terminate machines. The other calls only read. */
 static void provider_is_called_from_known_places(void **state)
 {
     (void)state;
@@ -98,9 +100,9 @@
                    "autoscaler/provider_client.c 1, cmd/pumicemount/link_monitor.c 1");
     assert_callers("\"/machines/release\"", "autoscaler/provider_client.c 1");
     assert_callers("\"/machines\"", "autoscaler/provider_client.c 1");
-    assert_callers("pm_provider_send(",
-                   "autoscaler/provider_client.c 1, autoscaler/scale_out.c 1, "
-                   "autoscaler/termination.c 1"); /* its definition, to rent, to terminate */
+    /* The definition, the call that rents and the call that terminates. */
+    assert_callers("pm_provider_send(", "autoscaler/provider_client.c 1, autoscaler/scale_out.c 1, "
+                                        "autoscaler/termination.c 1");
 }
 
 static void keys_are_deleted_from_known_places(void **state)
--- a/src/roles/tests/test_provider_call_checker.c
+++ b/src/roles/tests/test_provider_call_checker.c
@@ -1,5 +1,5 @@
-/* The checker of calls to the machine provider finds each kind of violation, and nothing in calls
- * that are allowed. */
+/* The checker of calls to the machine provider reports each kind of violation, and reports nothing
+ * for calls that are allowed. */
 #include "base/keys.h"
 #include "provider_call_checker.h"
 #include "roles/roles.h"
@@ -92,14 +92,15 @@
     assert_non_null(strstr(call_checker_violations(checker), violation));
 }
 
-static void allowed_calls_are_no_violations(void **state)
+static void allowed_calls_are_not_reported(void **state)
 {
     (void)state;
     put_intent(PM_ROLE_SCALE_OUT, SCALE_OUT_TOKEN, 1, NULL);
     report_rental("rent-5-1-0", "i-1");
     delete_key(PM_KEY_INTENT_PREFIX "rent-5-1");
     put_intent(PM_ROLE_SCALE_IN, SCALE_IN_TOKEN, 2, "i-1");
-    report_termination("i-1", "job/0", 1, LOST_AFTER_S + 1); /* unreachable for long enough */
+    /* No heartbeat of the machine was answered for long enough. */
+    report_termination("i-1", "job/0", 1, LOST_AFTER_S + 1);
     assert_string_equal(call_checker_violations(checker), "");
     assert_int_equal(call_checker_open_intents(checker), 1);
     assert_int_equal(call_checker_rented(checker), 1);
@@ -111,21 +112,21 @@
     (void)state;
     put_holder(PM_ROLE_SCALE_OUT, SCALE_OUT_TOKEN + 10);
     put_intent(PM_ROLE_SCALE_OUT, SCALE_OUT_TOKEN, 1, NULL);
-    assert_found("while token 15 is in force");
+    assert_found("the current fencing token is 15");
 }
 
-static void finds_token_that_falls(void **state)
+static void finds_decreasing_token(void **state)
 {
     (void)state;
     put_holder(PM_ROLE_SCALE_IN, SCALE_IN_TOKEN - 1);
-    assert_found("no higher than one before");
+    assert_found("no higher than the one before");
 }
 
 static void finds_rental_without_intent(void **state)
 {
     (void)state;
     report_rental("rent-5-1-0", "i-1");
-    assert_found("which nobody intended");
+    assert_found("which no intent contains");
 }
 
 static void finds_rental_after_intent_is_closed(void **state)
@@ -134,7 +135,7 @@
     put_intent(PM_ROLE_SCALE_OUT, SCALE_OUT_TOKEN, 1, NULL);
     delete_key(PM_KEY_INTENT_PREFIX "rent-5-1");
     report_rental("rent-5-1-0", "i-1");
-    assert_found("which is closed");
+    assert_found("whose intent is closed");
 }
 
 static void finds_more_machines_than_intended(void **state)
@@ -144,23 +145,23 @@
     report_rental("rent-5-1-0", "i-1");
     report_rental("rent-5-1-0", "i-2");
     assert_found("one more than");
-    report_rental("rent-5-1-1", "i-3"); /* the intent has one rental only */
-    assert_found("rent-5-1-1, which nobody intended");
+    report_rental("rent-5-1-1", "i-3"); /* the intent has only one rental */
+    assert_found("rent-5-1-1, which no intent contains");
 }
 
 static void finds_termination_without_intent(void **state)
 {
     (void)state;
     report_termination("i-1", NULL, 0, 0);
-    assert_found("no open intent says so");
+    assert_found("terminated without an open intent");
 }
 
-static void finds_task_begun_after_intent(void **state)
+static void finds_task_started_after_intent(void **state)
 {
     (void)state;
     put_intent(PM_ROLE_SCALE_IN, SCALE_IN_TOKEN, 1, "i-1");
     report_termination("i-1", "job/0", now + 1, LOST_AFTER_S + 1);
-    assert_found("after its return was intended");
+    assert_found("after the intent to terminate it");
 }
 
 static void finds_termination_of_busy_machine(void **state)
@@ -168,20 +169,20 @@
     (void)state;
     put_intent(PM_ROLE_SCALE_IN, SCALE_IN_TOKEN, 1, "i-1");
     report_termination("i-1", "job/0", now - 1, LOST_AFTER_S / 2);
-    assert_found("while job/0 runs there");
+    assert_found("while task job/0 runs on it");
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(allowed_calls_are_no_violations, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(allowed_calls_are_not_reported, set_up, tear_down),
         cmocka_unit_test_setup_teardown(finds_intent_of_stale_holder, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(finds_token_that_falls, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(finds_decreasing_token, set_up, tear_down),
         cmocka_unit_test_setup_teardown(finds_rental_without_intent, set_up, tear_down),
         cmocka_unit_test_setup_teardown(finds_rental_after_intent_is_closed, set_up, tear_down),
         cmocka_unit_test_setup_teardown(finds_more_machines_than_intended, set_up, tear_down),
         cmocka_unit_test_setup_teardown(finds_termination_without_intent, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(finds_task_begun_after_intent, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(finds_task_started_after_intent, set_up, tear_down),
         cmocka_unit_test_setup_teardown(finds_termination_of_busy_machine, set_up, tear_down),
     };
 
--- a/src/roles/tests/test_replacements.c
+++ b/src/roles/tests/test_replacements.c
@@ -1,9 +1,14 @@
-/* Real controller processes: the holder of the roles is paused or killed at each step between
- * writing an intent and deleting it, is replaced, and comes back.
+/* Guards against a replaced holder of a role that still rents or terminates machines, and against
+ * intents that are lost or carried out twice when the holder changes.
  *
- * What the machine provider carried out is checked against what the state service contained.
- * PM_REPLACEMENTS and PM_SEED make longer runs, outside CI; PM_FIRST_DAEMON is run in place of
- * controller 0, say with a wall clock that jumps. */
+ * Runs real controller processes. The holder is paused at each step between writing an intent and
+ * deleting it, and another controller replaces it. Then the first one is resumed, or killed and
+ * restarted. The calls that the machine provider executes are checked against what the state
+ * service contains at that time.
+ *
+ * Environment variables for runs outside CI: PM_REPLACEMENTS sets the number of replacements and
+ * PM_SEED the seed. PM_FIRST_DAEMON is a program to run as controller 0, for example with a wall
+ * clock that jumps. */
 #include "base/keys.h"
 #include "testing/cluster.h"
 #include "base/clock.h"
@@ -19,39 +24,41 @@
 #include <string.h>
 #include <cmocka.h>
 
-#define DEADLINE_S 60.0      /* whatever is waited for happens within this, on a busy machine too */
-#define STEP_DEADLINE_S 12.0 /* a step that is not reached within this is skipped */
-#define ACTING_S 0.7         /* the next holder acts this long before the previous one is back */
-#define LOST_AFTER_S 2.0
-#define JOB_INTERVAL_S 0.5   /* between two submissions */
-#define PROVIDER_DELAY_S 7.0 /* longer than the provider's answer is awaited */
-#define DOWNTIME_S 0.3
+#define DEADLINE_S 60.0      /* limit of each wait, ample even on a busy machine */
+#define STEP_DEADLINE_S 12.0 /* a step that is not reached within this time is skipped */
+#define SUCCESSOR_RUN_S 0.7  /* the new holder runs for this long before the old one resumes */
+#define LOST_AFTER_S 2.0     /* unanswered for this long, a busy machine may be terminated */
+#define JOB_INTERVAL_S 0.5   /* time between two submissions */
+#define PROVIDER_DELAY_S 7.0 /* longer than a controller waits for the provider's answer */
+#define DOWNTIME_S 0.3       /* time during which no controller runs */
 
 enum { CONTROLLERS = 3, REPLACEMENTS = 20, SEED = 1 };
 
 static const char enabled_settings[] = "leader_ttl_s: 1\nconfirm_s: 0.6\nidle_return_s: 1\n"
                                        "duties:\n  fence: true\n  ttl_s: 1.5\n";
 
-/* How far the holder is when it is paused or killed. */
+/* The step at which the holder is paused. */
 enum step {
-    STEP_INTENT_IN_FLIGHT, /* its intent is in flight, and arrives late */
-    STEP_INTENT_DURABLE,   /* the intent is durable, the answer is in the holder's socket */
-    STEP_CALL_EXECUTED,    /* the provider has executed the call, its answer is in the socket */
-    STEP_CALL_ANSWER_LOST,
-    STEP_INTENT_DELETED, /* the intent is deleted, the answer is in the holder's socket */
+    STEP_INTENT_IN_FLIGHT, /* the write of its intent is in flight, and executed late */
+    STEP_INTENT_DURABLE,   /* the intent is durable; the answer is unread in the holder's socket */
+    STEP_CALL_EXECUTED,    /* the provider has executed the call; the answer is unread */
+    STEP_CALL_ANSWER_LOST, /* the provider has executed the call; its answer is lost */
+    STEP_INTENT_DELETED,   /* the intent is deleted; the answer is unread in the holder's socket */
     STEP_COUNT
 };
 
-/* One cluster under test, and the replacement of a holder that is under way. */
+/* A cluster under test, and the current replacement of a holder. */
 struct scenario {
     struct cluster *cluster;
     struct call_checker *checker;
     enum step step;
-    enum pm_role role;
+    enum pm_role role; /* the role whose intent or call reaches the step */
+    /* `is_armed`: the holder is to be paused once it reaches the step. `is_kill`: it is later
+     * killed and restarted, not resumed. */
     bool is_armed, is_kill;
-    int stopped_controller; /* index of the controller, -1: none */
-    double stopped_at;      /* monotonic seconds, 0: another one has acquired the role since */
-    GArray *vacancies[2];   /* seconds without a holder: after pauses, after kills */
+    int stopped_controller; /* index of the paused or killed controller, -1 if there is none */
+    double stopped_at;      /* monotonic time of the pause, 0 once scale-out has a new holder */
+    GArray *vacancies[2];   /* seconds without a holder of scale-out, by `is_kill` */
 };
 
 /* ---- pausing the holder ---- */
@@ -65,7 +72,7 @@
     scenario->is_armed = false;
     scenario->stopped_controller = leader;
     scenario->stopped_at = pm_clock_monotonic();
-    cluster_pause(scenario->cluster, leader, true); /* at once: it sends nothing more */
+    cluster_pause(scenario->cluster, leader, true); /* from here on it sends nothing more */
 }
 
 static bool is_intent_of_role(const struct scenario *scenario, const char *key)
@@ -111,7 +118,7 @@
         pause_holder(scenario);
 }
 
-static struct scenario *current; /* for the predicates of cluster_run_until */
+static struct scenario *current; /* the scenario that the predicates of cluster_run_until use */
 
 static bool holder_is_paused(struct cluster *cluster)
 {
@@ -121,7 +128,7 @@
     return current->stopped_controller >= 0;
 }
 
-static bool another_leads(struct cluster *cluster)
+static bool another_controller_leads(struct cluster *cluster)
 {
     int leader = cluster_leader(cluster);
 
@@ -143,25 +150,27 @@
     scenario->stopped_controller = -1;
 }
 
-static int next_leader; /* for third_leads */
+static int next_leader; /* the leader that replaced the first one, for third_controller_leads */
 
-static bool third_leads(struct cluster *cluster)
+static bool third_controller_leads(struct cluster *cluster)
 {
     int leader = cluster_leader(cluster);
 
     return leader >= 0 && leader != current->stopped_controller && leader != next_leader;
 }
 
-/* The next leader is killed too, so that the first one resumes after two changes. */
+/* Kills the next leader too, so that the first one resumes after two changes of leader. */
 static void replace_next_leader(struct scenario *scenario)
 {
     next_leader = cluster_leader(scenario->cluster);
     cluster_kill(scenario->cluster, next_leader);
-    assert_true(cluster_run_until(scenario->cluster, third_leads, DEADLINE_S));
+    assert_true(cluster_run_until(scenario->cluster, third_controller_leads, DEADLINE_S));
     cluster_start(scenario->cluster, next_leader);
 }
 
-/* False: the step was not reached, and nothing was replaced. */
+/* Pauses the holder at the step, waits for its replacement, and resumes or restarts it. With
+ * `replace_twice` its successor is replaced as well. Returns false if the step was not reached, so
+ * that nothing was replaced. */
 static bool replace_holder(struct scenario *scenario, enum step step, enum pm_role role,
                            bool is_kill, bool replace_twice)
 {
@@ -174,15 +183,15 @@
     snprintf(key, sizeof key, PM_KEY_INTENT_PREFIX "%s", pm_role_name(role));
     if (step == STEP_INTENT_IN_FLIGHT)
         fake_store_delay_next_txn(cluster_store(scenario->cluster), key);
-    /* The failed machine is terminated, and another one is rented. */
+    /* Makes the holder write intents: it terminates the failed machine and rents another one. */
     fake_provider_fail_machine(cluster_provider(scenario->cluster));
     if (!cluster_run_until(scenario->cluster, holder_is_paused, STEP_DEADLINE_S)) {
         scenario->is_armed = false;
         fake_store_delay_next_txn(cluster_store(scenario->cluster), "");
         return false;
     }
-    assert_true(cluster_run_until(scenario->cluster, another_leads, DEADLINE_S));
-    cluster_run(scenario->cluster, ACTING_S);
+    assert_true(cluster_run_until(scenario->cluster, another_controller_leads, DEADLINE_S));
+    cluster_run(scenario->cluster, SUCCESSOR_RUN_S);
     if (replace_twice)
         replace_next_leader(scenario);
     resume_stopped(scenario);
@@ -232,7 +241,7 @@
     history_close(cluster_history(scenario->cluster));
     assert_string_equal(call_checker_violations(scenario->checker), "");
     assert_string_equal(history_violations(cluster_history(scenario->cluster)), "");
-    /* Whoever has the roles completes what is open. */
+    /* The current holders of the roles have completed all open intents. */
     assert_int_equal(call_checker_open_intents(scenario->checker), 0);
     free_scenario(scenario);
 }
@@ -255,7 +264,8 @@
     return history_start_count(cluster_history(cluster)) >= 4;
 }
 
-/* Nothing is rented before all controllers are known to support roles. */
+/* Starts the load only after the scale-out role was acquired, because machines that are rented
+ * before then are rented without intents. */
 static void start_cluster_with_roles(struct scenario *scenario)
 {
     start_cluster_with(scenario, enabled_settings, g_getenv("PM_FIRST_DAEMON"));
@@ -281,19 +291,19 @@
 
 static void print_vacancies(const struct scenario *scenario)
 {
-    static const char *const names[] = {"paused", "ended"};
+    static const char *const names[] = {"holder paused", "holder paused and killed"};
 
     for (int is_kill = 0; is_kill < 2; is_kill++) {
         GArray *vacancies = scenario->vacancies[is_kill];
         g_array_sort(vacancies, compare_numbers);
         if (vacancies->len)
-            printf("without a holder, %s: median %.2f s, most %.2f s of %u\n", names[is_kill],
-                   g_array_index(vacancies, double, vacancies->len / 2),
+            printf("time without a holder, %s: median %.2f s, maximum %.2f s of %u\n",
+                   names[is_kill], g_array_index(vacancies, double, vacancies->len / 2),
                    g_array_index(vacancies, double, vacancies->len - 1), vacancies->len);
     }
 }
 
-/* Every step, of both roles, by pauses and kills; the seed determines the order. */
+/* Replaces holders of both roles at every step, by pauses and kills. The seed sets the order. */
 static void holders_are_replaced_at_every_step(void **arg)
 {
     long wanted_count = read_number("PM_REPLACEMENTS", REPLACEMENTS);
@@ -315,7 +325,8 @@
         if (*call_checker_violations(scenario.checker))
             break;
     }
-    printf("%ld replacements, %ld steps not reached; %u machines rented, %u returned, %u holders\n",
+    printf("%ld replacements, %ld steps not reached; %u machines rented, %u terminated, role "
+           "acquired %u times\n",
            done_count, missed_count, call_checker_rented(scenario.checker),
            call_checker_terminated(scenario.checker), call_checker_acquisitions(scenario.checker));
     print_vacancies(&scenario);
@@ -325,7 +336,8 @@
     g_rand_free(random);
 }
 
-/* The checker finds something: with roles disabled, no intents are written. */
+/* Guards against a checker that sees no calls: with roles disabled, no intents are written, so
+ * every call is a violation. */
 static void checker_finds_violations_without_roles(void **arg)
 {
     struct scenario scenario;
@@ -336,13 +348,14 @@
     assert_true(cluster_run_until(scenario.cluster, has_started_tasks, DEADLINE_S));
     fake_provider_fail_machine(cluster_provider(scenario.cluster));
     assert_true(cluster_run_until(scenario.cluster, has_rented_and_terminated, DEADLINE_S));
-    assert_non_null(strstr(call_checker_violations(scenario.checker), "which nobody intended"));
-    assert_non_null(strstr(call_checker_violations(scenario.checker), "no open intent says so"));
+    assert_non_null(strstr(call_checker_violations(scenario.checker), "which no intent contains"));
+    assert_non_null(
+        strstr(call_checker_violations(scenario.checker), "terminated without an open intent"));
     free_scenario(&scenario);
 }
 
-/* Calls that are refused, not answered, or executed after their timeout. */
-static void provider_refuses_and_answers_late(void **arg)
+/* The provider refuses calls, and executes a call after its timeout. */
+static void provider_refuses_and_executes_late(void **arg)
 {
     struct scenario scenario;
     struct fake_provider *fleet;
@@ -360,13 +373,14 @@
     terminated_before = call_checker_terminated(scenario.checker);
     fake_provider_delay_next_termination(fleet, PROVIDER_DELAY_S);
     fake_provider_fail_machine(fleet);
-    /* The call is sent again, and then the first one is executed. */
+    /* The controller repeats the call, and later the provider executes the first one too. */
     cluster_run(scenario.cluster, 2 * PROVIDER_DELAY_S);
     assert_true(call_checker_terminated(scenario.checker) > terminated_before);
     finish_and_check(&scenario);
 }
 
-/* All controllers are killed while a call is in flight, and soon restarted. */
+/* At each step from a durable intent on, the holder is paused there, then all controllers are
+ * killed and soon restarted. */
 static void all_controllers_are_killed_at_once(void **arg)
 {
     struct scenario scenario;
@@ -385,14 +399,14 @@
         for (int i = 0; i < CONTROLLERS; i++)
             cluster_start(scenario.cluster, i);
         scenario.stopped_controller = -1;
-        assert_true(cluster_run_until(scenario.cluster, another_leads, DEADLINE_S));
-        cluster_run(scenario.cluster, ACTING_S);
+        assert_true(cluster_run_until(scenario.cluster, another_controller_leads, DEADLINE_S));
+        cluster_run(scenario.cluster, SUCCESSOR_RUN_S);
     }
     finish_and_check(&scenario);
 }
 
-/* An operator drains a role and its holder is killed at that moment; then one that runs is drained,
- * by two requests. */
+/* An operator drains a role, and its holder is killed at that moment. Then an operator drains the
+ * role of a running holder, with two requests. */
 static void holder_is_killed_while_drained(void **arg)
 {
     static const char drain_key[] = PM_KEY_DRAIN_PREFIX "return";
@@ -408,17 +422,17 @@
     scenario.stopped_controller = cluster_leader(scenario.cluster);
     fake_store_put_number(state, drain_key, "token", token);
     cluster_kill(scenario.cluster, scenario.stopped_controller);
-    assert_true(cluster_run_until(scenario.cluster, another_leads, DEADLINE_S));
+    assert_true(cluster_run_until(scenario.cluster, another_controller_leads, DEADLINE_S));
     cluster_start(scenario.cluster, scenario.stopped_controller);
-    cluster_run(scenario.cluster, ACTING_S);
+    cluster_run(scenario.cluster, SUCCESSOR_RUN_S);
     assert_true(fake_store_revision(state, holder_key) > token);
-    assert_int_equal(fake_store_revision(state, drain_key), 0); /* the next holder deleted it */
+    assert_int_equal(fake_store_revision(state, drain_key), 0); /* deleted by the next holder */
     token = fake_store_revision(state, holder_key);
     scenario.stopped_controller = cluster_leader(scenario.cluster);
     fake_store_put_number(state, drain_key, "token", token);
     fake_store_put_number(state, drain_key, "token", token);
-    assert_true(cluster_run_until(scenario.cluster, another_leads, DEADLINE_S));
-    cluster_run(scenario.cluster, ACTING_S);
+    assert_true(cluster_run_until(scenario.cluster, another_controller_leads, DEADLINE_S));
+    cluster_run(scenario.cluster, SUCCESSOR_RUN_S);
     assert_true(fake_store_revision(state, holder_key) > token);
     finish_and_check(&scenario);
 }
@@ -428,9 +442,10 @@
     return cluster_leader(cluster) == 0;
 }
 
-/* A controller of an earlier version beside new ones, PM_OLD_DAEMON: outside CI, which builds only
- * one version. No roles are written until it is upgraded as well, whoever leads. */
-static void earlier_version_runs_beside(void **arg)
+/* Controller 0 runs an earlier version (PM_OLD_DAEMON), the others the current one. No role is
+ * acquired until controller 0 is upgraded as well, whichever controller leads. Runs outside CI,
+ * which builds only one version. */
+static void earlier_version_runs_alongside(void **arg)
 {
     struct scenario scenario;
 
@@ -450,7 +465,7 @@
     assert_int_equal(call_checker_acquisitions(scenario.checker), 0);
     cluster_upgrade(scenario.cluster);
     assert_true(cluster_run_until(scenario.cluster, has_acquisition, DEADLINE_S));
-    /* What was rented before there were intents is no violation. */
+    /* Machines that were rented before the upgrade had no intents, and are no violation. */
     call_checker_clear_violations(scenario.checker);
     for (int step = 0; step < STEP_COUNT; step++)
         replace_holder(&scenario, (enum step)step, PM_ROLE_SCALE_IN, step % 2 == 0, false);
@@ -461,12 +476,12 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(holders_are_replaced_at_every_step),
-        cmocka_unit_test(provider_refuses_and_answers_late),
+        cmocka_unit_test(provider_refuses_and_executes_late),
         cmocka_unit_test(all_controllers_are_killed_at_once),
         cmocka_unit_test(holder_is_killed_while_drained),
         cmocka_unit_test(checker_finds_violations_without_roles),
     };
-    const struct CMUnitTest upgrades[] = {cmocka_unit_test(earlier_version_runs_beside)};
+    const struct CMUnitTest upgrades[] = {cmocka_unit_test(earlier_version_runs_alongside)};
 
     if (g_getenv("PM_OLD_DAEMON"))
         return cmocka_run_group_tests(upgrades, NULL, NULL);
