--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -1,6 +1,10 @@
 /* The autoscaler decides which machines to rent from the machine provider and which to terminate,
  * and sends the requests that do so.
  *
+ * A machine is rented either as a spot machine, which the provider may interrupt, or as an ordinary
+ * machine. "Ordinary" is the provider's word for on-demand: not spot, at a higher price, and not
+ * interrupted.
+ *
  * It runs only on the leader. The controller calls pm_autoscaler_run after each plan. A run marks
  * machines for termination, computes which machines the unmet demand needs beyond those that are up
  * or booting, and sends the requests that the provider's request limit allows. While singleton
--- a/src/autoscaler/batch_backlog.c
+++ b/src/autoscaler/batch_backlog.c
@@ -13,18 +13,19 @@
  * only. */
 #define ORDINARY_WORK_SHARE 0.7
 
-/* A running task counts with at least this share of its estimated duration, even if it has already
- * run for longer than that. */
+/* The remaining time of a running task is estimated as at least this share of its estimated
+ * duration, even if the task has already run for longer than estimated. */
 #define RUNNING_TASK_LEFT_MIN 0.2
-/* On average a running task of a shard's job has its estimated duration divided by this left. */
+/* The leader does not know when a running task of a shard's job started. The task is assumed to
+ * need its estimated duration divided by this, which is right on average. */
 #define SHARD_TASK_LEFT_DIVISOR 2
 /* A job's last task should start this share of a task's duration before the job's deadline. */
 #define LAST_START_SHARE 0.6
 /* A machine is rented for a deadline only if, once the machine is up, at least this share of a
  * task's duration is left until the job's last task should start. */
 #define USEFUL_BOOT_SHARE 0.3
-/* A new machine is expected to be up after its announced boot time, times the factor, plus the
- * margin. */
+/* A new machine is expected to be up after BOOT_FACTOR * ready_s + BOOT_MARGIN_S, where ready_s is
+ * the boot time that the provider announces for the machine type. */
 #define BOOT_FACTOR 1.1
 #define BOOT_MARGIN_S 2
 
@@ -87,8 +88,9 @@
 
 /* ---- waiting work ---- */
 
-/* Whether the job's constraints allow its tasks on some machine that is up or soon will be, however
- * much of that machine is free. For a job bound to one zone, all capacity may be in other zones. */
+/* Whether the job's constraints allow its tasks on some machine that is up or soon will be,
+ * regardless of how much of its capacity is free. For a job bound to one zone, all capacity may be
+ * in other zones. */
 static bool may_run_on_capacity(const struct pm_sizing *sizing, const struct pm_job *job)
 {
     const struct pm_name_tables *tables = sizing->autoscaler->tables;
--- a/src/autoscaler/boot_tracking.c
+++ b/src/autoscaler/boot_tracking.c
@@ -4,21 +4,24 @@
  * than those that are already booting. Late machines are therefore replaced by another kind, or
  * waited for; only a few more of the late kind are rented, to find out when its boots are on time
  * again. A single machine that is still booting while machines rented later are up counts as stuck:
- * it is replaced at once, and terminated soon. */
+ * it is replaced at once, and terminated soon.
+ *
+ * In the comments below, ready_s is the boot time that the provider announces for the type. */
 #include "autoscaler/internal.h"
 
 #include <math.h>
 
-/* Machines of a late kind that may be rented within one announced boot time, as a share of the
+/* Within each ready_s, one machine of a late kind may be rented as a probe, plus this share of the
  * kind's overdue machines. */
 #define PROBE_SHARE 0.15
 
-/* A stuck machine is terminated after the factor times the announced boot time plus the margin, but
- * not before the longest boot of its kind, times its own factor, has passed. */
+/* A stuck machine is terminated once it is older than both STUCK_BOOT_FACTOR * ready_s +
+ * STUCK_MARGIN_S and STUCK_LONGEST_BOOT_FACTOR * the longest boot of its kind. */
 #define STUCK_BOOT_FACTOR 3.0
 #define STUCK_MARGIN_S 10.0
 #define STUCK_LONGEST_BOOT_FACTOR 2.0
-/* A machine of a late kind is terminated later, because it may still come up. */
+/* A machine of a late kind is terminated later, because it may still come up: once it is older than
+ * LATE_BOOT_FACTOR * ready_s + LATE_MARGIN_S. */
 #define LATE_BOOT_FACTOR 15.0
 #define LATE_MARGIN_S 30.0
 
@@ -29,8 +32,9 @@
     return machine->state == PM_MACHINE_BOOTING && machine->type >= 0 && machine->zone >= 0;
 }
 
-/* The leader does not know when a machine in a shard was rented. */
-static bool has_known_rental_time(const struct pm_machine *machine)
+/* Whether the machine is up and its kind and rental time are known. The leader does not know when a
+ * machine in a shard was rented. */
+static bool is_up_with_known_rental_time(const struct pm_machine *machine)
 {
     return machine->state == PM_MACHINE_UP && machine->type >= 0 && machine->zone >= 0 &&
            !machine->shard.owner && machine->provider.rented_at > 0;
@@ -54,7 +58,7 @@
     double rented_at = machine->provider.rented_at;
     struct pm_kind_boots *boots;
 
-    if (!has_known_rental_time(machine))
+    if (!is_up_with_known_rental_time(machine))
         return;
     boots = &pm_autoscaler_kind_of(autoscaler, machine)->boots;
     boots->newer_up_count += rented_at >= boots->oldest_overdue_rented_at;
@@ -110,8 +114,9 @@
                                       const struct pm_machine *machine, double now)
 {
     const struct pm_machine_provider *provider = &machine->provider;
-    /* A machine that the inventory lists as running has booted, and after an election has yet to
-     * report to this leader; its age then counts from when it was first listed as running. */
+    /* A machine that the inventory lists as running has booted, but after an election its worker
+     * may not have reported to this leader yet. The age of such a machine counts from when it was
+     * first listed as running, so that it is not terminated before its worker can report. */
     double age_s = now - (provider->running_since ? provider->running_since : provider->rented_at);
     double ready_s;
     double longest_boot_s;
--- a/src/autoscaler/demand_rate.c
+++ b/src/autoscaler/demand_rate.c
@@ -1,13 +1,13 @@
-/* Measures the rate at which array work arrives. It arrives as a stream of jobs, each too short for
- * a machine that must first boot to help. Spot machines for the steady part of this demand are
- * therefore rented ahead of the jobs, and kept. */
+/* Measures the rate at which array work arrives. Array work arrives as a stream of jobs, each of
+ * which is done before a machine that was rented for it would have booted. Spot machines for the
+ * steady part of this demand are therefore rented ahead of the jobs, and kept. */
 #include "autoscaler/sizing.h"
 
 #include <math.h>
 
 #define DECAY_S 60.0 /* time constant of the exponential decay */
-/* At the start of the measurement, the work counted so far is taken as the demand of at least this
- * long. */
+/* The work counted so far is divided by at least this span, so that the rate is not overestimated
+ * shortly after the start of the measurement. */
 #define MEASURED_SPAN_MIN_S 30.0
 
 void pm_autoscaler_measure_demand(struct pm_autoscaler *autoscaler, double now, double wall_now)
@@ -82,14 +82,14 @@
 
 void pm_sizing_add_steady_demand(struct pm_sizing *sizing)
 {
-    const struct pm_job *typical = latest_array_job(sizing->autoscaler);
+    const struct pm_job *sample_job = latest_array_job(sizing->autoscaler);
     double missing = missing_cpus(sizing);
     struct pm_scale_out_request kind;
 
     sizing->late_kinds = PM_LATE_KINDS_PROBED;
-    while (typical && missing >= typical->spec->cpus &&
-           pm_sizing_choose_kind(sizing, typical, (int)(missing / typical->spec->cpus), -1, true,
-                                 &kind)) {
+    while (sample_job && missing >= sample_job->spec->cpus &&
+           pm_sizing_choose_kind(sizing, sample_job, (int)(missing / sample_job->spec->cpus), -1,
+                                 true, &kind)) {
         pm_sizing_add_machine(sizing, &kind);
         missing -= sizing->autoscaler->tables->types[kind.type].cpus;
     }
--- a/src/autoscaler/headroom.c
+++ b/src/autoscaler/headroom.c
@@ -1,20 +1,23 @@
-/* Headroom for services: capacity kept free on ordinary machines so that a replica is placed at
- * once, either of a new service or after the loss of any one machine. */
+/* Headroom for services: capacity kept free on ordinary machines, so that the replicas of a new
+ * service, and those lost with any one machine, can be placed at once. */
 #include "autoscaler/sizing.h"
 
 #include <limits.h>
 #include <math.h>
 
-/* The demand of n services fluctuates by about the square root of n services, times this factor, so
- * that many services need less headroom in proportion than few. */
+/* The total demand of n services fluctuates by about FLUCTUATION_FACTOR * sqrt(n) times the mean
+ * demand of one service, so many services need less headroom in proportion than few. */
 #define FLUCTUATION_FACTOR 2.0
 
-/* What the live services use, including their waiting replicas. Those count because on a cold start
- * no replica runs yet, and headroom that is rented late is also up late. */
+/* What the live services use, including their waiting replicas. Waiting replicas count because in a
+ * newly started cluster no replica runs yet: headroom that is rented only once replicas run would
+ * be up later than the machines for the replicas. */
 struct service_usage {
     double cpus;
-    int services;                 /* number of live services */
-    const struct pm_job *typical; /* preferably without zone or type constraint; NULL: none */
+    int services; /* number of live services */
+    /* The service whose replica size is the unit in which headroom is rented, preferably one
+     * without zone or type constraint; NULL: there is no service. */
+    const struct pm_job *sample_service;
 };
 
 static struct service_usage sum_services(const struct pm_autoscaler *autoscaler)
@@ -29,8 +32,8 @@
             continue;
         usage.cpus += (job->work.placed_count + pm_job_waiting_tasks(job)) * spec->cpus;
         usage.services++;
-        if (!usage.typical || (spec->zone < 0 && spec->allowed_types == ~(uint64_t)0))
-            usage.typical = job;
+        if (!usage.sample_service || (spec->zone < 0 && spec->allowed_types == ~(uint64_t)0))
+            usage.sample_service = job;
     }
     return usage;
 }
@@ -68,10 +71,11 @@
     double target = target_cpus(autoscaler, &usage, sizing->now);
     double missing;
 
-    autoscaler->headroom.service_cpus = target;
+    autoscaler->headroom.target_free_cpus = target;
     pm_scheduler_set_reserve(autoscaler->scheduler, target);
-    if (!usage.typical || usage.typical->spec->cpus <= 0)
+    if (!usage.sample_service || usage.sample_service->spec->cpus <= 0)
         return;
     missing = MAX(0, target - free_cpus(sizing));
-    pm_sizing_pack(sizing, usage.typical, (int)ceil(missing / usage.typical->spec->cpus), INT_MAX);
+    pm_sizing_pack(sizing, usage.sample_service,
+                   (int)ceil(missing / usage.sample_service->spec->cpus), INT_MAX);
 }
--- a/src/autoscaler/intents.c
+++ b/src/autoscaler/intents.c
@@ -1,4 +1,4 @@
-/* Handling of intents that requests to rent and requests to terminate share. */
+/* The handling of intents that is common to requests to rent and requests to terminate. */
 #include "autoscaler/internal.h"
 
 #include <stdio.h>
@@ -39,8 +39,8 @@
     pm_roles_log_action(call->autoscaler->roles, role, "answered", call->intent_name, text);
 }
 
-void pm_autoscaler_record_answer(const struct pm_provider_call *call, enum pm_role role, int status,
-                                 bool is_settled, double now)
+void pm_autoscaler_record_outcome(const struct pm_provider_call *call, enum pm_role role,
+                                  int status, bool is_settled, double now)
 {
     struct pm_roles *roles = call->autoscaler->roles;
     struct pm_intent *intent;
--- a/src/autoscaler/internal.h
+++ b/src/autoscaler/internal.h
@@ -15,8 +15,10 @@
  * by request_budget.c; scale_out.c, termination.c and provider_client.c write `in_flight`. */
 struct pm_request_budget {
     double tokens;
-    double refilled_at; /* monotonic: the last attempt to acquire a token */
-    int in_flight;      /* requests to rent or terminate, plus intents being written for them */
+    /* Monotonic time of the last attempt to acquire a token, which also refills the bucket. Code
+     * that handles an answer uses it as an approximation of the current time. */
+    double refilled_at;
+    int in_flight; /* requests to rent or terminate, plus intents being written for them */
 };
 
 /* State of reading the provider's inventory page by page. Written by inventory.c. */
@@ -34,24 +36,25 @@
 /* State of the request for machine types. Written by machine_types.c. */
 struct pm_machine_types_request {
     bool in_flight;
-    double sent_at; /* monotonic, 0: never */
+    double sent_at; /* monotonic time of the last request; 0: none was sent */
 };
 
 /* Boot statistics of one machine kind. Written by boot_tracking.c; `probed_at` by sizing.c. */
 struct pm_kind_boots {
-    /* Machines that are still booting after the time in which most of their type come up. */
+    /* Number of booting machines that are older than the expected boot time of their type. */
     int overdue_count;
     /* Monotonic time at which the oldest overdue machine was rented; INFINITY: none is overdue. */
     double oldest_overdue_rented_at;
     /* Machines that are up and were rented no earlier than the oldest overdue machine. */
     int newer_up_count;
     double longest_boot_s; /* longest boot among the machines rented in this term that are up */
-    double probed_at;      /* monotonic: machines were last requested while boots were late */
+    /* Monotonic time of the last request for machines of this kind while its boots were late. */
+    double probed_at;
 };
 
 /* Back-off from requesting one machine kind. Written by scale_out.c and termination.c. */
 struct pm_kind_backoff {
-    double until;      /* monotonic: the kind is not requested before this time */
+    double until;      /* monotonic time before which the kind is not requested */
     unsigned refusals; /* consecutive answers without the full capacity */
 };
 
@@ -66,21 +69,22 @@
 struct pm_demand_rate {
     double cpu_s;      /* decayed sum of the processor-seconds of the jobs counted */
     double jobs;       /* decayed number of the jobs counted */
-    double updated_at; /* monotonic: the sums were last decayed */
+    double updated_at; /* monotonic time of the last decay of the sums */
     double started_at; /* monotonic start of the measurement; 0: it has not started */
 };
 
-/* Idle capacity that is kept on purpose, and the spot capacity that the steady demand is compared
- * with. Written by headroom.c, by collect_capacity in sizing.c, and by scale_in.c when it marks a
- * machine for termination. */
+/* The target for free capacity on ordinary machines, and the total spot capacity, which is compared
+ * with the steady demand. Written by headroom.c, by collect_capacity in sizing.c, and by scale_in.c
+ * when it marks a machine for termination. */
 struct pm_headroom {
-    double service_cpus;       /* processors to keep free for services on ordinary machines */
+    double target_free_cpus;   /* processors to keep free for services on ordinary machines */
     double spot_capacity_cpus; /* processors of all spot machines that are up or soon will be */
 };
 
-/* When this controller last wrote intents. Written by scale_out.c and termination.c. */
+/* Monotonic times at which this controller last began to write an intent, by role. Written by
+ * scale_out.c and termination.c. */
 struct pm_intent_times {
-    double scale_out_at, scale_in_at; /* monotonic: the last intent of each role was started */
+    double scale_out_at, scale_in_at;
 };
 
 /* Whether placements can be written to the state service, as last set by
@@ -94,7 +98,7 @@
 struct pm_handover {
     double elected_at; /* monotonic */
     /* Monotonic time at which the previous leader last received a message from the zone; 0: the
-     * zone is not known to have been silent. */
+     * previous leader did not record the zone as silent. */
     double zone_last_message_at[PM_ZONES_MAX];
 };
 
@@ -108,19 +112,21 @@
     struct pm_roles *roles; /* NULL: the leader rents and terminates machines without roles */
     struct pm_autoscaler_hooks hooks;
     uint64_t epoch;
-    uint64_t term; /* number of resets; answers to requests of an earlier term are ignored */
+    /* Number of calls of pm_autoscaler_reset. Each call starts a term, at an election, which gives
+     * the term its epoch, or at a step-down. Answers to requests of earlier terms are ignored. */
+    uint64_t term;
     uint64_t rental_number; /* number of the last request to rent without an intent in this term */
     struct pm_request_budget budget;
     struct pm_inventory inventory;
     struct pm_machine_types_request types_request;
-    struct pm_machine_kind kinds[PM_MACHINE_TYPES_MAX][PM_ZONES_MAX]
-                                [2]; /* by type, zone and spot flag */
+    /* Indexed by type, zone and spot flag. */
+    struct pm_machine_kind kinds[PM_MACHINE_TYPES_MAX][PM_ZONES_MAX][2];
     struct pm_demand_rate demand_rate;
     struct pm_headroom headroom;
     struct pm_intent_times intent_times;
     struct pm_store_writability writability;
     struct pm_handover handover;
-    double consolidated_at;  /* monotonic: the last consolidation; written by scale_in.c */
+    double consolidated_at;  /* monotonic time of the last consolidation; written by scale_in.c */
     GHashTable *terminated;  /* owned set of machine names; written by termination.c */
     GArray *sizing_machines; /* of struct pm_sizing_machine; scratch space for one sizing */
 };
@@ -174,9 +180,9 @@
 struct pm_provider_call *pm_provider_call_new(struct pm_autoscaler *autoscaler, double now);
 /* Frees the call and its machine names. */
 void pm_provider_call_free(struct pm_provider_call *call);
-/* Whether the call was made in the current term. A call of an earlier term is no longer part of the
- * autoscaler's state, and the current holder of the role learns the outcome from the intent or the
- * inventory. */
+/* Whether the call was made in the current term. The answer to a call of an earlier term is
+ * ignored, and the call no longer counts as in flight. The current holder of the call's role
+ * (PM_ROLE_SCALE_OUT or PM_ROLE_SCALE_IN) learns the outcome from the intent or the inventory. */
 bool pm_provider_call_is_current(const struct pm_provider_call *call);
 /* Sends a request to rent under PM_ROLE_SCALE_OUT or to terminate under PM_ROLE_SCALE_IN. All such
  * requests go through this function: it ensures that a request with an intent is never written to
@@ -194,8 +200,8 @@
 /* Appends the body of a request to terminate the named machines to `out`. */
 void pm_termination_encode(const GPtrArray *machine_names, struct pm_buffer *out);
 /* Returns the list of machines in an answer, borrowed from it, or NULL if the answer is malformed.
- * The entries are names in an answer to a request to rent, and maps that
- * pm_listed_machine_decode reads in a page of the inventory. */
+ * In the answer to a request to rent, the entries are names. In a page of the inventory, they are
+ * maps, which pm_listed_machine_decode decodes. */
 const cbor_item_t *pm_provider_answer_machines(const cbor_item_t *answer);
 
 /* A machine as the inventory describes it. */
@@ -235,16 +241,17 @@
 /* Records the outcome of a call in the call's intent, including that the provider did not answer.
  * `is_settled` tells that the call need not be repeated. The intent is closed once all its calls
  * are settled, and retried otherwise. Does nothing for a call without an intent. */
-void pm_autoscaler_record_answer(const struct pm_provider_call *call, enum pm_role role, int status,
-                                 bool is_settled, double now);
+void pm_autoscaler_record_outcome(const struct pm_provider_call *call, enum pm_role role,
+                                  int status, bool is_settled, double now);
 
 /* ---- scale_out.c ---- */
 
 /* Whether this controller may rent machines now. With intents it must hold the scale-out role, and
  * the minimum interval since its last intent must have passed; without intents it always may. */
 bool pm_autoscaler_may_scale_out(const struct pm_autoscaler *autoscaler, double now);
-/* Sends the requests as far as the limits allow. Each request is for at most
- * PM_INTENT_INSTANCES_MAX machines. */
+/* Sends the requests as far as the request limit allows. With intents, writes the first
+ * PM_INTENT_RENTALS_MAX requests as one intent instead, and sends them once the intent is durable.
+ * The caller must limit each request to PM_INTENT_INSTANCES_MAX machines. */
 void pm_autoscaler_scale_out(struct pm_autoscaler *autoscaler,
                              const struct pm_scale_out_request *requests, int count, double now);
 /* Sends the rentals of an open intent that are neither settled nor in flight, as long as fewer than
@@ -277,7 +284,7 @@
 enum pm_boot_state {
     PM_BOOT_EXPECTED, /* still within the time in which most machines of its type come up */
     PM_BOOT_LATE,     /* overdue, and boots of its kind are late in general */
-    PM_BOOT_STUCK     /* overdue, while most of its kind rented at that time or later are up */
+    PM_BOOT_STUCK     /* overdue, although boots of its kind are not late in general */
 };
 /* Updates the boot statistics of each kind from all machines. Also resets the capacity of each kind
  * to 0, which the sizing then sums anew. */
@@ -288,8 +295,9 @@
 /* Whether the machine has been booting for so long that it is to be terminated. */
 bool pm_autoscaler_has_boot_timed_out(const struct pm_autoscaler *autoscaler,
                                       const struct pm_machine *machine, double now);
-/* Whether boots of the kind are late in general. A machine of that kind rented now would then come
- * up no sooner than those that are already booting. */
+/* Whether boots of the kind are late in general: more machines are overdue than are up among those
+ * rented no earlier than the oldest overdue one. A machine of that kind rented now would then
+ * come up no sooner than those that are already booting. */
 bool pm_machine_kind_is_late(const struct pm_machine_kind *kind);
 /* Returns how many machines of a late kind may still be rented, to find out when its boots are on
  * time again. */
@@ -298,8 +306,8 @@
 
 /* ---- demand_rate.c ---- */
 
-/* Returns how many processors the arriving array work is certain to keep busy: the measured rate,
- * with a reduction that is larger when fewer jobs were measured. */
+/* Returns a conservative estimate of how many processors the arriving array work keeps busy: the
+ * measured rate, less a share of it that is larger when fewer jobs were measured. */
 double pm_autoscaler_steady_demand_cpus(const struct pm_autoscaler *autoscaler, double now);
 
 /* ---- scale_in.c ---- */
@@ -313,9 +321,10 @@
  * then calls pm_autoscaler_mark_silent_zones. Does nothing while pm_autoscaler_set_writable says
  * that placements cannot be written. */
 void pm_autoscaler_mark_silent_machines(struct pm_autoscaler *autoscaler, double now);
-/* Marks for termination the machines with placements in zones that were silent already before this
- * leader was elected, once the silence is longer than a lease. `has_reported` has PM_ZONES_MAX
- * entries: whether a machine of the zone has sent this leader a heartbeat. */
+/* Handles zones that have been silent since before this leader was elected: once the silence of
+ * such a zone is longer than a lease, marks the zone's machines that have placements for
+ * termination. `has_reported` has PM_ZONES_MAX entries: whether a machine of the zone has sent this
+ * leader a heartbeat. */
 void pm_autoscaler_mark_silent_zones(struct pm_autoscaler *autoscaler, const bool *has_reported,
                                      double now);
 
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -19,8 +19,8 @@
 
 enum { TARGET_BYTES = PM_NAME_MAX + 64 };
 
-/* An inventory may be older than its request by the settings' lag, times the factor, plus the
- * margin. */
+/* An inventory may show a state that is older than its request by up to INVENTORY_LAG_FACTOR *
+ * inventory_lag_s + INVENTORY_LAG_MARGIN_S. */
 #define INVENTORY_LAG_FACTOR 2
 #define INVENTORY_LAG_MARGIN_S 1
 
@@ -30,7 +30,7 @@
 #define SILENT_MARGIN_S 0.5
 
 /* Limits of the interval between two inventories. While a machine with tasks is silent, a shorter
- * one applies, because the inventory may show that the machine is lost. */
+ * interval applies, because the inventory may show that the machine is lost. */
 #define INTERVAL_MIN_S 2
 #define INTERVAL_MAX_S 6
 #define INTERVAL_WHILE_SILENT_S 1.5
--- a/src/autoscaler/machine_types.c
+++ b/src/autoscaler/machine_types.c
@@ -4,7 +4,7 @@
 #include "base/log.h"
 
 enum { ANSWER_MAX = 256 * 1024 };
-#define RETRY_S 1.0
+#define RETRY_S 1.0 /* minimum time between two requests */
 
 static void on_answer(void *arg, int status, const unsigned char *body, size_t size)
 {
--- a/src/autoscaler/packing.c
+++ b/src/autoscaler/packing.c
@@ -3,7 +3,7 @@
 
 #include <math.h>
 
-/* Values that stand in place of a zone's index. */
+/* Special values used instead of a zone's index. */
 enum {
     ZONE_ANY = -1,
     ZONE_SHARED = -2 /* any zone, but the same one for all tasks of a gang */
@@ -20,7 +20,7 @@
 
 /* Whether the job is an array job that will miss its deadline in any case. Its tasks wait for spot
  * machines, because ordinary ones would cost several times as much without meeting the deadline. */
-static bool has_missed_deadline(const struct pm_sizing *sizing, const struct pm_job *job)
+static bool will_miss_deadline(const struct pm_sizing *sizing, const struct pm_job *job)
 {
     const struct pm_spec *spec = job->spec;
     const struct pm_scheduler *scheduler = sizing->autoscaler->scheduler;
@@ -110,7 +110,7 @@
                                       .count = tasks,
                                       .ordinary_count = ordinary_tasks,
                                       .zone = needs_one_zone ? ZONE_SHARED : ZONE_ANY,
-                                      .spot_only = has_missed_deadline(sizing, job)};
+                                      .spot_only = will_miss_deadline(sizing, job)};
 
     /* The order is: machines that will be up soon, new machines of kinds whose boots are on time, a
      * few new machines of late kinds as probes, machines that are late, and at last any number of
--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -6,11 +6,12 @@
 
 #include <math.h>
 
-/* While the state service accepts no writes, idle time does not count, but no longer than this. */
+/* While the state service accepts no writes, idle time does not count; this is the limit of how
+ * long that holds. */
 #define OUTAGE_IDLE_KEEP_S 120
 /* Idle spot machines that the steady demand needs are kept for this long. */
 #define STEADY_DEMAND_KEEP_S 60.0
-/* The provider charges for at least this long for each machine. */
+/* Minimum billing time: the provider charges each machine for at least this long. */
 #define BILLING_MIN_S 60
 #define CONSOLIDATION_INTERVAL_S 1
 
@@ -20,8 +21,8 @@
 #define ABSENT_MARGIN_S 1
 /* A machine without tasks is terminated once it has been silent for this many lease durations plus
  * the margin. */
-#define UNUSED_LEASES 2
-#define UNUSED_MARGIN_S 20
+#define SILENCE_LEASE_DURATIONS 2
+#define SILENCE_MARGIN_S 20
 
 /* The idle timeout is the operators' setting for up to this many machines. For more machines it is
  * a smaller share of the setting, down to the minimum below. */
@@ -48,11 +49,14 @@
 
 /* ---- lost machines and failed boots ---- */
 
-/* Whether the machine is missing from the inventory and silent. Its confirmed termination proves
- * the loss before its lease would expire. For a machine in a shard the inventory alone counts,
- * because its worker reports to the shard's owner. */
-static bool is_absent_and_silent(const struct pm_machine *machine,
-                                 const struct pm_settings *settings, double now)
+/* Whether the inventory shows that the machine is lost: the machine is missing from it and, unless
+ * it is in a shard, also silent. The worker of a machine in a shard reports to the shard's owner,
+ * so the leader does not know whether the machine is silent.
+ *
+ * A lost machine is terminated because the provider's confirmation proves the loss earlier than the
+ * expiry of the machine's lease would, so that its tasks can be placed again sooner. */
+static bool is_lost_per_inventory(const struct pm_machine *machine,
+                                  const struct pm_settings *settings, double now)
 {
     double silence_s = now - machine->heartbeat.last_message_at;
 
@@ -69,7 +73,7 @@
 
     return !machine->shard.owner && machine->state == PM_MACHINE_UP &&
            machine->placements->len == 0 &&
-           silence_s > UNUSED_LEASES * settings->lease_s + UNUSED_MARGIN_S;
+           silence_s > SILENCE_LEASE_DURATIONS * settings->lease_s + SILENCE_MARGIN_S;
 }
 
 /* Returns why the machine counts as lost or never came up, or NULL if neither holds. */
@@ -80,8 +84,8 @@
 
     if (machine->provider.has_failed)
         return "the provider lists it as failed";
-    if (is_absent_and_silent(machine, settings, now))
-        return "missing from the inventory, and silent";
+    if (is_lost_per_inventory(machine, settings, now))
+        return "lost: the inventory does not list it any more";
     if (pm_autoscaler_has_boot_timed_out(autoscaler, machine, now))
         return "boot timed out";
     if (is_silent_without_tasks(machine, settings, now))
@@ -94,13 +98,16 @@
 /* State of one pass over all machines. */
 struct scale_in_pass {
     double idle_timeout_s;
-    double headroom_cpus; /* on ordinary machines, without those that this pass has marked */
+    /* Processors that are free for services on ordinary machines, without the machines that this
+     * pass has marked for termination. */
+    double free_cpus;
     double now;
 };
 
-/* Whether an idle machine is kept, a spot machine for the steady demand of array work and an
- * ordinary one as headroom for services. If it is not, its capacity is subtracted, so that further
- * machines are compared with what remains. */
+/* Whether an idle machine is to be kept: a spot machine if the steady demand of array work needs
+ * it, an ordinary machine if the headroom for services does. If the machine is not to be kept,
+ * subtracts its processors from spot_capacity_cpus or free_cpus, so that the decisions on further
+ * machines count only on the capacity that remains. */
 static bool should_keep_idle(struct pm_autoscaler *autoscaler, const struct pm_machine *machine,
                              struct scale_in_pass *pass)
 {
@@ -115,14 +122,14 @@
         headroom->spot_capacity_cpus -= cpus;
         return false;
     }
-    if (pass->headroom_cpus - cpus < headroom->service_cpus)
+    if (pass->free_cpus - cpus < headroom->target_free_cpus)
         return true;
-    pass->headroom_cpus -= cpus;
+    pass->free_cpus -= cpus;
     return false;
 }
 
-/* Cancels the machine's drain if tasks are waiting, unless the machine is empty and its minimum
- * charge is used up, so that terminating it saves cost. */
+/* Cancels the machine's drain if tasks are waiting. An empty machine past its minimum billing time
+ * stays draining, because terminating it saves cost. */
 static void cancel_drain_if_needed(const struct pm_autoscaler *autoscaler,
                                    struct pm_machine *machine, double now)
 {
@@ -143,8 +150,9 @@
         machine->provider.idle_since = 0;
         return false;
     }
-    /* While placements cannot be written, idle time does not count for up to OUTAGE_IDLE_KEEP_S:
-     * waiting tasks may use the machine as soon as the state service accepts writes again. */
+    /* For the first OUTAGE_IDLE_KEEP_S in which placements cannot be written, the idle time is
+     * restarted in each pass: waiting tasks may use the machine as soon as the state service
+     * accepts writes again. */
     if (!machine->provider.idle_since ||
         (!writability->is_writable && now - writability->last_writable_at < OUTAGE_IDLE_KEEP_S))
         machine->provider.idle_since = now;
@@ -196,7 +204,7 @@
 {
     GPtrArray *machines = pm_workers_all(autoscaler->workers);
     struct scale_in_pass pass = {
-        .headroom_cpus = pm_scheduler_headroom_cpus(autoscaler->scheduler, now), .now = now};
+        .free_cpus = pm_scheduler_headroom_cpus(autoscaler->scheduler, now), .now = now};
 
     pass.idle_timeout_s =
         pm_autoscaler_idle_timeout_s(autoscaler->operator_settings, count_machines(machines));
--- a/src/autoscaler/scale_out.c
+++ b/src/autoscaler/scale_out.c
@@ -36,7 +36,7 @@
 {
     struct pm_kind_backoff *backoff =
         &autoscaler->kinds[request->type][request->zone][request->spot].backoff;
-    double now = autoscaler->budget.refilled_at;
+    double now = autoscaler->budget.refilled_at; /* approximate; see struct pm_request_budget */
     bool is_partial = result == PM_PROVIDER_OK && rented < (size_t)request->count;
     double backoff_s;
 
@@ -123,8 +123,8 @@
     if (result == PM_PROVIDER_NO_ANSWER && ++call->unanswered_attempts < UNANSWERED_ATTEMPTS_MAX) {
         send_request(call);
     } else {
-        pm_autoscaler_record_answer(call, PM_ROLE_SCALE_OUT, status,
-                                    pm_provider_result_is_answer(result), pm_clock_monotonic());
+        pm_autoscaler_record_outcome(call, PM_ROLE_SCALE_OUT, status,
+                                     pm_provider_result_is_answer(result), pm_clock_monotonic());
         pm_provider_call_free(call);
     }
     autoscaler->hooks.changed(autoscaler->hooks.arg);
@@ -247,7 +247,8 @@
     for (int i = 0; i < count && pm_autoscaler_acquire_request_token(autoscaler, now); i++) {
         struct pm_provider_call *call = pm_provider_call_new(autoscaler, now);
         call->request = requests[i];
-        /* No other term has this epoch, so no controller ever uses the key for another request. */
+        /* The idempotency key is unique among all controllers, because each term as leader has an
+         * epoch of its own. */
         snprintf(call->idempotency_key, sizeof call->idempotency_key, "r-%llu-%llu",
                  (unsigned long long)autoscaler->epoch,
                  (unsigned long long)++autoscaler->rental_number);
--- a/src/autoscaler/silent_machines.c
+++ b/src/autoscaler/silent_machines.c
@@ -1,14 +1,14 @@
 /* Marks machines for termination that have missed heartbeats or no longer receive commands while
  * most machines of their zone respond. Such a machine has failed, hangs or is partitioned.
  *
- * Its confirmed termination proves that its tasks have ended long before its lease expires, so they
- * can start elsewhere. If the machine was only partitioned, this costs little more than a short
- * interruption. If most machines of a zone are silent at once, the network is probably at fault,
- * and the machines are kept. */
+ * Once the provider confirms the machine's termination, its tasks are proven to have ended, so they
+ * can start elsewhere long before the machine's lease expires. If the machine was only partitioned,
+ * this costs little more than a short interruption. If most machines of a zone are silent at once,
+ * the network is probably at fault, and the machines are kept. */
 #include "autoscaler/internal.h"
 
-/* A machine may be lost once it has been silent for the minimum time, and for this many heartbeat
- * intervals plus the margin. */
+/* A machine may be lost once it has been silent for longer than both LOST_SILENCE_MIN_S and
+ * LOST_HEARTBEAT_INTERVALS heartbeat intervals plus LOST_MARGIN_S. */
 #define LOST_SILENCE_MIN_S 5.0
 #define LOST_HEARTBEAT_INTERVALS 1.25
 #define LOST_MARGIN_S 2.4
@@ -31,16 +31,17 @@
 };
 
 /* Returns why the machine's lease is not renewed although messages from it arrive, or NULL if there
- * is no sign of that. Such a machine's tasks end with the lease. For a machine in a shard the
- * result is NULL: its worker reports to the shard's owner, so its last messages to this controller
- * say nothing. */
+ * is no sign of that. The tasks of such a machine end when its lease expires. For a machine in a
+ * shard the result is NULL: its worker reports to the shard's owner, so its last messages to this
+ * controller say nothing. */
 static const char *partition_reason(const struct pm_autoscaler *autoscaler,
                                     const struct pm_machine *machine, double now)
 {
     if (machine->shard.owner)
         return NULL;
     if (pm_machine_is_unreachable(machine, now))
-        return "its heartbeats arrive but our answers do not reach it, while its zone responds";
+        return "its heartbeats arrive but this controller's answers do not reach it, while its "
+               "zone responds";
     if (pm_machine_is_not_reporting(machine, autoscaler->tables->settings, now))
         return "it answers pushes but its heartbeats do not arrive, while its zone responds";
     return NULL;
--- a/src/autoscaler/silent_zones.c
+++ b/src/autoscaler/silent_zones.c
@@ -2,17 +2,17 @@
  *
  * No machine of such a zone has reported to this leader. The leader therefore knows none of their
  * leases, and would have to wait for a whole lease after its own election. Instead it reads from
- * the previous leader's ledger when the last message from the zone arrived: a lease after that, the
- * leases there have expired, unless another controller in the zone renewed them. The confirmed
- * termination of the machines rules that out. */
+ * the previous leader's ledger when the last message from the zone arrived. One lease duration
+ * after that message, the zone's leases have expired, unless another controller in the zone renewed
+ * them. That case is covered by the provider's confirmation that the machines are terminated. */
 #include "autoscaler/internal.h"
 #include "base/clock.h"
 
 #define SETTLING_S 3.0     /* time after the election in which workers find the new leader */
 #define LEASE_MARGIN_S 0.5 /* extra wait after a lease, in addition to the clock drift */
 
-/* A zone was silent if its last message was older, when the ledger was written, than this many
- * heartbeat intervals plus the margin. */
+/* A zone counts as silent if, when the ledger was written, its last message was older than this
+ * many heartbeat intervals plus the margin. */
 #define SILENT_HEARTBEAT_INTERVALS 1.6
 #define SILENT_MARGIN_S 1
 
--- a/src/autoscaler/sizing.h
+++ b/src/autoscaler/sizing.h
@@ -49,7 +49,7 @@
 bool pm_sizing_choose_kind(const struct pm_sizing *sizing, const struct pm_job *job, int task_count,
                            int zone, bool spot_only, struct pm_scale_out_request *out);
 /* Adds one machine of the kind to the sizing's machines and to its requests. The request is left
- * out if it would be for one kind more than `request_max`. */
+ * out if the sizing already requests `request_max` other kinds. */
 void pm_sizing_add_machine(struct pm_sizing *sizing, const struct pm_scale_out_request *kind);
 
 /* ---- packing.c ---- */
@@ -88,8 +88,8 @@
 
 /* ---- headroom.c ---- */
 
-/* Adds ordinary machines for the headroom that services need, and sets the headroom as the
- * scheduler's reserve. */
+/* Adds ordinary machines for the headroom that services need, and sets the target of the headroom
+ * as the scheduler's reserve. */
 void pm_sizing_add_headroom(struct pm_sizing *sizing);
 
 #endif
--- a/src/autoscaler/termination.c
+++ b/src/autoscaler/termination.c
@@ -44,8 +44,8 @@
     backoff->until = MIN(backoff->until, autoscaler->budget.refilled_at + TERMINATED_AVAILABLE_S);
 }
 
-/* Sets when the termination of the call's machines is requested again. This is for calls whose
- * intent does not exist; machines of a written intent are retried with the intent. */
+/* Sets when the termination of the call's machines is requested again. Used only for calls without
+ * a written intent; the machines of a written intent are retried with the intent. */
 static void set_retry_at(const struct pm_provider_call *call, double retry_at)
 {
     for (guint i = 0; i < call->machine_names->len; i++) {
@@ -88,8 +88,8 @@
         confirm_terminated(call);
     else if (!call->intent_name[0])
         set_retry_at(call, autoscaler->budget.refilled_at + RETRY_S);
-    pm_autoscaler_record_answer(call, PM_ROLE_SCALE_IN, status, result == PM_PROVIDER_OK,
-                                pm_clock_monotonic());
+    pm_autoscaler_record_outcome(call, PM_ROLE_SCALE_IN, status, result == PM_PROVIDER_OK,
+                                 pm_clock_monotonic());
     pm_info("autoscaler.terminated", "request to terminate %u machines: status %d (%s)",
             call->machine_names->len, status, pm_provider_result_name(result));
     pm_provider_call_free(call);
--- a/src/autoscaler/tests/test_autoscaler_scale_in.c
+++ b/src/autoscaler/tests/test_autoscaler_scale_in.c
@@ -127,8 +127,8 @@
 /* ---- machines in shards ---- */
 
 /* The worker of a machine in a shard reports to the shard's owner. The leader must not terminate
- * the machine for what it saw of it earlier: an answer to a push after the last heartbeat, or
- * pushes without an answer. */
+ * the machine because of what the leader itself observed earlier: an answer to a push after the
+ * last heartbeat, or pushes without an answer. */
 static void silence_of_a_machine_in_a_shard_is_judged_by_the_owner(void **state)
 {
     struct pm_machine *owned = pm_workers_add(workers, "i-000001");
