--- a/src/store/codec.c
+++ b/src/store/codec.c
@@ -1,4 +1,4 @@
-/* Decoders of the state service's answers; internal.h explains the field names. */
+/* Decodes the state service's answers. internal.h explains the field names. */
 #include "store/internal.h"
 
 bool pm_store_decode_revision(const cbor_item_t *answer, uint64_t *store_revision)
@@ -18,7 +18,7 @@
     return pm_cbor_get(answer, "events");
 }
 
-/* Reads a key, which stands in `key_field`, and its revision. */
+/* Reads the key in the field `key_field`, and its revision. */
 static bool decode_key(const cbor_item_t *item, const char *key_field,
                        struct pm_store_change *change)
 {
--- a/src/store/health.c
+++ b/src/store/health.c
@@ -1,16 +1,16 @@
-/* Connection health: when the state service last answered, with what, and how fast. */
+/* Connection health: when and how the state service last answered, and how fast it answers. */
 #include "store/internal.h"
 #include "base/clock.h"
 #include "base/log.h"
 
-#define LATENCY_WEIGHT 0.1 /* of the latest answer in the moving average */
+#define LATENCY_WEIGHT 0.1 /* weight of the latest answer in the moving average */
 
-bool pm_store_note_status(struct pm_store *store, int status)
+bool pm_store_record_status(struct pm_store *store, int status)
 {
     struct pm_store_health *health = &store->health;
 
     if (status == PM_STORE_UNAVAILABLE && !health->is_refusing)
-        pm_info("store.refusing", "the state service answers 503");
+        pm_info("store.refusing", "the state service refuses requests (HTTP status 503)");
     if (status > 0)
         health->is_refusing = status == PM_STORE_UNAVAILABLE;
     if (status == PM_STORE_UNAVAILABLE)
@@ -20,7 +20,7 @@
     return status == PM_STORE_OK;
 }
 
-void pm_store_note_latency(struct pm_store *store, double sent_at)
+void pm_store_record_latency(struct pm_store *store, double sent_at)
 {
     double latency_s = pm_clock_monotonic() - sent_at;
 
--- a/src/store/leases.c
+++ b/src/store/leases.c
@@ -1,4 +1,4 @@
-/* Leases of the state service: grant, keep alive, revoke. */
+/* Leases of the state service: grants, renews and revokes them. */
 #include "store/internal.h"
 
 #include <stdio.h>
@@ -10,7 +10,7 @@
     struct pm_store *store;
     pm_store_lease_done *done;
     void *arg;
-    uint64_t lease_id; /* 0: to be granted */
+    uint64_t lease_id; /* 0 for a grant that has no answer yet */
 };
 
 static bool decode_lease_id(const unsigned char *body, size_t size, uint64_t *lease_id)
@@ -25,10 +25,10 @@
 static void on_lease_answer(void *arg, int status, const unsigned char *body, size_t size)
 {
     struct lease_request *request = arg;
-    enum pm_store_result result = pm_store_result_of(status);
+    enum pm_store_result result = pm_store_result_from_status(status);
     bool is_granted = result == PM_STORE_OK && !request->lease_id;
 
-    pm_store_note_status(request->store, status);
+    pm_store_record_status(request->store, status);
     if (is_granted && !decode_lease_id(body, size, &request->lease_id))
         result = PM_STORE_UNKNOWN_OUTCOME;
     request->done(request->arg, result, request->lease_id);
@@ -42,7 +42,8 @@
 
     *sent = request;
     pm_http_call(store->http, store->address, "POST", target, body->data, body->size,
-                 PM_STORE_REQUEST_TIMEOUT_S, PM_STORE_SMALL_ANSWER_MAX, on_lease_answer, sent);
+                 PM_STORE_REQUEST_TIMEOUT_S, PM_STORE_SMALL_ANSWER_MAX_BYTES, on_lease_answer,
+                 sent);
 }
 
 void pm_store_lease_grant(struct pm_store *store, double ttl_s, pm_store_lease_done *done,
@@ -74,7 +75,7 @@
 {
     (void)body;
     (void)size;
-    pm_store_note_status(arg, status);
+    pm_store_record_status(arg, status);
 }
 
 void pm_store_lease_revoke(struct pm_store *store, uint64_t lease_id)
@@ -83,5 +84,5 @@
 
     snprintf(target, sizeof target, "/holds/%llu", (unsigned long long)lease_id);
     pm_http_call(store->http, store->address, "DELETE", target, NULL, 0, PM_STORE_REQUEST_TIMEOUT_S,
-                 PM_STORE_SMALL_ANSWER_MAX, on_revoked, store);
+                 PM_STORE_SMALL_ANSWER_MAX_BYTES, on_revoked, store);
 }
--- a/src/store/linearizable_read.c
+++ b/src/store/linearizable_read.c
@@ -1,19 +1,22 @@
 /* Linearizable reads: callers wait until the replica is as new as the state service was when they
- * asked. One read of the store revision serves all who asked before it was sent. */
+ * asked. One read of the store revision serves all callers who asked before it was sent. */
 #include "base/keys.h"
 #include "store/internal.h"
 #include "base/clock.h"
 
-#define READ_TIMEOUT_S 1.6  /* below the 2 s for which a user waits for a status */
-#define WATCH_STALLED_S 0.8 /* a watch this old may hang on a dead connection ... */
-#define READ_STALLED_S 0.6  /* ... if somebody has waited this long for what it should report */
+#define READ_TIMEOUT_S 1.6 /* below the 2 s for which a user waits for a status */
+/* A watch is taken to hang on a dead connection if it has been open for longer than
+ * STALLED_WATCH_MIN_AGE_S, and a caller has waited for longer than STALLED_READ_MIN_WAIT_S for a
+ * change that it should report. */
+#define STALLED_WATCH_MIN_AGE_S 0.8
+#define STALLED_READ_MIN_WAIT_S 0.6
 
 static struct pm_store_pending_read *pending_read_at(GArray *list, guint index)
 {
     return &g_array_index(list, struct pm_store_pending_read, index);
 }
 
-/* A callback may append to the list: indices are read anew after each. */
+/* A callback may append to the list, so that its length and elements are read again after each. */
 void pm_store_complete_reads(struct pm_store *store)
 {
     GArray *waiting = store->reads.waiting;
@@ -51,7 +54,8 @@
     }
 }
 
-/* Those whom the read covered wait for the replica to reach what it found. */
+/* Lets the callers whom the read in flight serves wait for the replica to reach the store revision
+ * that the read returned. */
 static void wait_for_replica(struct pm_store *store, uint64_t store_revision)
 {
     struct pm_store_reads *reads = &store->reads;
@@ -72,8 +76,8 @@
     bool is_read;
 
     store->reads.is_read_in_flight = false;
-    pm_store_note_status(store, status);
-    pm_store_note_latency(store, store->reads.read_sent_at);
+    pm_store_record_status(store, status);
+    pm_store_record_latency(store, store->reads.read_sent_at);
     if (status == PM_STORE_NOT_FOUND)
         answer = pm_cbor_parse(body, size);
     is_read = pm_store_decode_revision(answer, &store_revision);
@@ -95,9 +99,9 @@
     reads->read_sent_at = now;
     reads->in_flight = reads->queued;
     reads->queued = empty;
-    /* A key that never exists: the 404 carries the store revision. */
+    /* This key never exists; the 404 carries the store revision. */
     pm_http_call(store->http, store->address, "GET", "/kv/" PM_KEY_ROOT "none", NULL, 0,
-                 READ_TIMEOUT_S, PM_STORE_SMALL_ANSWER_MAX, on_revision_read, store);
+                 READ_TIMEOUT_S, PM_STORE_SMALL_ANSWER_MAX_BYTES, on_revision_read, store);
 }
 
 static bool may_send_revision_read(const struct pm_store *store, double now)
@@ -111,7 +115,7 @@
     struct pm_store_pending_read read = {0, now + READ_TIMEOUT_S, done, arg};
 
     g_array_append_val(store->reads.queued, read);
-    ev_timer_again(store->loop, &store->reads.tick);
+    ev_timer_again(store->loop, &store->reads.timer);
     if (may_send_revision_read(store, now))
         send_revision_read(store, now);
 }
@@ -123,20 +127,21 @@
     struct pm_store_pending_read read = {store_revision, deadline, done, arg};
 
     g_array_append_val(store->reads.waiting, read);
-    ev_timer_again(store->loop, &store->reads.tick);
+    ev_timer_again(store->loop, &store->reads.timer);
     if (store->replica.is_ready)
         pm_store_complete_reads(store);
 }
 
-/* Whether somebody waits for a change that the open watch should have reported by now. */
+/* Whether a caller waits for a change that the open watch should already have reported. */
 static bool is_watch_stalled(const struct pm_store *store, double now)
 {
     GArray *waiting = store->reads.waiting;
 
-    if (store->replica.is_listing || now - store->replica.watch_opened_at <= WATCH_STALLED_S)
+    if (store->replica.is_listing ||
+        now - store->replica.watch_opened_at <= STALLED_WATCH_MIN_AGE_S)
         return false;
     for (guint i = 0; i < waiting->len; i++)
-        if (pending_read_at(waiting, i)->deadline - now < READ_TIMEOUT_S - READ_STALLED_S)
+        if (pending_read_at(waiting, i)->deadline - now < READ_TIMEOUT_S - STALLED_READ_MIN_WAIT_S)
             return true;
     return false;
 }
@@ -152,7 +157,7 @@
     if (may_send_revision_read(store, now))
         send_revision_read(store, now);
     if (is_watch_stalled(store, now))
-        pm_store_reopen_watch(store); /* costs one request */
+        pm_store_reopen_watch(store); /* costs one request if the watch was sound */
     fail_expired(reads->queued, now);
     fail_expired(reads->waiting, now);
     if (!reads->queued->len && !reads->waiting->len)
@@ -166,15 +171,15 @@
     reads->queued = g_array_new(FALSE, FALSE, sizeof(struct pm_store_pending_read));
     reads->in_flight = g_array_new(FALSE, FALSE, sizeof(struct pm_store_pending_read));
     reads->waiting = g_array_new(FALSE, FALSE, sizeof(struct pm_store_pending_read));
-    ev_timer_init(&reads->tick, on_tick, 0., PM_STORE_MIN_REQUEST_INTERVAL_S);
-    reads->tick.data = store;
+    ev_timer_init(&reads->timer, on_tick, 0., PM_STORE_MIN_REQUEST_INTERVAL_S);
+    reads->timer.data = store;
 }
 
 void pm_store_reads_clear(struct pm_store *store)
 {
     struct pm_store_reads *reads = &store->reads;
 
-    ev_timer_stop(store->loop, &reads->tick);
+    ev_timer_stop(store->loop, &reads->timer);
     g_array_free(reads->queued, TRUE);
     g_array_free(reads->in_flight, TRUE);
     g_array_free(reads->waiting, TRUE);
--- a/src/store/replica.c
+++ b/src/store/replica.c
@@ -1,8 +1,8 @@
-/* The feed of the replica: a listing of all keys by pages, then watches, each from the store
- * revision that the one before reached.
+/* Keeps the replica up to date: lists all keys in pages, then opens watches, each from the store
+ * revision that the one before it reached.
  *
- * At any time one request of the feed is in flight, or the retry timer runs. A listing or watch is
- * abandoned by raising the generation: its answer is ignored when it comes. */
+ * At any time either one page or watch is in flight, or the retry timer runs. Incrementing the
+ * generation abandons a listing or watch: its answer is then ignored. */
 #include "base/keys.h"
 #include "store/internal.h"
 #include "base/clock.h"
@@ -10,13 +10,16 @@
 
 #include <stdio.h>
 
-#define WATCH_WAIT_MS 5000         /* the service answers a watch without events after this */
-#define LIST_PAGE_KEYS 200         /* keys a page */
-#define MAX_GAP_S 8.0              /* longer than a watch without events stays open */
-#define LIST_RETRY_S 0.2           /* after a page without a readable answer */
-#define WATCH_RETRY_S 0.15         /* after a watch without a readable answer */
-#define NEGLIGIBLE_DELAY_S 0.001   /* not worth a timer */
-#define FEED_ANSWER_MAX (4u << 20) /* bytes */
+/* The service ends a watch without events after this time. */
+#define WATCH_WAIT_MS 5000
+#define LIST_PAGE_KEYS 200 /* keys per page of a listing */
+/* If a watch fails and the replica has not caught up for longer than this, all keys are listed
+ * again. The limit is longer than a watch without events stays open. */
+#define MAX_WATCH_GAP_S 8.0
+#define LIST_RETRY_S 0.2         /* delay after a page without a readable answer */
+#define WATCH_RETRY_S 0.15       /* delay after a watch without a readable answer */
+#define NEGLIGIBLE_DELAY_S 0.001 /* a delay up to this is skipped rather than timed */
+#define FEED_ANSWER_MAX_BYTES (4u << 20)
 
 /* A page of a listing, or a watch, in flight. */
 struct feed_request {
@@ -33,7 +36,7 @@
     return request;
 }
 
-/* Frees the request. Returns its store, or NULL if the request was abandoned meanwhile. */
+/* Frees the request. Returns its store, or NULL if the request has been abandoned. */
 static struct pm_store *feed_request_end(struct feed_request *request)
 {
     struct pm_store *store = request->store;
@@ -43,12 +46,12 @@
     return is_current ? store : NULL;
 }
 
-/* The answer, owned by the caller, with its store revision; NULL when it is no success, or can't be
- * read. */
+/* Returns the answer, owned by the caller, and its store revision. Returns NULL if the request
+ * failed or the answer can't be read. */
 static cbor_item_t *parse_feed_answer(struct pm_store *store, int status, const unsigned char *body,
                                       size_t size, uint64_t *store_revision)
 {
-    cbor_item_t *answer = pm_store_note_status(store, status) ? pm_cbor_parse(body, size) : NULL;
+    cbor_item_t *answer = pm_store_record_status(store, status) ? pm_cbor_parse(body, size) : NULL;
 
     if (pm_store_decode_revision(answer, store_revision))
         return answer;
@@ -58,14 +61,14 @@
 
 static void retry_after(struct pm_store *store, double delay_s)
 {
-    ev_timer *retry = &store->replica.retry;
+    ev_timer *retry_timer = &store->replica.retry_timer;
 
-    ev_timer_stop(store->loop, retry);
-    ev_timer_set(retry, delay_s, 0.);
-    ev_timer_start(store->loop, retry);
+    ev_timer_stop(store->loop, retry_timer);
+    ev_timer_set(retry_timer, delay_s, 0.);
+    ev_timer_start(store->loop, retry_timer);
 }
 
-static void set_caught_up(struct pm_store *store, uint64_t store_revision)
+static void mark_caught_up(struct pm_store *store, uint64_t store_revision)
 {
     struct pm_store_replica *replica = &store->replica;
 
@@ -104,14 +107,18 @@
         open_watch(store);
 }
 
-/* After a long time out of reach, all that has changed meanwhile would come in one answer of any
- * size, whereas a listing comes by pages. While the service refuses, nothing changes. */
+/* Retries a failed watch, or lists again if the service has been out of reach for long: a watch
+ * would report all changes since then in one answer of unbounded size, whereas a listing comes in
+ * pages. While the service refuses requests nothing changes, so that the watch is enough. */
 static void recover_watch(struct pm_store *store)
 {
     const struct pm_store_replica *replica = &store->replica;
 
-    if (!store->health.is_refusing && pm_clock_monotonic() - replica->caught_up_at > MAX_GAP_S) {
-        pm_info("store.resync", "the state service was out of reach since store revision %llu",
+    if (!store->health.is_refusing &&
+        pm_clock_monotonic() - replica->caught_up_at > MAX_WATCH_GAP_S) {
+        pm_info("store.resync",
+                "the state service has been out of reach since store revision %llu; listing all "
+                "keys again",
                 (unsigned long long)replica->store_revision);
         pm_store_resync(store);
     } else {
@@ -132,7 +139,8 @@
         return;
     generation = store->replica.generation;
     if (status == PM_STORE_HTTP_GONE) {
-        pm_info("store.resync", "the watch is too old at store revision %llu",
+        pm_info("store.resync",
+                "store revision %llu is too old to watch from; listing all keys again",
                 (unsigned long long)store->replica.store_revision);
         pm_store_resync(store);
         return;
@@ -144,12 +152,12 @@
     }
     events = pm_store_decode_watch_events(answer);
     event_count = pm_cbor_length(events);
-    pm_store_note_foreign_writes(store, (double)event_count);
+    pm_store_add_foreign_writes(store, (double)event_count);
     for (size_t i = 0; i < event_count; i++)
         apply_event(store, pm_cbor_at(events, i));
     pm_cbor_free(answer);
-    set_caught_up(store, store_revision);
-    /* An observer may have asked for a resync. */
+    mark_caught_up(store, store_revision);
+    /* If an observer has called pm_store_resync, a page of the new listing is in flight instead. */
     if (generation == store->replica.generation)
         open_watch_after_interval(store);
 }
@@ -163,14 +171,14 @@
     snprintf(target, sizeof target, "/watch?under=" PM_KEY_ROOT "&since=%llu&wait_ms=%d",
              (unsigned long long)replica->store_revision, WATCH_WAIT_MS);
     pm_http_call(store->http, store->address, "GET", target, NULL, 0,
-                 WATCH_WAIT_MS / 1000. + PM_STORE_REQUEST_TIMEOUT_S, FEED_ANSWER_MAX, on_watch,
-                 feed_request_new(store));
+                 WATCH_WAIT_MS / 1000. + PM_STORE_REQUEST_TIMEOUT_S, FEED_ANSWER_MAX_BYTES,
+                 on_watch, feed_request_new(store));
 }
 
 void pm_store_reopen_watch(struct pm_store *store)
 {
     store->replica.generation++;
-    ev_timer_stop(store->loop, &store->replica.retry);
+    ev_timer_stop(store->loop, &store->replica.retry_timer);
     open_watch(store);
 }
 
@@ -190,9 +198,9 @@
     store->replica.is_ready = true;
     store->replica.is_listing = false;
     store->observer.snapshot_end(store->observer.arg);
-    /* Later pages may show later changes than the first: the watch starts at the first page's
-     * revision, and reports those changes (again). */
-    set_caught_up(store, store->replica.snapshot_revision);
+    /* Later pages may include changes made after the first page was read. The watch therefore
+     * starts at the first page's revision, and reports some of those changes a second time. */
+    mark_caught_up(store, store->replica.snapshot_revision);
     open_watch(store);
 }
 
@@ -221,7 +229,7 @@
         retry_after(store, LIST_RETRY_S);
         return;
     }
-    /* The old snapshot is thrown away only now that there is a new one. */
+    /* The old replica stays in use until the first page of the new listing has arrived. */
     if (!store->replica.last_listed_key[0])
         begin_snapshot(store, store_revision);
     items = pm_store_decode_list(answer, &has_more);
@@ -242,7 +250,7 @@
     snprintf(target, sizeof target, "/kv?under=" PM_KEY_ROOT "%s%s&page=%d",
              last_key[0] ? "&since=" : "", last_key, LIST_PAGE_KEYS);
     pm_http_call(store->http, store->address, "GET", target, NULL, 0, PM_STORE_REQUEST_TIMEOUT_S,
-                 FEED_ANSWER_MAX, on_list, feed_request_new(store));
+                 FEED_ANSWER_MAX_BYTES, on_list, feed_request_new(store));
 }
 
 void pm_store_resync(struct pm_store *store)
@@ -269,15 +277,15 @@
 
 void pm_store_replica_start(struct pm_store *store)
 {
-    ev_init(&store->replica.retry, on_retry);
-    store->replica.retry.data = store;
+    ev_init(&store->replica.retry_timer, on_retry);
+    store->replica.retry_timer.data = store;
     store->replica.is_listing = true;
     list_next_page(store);
 }
 
 void pm_store_replica_stop(struct pm_store *store)
 {
-    ev_timer_stop(store->loop, &store->replica.retry);
+    ev_timer_stop(store->loop, &store->replica.retry_timer);
 }
 
 bool pm_store_is_ready(const struct pm_store *store)
--- a/src/store/result.c
+++ b/src/store/result.c
@@ -1,7 +1,7 @@
-/* Results of requests to the state service, by the status of their answers. */
+/* Converts statuses of the state service's answers into results, and results into names. */
 #include "store/internal.h"
 
-enum pm_store_result pm_store_result_of(int status)
+enum pm_store_result pm_store_result_from_status(int status)
 {
     switch (status) {
     case 200:
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -1,4 +1,4 @@
-/* Life cycle of the client; its concerns stand in files of their own, see internal.h. */
+/* Creates and frees the client. Its parts are in files of their own, see internal.h. */
 #include "store/internal.h"
 
 #define MIN_REQUESTS_PER_S 0.1
--- a/src/store/tests/test_store.c
+++ b/src/store/tests/test_store.c
@@ -1,5 +1,5 @@
-/* The client of the state service, against a service in this process: results, the replica's feed,
- * linearizable reads, leases and the write budget. */
+/* Tests the client of the state service against a fake service in this process: results, the
+ * replica, linearizable reads, leases and the write budget. */
 #include "store/internal.h"
 #include "base/clock.h"
 #include "testing/fake_store.h"
@@ -13,7 +13,7 @@
 
 #define WRITES_PER_S 1000
 
-/* What a callback was given; reset before each request. */
+/* The arguments of the latest callback. Reset before each request. */
 struct outcome {
     bool is_done;
     bool ok;
@@ -24,7 +24,7 @@
 };
 
 static struct ev_loop *loop;
-static struct fake_store *state;
+static struct fake_store *service;
 static struct pm_http_client *http;
 static struct pm_store *store;
 static struct outcome outcome;
@@ -82,7 +82,7 @@
 {
     (void)arg;
     loop = ev_loop_new(EVFLAG_AUTO);
-    state = fake_store_new(loop);
+    service = fake_store_new(loop);
     http = pm_http_client_new(loop, 16);
     store = NULL;
     put_count = 0;
@@ -96,7 +96,7 @@
     (void)arg;
     pm_http_client_free(http);
     pm_store_free(store);
-    fake_store_free(state);
+    fake_store_free(service);
     ev_loop_destroy(loop);
     return 0;
 }
@@ -152,7 +152,7 @@
     outcome.lease_id = lease_id;
 }
 
-/* Writes one key, on the condition that it has this revision, and waits for the result. */
+/* Writes one key on the condition that it has this revision, and waits for the result. */
 static void commit_put(const char *key, uint64_t revision)
 {
     struct pm_txn txn = {0};
@@ -180,7 +180,7 @@
         {404, PM_STORE_NOT_FOUND, "not found"},
         {409, PM_STORE_CONFLICT, "conflict"},
         {429, PM_STORE_THROTTLED, "throttled"},
-        {500, PM_STORE_UNAVAILABLE, "unavailable"}, /* not named: as if not executed */
+        {500, PM_STORE_UNAVAILABLE, "unavailable"}, /* has no result of its own */
         {503, PM_STORE_UNAVAILABLE, "unavailable"},
         {PM_HTTP_NO_ANSWER, PM_STORE_UNKNOWN_OUTCOME, "unknown outcome"},
         {PM_HTTP_NOT_SENT, PM_STORE_NOT_SENT, "not sent"},
@@ -188,7 +188,7 @@
 
     (void)arg;
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        assert_int_equal(pm_store_result_of(rows[i].status), rows[i].result);
+        assert_int_equal(pm_store_result_from_status(rows[i].status), rows[i].result);
         assert_string_equal(pm_store_result_name(rows[i].result), rows[i].name);
     }
 }
@@ -196,45 +196,45 @@
 static void a_conflict_names_the_conflicting_keys(void **arg)
 {
     (void)arg;
-    connect_store(fake_store_addr(state));
+    connect_store(fake_store_addr(service));
     commit_put("p/test", 0);
     assert_int_equal(outcome.result, PM_STORE_OK);
-    assert_int_equal(outcome.store_revision, fake_store_revision(state, "p/test"));
+    assert_int_equal(outcome.store_revision, fake_store_revision(service, "p/test"));
     commit_put("p/test", 0);
     assert_int_equal(outcome.result, PM_STORE_CONFLICT);
     assert_int_equal(outcome.conflicting_key_count, 1);
-    assert_int_equal(outcome.store_revision, fake_store_revision(state, "p/test"));
+    assert_int_equal(outcome.store_revision, fake_store_revision(service, "p/test"));
 }
 
 static void an_unreadable_answer_is_an_unknown_outcome(void **arg)
 {
     (void)arg;
-    connect_store(fake_store_addr(state));
-    fake_store_lose_next_answer(state);
+    connect_store(fake_store_addr(service));
+    fake_store_lose_next_answer(service);
     commit_put("p/test", 0);
     assert_int_equal(outcome.result, PM_STORE_UNKNOWN_OUTCOME);
     assert_int_equal(outcome.store_revision, 0);
-    assert_true(fake_store_revision(state, "p/test") > 0); /* executed all the same */
+    assert_true(fake_store_revision(service, "p/test") > 0); /* the transaction was executed */
 }
 
 static void a_refusal_is_noted_until_the_next_answer(void **arg)
 {
     (void)arg;
-    connect_store(fake_store_addr(state));
+    connect_store(fake_store_addr(service));
     assert_false(pm_store_is_refusing(store));
-    fake_store_set_outage(state, true);
+    fake_store_set_outage(service, true);
     commit_put("p/test", 0);
     assert_int_equal(outcome.result, PM_STORE_UNAVAILABLE);
     assert_true(pm_store_is_refusing(store));
     assert_true(pm_store_last_refused_at(store) >= pm_store_last_served_at(store));
-    fake_store_set_outage(state, false);
+    fake_store_set_outage(service, false);
     commit_put("p/test", 0);
     assert_int_equal(outcome.result, PM_STORE_OK);
     assert_false(pm_store_is_refusing(store));
     assert_true(pm_store_last_served_at(store) >= pm_store_last_refused_at(store));
 }
 
-/* ---- the replica's feed ---- */
+/* ---- replica ---- */
 
 static void a_listing_of_several_pages_is_one_snapshot(void **arg)
 {
@@ -244,9 +244,9 @@
     (void)arg;
     for (int i = 0; i < KEY_COUNT; i++) {
         snprintf(key, sizeof key, "p/test/%03d", i);
-        fake_store_put_number(state, key, "n", 1);
+        fake_store_put_number(service, key, "n", 1);
     }
-    connect_store(fake_store_addr(state));
+    connect_store(fake_store_addr(service));
     assert_int_equal(snapshot_count, 1);
     assert_int_equal(put_count, KEY_COUNT);
     assert_int_equal(pm_store_revision(store), KEY_COUNT);
@@ -260,11 +260,11 @@
 static void a_watch_that_is_too_old_lists_again(void **arg)
 {
     (void)arg;
-    connect_store(fake_store_addr(state));
-    fake_store_reject_next_watch(state);
-    fake_store_put_number(state, "p/test", "n", 1); /* ends the watch that is open */
+    connect_store(fake_store_addr(service));
+    fake_store_reject_next_watch(service);
+    fake_store_put_number(service, "p/test", "n", 1); /* ends the open watch */
     assert_true(event_loop_run_until(loop, has_listed_twice, NULL));
-    assert_int_equal(pm_store_revision(store), fake_store_revision(state, "p/test"));
+    assert_int_equal(pm_store_revision(store), fake_store_revision(service, "p/test"));
 }
 
 /* ---- linearizable reads ---- */
@@ -272,26 +272,26 @@
 static void a_linearizable_read_waits_for_the_replica(void **arg)
 {
     (void)arg;
-    connect_store(fake_store_second_addr(state));
-    fake_store_set_second_access(state, FAKE_STORE_WATCHES_HANG);
-    fake_store_put_number(state, "p/test", "n", 1);
+    connect_store(fake_store_second_addr(service));
+    fake_store_set_second_access(service, FAKE_STORE_WATCHES_HANG);
+    fake_store_put_number(service, "p/test", "n", 1);
     pm_store_linearizable_read(store, on_wait_done, NULL);
     run_for(0.2);
     assert_false(outcome.is_done); /* the service is newer than the replica */
     assert_int_equal(put_count, 0);
-    fake_store_set_second_access(state, FAKE_STORE_SERVES);
+    fake_store_set_second_access(service, FAKE_STORE_SERVES);
     run_until_done();
     assert_true(outcome.ok);
     assert_int_equal(put_count, 1);
-    assert_int_equal(pm_store_revision(store), fake_store_revision(state, "p/test"));
+    assert_int_equal(pm_store_revision(store), fake_store_revision(service, "p/test"));
 }
 
 static void a_linearizable_read_fails_while_the_watches_hang(void **arg)
 {
     (void)arg;
-    connect_store(fake_store_second_addr(state));
-    fake_store_set_second_access(state, FAKE_STORE_WATCHES_HANG);
-    fake_store_put_number(state, "p/test", "n", 1);
+    connect_store(fake_store_second_addr(service));
+    fake_store_set_second_access(service, FAKE_STORE_WATCHES_HANG);
+    fake_store_put_number(service, "p/test", "n", 1);
     pm_store_linearizable_read(store, on_wait_done, NULL);
     run_until_done();
     assert_false(outcome.ok);
@@ -301,7 +301,7 @@
 static void a_revision_that_is_reached_is_not_waited_for(void **arg)
 {
     (void)arg;
-    connect_store(fake_store_addr(state));
+    connect_store(fake_store_addr(service));
     pm_store_wait_for_revision(store, pm_store_revision(store), on_wait_done, NULL);
     assert_true(outcome.is_done);
     assert_true(outcome.ok);
@@ -314,8 +314,8 @@
     uint64_t lease_id;
 
     (void)arg;
-    fake_store_expire_leases(state);
-    connect_store(fake_store_addr(state));
+    fake_store_expire_leases(service);
+    connect_store(fake_store_addr(service));
     pm_store_lease_grant(store, 60, on_lease_done, NULL);
     run_until_done();
     assert_int_equal(outcome.result, PM_STORE_OK);
@@ -345,7 +345,7 @@
     int before;
 
     (void)arg;
-    connect_store(fake_store_addr(state));
+    connect_store(fake_store_addr(service));
     now = pm_clock_monotonic();
     before = pm_store_write_budget(store, now);
     assert_true(before > 0 && before <= WRITES_PER_S / 2);
@@ -362,17 +362,18 @@
     double later;
 
     (void)arg;
-    connect_store(fake_store_addr(state));
+    connect_store(fake_store_addr(service));
     pm_store_set_write_share(store, 0.5, 0.9);
     later = pm_clock_monotonic() + 10;
     assert_int_equal(pm_store_write_budget(store, later), 900);
-    pm_store_note_foreign_writes(store, 1e6);
+    pm_store_add_foreign_writes(store, 1e6);
     assert_int_equal(pm_store_write_budget(store, later), 500);
-    pm_store_set_write_share(store, 0.1, 0.1); /* a transaction of some writes has to fit */
+    pm_store_set_write_share(store, 0.1, 0.1); /* the bucket's minimum capacity */
     assert_int_equal(pm_store_write_budget(store, later), 400);
 }
 
-/* The HTTP client, when freed, drops what is in flight without a callback. */
+/* The HTTP client drops requests in flight without a callback when it is freed, which leaks their
+ * memory. */
 const char *__asan_default_options(void);
 const char *__asan_default_options(void)
 {
--- a/src/store/txn.c
+++ b/src/store/txn.c
@@ -1,8 +1,8 @@
-/* Transactions: building their requests, sending them, and what became of them. */
+/* Transactions: builds and sends their requests, and evaluates the answers. */
 #include "store/internal.h"
 #include "base/clock.h"
 
-enum { TXN_ANSWER_MAX = 64 * 1024 }; /* bytes */
+enum { TXN_ANSWER_MAX_BYTES = 64 * 1024 };
 
 void pm_txn_compare(struct pm_txn *txn, const char *key, uint64_t revision)
 {
@@ -36,7 +36,7 @@
     txn->write_count++;
 }
 
-static void put_list_of(struct pm_buffer *out, const char *name, const struct pm_buffer *entries)
+static void put_list(struct pm_buffer *out, const char *name, const struct pm_buffer *entries)
 {
     pm_cbor_put_text(out, name);
     pm_cbor_put_list(out);
@@ -47,8 +47,8 @@
 void pm_txn_encode(const struct pm_txn *txn, struct pm_buffer *out)
 {
     pm_cbor_put_map(out);
-    put_list_of(out, "if", &txn->compares);
-    put_list_of(out, "writes", &txn->writes);
+    put_list(out, "if", &txn->compares);
+    put_list(out, "writes", &txn->writes);
     pm_cbor_put_end(out);
 }
 
@@ -69,8 +69,8 @@
     void *arg;
 };
 
-/* The answer to an executed or conflicting transaction, owned by the caller. NULL when it can't be
- * read: the outcome is then unknown. */
+/* Parses the answer to an executed or conflicting transaction; the caller owns the result. Returns
+ * NULL if the answer can't be read, so that the outcome is unknown. */
 static cbor_item_t *parse_commit_answer(const unsigned char *body, size_t size,
                                         uint64_t *store_revision)
 {
@@ -86,19 +86,20 @@
 {
     struct commit_request *commit = arg;
     struct pm_store *store = commit->store;
-    enum pm_store_result result = pm_store_result_of(status);
+    enum pm_store_result result = pm_store_result_from_status(status);
     cbor_item_t *answer = NULL;
     uint64_t store_revision = 0;
 
-    pm_store_note_status(store, status);
-    pm_store_note_latency(store, commit->sent_at);
+    pm_store_record_status(store, status);
+    pm_store_record_latency(store, commit->sent_at);
     if (result == PM_STORE_OK || result == PM_STORE_CONFLICT) {
         answer = parse_commit_answer(body, size, &store_revision);
         if (!answer)
             result = PM_STORE_UNKNOWN_OUTCOME;
     }
     if (result == PM_STORE_OK)
-        pm_store_note_foreign_writes(store, -commit->write_count); /* the watch counts them too */
+        /* The watch reports these writes too, and counts them as foreign. */
+        pm_store_add_foreign_writes(store, -commit->write_count);
     if (result == PM_STORE_THROTTLED)
         pm_store_budget_exhaust(store);
     commit->done(commit->arg, result, store_revision, pm_cbor_get(answer, "failed"));
@@ -115,7 +116,7 @@
     pm_txn_encode(txn, &body);
     pm_store_budget_spend(store, txn->write_count);
     pm_http_call(store->http, store->address, "POST", "/txn", body.data, body.size,
-                 PM_STORE_REQUEST_TIMEOUT_S, TXN_ANSWER_MAX, on_commit, commit);
+                 PM_STORE_REQUEST_TIMEOUT_S, TXN_ANSWER_MAX_BYTES, on_commit, commit);
     pm_buffer_free(&body);
     pm_txn_free(txn);
 }
--- a/src/store/write_budget.c
+++ b/src/store/write_budget.c
@@ -1,15 +1,19 @@
-/* The write budget: a token bucket whose rate is this controller's share of the writes that the
- * state service allows all controllers together. The share grows while the watches show that the
- * others write little. */
+/* The write budget: a token bucket whose rate is this controller's share of the writes per second
+ * that the state service allows to all controllers together. The share grows while the watches show
+ * that the others write little. */
 #include "store/internal.h"
 #include "base/clock.h"
 
 #include <math.h>
 
-#define FOREIGN_WRITES_DECAY_S 3.0 /* over which the others' writes are averaged */
+/* Time constant of the exponential average of other controllers' writes. */
+#define FOREIGN_WRITES_DECAY_S 3.0
 #define INITIAL_SHARE 0.5
-#define USABLE_SHARE 0.95 /* of the limit; the rest absorbs what the watches show late */
-/* Of a second's writes: however small the share, a transaction of some writes has to fit. */
+/* The share of the service's limit that all controllers together may use. The rest allows for
+ * foreign writes that the watches report late. */
+#define USABLE_SHARE 0.95
+/* Minimum capacity of the bucket, as a share of the service's writes per second, so that a
+ * transaction with several writes fits however small the controller's share is. */
 #define MIN_BURST_SHARE 0.4
 
 void pm_store_budget_init(struct pm_store *store, double writes_per_s)
@@ -33,13 +37,13 @@
     store->budget.tokens = MIN(store->budget.tokens, 0);
 }
 
-/* What is left at `now` of each foreign write that was counted so far. */
+/* The factor, 0 to 1, by which the counted foreign writes have decayed at `now`. */
 static double foreign_writes_decay(const struct pm_store_write_budget *budget, double now)
 {
     return exp((budget->foreign_writes_at - now) / FOREIGN_WRITES_DECAY_S);
 }
 
-void pm_store_note_foreign_writes(struct pm_store *store, double writes)
+void pm_store_add_foreign_writes(struct pm_store *store, double writes)
 {
     struct pm_store_write_budget *budget = &store->budget;
     double now = pm_clock_monotonic();
