--- a/src/cmd/pumicemount/link_monitor.c
+++ b/src/cmd/pumicemount/link_monitor.c
@@ -45,7 +45,8 @@
 
 static double on_candidate_wait(void *arg)
 {
-    return pm_links_candidate_wait_s(((struct pm_controller *)arg)->links, pm_clock_monotonic());
+    return pm_links_extra_campaign_delay_s(((struct pm_controller *)arg)->links,
+                                           pm_clock_monotonic());
 }
 
 /* Whether this controller places tasks on the machine. */
@@ -57,7 +58,7 @@
 
 static void add_endpoint(struct pm_links_zone_census *census, const char *endpoint)
 {
-    for (int i = 0; i < PM_VIEW_ENDPOINTS && endpoint[0]; i++)
+    for (int i = 0; i < PM_VIEW_ENDPOINTS_MAX && endpoint[0]; i++)
         if (!census->endpoint[i][0]) {
             g_strlcpy(census->endpoint[i], endpoint, sizeof census->endpoint[i]);
             return;
@@ -82,11 +83,11 @@
                      machine->endpoint);
         if (!machine->heartbeat.is_known)
             continue;
-        census[machine->zone].up++;
-        census[machine->zone].unreachable += pm_machine_is_unreachable(machine, now);
+        census[machine->zone].up_count++;
+        census[machine->zone].unreachable_count += pm_machine_is_unreachable(machine, now);
     }
     for (int zone = 0; zone < controller->settings->zone_count; zone++) {
-        for (int i = 0; i < PM_VIEW_ENDPOINTS; i++)
+        for (int i = 0; i < PM_VIEW_ENDPOINTS_MAX; i++)
             add_endpoint(&census[zone], silent[zone].endpoint[i]);
         pm_links_record_zone_census(controller->links, zone, &census[zone], now);
     }
@@ -111,7 +112,7 @@
 
 static void probe(struct pm_controller *controller, double now)
 {
-    if (pm_links_is_state_probe_due(controller->links, now))
+    if (pm_links_is_state_service_probe_due(controller->links, now))
         pm_store_linearizable_read(controller->store, on_read_done, controller);
     if (pm_links_is_cloud_probe_due(controller->links, now))
         pm_http_call(controller->http, controller->settings->cloud_addr, "GET", "/machine_types",
@@ -187,7 +188,7 @@
 
 void pm_controller_yield_lead_if_unfit(struct pm_controller *controller, double now)
 {
-    if (pm_links_should_yield_lead(controller->links, now - controller->elected_at, now))
+    if (pm_links_should_step_down(controller->links, now - controller->elected_at, now))
         pm_election_step_down(controller->election, "another controller has better links");
     else if (!controller->operator_settings->links.decide ||
              pm_links_has_equal_candidate(controller->links, now))
--- a/src/cmd/pumicemount/planner.c
+++ b/src/cmd/pumicemount/planner.c
@@ -165,7 +165,7 @@
     /* A process that was not run for a while has missed heartbeats: no machine is given up for
      * that. */
     may_give_up = pm_controller_is_store_writable(controller, now) &&
-                  !pm_links_is_lagging(controller->links, now);
+                  !pm_links_was_paused_recently(controller->links, now);
     pm_autoscaler_set_writable(controller->autoscaler, may_give_up, now);
     pm_autoscaler_run(controller->autoscaler, now, pm_clock_wall());
     sizing->ended_at = pm_clock_monotonic();
--- a/src/cmd/pumicemount/worker_endpoint.c
+++ b/src/cmd/pumicemount/worker_endpoint.c
@@ -41,7 +41,7 @@
 
     machine->push.failed_at = now;
     /* A machine that boots can't answer, and a process that was not run has missed answers. */
-    if (machine->heartbeat.is_known && !pm_links_is_lagging(controller->links, now))
+    if (machine->heartbeat.is_known && !pm_links_was_paused_recently(controller->links, now))
         pm_machine_note_delivery_failure(machine, "a /do has no answer", now);
     machine->push.retry_at = now + PUSH_RETRY_S;
 }
--- a/src/links/ctf_stream.c
+++ b/src/links/ctf_stream.c
@@ -11,9 +11,9 @@
 #include <string.h>
 
 enum {
-    PACKET_EVENTS = 256,     /* a packet is written after so many */
-    EVENT_OVERHEAD = 64,     /* bytes of an event beyond its texts, at most */
-    PACKET_BYTES = 32 * 1024 /* a packet takes a multiple of this on disk */
+    PACKET_EVENTS_MAX = 256,      /* a packet with this many events is written */
+    EVENT_OVERHEAD_BYTES = 64,    /* upper bound of an event's size without its name and reason */
+    PACKET_UNIT_BYTES = 32 * 1024 /* the size of a packet on disk is a multiple of this */
 };
 
 static bool define_event(struct ctf_stream *ctf)
@@ -97,9 +97,9 @@
     set_text(ctf, event, "reason", change->reason);
     bt_ctf_stream_append_event(ctf->stream, event);
     bt_ctf_event_put(event);
-    ctf->pending_bytes += EVENT_OVERHEAD + strlen(change->name) + strlen(change->reason);
+    ctf->pending_bytes += EVENT_OVERHEAD_BYTES + strlen(change->name) + strlen(change->reason);
     ctf->pending_events++;
-    if (ctf->pending_events >= PACKET_EVENTS)
+    if (ctf->pending_events >= PACKET_EVENTS_MAX)
         ctf_stream_flush(ctf);
 }
 
@@ -108,7 +108,7 @@
     if (!ctf->stream || !ctf->pending_events)
         return;
     bt_ctf_stream_flush(ctf->stream);
-    ctf->written_bytes += (ctf->pending_bytes / PACKET_BYTES + 1) * PACKET_BYTES;
+    ctf->written_bytes += (ctf->pending_bytes / PACKET_UNIT_BYTES + 1) * PACKET_UNIT_BYTES;
     ctf->pending_bytes = 0;
     ctf->pending_events = 0;
 }
--- a/src/links/fitness.c
+++ b/src/links/fitness.c
@@ -1,15 +1,16 @@
 #include "links/fitness.h"
 
-/* What the rank of a leader is the sum of, besides PM_RANK_CLOUD. */
+/* The rank of a leader is the sum of one of the RANK_WRITES values, one of the zone values, and
+ * PM_RANK_CLOUD. A controller that can't write has rank 0. */
 enum {
     RANK_WRITES = 8,
-    RANK_WRITES_AT_TIMES = 4, /* the link to the state service flaps */
+    RANK_WRITES_INTERMITTENTLY = 4, /* the link to the state service flaps */
     RANK_ALL_ZONES = 6,
     RANK_MOST_ZONES = 4,
     RANK_SOME_ZONES = 2
 };
 
-/* Their names in the status, which operators' tools read. */
+/* The names are part of the status, which operators' tools read. */
 static const char *const capability_names[PM_CAPABILITY_COUNT] = {
     [PM_CAPABILITY_LEAD] = "lead",
     [PM_CAPABILITY_OWN_SHARD] = "hold-blocks",
@@ -35,9 +36,9 @@
     }
 }
 
-/* ---- one capability ---- */
+/* ---- fitness for one capability ---- */
 
-/* Whether decisions can be written to the state service. */
+/* How well the controller can write decisions to the state service. */
 static struct pm_fitness_verdict evaluate_writing(const struct pm_view *view)
 {
     switch ((enum pm_link_state)view->state_service) {
@@ -60,7 +61,8 @@
     int known, reached;
 };
 
-/* Zones that the controller knows of, or else the reference. */
+/* Counts the zones whose link state is known, and those that are reached. A state that the
+ * controller does not know is taken from the view of `reference`. */
 static struct zone_counts count_zones(const struct pm_matrix *matrix, int controller, int reference)
 {
     struct zone_counts counts = {0};
@@ -97,7 +99,7 @@
 
 static struct pm_fitness_verdict evaluate_renewing(const struct pm_matrix *matrix, int controller)
 {
-    int reached = 1; /* itself */
+    int reached = 1; /* the controller itself */
 
     for (int i = 0; i < matrix->controller_count; i++)
         reached += i != controller && pm_link_is_usable(matrix->view[controller].peer[i]);
@@ -116,7 +118,7 @@
     return evaluate_writing(&matrix->view[controller]);
 }
 
-/* ---- who leads best ---- */
+/* ---- rank of a leader ---- */
 
 static int rank_zones(const struct pm_matrix *matrix, int controller, int reference)
 {
@@ -142,20 +144,20 @@
 {
     if (pm_link_is_usable(view->state_service))
         return RANK_WRITES;
-    return view->state_service == PM_LINK_FLAPPING ? RANK_WRITES_AT_TIMES : 0;
+    return view->state_service == PM_LINK_FLAPPING ? RANK_WRITES_INTERMITTENTLY : 0;
 }
 
 int pm_fitness_lead_rank(const struct pm_matrix *matrix, int controller, int reference)
 {
-    int writing = rank_writing(&matrix->view[controller]);
+    int write_rank = rank_writing(&matrix->view[controller]);
 
-    if (!writing) /* whatever else it reaches: nothing that it decides could be written */
+    if (!write_rank) /* its decisions could not be written, whatever else it reaches */
         return 0;
-    return writing + rank_zones(matrix, controller, reference) +
+    return write_rank + rank_zones(matrix, controller, reference) +
            rank_cloud(matrix, controller, reference);
 }
 
-int pm_fitness_best_other(const struct pm_matrix *matrix, int self, double now)
+int pm_fitness_best_other_controller(const struct pm_matrix *matrix, int self, double now)
 {
     int best = -1;
     int best_rank = 0;
@@ -173,17 +175,18 @@
     return best;
 }
 
-/* By how much the best of the others would lead better than this controller. */
+/* How much higher the best other controller ranks than this one; 0 if there is no other. */
 static int best_advantage(const struct pm_matrix *matrix, double now)
 {
-    int best = pm_fitness_best_other(matrix, 0, now);
+    int best = pm_fitness_best_other_controller(matrix, 0, now);
 
     if (best < 0)
         return 0;
     return pm_fitness_lead_rank(matrix, best, 0) - pm_fitness_lead_rank(matrix, 0, 0);
 }
 
-/* Updates the time since when the condition has held; true if it has done so for `delay_s`. */
+/* Updates `since`, the time since which the condition has held, or 0. Returns whether it has held
+ * for at least `delay_s`. */
 static bool has_held_for(double *since, bool condition, double delay_s, double now)
 {
     if (!condition)
@@ -193,25 +196,26 @@
     return condition && now - *since >= delay_s;
 }
 
-bool pm_fitness_should_yield_lead(struct pm_fitness_yield_timers *timers,
-                                  const struct pm_matrix *matrix,
-                                  const struct pm_fitness_delays *delays, double led_for,
-                                  double now)
+bool pm_fitness_should_step_down(struct pm_fitness_step_down_timers *timers,
+                                 const struct pm_matrix *matrix,
+                                 const struct pm_fitness_delays *delays, double led_for_s,
+                                 double now)
 {
     int advantage = best_advantage(matrix, now);
-    bool is_better = has_held_for(&timers->better_since, advantage > 0, delays->better_s, now);
-    bool is_much_better = has_held_for(&timers->much_better_since, advantage >= PM_RANK_URGENT,
-                                       delays->much_better_s, now);
-
-    /* Workers need a while to come to a new leader, so that it reaches few at first. A leader that
-     * can't write has nothing to wait for. */
-    if (led_for < delays->min_term_s && pm_fitness_lead_rank(matrix, 0, 0) > 0)
+    bool is_better =
+        has_held_for(&timers->better_since, advantage > 0, delays->better_delay_s, now);
+    bool is_much_better = has_held_for(&timers->much_better_since, advantage >= PM_RANK_MUCH_BETTER,
+                                       delays->much_better_delay_s, now);
+
+    /* Workers take a while to connect to a new leader, so that it reaches few of them at first. A
+     * leader that can't write does not improve by waiting. */
+    if (led_for_s < delays->min_term_s && pm_fitness_lead_rank(matrix, 0, 0) > 0)
         return false;
     return is_much_better || is_better;
 }
 
-double pm_fitness_candidate_wait_s(const struct pm_matrix *matrix,
-                                   const struct pm_fitness_delays *delays, double now)
+double pm_fitness_extra_campaign_delay_s(const struct pm_matrix *matrix,
+                                         const struct pm_fitness_delays *delays, double now)
 {
-    return best_advantage(matrix, now) >= PM_RANK_URGENT ? delays->much_better_s : 0;
+    return best_advantage(matrix, now) >= PM_RANK_MUCH_BETTER ? delays->much_better_delay_s : 0;
 }
--- a/src/links/links.c
+++ b/src/links/links.c
@@ -1,4 +1,4 @@
-/* All links and their regular evaluation. */
+/* Creates the links and evaluates them regularly. */
 #include "links/links.h"
 #include "base/log.h"
 #include "links/internal.h"
@@ -6,11 +6,15 @@
 #include <glib.h>
 #include <stdio.h>
 
-#define LAGGING_S 3.0 /* after a pause, responses that were missed say nothing for this long */
-#define PAUSE_TICKS 2 /* a tick that is late by so many is a pause of the process */
-#define MISSED_HEARTBEATS 1.6 /* a zone is silent after so many heartbeat intervals */
-#define MUCH_BETTER_S 2.0     /* see struct pm_fitness_delays */
-#define BETTER_S 15.0
+/* Grace period after a pause of the process, during which missing responses are no evidence. */
+#define PAUSE_GRACE_S 3.0
+/* More than this many tick intervals between two ticks mean that the process was paused. */
+#define PAUSE_TICKS 2
+/* `down_s` of a zone's link is at least this many heartbeat intervals of its workers. */
+#define ZONE_DOWN_HEARTBEATS 1.6
+/* See struct pm_fitness_delays. */
+#define MUCH_BETTER_DELAY_S 2.0
+#define BETTER_DELAY_S 15.0
 #define MIN_TERM_S 10.0
 
 static void name_link(struct pm_links_link *link, const char *kind, const char *name)
@@ -41,8 +45,8 @@
     links->limits =
         (struct pm_link_limits){setting->down_s, setting->recover_s, setting->half_life_s};
     links->zone_limits = links->limits;
-    links->zone_limits.down_s = MAX(setting->down_s, MISSED_HEARTBEATS * settings->heartbeat_s);
-    links->delays = (struct pm_fitness_delays){MUCH_BETTER_S, BETTER_S, MIN_TERM_S};
+    links->zone_limits.down_s = MAX(setting->down_s, ZONE_DOWN_HEARTBEATS * settings->heartbeat_s);
+    links->delays = (struct pm_fitness_delays){MUCH_BETTER_DELAY_S, BETTER_DELAY_S, MIN_TERM_S};
     pm_matrix_init(&links->matrix, settings, setting->expire_s);
     name_links(links);
     return links;
@@ -58,18 +62,18 @@
     return &links->matrix;
 }
 
-bool pm_links_is_lagging(const struct pm_links *links, double now)
+bool pm_links_was_paused_recently(const struct pm_links *links, double now)
 {
-    return now < links->lagging_until;
+    return now < links->pause_grace_until;
 }
 
-/* Which direction of a one-way link fails, for logs and traces; "" for another link. */
+/* Describes the failed direction of a one-way link for logs and traces; "" for any other link. */
 static const char *describe_direction(const struct pm_link *link)
 {
     if (link->state != PM_LINK_ONE_WAY)
         return "";
-    return link->failed_direction == PM_LINK_OUTWARD ? "it does not answer us"
-                                                     : "its requests do not arrive here";
+    return link->failed_direction == PM_LINK_OUTBOUND ? "it does not answer us"
+                                                      : "its requests do not arrive here";
 }
 
 static void report_change(struct pm_links *links, struct pm_links_link *link,
@@ -85,13 +89,13 @@
         link->unlogged_changes++;
         return;
     }
-    pm_info("links.change", "%s: %s, was %s%s%s (%u changes not logged)", link->name, after, before,
-            *direction ? "; " : "", direction, link->unlogged_changes);
+    pm_info("links.change", "link to %s: now %s, before %s%s%s (%u earlier changes not logged)",
+            link->name, after, before, *direction ? "; " : "", direction, link->unlogged_changes);
     link->logged_at = now;
     link->unlogged_changes = 0;
 }
 
-/* Evaluates the link and returns its state, as views have it. */
+/* Evaluates the link. Returns its state as a number for struct pm_view. */
 static uint8_t evaluate_link(struct pm_links *links, struct pm_links_link *link,
                              const struct pm_link_limits *limits, double now)
 {
@@ -122,11 +126,11 @@
 
     if (links->trace)
         pm_links_trace_change(links->trace, "duty", name,
-                              links->is_ready ? pm_fitness_name(before) : "", fitness,
+                              links->is_evaluated ? pm_fitness_name(before) : "", fitness,
                               verdict.reason);
-    if (capability == PM_CAPABILITY_LEAD && links->is_ready)
-        pm_info("links.capability", "%s: %s%s%s", name, fitness, *verdict.reason ? ": " : "",
-                verdict.reason);
+    if (capability == PM_CAPABILITY_LEAD && links->is_evaluated)
+        pm_info("links.capability", "fitness for %s: %s%s%s", name, fitness,
+                *verdict.reason ? ": " : "", verdict.reason);
 }
 
 static void evaluate_capabilities(struct pm_links *links)
@@ -135,31 +139,31 @@
         enum pm_capability capability = (enum pm_capability)i;
         enum pm_fitness before = links->verdicts[i].fitness;
         links->verdicts[i] = pm_fitness_evaluate(&links->matrix, 0, capability);
-        if (links->verdicts[i].fitness != before || !links->is_ready)
+        if (links->verdicts[i].fitness != before || !links->is_evaluated)
             report_fitness(links, capability, before, links->verdicts[i]);
     }
-    links->is_ready = true;
+    links->is_evaluated = true;
 }
 
 static void forgive_pause(struct pm_links *links, double now)
 {
-    pm_link_forgive_pause(&links->state_service.link, now);
-    pm_link_forgive_pause(&links->cloud.link, now);
+    pm_link_exclude_pause(&links->state_service.link, now);
+    pm_link_exclude_pause(&links->cloud.link, now);
     for (int i = 0; i < links->settings->peer_count; i++)
-        pm_link_forgive_pause(&links->peers[i].link, now);
+        pm_link_exclude_pause(&links->peers[i].link, now);
     for (int i = 0; i < links->settings->zone_count; i++)
-        pm_link_forgive_pause(&links->zones[i].link, now);
+        pm_link_exclude_pause(&links->zones[i].link, now);
 }
 
 void pm_links_tick(struct pm_links *links, bool leads, uint64_t epoch, double now)
 {
     struct pm_view *view = &links->matrix.view[0];
 
-    if (links->ticked_at && now - links->ticked_at > PAUSE_TICKS * PM_LINKS_TICK_S) {
+    if (links->last_tick_at && now - links->last_tick_at > PAUSE_TICKS * PM_LINKS_TICK_INTERVAL_S) {
         forgive_pause(links, now);
-        links->lagging_until = now + LAGGING_S;
+        links->pause_grace_until = now + PAUSE_GRACE_S;
     }
-    links->ticked_at = now;
+    links->last_tick_at = now;
     if (!links->setting->observe)
         return;
     view->evaluated_at = now;
--- a/src/links/matrix.c
+++ b/src/links/matrix.c
@@ -27,9 +27,9 @@
 
 bool pm_matrix_is_fresh(const struct pm_matrix *matrix, int controller, double now)
 {
-    double at = matrix->view[controller].evaluated_at;
+    double view_time = matrix->view[controller].evaluated_at;
 
-    return at > 0 && now - at <= matrix->expire_s;
+    return view_time > 0 && now - view_time <= matrix->expire_s;
 }
 
 void pm_matrix_update(struct pm_matrix *matrix, int controller, const struct pm_view *view)
--- a/src/links/probes.c
+++ b/src/links/probes.c
@@ -1,24 +1,25 @@
-/* Which links are to be probed, because no traffic shows their state. */
+/* Selects the links to probe because they have had no traffic recently. */
 #include "links/internal.h"
 
 #include <glib.h>
 
-#define CLOUD_PROBE_FACTOR 5 /* the cloud is probed so many times less often than the others */
+/* The interval of probes of the cloud is this many times that of other links. */
+#define CLOUD_PROBE_FACTOR 5
 
 static double last_evidence_at(const struct pm_link *link)
 {
-    const struct pm_link_evidence *evidence = &link->evidence[PM_LINK_OUTWARD];
+    const struct pm_link_evidence *evidence = &link->evidence[PM_LINK_OUTBOUND];
 
     return MAX(evidence->succeeded_at, evidence->failed_at);
 }
 
-bool pm_links_is_state_probe_due(const struct pm_links *links, double now)
+bool pm_links_is_state_service_probe_due(const struct pm_links *links, double now)
 {
     return links->setting->observe &&
            now - last_evidence_at(&links->state_service.link) > links->setting->probe_s;
 }
 
-/* Whether another controller, which leads, does not reach the cloud. */
+/* Whether another controller leads and does not reach the cloud. */
 static bool is_leader_without_cloud(const struct pm_links *links, double now)
 {
     for (int i = 1; i < links->matrix.controller_count; i++) {
@@ -44,16 +45,16 @@
     const struct pm_link *link = &links->zones[zone].link;
     double last_at = MAX(last_evidence_at(link), links->zone_probes[zone].sent_at);
 
-    return links->setting->observe && !link->evidence[PM_LINK_INWARD].is_expected &&
+    return links->setting->observe && !link->evidence[PM_LINK_INBOUND].is_expected &&
            now - last_at >= links->setting->probe_s;
 }
 
-/* The address of the zone that is next in the view; "" when it has none. */
+/* The address in the view for the zone's probe with this number; "" if the zone has none. */
 static const char *next_endpoint(const struct pm_view *view, int zone, unsigned number)
 {
-    const char *addr = view->endpoint[zone][number % PM_VIEW_ENDPOINTS];
+    const char *addr = view->endpoint[zone][number % PM_VIEW_ENDPOINTS_MAX];
 
-    return *addr ? addr : view->endpoint[zone][0]; /* a zone with a single machine */
+    return *addr ? addr : view->endpoint[zone][0]; /* the zone has a single address */
 }
 
 const char *pm_links_next_zone_probe(struct pm_links *links, int zone, double now)
--- a/src/links/status.c
+++ b/src/links/status.c
@@ -1,4 +1,5 @@
-/* Links, matrix and fitness for the operators' tool. The field names are used here alone. */
+/* Encodes links, matrix and fitness for the operators' tool. Only this file uses the names of the
+ * fields. */
 #include "links/internal.h"
 
 static void encode_link(struct pm_buffer *out, const char *name, enum pm_link_state state)
@@ -67,7 +68,7 @@
     pm_cbor_put_map(out);
     pm_cbor_put_pair_flag(out, "observe", links->setting->observe);
     pm_cbor_put_pair_flag(out, "decide", links->setting->decide);
-    pm_cbor_put_pair_flag(out, "lagging", pm_links_is_lagging(links, now));
+    pm_cbor_put_pair_flag(out, "lagging", pm_links_was_paused_recently(links, now));
     pm_cbor_put_pair_count(out, "trace_dropped", dropped);
     pm_cbor_put_text(out, "views");
     pm_cbor_put_list(out);
--- a/src/links/tests/test_cuts.c
+++ b/src/links/tests/test_cuts.c
@@ -1,6 +1,6 @@
-/* Four controller processes, simulated outside systems, a running workload, and links that are cut.
- * The history of what workers did and what users were answered shows whether a rule was broken;
- * deadlines are such that a busy machine keeps them too. */
+/* Cuts links of four controller processes, which run against simulated outside systems under a
+ * workload. The history of what the workers did and what the users were answered is checked for
+ * violations of the rules. Deadlines are long enough for a busy machine. */
 #include "testing/cluster.h"
 
 #include <glib.h>
@@ -11,24 +11,25 @@
 #include <string.h>
 #include <cmocka.h>
 
-#define DEADLINE_S 60.0    /* for what is to happen, on a busy machine too */
-#define BELOW_LEASE_S 2.0  /* less than every lease */
-#define BEYOND_LEASE_S 6.0 /* longer than every lease */
+#define DEADLINE_S 60.0           /* for events that must happen, even on a busy machine */
+#define SHORTER_THAN_LEASES_S 2.0 /* shorter than the shortest lease */
+#define LONGER_THAN_LEASES_S 6.0  /* longer than the longest lease */
 
 enum { CONTROLLERS = 4 };
 
+/* The same values as in deploy/. */
 static const char operator_settings[] = "links:\n  observe: true\n  decide: true\n  probe_s: 0.5\n"
                                         "  down_s: 1\n  expire_s: 4\n"
-                                        "duties:\n  fence: true\n  ttl_s: 2\n"; /* as in deploy/ */
+                                        "duties:\n  fence: true\n  ttl_s: 2\n";
 
 static const struct relay_fault both_ways = {.from_controller = true, .to_controller = true};
 static const struct relay_fault connection_reset = {.reset = true};
-static const struct relay_fault outgoing_lost = {.from_controller =
-                                                     true}; /* its packets are lost */
-static const struct relay_fault incoming_lost = {.to_controller =
-                                                     true}; /* packets to it are lost */
+/* Only the packets that the controller sends are lost. */
+static const struct relay_fault outgoing_lost = {.from_controller = true};
+/* Only the packets sent to the controller are lost. */
+static const struct relay_fault incoming_lost = {.to_controller = true};
 
-static bool has_begun(struct cluster *cluster)
+static bool have_tasks_started(struct cluster *cluster)
 {
     return history_start_count(cluster_history(cluster)) >= 4;
 }
@@ -47,11 +48,11 @@
                                                .quiet = !g_getenv("PM_TEST_LOG")});
 
     cluster_set_load(cluster, 0.5);
-    assert_true(cluster_run_until(cluster, has_begun, DEADLINE_S));
+    assert_true(cluster_run_until(cluster, have_tasks_started, DEADLINE_S));
     return cluster;
 }
 
-/* Ends the workload, waits until every job is over, and checks that no rule was broken. */
+/* Stops the workload, waits until every job has ended, and checks that no rule was violated. */
 static void finish_cluster(struct cluster *cluster)
 {
     cluster_set_load(cluster, 0);
@@ -75,7 +76,7 @@
         cluster_set_link_fault(cluster, leader, (enum cluster_link)link, target, *cut);
         cluster_run(cluster, seconds);
         cluster_clear_link_faults(cluster);
-        cluster_run(cluster, BELOW_LEASE_S);
+        cluster_run(cluster, SHORTER_THAN_LEASES_S);
     }
     finish_cluster(cluster);
 }
@@ -83,22 +84,22 @@
 static void links_cut_for_less_than_a_lease(void **arg)
 {
     (void)arg;
-    cut_each_link_of_the_leader(&both_ways, BELOW_LEASE_S);
+    cut_each_link_of_the_leader(&both_ways, SHORTER_THAN_LEASES_S);
 }
 
 static void links_cut_for_longer_than_a_lease(void **arg)
 {
     (void)arg;
-    cut_each_link_of_the_leader(&both_ways, BEYOND_LEASE_S);
+    cut_each_link_of_the_leader(&both_ways, LONGER_THAN_LEASES_S);
 }
 
 static void links_reset_for_longer_than_a_lease(void **arg)
 {
     (void)arg;
-    cut_each_link_of_the_leader(&connection_reset, BEYOND_LEASE_S);
+    cut_each_link_of_the_leader(&connection_reset, LONGER_THAN_LEASES_S);
 }
 
-static int cut_leader; /* the controller that led when the cut began */
+static int cut_leader; /* the controller that led when its link was cut */
 
 static bool has_another_leader(struct cluster *cluster)
 {
@@ -107,9 +108,9 @@
     return leader >= 0 && leader != cut_leader;
 }
 
-/* A link of the leader is cut, in one direction or both: another controller is elected, and the one
- * that is cut off is not elected again meanwhile. */
-static void cut_the_leader_until_it_yields(enum cluster_link link, const struct relay_fault *cut)
+/* Cuts a link of the leader, in one direction or both. Another controller must be elected, and the
+ * former leader must not be elected again while its link is cut. */
+static void cut_leader_until_it_steps_down(enum cluster_link link, const struct relay_fault *cut)
 {
     struct cluster *cluster = start_cluster();
     int target_count = link == CLUSTER_LINK_ZONE ? CLUSTER_ZONES : 1;
@@ -120,32 +121,33 @@
         cluster_set_link_fault(cluster, cut_leader, link, i, *cut);
     assert_true(cluster_run_until(cluster, has_another_leader, DEADLINE_S));
     starts = history_start_count(cluster_history(cluster));
-    cluster_run(cluster, BEYOND_LEASE_S);
+    cluster_run(cluster, LONGER_THAN_LEASES_S);
     assert_int_not_equal(cluster_leader(cluster), cut_leader);
-    assert_true(history_start_count(cluster_history(cluster)) > starts); /* work goes on */
+    /* Tasks are still started. */
+    assert_true(history_start_count(cluster_history(cluster)) > starts);
     finish_cluster(cluster);
 }
 
 static void leader_without_answers_of_the_state_service(void **arg)
 {
     (void)arg;
-    cut_the_leader_until_it_yields(CLUSTER_LINK_STORE, &incoming_lost);
+    cut_leader_until_it_steps_down(CLUSTER_LINK_STORE, &incoming_lost);
 }
 
 static void leader_whose_packets_do_not_reach_its_workers(void **arg)
 {
     (void)arg;
-    cut_the_leader_until_it_yields(CLUSTER_LINK_ZONE, &outgoing_lost);
+    cut_leader_until_it_steps_down(CLUSTER_LINK_ZONE, &outgoing_lost);
 }
 
-/* The leader reaches the state service and no worker. */
-static void leader_with_state_service_and_no_worker(void **arg)
+/* The leader reaches the state service, but no worker. */
+static void leader_that_reaches_no_worker(void **arg)
 {
     (void)arg;
-    cut_the_leader_until_it_yields(CLUSTER_LINK_ZONE, &both_ways);
+    cut_leader_until_it_steps_down(CLUSTER_LINK_ZONE, &both_ways);
 }
 
-/* Two links that flap in opposite phase: the leader's to the state service, and its workers'. */
+/* The leader's link to the state service and its links to the workers flap in opposite phase. */
 static void links_flap_in_opposite_phase(void **arg)
 {
     static const double periods[] = {0.5, 2, 4};
@@ -169,7 +171,8 @@
     finish_cluster(cluster);
 }
 
-/* Each controller reaches only the next one; users cancel a job meanwhile. */
+/* Cuts each controller's link to the peer two places further, so that the controllers form a ring,
+ * and cancels a job meanwhile. */
 static void peers_in_a_ring(void **arg)
 {
     struct cluster *cluster = start_cluster();
@@ -179,14 +182,14 @@
     for (int i = 0; i < CONTROLLERS; i++)
         cluster_set_link_fault(cluster, i, CLUSTER_LINK_PEER, (i + 2) % CONTROLLERS, both_ways);
     job = cluster_submit_array(cluster, 4, 9.9);
-    cluster_run(cluster, BELOW_LEASE_S);
+    cluster_run(cluster, SHORTER_THAN_LEASES_S);
     cluster_cancel(cluster, job);
-    cluster_run(cluster, BEYOND_LEASE_S);
+    cluster_run(cluster, LONGER_THAN_LEASES_S);
     finish_cluster(cluster);
 }
 
-/* A leader that is cut off, killed, and back at once; and one that stands still for longer than
- * every lease, wakes, and has its links cut as it does. */
+/* First the leader is cut off, killed and restarted at once. Then the leader is paused for longer
+ * than the longest lease, and its connections to the state service are reset when it resumes. */
 static void leader_is_cut_off_killed_and_paused(void **arg)
 {
     struct cluster *cluster = start_cluster();
@@ -194,18 +197,18 @@
 
     (void)arg;
     cluster_set_link_fault(cluster, leader, CLUSTER_LINK_STORE, 0, both_ways);
-    cluster_run(cluster, BELOW_LEASE_S);
+    cluster_run(cluster, SHORTER_THAN_LEASES_S);
     cluster_kill(cluster, leader);
     cluster_start(cluster, leader);
     cluster_clear_link_faults(cluster);
-    cluster_run(cluster, BELOW_LEASE_S);
+    cluster_run(cluster, SHORTER_THAN_LEASES_S);
     assert_true(cluster_run_until(cluster, has_leader, DEADLINE_S));
     leader = cluster_leader(cluster);
     cluster_pause(cluster, leader, true);
-    cluster_run(cluster, BEYOND_LEASE_S);
+    cluster_run(cluster, LONGER_THAN_LEASES_S);
     cluster_set_link_fault(cluster, leader, CLUSTER_LINK_STORE, 0, connection_reset);
     cluster_pause(cluster, leader, false);
-    cluster_run(cluster, BELOW_LEASE_S);
+    cluster_run(cluster, SHORTER_THAN_LEASES_S);
     finish_cluster(cluster);
 }
 
@@ -217,7 +220,7 @@
         cmocka_unit_test(links_reset_for_longer_than_a_lease),
         cmocka_unit_test(leader_without_answers_of_the_state_service),
         cmocka_unit_test(leader_whose_packets_do_not_reach_its_workers),
-        cmocka_unit_test(leader_with_state_service_and_no_worker),
+        cmocka_unit_test(leader_that_reaches_no_worker),
         cmocka_unit_test(links_flap_in_opposite_phase),
         cmocka_unit_test(peers_in_a_ring),
         cmocka_unit_test(leader_is_cut_off_killed_and_paused),
--- a/src/links/tests/test_fitness.c
+++ b/src/links/tests/test_fitness.c
@@ -1,4 +1,4 @@
-/* The reachability matrix, its messages, and the fitness that follows from it. */
+/* Tests the reachability matrix, its messages, and the fitness derived from it. */
 #include "links/fitness.h"
 #include "links/links.h"
 
@@ -13,9 +13,9 @@
 enum { CONTROLLERS = 4, ZONES = 2 };
 
 static const struct pm_fitness_delays delays = {
-    .much_better_s = 2, .better_s = 15, .min_term_s = 10};
+    .much_better_delay_s = 2, .better_delay_s = 15, .min_term_s = 10};
 
-/* Settings of controller `self`, with the others as its peers. */
+/* Returns the settings of controller `self`, with the others as its peers. */
 static struct pm_settings settings_of_controller(int self)
 {
     struct pm_settings settings = {.cluster_size = CONTROLLERS, .zone_count = ZONES};
@@ -40,7 +40,7 @@
     return view;
 }
 
-/* All links are up in all views, which are of time 100. */
+/* Initializes a matrix in which all links are up in all views, evaluated at time 100. */
 static void init_healthy(struct pm_matrix *matrix, const struct pm_settings *settings)
 {
     pm_matrix_init(matrix, settings, 5);
@@ -70,14 +70,14 @@
         assert_true(rank < before);
         before = rank;
     }
-    assert_int_equal(before, 0); /* nothing that it decides could be written */
+    assert_int_equal(before, 0); /* the last view's controller can't write its decisions */
     matrix.view[1] = make_view(PM_LINK_FLAPPING, PM_LINK_UP, PM_LINK_UP, PM_LINK_UP);
     assert_true(pm_fitness_lead_rank(&matrix, 1, 0) > 0);
     assert_int_equal(pm_fitness_evaluate(&matrix, 1, PM_CAPABILITY_LEAD).fitness, PM_IMPAIRED);
 }
 
-/* A controller without traffic to a zone is not better than one that knows that the zone is down.
- */
+/* A controller that has no traffic to a zone ranks no higher than one that knows that its link to
+ * the zone is down. */
 static void unknown_links_do_not_change_the_rank(void **arg)
 {
     struct pm_settings settings = settings_of_controller(0);
@@ -90,33 +90,33 @@
         matrix.view[i].zone[0] = PM_LINK_UNKNOWN;
     assert_int_equal(pm_fitness_lead_rank(&matrix, 1, 0), pm_fitness_lead_rank(&matrix, 0, 0));
     matrix.view[2].zone[0] = PM_LINK_UP;
-    assert_int_equal(pm_fitness_best_other(&matrix, 0, 100), 2);
+    assert_int_equal(pm_fitness_best_other_controller(&matrix, 0, 100), 2);
 }
 
-static void leader_yields_to_a_lastingly_better_one(void **arg)
+static void leader_steps_down_for_a_controller_that_stays_better(void **arg)
 {
-    struct pm_fitness_yield_timers timers = {0};
+    struct pm_fitness_step_down_timers timers = {0};
     struct pm_settings settings = settings_of_controller(0);
     struct pm_matrix matrix;
 
     (void)arg;
     init_healthy(&matrix, &settings);
-    assert_false(pm_fitness_should_yield_lead(&timers, &matrix, &delays, 60, 100));
+    assert_false(pm_fitness_should_step_down(&timers, &matrix, &delays, 60, 100));
     matrix.view[0].state_service = PM_LINK_DOWN;
-    assert_false(pm_fitness_should_yield_lead(&timers, &matrix, &delays, 60, 101));
+    assert_false(pm_fitness_should_step_down(&timers, &matrix, &delays, 60, 101));
     matrix.view[0].state_service = PM_LINK_UP; /* up again: the timer is reset */
-    assert_false(pm_fitness_should_yield_lead(&timers, &matrix, &delays, 60, 102));
+    assert_false(pm_fitness_should_step_down(&timers, &matrix, &delays, 60, 102));
     matrix.view[0].state_service = PM_LINK_DOWN;
-    assert_false(pm_fitness_should_yield_lead(&timers, &matrix, &delays, 60, 103));
-    assert_true(pm_fitness_should_yield_lead(&timers, &matrix, &delays, 1, 105));
-    /* Expired views are no reason. */
-    assert_false(pm_fitness_should_yield_lead(&timers, &matrix, &delays, 60, 106));
-    assert_false(pm_fitness_should_yield_lead(&timers, &matrix, &delays, 60, 109));
+    assert_false(pm_fitness_should_step_down(&timers, &matrix, &delays, 60, 103));
+    assert_true(pm_fitness_should_step_down(&timers, &matrix, &delays, 1, 105));
+    /* Expired views are no reason to step down. */
+    assert_false(pm_fitness_should_step_down(&timers, &matrix, &delays, 60, 106));
+    assert_false(pm_fitness_should_step_down(&timers, &matrix, &delays, 60, 109));
 }
 
-static void leader_yields_later_to_a_slightly_better_one(void **arg)
+static void leader_steps_down_later_for_a_slightly_better_controller(void **arg)
 {
-    struct pm_fitness_yield_timers timers = {0};
+    struct pm_fitness_step_down_timers timers = {0};
     struct pm_settings settings = settings_of_controller(0);
     struct pm_matrix matrix;
 
@@ -125,31 +125,33 @@
     matrix.expire_s = 100;
     matrix.view[0].cloud = PM_LINK_DOWN;
     for (int i = 0; i < 15; i++)
-        assert_false(pm_fitness_should_yield_lead(&timers, &matrix, &delays, 60, 100 + i));
-    assert_false(pm_fitness_should_yield_lead(&timers, &matrix, &delays, 5,
-                                              116)); /* too early in its term */
-    assert_true(pm_fitness_should_yield_lead(&timers, &matrix, &delays, 60, 116));
+        assert_false(pm_fitness_should_step_down(&timers, &matrix, &delays, 60, 100 + i));
+    /* A leader does not step down before it has led for `min_term_s`. */
+    assert_false(pm_fitness_should_step_down(&timers, &matrix, &delays, 5, 116));
+    assert_true(pm_fitness_should_step_down(&timers, &matrix, &delays, 60, 116));
 }
 
-/* Workers connect to a new leader one after the other: it keeps the lead meanwhile. */
+/* Workers connect to a new leader one after the other, so that it must not step down at once for
+ * reaching few of them. */
 static void new_leader_keeps_the_lead_for_its_minimum_term(void **arg)
 {
-    struct pm_fitness_yield_timers timers = {0};
+    struct pm_fitness_step_down_timers timers = {0};
     struct pm_settings settings = settings_of_controller(0);
     struct pm_matrix matrix;
 
     (void)arg;
     init_healthy(&matrix, &settings);
     matrix.view[0].zone[0] = matrix.view[0].zone[1] = PM_LINK_ONE_WAY;
-    assert_false(pm_fitness_should_yield_lead(&timers, &matrix, &delays, 5, 100));
-    assert_false(pm_fitness_should_yield_lead(&timers, &matrix, &delays, 9, 104));
-    assert_true(pm_fitness_should_yield_lead(&timers, &matrix, &delays, 10, 105));
+    assert_false(pm_fitness_should_step_down(&timers, &matrix, &delays, 5, 100));
+    assert_false(pm_fitness_should_step_down(&timers, &matrix, &delays, 9, 104));
+    assert_true(pm_fitness_should_step_down(&timers, &matrix, &delays, 10, 105));
 }
 
-/* An outage, and a zone that no controller reaches: nobody yields, nobody waits. */
-static void nobody_yields_where_nobody_is_better(void **arg)
+/* In an outage, and with a zone that no controller reaches, the leader does not step down and no
+ * controller delays its campaign. */
+static void no_leader_steps_down_where_no_other_is_better(void **arg)
 {
-    struct pm_fitness_yield_timers timers = {0};
+    struct pm_fitness_step_down_timers timers = {0};
     struct pm_settings settings = settings_of_controller(0);
     struct pm_matrix matrix;
 
@@ -160,8 +162,8 @@
         matrix.view[i].zone[1] = PM_LINK_DOWN;
     }
     for (int i = 0; i < 5; i++)
-        assert_false(pm_fitness_should_yield_lead(&timers, &matrix, &delays, 60, 100 + i));
-    assert_true(pm_fitness_candidate_wait_s(&matrix, &delays, 100) <= 0);
+        assert_false(pm_fitness_should_step_down(&timers, &matrix, &delays, 60, 100 + i));
+    assert_true(pm_fitness_extra_campaign_delay_s(&matrix, &delays, 100) <= 0);
     assert_int_equal(pm_fitness_evaluate(&matrix, 0, PM_CAPABILITY_ACCEPT_JOBS).fitness, PM_UNFIT);
     assert_int_equal(pm_fitness_evaluate(&matrix, 0, PM_CAPABILITY_RENEW_LEASES).fitness, PM_FIT);
     matrix.view[0].peer[1] = matrix.view[0].peer[2] = PM_LINK_DOWN;
@@ -183,8 +185,8 @@
     sender_matrix.view[0].zone[1] = PM_LINK_ONE_WAY;
     sender_matrix.view[0].leads = true;
     g_strlcpy(sender_matrix.view[0].endpoint[1][0], "10.0.0.1:9000", 64);
-    sender_matrix.view[pm_matrix_find_controller(&sender_matrix, "node-3")].evaluated_at =
-        90; /* expired: not relayed */
+    /* The view of node-3 has expired and is not relayed. */
+    sender_matrix.view[pm_matrix_find_controller(&sender_matrix, "node-3")].evaluated_at = 90;
     data = pm_views_encode(&sender_matrix, 102, &size);
     pm_matrix_init(&receiver_matrix, &receiver, 5);
     assert_true(pm_views_decode(&receiver_matrix, data, size, 500, 500.2));
@@ -198,9 +200,9 @@
                                     pm_matrix_find_controller(&receiver_matrix, "node-3"), 500));
     assert_true(pm_matrix_is_fresh(&receiver_matrix,
                                    pm_matrix_find_controller(&receiver_matrix, "node-2"), 500));
-    assert_true(receiver_matrix.view[0].evaluated_at <=
-                0); /* what others relay of our own view is ignored */
-    /* The response to a call of long ago, delayed: decoded, and ignored. */
+    /* The receiver ignores its own view when a peer relays it. */
+    assert_true(receiver_matrix.view[0].evaluated_at <= 0);
+    /* A delayed response, to a call that was sent long ago, is decoded and ignored. */
     memset(receiver_matrix.view, 0, sizeof receiver_matrix.view);
     assert_true(pm_views_decode(&receiver_matrix, data, size, 500, 520));
     assert_true(receiver_matrix.view[from].evaluated_at <= 0);
@@ -234,11 +236,11 @@
     pm_links_apply_put(links, "p/links/node-1", value, 7, 200);
     assert_true(pm_matrix_is_fresh(matrix, from, 204));
     assert_int_equal(matrix->view[from].cloud, PM_LINK_DOWN);
-    pm_links_apply_put(links, "p/links/node-1", value, 7, 300); /* the same, from a new snapshot */
+    pm_links_apply_put(links, "p/links/node-1", value, 7, 300); /* again, by a new listing */
     assert_false(pm_matrix_is_fresh(matrix, from, 300));
     pm_links_apply_put(links, "p/links/nobody", value, 8, 300);
     pm_cbor_free(value);
-    value = pm_cbor_parse("\xa0", 1); /* an empty map: ignored, and logged */
+    value = pm_cbor_parse("\xa0", 1); /* an empty map is ignored and logged */
     pm_links_apply_put(links, "p/links/node-1", value, 9, 300);
     assert_false(pm_matrix_is_fresh(matrix, from, 300));
     pm_cbor_free(value);
@@ -246,7 +248,7 @@
     pm_links_free(links);
 }
 
-/* In a zone with a single machine that one is probed, again and again. */
+/* If a zone has a single known address, every probe goes there. */
 static void probes_go_to_the_endpoints_of_a_view(void **arg)
 {
     struct pm_settings sender = settings_of_controller(1);
@@ -268,8 +270,8 @@
         assert_non_null(addr);
         assert_string_equal(addr, "10.0.0.1:9000");
         assert_null(pm_links_next_zone_probe(links, 0, 102.5 + 2 * i)); /* too early */
-        assert_null(
-            pm_links_next_zone_probe(links, 1, 102 + 2 * i)); /* no endpoint is known there */
+        /* No endpoint of the other zone is known. */
+        assert_null(pm_links_next_zone_probe(links, 1, 102 + 2 * i));
     }
     g_free(data);
     pm_links_free(links);
@@ -280,10 +282,10 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(rank_counts_state_service_before_workers_before_cloud),
         cmocka_unit_test(unknown_links_do_not_change_the_rank),
-        cmocka_unit_test(leader_yields_to_a_lastingly_better_one),
-        cmocka_unit_test(leader_yields_later_to_a_slightly_better_one),
+        cmocka_unit_test(leader_steps_down_for_a_controller_that_stays_better),
+        cmocka_unit_test(leader_steps_down_later_for_a_slightly_better_controller),
         cmocka_unit_test(new_leader_keeps_the_lead_for_its_minimum_term),
-        cmocka_unit_test(nobody_yields_where_nobody_is_better),
+        cmocka_unit_test(no_leader_steps_down_where_no_other_is_better),
         cmocka_unit_test(views_are_exchanged_with_their_age),
         cmocka_unit_test(stored_view_is_applied_once),
         cmocka_unit_test(probes_go_to_the_endpoints_of_a_view),
--- a/src/links/tests/test_trace.c
+++ b/src/links/tests/test_trace.c
@@ -1,4 +1,5 @@
-/* The trace: readable by a reader of the format, and bounded on disk. */
+/* Tests that a reader of the Common Trace Format can read the trace, and that its size on disk is
+ * limited. */
 #include "links/trace.h"
 
 #include <glib.h>
@@ -13,7 +14,7 @@
 
 enum { EVENT_COUNT = 20000 };
 
-/* The library that writes the format leaks the path of each trace. */
+/* The library that writes the trace leaks the path of each trace. */
 const char *__lsan_default_suppressions(void);
 
 const char *__lsan_default_suppressions(void)
@@ -40,7 +41,7 @@
                : -1;
 }
 
-/* What babeltrace2 prints of the first trace; owned by the caller. */
+/* Returns the first trace as babeltrace2 prints it; owned by the caller. */
 static char *read_trace(void)
 {
     char *path = g_strdup_printf("%s/node-0-0", dir);
@@ -103,7 +104,7 @@
     for (int i = 0; i < EVENT_COUNT; i++) {
         pm_links_trace_change(trace, "link", "controller node-2", "up", "degraded", "");
         if (i % 1000 == 0)
-            g_usleep(20 * 1000); /* the thread writes meanwhile; what comes too fast is dropped */
+            g_usleep(20 * 1000); /* lets the thread write; events are dropped while it lags */
     }
     pm_links_trace_free(trace);
     assert_true(size_of_trace(first) + size_of_trace(second) <= 1024 * 1024 + 128 * 1024);
--- a/src/links/trace.c
+++ b/src/links/trace.c
@@ -12,20 +12,21 @@
 #include <string.h>
 
 enum {
-    QUEUE_MAX = 4096, /* events that wait for the thread */
+    QUEUED_EVENTS_MAX = 4096, /* events that wait for the writer's thread */
     TRACES_KEPT = 2,
     BYTES_PER_MB = 1024 * 1024,
     DIR_MODE = 0755
 };
-#define FLUSH_AFTER_US G_USEC_PER_SEC /* once nothing more has come for this long */
+/* Events are flushed to the disk when no other has followed for this long. */
+#define FLUSH_AFTER_US G_USEC_PER_SEC
 #define NS_PER_S 1e9
 
 struct pm_links_trace {
     char dir[256], controller[128];
-    size_t max_bytes; /* of one trace */
-    unsigned number;  /* of the trace that is open */
+    size_t max_bytes; /* limit for one trace */
+    unsigned number;  /* counts the traces, up to the open one */
     struct pm_writer *writer;
-    struct ctf_stream ctf; /* the writer's thread's own, once that runs */
+    struct ctf_stream ctf; /* used only by the writer's thread while that runs */
 };
 
 static void format_path(const struct pm_links_trace *trace, char *out, size_t size)
@@ -48,7 +49,7 @@
     g_rmdir(path);
 }
 
-/* Opens the trace of the current number in place of the one that had its path. */
+/* Opens the trace with the current number, in place of an earlier trace at the same path. */
 static bool open_trace(struct pm_links_trace *trace)
 {
     char path[512];
@@ -68,7 +69,8 @@
     ctf_stream_close(&trace->ctf);
     trace->number++;
     if (!open_trace(trace))
-        pm_error("links.trace", "a new trace can't be begun in %s", trace->dir);
+        pm_error("links.trace", "can't open the next trace in %s; further changes are not traced",
+                 trace->dir);
 }
 
 static void write_change(void *arg, const void *item)
@@ -115,11 +117,12 @@
     g_strlcpy(trace->controller, controller, sizeof trace->controller);
     trace->max_bytes = (size_t)megabytes * BYTES_PER_MB / TRACES_KEPT;
     if (!open_trace(trace)) {
-        snprintf(err, err_size, "%s: no trace can be written there: %s", dir, strerror(errno));
+        snprintf(err, err_size, "%s: can't open a trace of the links there: %s", dir,
+                 strerror(errno));
         g_free(trace);
         return NULL;
     }
-    trace->writer = pm_writer_new("links-trace", QUEUE_MAX, &hooks);
+    trace->writer = pm_writer_new("links-trace", QUEUED_EVENTS_MAX, &hooks);
     return trace;
 }
 
--- a/src/links/view_message.c
+++ b/src/links/view_message.c
@@ -1,4 +1,4 @@
-/* The views of links in the responses between controllers, links.proto. */
+/* Encodes and decodes the views of links in responses between controllers (links.proto). */
 #include "links.pb-c.h"
 #include "links/matrix.h"
 
@@ -6,7 +6,7 @@
 
 enum {
     MS_PER_S = 1000,
-    /* A peer may be of a version that sends more than this one. */
+    /* Larger than what this version sends, since a peer of another version may send more. */
     DECODED_BYTES_MAX = 4 * PM_VIEWS_BYTES_MAX
 };
 
@@ -24,8 +24,8 @@
 
 static void add_endpoints(Pm__LinkSeen *link, const struct pm_view *view, int zone)
 {
-    link->endpoint = g_new0(char *, PM_VIEW_ENDPOINTS);
-    for (int i = 0; i < PM_VIEW_ENDPOINTS; i++)
+    link->endpoint = g_new0(char *, PM_VIEW_ENDPOINTS_MAX);
+    for (int i = 0; i < PM_VIEW_ENDPOINTS_MAX; i++)
         if (view->endpoint[zone][i][0])
             link->endpoint[link->n_endpoint++] = g_strdup(view->endpoint[zone][i]);
 }
@@ -71,7 +71,7 @@
     return message;
 }
 
-/* Frees links that new_link made; protobuf-c's own free functions use another allocator. */
+/* Frees links that new_link created. protobuf-c's own free functions use another allocator. */
 static void free_links(Pm__LinkSeen **links, size_t count)
 {
     for (size_t i = 0; i < count; i++) {
@@ -106,7 +106,7 @@
             free_message(views.view[--views.n_view]);
     }
     *size = pm__views__get_packed_size(&views);
-    data = g_malloc(*size + 1); /* a message without views has no bytes */
+    data = g_malloc(*size + 1); /* never NULL, although a message without views has 0 bytes */
     pm__views__pack(&views, data);
     for (size_t i = 0; i < views.n_view; i++)
         free_message(views.view[i]);
@@ -133,19 +133,19 @@
     if (zone < 0)
         return;
     view->zone[zone] = pm_link_state_from_number(link->state);
-    for (size_t i = 0; i < link->n_endpoint && i < PM_VIEW_ENDPOINTS; i++)
+    for (size_t i = 0; i < link->n_endpoint && i < PM_VIEW_ENDPOINTS_MAX; i++)
         g_strlcpy(view->endpoint[zone][i], link->endpoint[i], sizeof view->endpoint[zone][i]);
 }
 
 static void decode_message(struct pm_matrix *matrix, const Pm__ControllerView *message,
-                           double asked_at)
+                           double sent_at)
 {
     int controller = pm_matrix_find_controller(matrix, message->controller);
     struct pm_view view = {0};
 
-    if (controller <= 0) /* unknown, or this controller's own view, relayed back */
+    if (controller <= 0) /* unknown, or this controller's own view, relayed by a peer */
         return;
-    view.evaluated_at = asked_at - (double)message->age_ms / MS_PER_S;
+    view.evaluated_at = sent_at - (double)message->age_ms / MS_PER_S;
     view.leads = message->leads;
     view.epoch = message->epoch;
     view.state_service = pm_link_state_from_number(message->state);
@@ -158,15 +158,15 @@
 }
 
 bool pm_views_decode(struct pm_matrix *matrix, const unsigned char *data, size_t size,
-                     double asked_at, double now)
+                     double sent_at, double now)
 {
     Pm__Views *views = size <= DECODED_BYTES_MAX ? pm__views__unpack(NULL, size, data) : NULL;
-    bool is_response_recent = now - asked_at <= matrix->expire_s;
+    bool is_response_recent = now - sent_at <= matrix->expire_s;
 
     if (!views)
         return false;
     for (size_t i = 0; is_response_recent && i < views->n_view; i++)
-        decode_message(matrix, views->view[i], asked_at);
+        decode_message(matrix, views->view[i], sent_at);
     pm__views__free_unpacked(views, NULL);
     return true;
 }
--- a/src/links/view_value.c
+++ b/src/links/view_value.c
@@ -1,8 +1,10 @@
-/* The stored view of a controller's links, at p/links/NAME. Its field names are used here alone:
+/* Encodes and decodes the stored view of a controller's links, at p/links/NAME. Only this file uses
+ * the names of the fields:
  *
- *   epoch, leads   the epoch as the controller knows it, and whether it leads
- *   state, cloud   states of its links to the state service and the cloud (enum pm_link_state)
- *   peers, zones   maps from the names of the other controllers and of the zones to states */
+ *   epoch, leads   the epoch that the controller knows, and whether the controller leads
+ *   state, cloud   states of its links to the state service and to the cloud (enum pm_link_state)
+ *   peers, zones   maps from the names of the other controllers, and of the zones, to link states
+ */
 #include "links/matrix.h"
 
 #include <glib.h>
@@ -30,7 +32,7 @@
     pm_cbor_put_end(out);
 }
 
-/* Reads one state of a map; false, with `out` unchanged, when it has none. */
+/* Reads the state at `key` of a map. Returns false, with `out` unchanged, if there is none. */
 static bool decode_state(const cbor_item_t *map, const char *key, uint8_t *out)
 {
     uint64_t number;
--- a/src/links/views.c
+++ b/src/links/views.c
@@ -1,11 +1,12 @@
-/* The controllers' views of their links: exchanged in responses, and through the state service. */
+/* Exchanges the controllers' views of their links, in responses and through the state service. */
 #include "base/keys.h"
 #include "base/log.h"
 #include "links/internal.h"
 
 #include <string.h>
 
-#define WRITE_INTERVAL_S 5.0 /* between two writes of this controller's value */
+/* Minimum interval between two writes of this controller's view, unless the first one failed. */
+#define WRITE_INTERVAL_S 5.0
 
 unsigned char *pm_links_encode_views(const struct pm_links *links, double now, size_t *size)
 {
@@ -13,18 +14,18 @@
 }
 
 void pm_links_decode_views(struct pm_links *links, int peer, const unsigned char *data, size_t size,
-                           double asked_at, double now)
+                           double sent_at, double now)
 {
     struct pm_links_link *from = &links->peers[peer];
 
-    if (!pm_views_decode(&links->matrix, data, size, asked_at, now)) {
+    if (!pm_views_decode(&links->matrix, data, size, sent_at, now)) {
         if (now - from->logged_at >= PM_LINKS_LOG_INTERVAL_S)
-            pm_error("links.message", "%s: malformed views", from->name);
+            pm_error("links.message", "the response of %s has malformed views", from->name);
         from->logged_at = now;
         return;
     }
-    /* Whoever sends its views requests ours as regularly. */
-    pm_link_set_expected(&from->link, true, now);
+    /* A peer that sends its views also requests ours, just as regularly. */
+    pm_link_set_inbound_expected(&from->link, true, now);
 }
 
 void pm_links_apply_put(struct pm_links *links, const char *key, const cbor_item_t *value,
@@ -38,7 +39,7 @@
         return;
     links->stored.revision[controller] = revision;
     if (!pm_view_decode(&links->matrix, value, &view)) {
-        pm_error("links.value", "%s can't be read", key);
+        pm_error("links.value", "the value of key %s is malformed; the view is not updated", key);
         return;
     }
     view.evaluated_at = now;
@@ -46,7 +47,8 @@
     pm_matrix_update(&links->matrix, controller, &view);
 }
 
-/* Whether both views have the same states; their age and the epoch do not count. */
+/* Whether both views have the same link states and the same `leads`. Their time, epoch and
+ * addresses do not count. */
 static bool are_equal(const struct pm_view *left, const struct pm_view *right)
 {
     return left->leads == right->leads && left->state_service == right->state_service &&
@@ -64,9 +66,9 @@
 
 bool pm_links_is_write_due(const struct pm_links *links, double now)
 {
-    if (!links->setting->observe || !links->is_ready)
+    if (!links->setting->observe || !links->is_evaluated)
         return false;
-    if (now - links->stored.written_at < WRITE_INTERVAL_S)
+    if (now - links->stored.write_sent_at < WRITE_INTERVAL_S)
         return false;
     return is_a_peer_unreached(links) || !are_equal(&links->matrix.view[0], &links->stored.written);
 }
@@ -74,14 +76,14 @@
 void pm_links_encode_view(struct pm_links *links, struct pm_buffer *out, double now)
 {
     pm_view_encode(&links->matrix, out);
-    links->stored.writing = links->matrix.view[0];
-    links->stored.written_at = now;
+    links->stored.in_flight = links->matrix.view[0];
+    links->stored.write_sent_at = now;
 }
 
 void pm_links_record_view_write(struct pm_links *links, bool written)
 {
     if (written)
-        links->stored.written = links->stored.writing;
+        links->stored.written = links->stored.in_flight;
     else
-        links->stored.written_at = 0;
+        links->stored.write_sent_at = 0;
 }
