--- a/src/cmd/pumicemount/planner.c
+++ b/src/cmd/pumicemount/planner.c
@@ -174,7 +174,7 @@
         return;
     /* A process that was suspended has missed heartbeats: no machine is terminated for that. */
     may_terminate_silent = pm_controller_is_store_writable(controller, now) &&
-                           !pm_links_is_lagging(controller->links, now);
+                           !pm_links_was_paused_recently(controller->links, now);
     pm_autoscaler_set_writable(controller->autoscaler, may_terminate_silent, now);
     pm_autoscaler_run(controller->autoscaler, now, pm_clock_wall());
     autoscaling->ended_at = pm_clock_monotonic();
--- a/src/cmd/pumicemount/worker_endpoint.c
+++ b/src/cmd/pumicemount/worker_endpoint.c
@@ -45,7 +45,7 @@
 
     machine->push.failed_at = now;
     /* A booting machine can't answer, and a process that was suspended has missed answers. */
-    if (machine->heartbeat.is_known && !pm_links_is_lagging(controller->links, now))
+    if (machine->heartbeat.is_known && !pm_links_was_paused_recently(controller->links, now))
         pm_machine_note_delivery_failure(machine, "a push got no answer", now);
     machine->push.retry_at = now + PUSH_RETRY_S;
 }
