--- a/src/scheduler/bin_packing.c
+++ b/src/scheduler/bin_packing.c
@@ -6,22 +6,25 @@
 /* The terms of a machine's score. */
 #define FAILURE_PENALTY 2.0          /* per failure that counts against the machine */
 #define JOB_FAILED_THERE_PENALTY 4.0 /* a task of the same job failed on the machine */
-#define SERVICE_IMAGE_BONUS 10.0     /* the image is cached, so that a service starts at once */
-#define SERVICE_NEW_IMAGE_BONUS 4.0  /* the image is not cached, but there is time to fetch it */
-#define FETCH_PENALTY_PER_S 0.3      /* per second of the image fetches ahead of this one */
-#define FETCH_PENALTY_MAX 10.0       /* upper bound of the penalty for image fetches */
-#define SERVICE_SHARE_PENALTY 8.0    /* on a cold start, for using PM_SERVICE_SHARE of a machine */
-#define SAME_JOB_PENALTY 2.0         /* per task of the same job already on the machine */
-#define SERVICE_CAPACITY_WEIGHT 3.0  /* times the free or preemptible share of the machine */
-#define BATCH_IMAGE_BONUS 3.0        /* the image is cached */
-/* For a spot machine, if the job may use one: ordinary machines cost more and are kept for
- * services. */
-#define BATCH_MARKET_BONUS 5.0
+/* The image is cached, so that the service starts at once. */
+#define SERVICE_IMAGE_BONUS 10.0
+/* The image is not cached, and the job may fetch it (pm_scheduler_may_fetch()). A job that has
+ * missed its objective anyway adds its image to one more machine. */
+#define SERVICE_NEW_IMAGE_BONUS 4.0
+#define FETCH_PENALTY_PER_S 0.3     /* per second of image fetches ahead of the task's own */
+#define FETCH_PENALTY_MAX 10.0      /* upper bound of the penalty for image fetches */
+#define SERVICE_SHARE_PENALTY 8.0   /* on a cold start, for using PM_SERVICE_SHARE of a machine */
+#define SAME_JOB_PENALTY 2.0        /* per task of the same job already on the machine */
+#define SERVICE_CAPACITY_WEIGHT 3.0 /* times the machine's free or preemptible share */
+#define BATCH_IMAGE_BONUS 3.0       /* the image is cached */
+/* The machine is a spot machine if, and only if, the job may use one: ordinary machines cost more
+ * and are kept for services. */
+#define BATCH_SPOT_MATCH_BONUS 5.0
 #define BATCH_FREE_CAPACITY_WEIGHT 2.0 /* times the share of the machine that stays free */
 
-/* A job that has waited for this many times its start objective is placed without waiting for a
- * preemption elsewhere. */
-#define AWAIT_PREEMPTION_OBJECTIVES_MAX 3.0
+/* A job that has waited for longer than this many times its start objective no longer waits for a
+ * preemption on another machine. */
+#define AWAIT_PREEMPTION_OBJECTIVE_FACTOR 3.0
 
 bool pm_scheduler_is_machine_allowed(const struct pm_name_tables *tables, const struct pm_job *job,
                                      int type, int zone, bool spot)
@@ -83,8 +86,9 @@
     return count;
 }
 
-/* Spreads services over the machines. Over time every machine then caches every image, and
- * each keeps some capacity to start the next service at once, which array tasks use until then. */
+/* Spreads services over the machines. Over time every machine then caches every image, and each
+ * keeps some capacity for starting the next service at once. Array tasks use that capacity in the
+ * meantime. */
 static double add_service_score(struct pm_scheduler *scheduler, const struct pm_machine *machine,
                                 const struct pm_job *job, double score)
 {
@@ -105,18 +109,18 @@
             pm_scheduler_start_objective_s(scheduler, job))
         score -= SERVICE_SHARE_PENALTY;
     return score - SAME_JOB_PENALTY * pm_scheduler_count_tasks_of(machine, job) +
-           SERVICE_CAPACITY_WEIGHT * pm_scheduler_preemptible_cpus(machine) /
+           SERVICE_CAPACITY_WEIGHT * pm_scheduler_free_or_preemptible_cpus(machine) /
                MAX(scheduler->tables->types[machine->type].cpus, PM_EPSILON);
 }
 
-/* Packs other tasks onto the fullest machines, so that the others become idle and can be
- * terminated. */
+/* Packs array and gang tasks onto the fullest machines, so that the remaining machines become idle
+ * and can be terminated. */
 static double add_batch_score(const struct pm_scheduler *scheduler,
                               const struct pm_machine *machine, const struct pm_spec *spec,
                               double score)
 {
     score += pm_scheduler_has_image(machine, spec->image) ? BATCH_IMAGE_BONUS : 0;
-    score += machine->spot == spec->spot ? BATCH_MARKET_BONUS : 0;
+    score += machine->spot == spec->spot ? BATCH_SPOT_MATCH_BONUS : 0;
     return score - BATCH_FREE_CAPACITY_WEIGHT * (machine->free.cpus - spec->cpus) /
                        MAX(scheduler->tables->types[machine->type].cpus, PM_EPSILON);
 }
@@ -173,7 +177,7 @@
                                              const struct pm_zone_spread *spread, int only_zone,
                                              double now)
 {
-    const GPtrArray *machines = scheduler->cache.open_machines;
+    const GPtrArray *machines = scheduler->cache.available_machines;
     struct pm_machine *best = NULL;
     double best_score = -INFINITY;
 
@@ -208,7 +212,7 @@
            pm_scheduler_is_machine_allowed(scheduler->tables, job, machine->type, machine->zone,
                                            machine->spot) &&
            pm_scheduler_is_zone_allowed(job, spread, machine->zone) &&
-           pm_scheduler_preemptible_cpus(machine) + PM_EPSILON >= job->spec->cpus;
+           pm_scheduler_free_or_preemptible_cpus(machine) + PM_EPSILON >= job->spec->cpus;
 }
 
 bool pm_scheduler_should_await_preemption(struct pm_scheduler *scheduler,
@@ -222,7 +226,7 @@
         pm_scheduler_has_image(machine, job->spec->image) ||
         pm_scheduler_may_fetch(scheduler, machine, job) ||
         scheduler->run.wall - pm_scheduler_waiting_since(job) >
-            AWAIT_PREEMPTION_OBJECTIVES_MAX * pm_scheduler_start_objective_s(scheduler, job))
+            AWAIT_PREEMPTION_OBJECTIVE_FACTOR * pm_scheduler_start_objective_s(scheduler, job))
         return false;
     for (guint i = 0; i < machines->len; i++) {
         const struct pm_machine *other = g_ptr_array_index(machines, i);
--- a/src/scheduler/capacity.c
+++ b/src/scheduler/capacity.c
@@ -1,7 +1,7 @@
-/* The preemptible capacity of one machine, and capacity totals of the whole fleet. */
+/* The free and preemptible capacity of one machine, and capacity totals of the whole fleet. */
 #include "scheduler/internal.h"
 
-double pm_scheduler_preemptible_cpus(const struct pm_machine *machine)
+double pm_scheduler_free_or_preemptible_cpus(const struct pm_machine *machine)
 {
     double cpus = machine->free.cpus;
 
@@ -40,7 +40,7 @@
         totals->batch_cpus += machine_cpus;
     if (!pm_scheduler_is_machine_usable(scheduler, machine, now))
         return;
-    cpus = pm_scheduler_preemptible_cpus(machine);
+    cpus = pm_scheduler_free_or_preemptible_cpus(machine);
     totals->batch_cpus += cpus;
     if (machine->spot)
         return;
--- a/src/scheduler/cold_start.c
+++ b/src/scheduler/cold_start.c
@@ -1,5 +1,5 @@
-/* Cold starts and image fetches: decides when a service starts at once, and when it waits for a
- * better machine.
+/* Cold starts and image fetches: decides whether a service starts on a machine that is available
+ * now or waits for a better one.
  *
  * After a cold start of the deployment all services wait, few machines are up, and no image is
  * cached. Replicas that would fill the first machines then wait for booting machines instead, so
@@ -10,8 +10,8 @@
 #include <string.h>
 
 #define DEFAULT_START_OBJECTIVE_S 1.0 /* for a class without a start objective */
-#define COLD_START_DUE_FACTOR 2       /* a cold start lasts this many times replica_due_s */
-#define FETCH_TIME_FACTOR 1.5         /* a fetch may take this many times its computed duration */
+#define COLD_START_DUE_FACTOR 2       /* a cold start lasts for replica_due_s times this */
+#define FETCH_TIME_FACTOR 1.5         /* a fetch may take its computed duration times this */
 /* Most machines of a type have booted within ready_s * BOOT_TIME_FACTOR + BOOT_TIME_EXTRA_S. */
 #define BOOT_TIME_FACTOR 1.4
 #define BOOT_TIME_EXTRA_S 3.0
@@ -64,7 +64,7 @@
 {
     double machine_cpus = scheduler->tables->types[machine->type].cpus;
 
-    return pm_scheduler_preemptible_cpus(machine) - spec->cpus <
+    return pm_scheduler_free_or_preemptible_cpus(machine) - spec->cpus <
            PM_SERVICE_SHARE * machine_cpus - PM_EPSILON;
 }
 
--- a/src/scheduler/consolidation.c
+++ b/src/scheduler/consolidation.c
@@ -8,13 +8,13 @@
 #include <string.h>
 
 enum {
-    DRAINING_PER_BATCH_MAX = 3, /* machines being drained at a time, per batch */
-    MACHINES_PER_BATCH = 100    /* ordinary machines in a batch */
+    DRAINING_PER_GROUP_MAX = 3, /* machines being drained at a time, per group */
+    MACHINES_PER_GROUP = 100    /* ordinary machines in a group */
 };
 #define RENTAL_MIN_AGE_S 60.0 /* a machine rented for less time is not drained */
 
-/* Free capacity of a machine, by the resources that movable services use. Arrays of it are indexed
- * by machine index. */
+/* Free capacity of a machine. Accelerators are left out, since replicas that use them are not
+ * moved. Arrays of this struct are indexed by machine. */
 struct free_capacity {
     double cpus, ram_gb;
 };
@@ -95,14 +95,15 @@
 /* The price of the machine's unused capacity. */
 static double unused_price(const struct pm_machine_type *type, const struct pm_machine *machine)
 {
-    double used_cpus = type->cpus - pm_scheduler_preemptible_cpus(machine);
+    double used_cpus = type->cpus - pm_scheduler_free_or_preemptible_cpus(machine);
 
     return type->price * (1 - used_cpus / MAX(type->cpus, PM_EPSILON));
 }
 
-/* Returns the ordinary machine with the highest price of unused capacity, among those whose
- * replicas fit on other machines with their images without using the reserve. Deducts the capacity
- * that they need there from `fleet->free`. Returns NULL if there is none. */
+/* Among the ordinary machines whose replicas all fit on other machines that cache their images,
+ * without using the processors kept free for services, returns the one with the highest price of
+ * unused capacity. Deducts the capacity that the replicas need elsewhere from `fleet->free`.
+ * Returns NULL if there is no such machine. */
 static struct pm_machine *choose_machine_to_drain(struct pm_scheduler *scheduler,
                                                   struct fleet_state *fleet, double now)
 {
@@ -165,7 +166,7 @@
         if (machine->spot || !pm_scheduler_is_machine_usable(scheduler, machine, now))
             continue;
         fleet->ordinary++;
-        fleet->headroom_cpus += pm_scheduler_preemptible_cpus(machine);
+        fleet->headroom_cpus += pm_scheduler_free_or_preemptible_cpus(machine);
         fleet->free[i] = (struct free_capacity){machine->free.cpus, machine->free.ram_gb};
     }
 }
@@ -173,15 +174,15 @@
 void pm_scheduler_consolidate(struct pm_scheduler *scheduler, double now)
 {
     struct fleet_state fleet;
-    int batches;
+    int groups;
     int to_drain;
     int drained = 0;
 
     if (!scheduler->is_writable)
         return;
     measure_fleet(scheduler, &fleet, now);
-    batches = 1 + fleet.ordinary / MACHINES_PER_BATCH;
-    to_drain = MIN(batches, DRAINING_PER_BATCH_MAX * batches - fleet.draining);
+    groups = 1 + fleet.ordinary / MACHINES_PER_GROUP;
+    to_drain = MIN(groups, DRAINING_PER_GROUP_MAX * groups - fleet.draining);
     while (drained < to_drain) {
         struct pm_machine *machine = choose_machine_to_drain(scheduler, &fleet, now);
         if (!machine)
--- a/src/scheduler/demand.c
+++ b/src/scheduler/demand.c
@@ -1,10 +1,11 @@
-/* Unmet demand: the tasks that wait only for capacity. Other tasks are preempted, and machines
- * rented, for it. */
+/* Unmet demand: the tasks that wait only for capacity. To meet it, other tasks are preempted and
+ * machines are rented. */
 #include "scheduler/internal.h"
 
 #include <math.h>
 
-#define FAILING_JOB_DEMAND_DELAY_S 30.0 /* until a failing job's waiting retry counts */
+/* How long a failing job's retry must have waited for capacity before it counts as demand. */
+#define FAILING_JOB_DEMAND_DELAY_S 30.0
 
 const GArray *pm_scheduler_unmet_demand(const struct pm_scheduler *scheduler)
 {
@@ -19,9 +20,9 @@
 
 /* How many tasks of the job wait only for capacity. Tasks in back-off would not use the capacity,
  * nor would a failing job's tasks beyond the one (or the gang) that is retried. A failing job
- * counts only when its retry has found no capacity for FAILING_JOB_DEMAND_DELAY_S: if the job was
- * wrongly found failing, it would otherwise never run on a deployment that has no machine for it.
- */
+ * counts only when its retry has found no capacity for FAILING_JOB_DEMAND_DELAY_S. If it never
+ * counted, a job that was wrongly found failing would never run on a deployment that has no machine
+ * for it. */
 static uint32_t count_tasks_in_demand(const struct pm_job *job, double now)
 {
     if (!pm_failures_is_job_failing(job))
@@ -39,12 +40,12 @@
 {
     const struct pm_spec *spec = job->spec;
     const struct pm_team_setting *team = &scheduler->tables->settings->teams[spec->team];
-    double below_quota;
+    double remaining_cpus;
 
     if (spec->cpus <= 0)
         return tasks;
-    below_quota = team->cpus_max - pm_quota_total(scheduler, spec->team).cpus - counted_cpus;
-    return (uint32_t)MIN((double)tasks, MAX(0, floor((below_quota + PM_EPSILON) / spec->cpus)));
+    remaining_cpus = team->cpus_max - pm_quota_total(scheduler, spec->team).cpus - counted_cpus;
+    return (uint32_t)MIN((double)tasks, MAX(0, floor((remaining_cpus + PM_EPSILON) / spec->cpus)));
 }
 
 void pm_scheduler_record_demand(struct pm_scheduler *scheduler, struct pm_job *job,
--- a/src/scheduler/ledger_codec.c
+++ b/src/scheduler/ledger_codec.c
@@ -1,23 +1,26 @@
 /* Encodes and decodes the stored ledger, the value of the key "p/ledger". The leader writes it and
- * a new leader reads it, so that usage ratios, failing jobs and cached images survive a failover.
+ * a new leader reads it, so that the teams' occupied time, the times of the last messages, failing
+ * jobs and cached images survive a failover.
  *
  * Its fields:
  *   day      time of day when it was written, in seconds
  *   teams    map: team -> occupied machine-seconds within the window
- *   heard    map: zone -> time of day of the last message from a machine there. A new leader
- *            that gets no message from a zone computes from it when the leases there expired
+ *   heard    map: zone -> time of day of the last message from a machine there. If a new leader
+ *            receives no message from a zone, it computes from this time when the leases of the
+ *            zone's machines expired
  *   failing  list of the ids of failing jobs; absent if there are none
  *   table    flat list of alternating image names and sizes in GB
  *   images   map: machine -> list of the positions in `table` of the images that it caches
  *
- * A stored value is limited in size (settings.store_value_kb, measured as JSON). Sizes are
- * therefore estimated as JSON, and only as many machines' images are written as fit. */
+ * The state service limits the size of a value (settings.store_value_kb) and measures the value's
+ * JSON form. Sizes are therefore estimated in bytes of JSON, and images are written for only as
+ * many machines as fit. */
 #include "scheduler/internal.h"
 
 #include <math.h>
 #include <string.h>
 
-#define VALUE_FILL_SHARE 0.85 /* of the limit: the estimate may be too low */
+#define VALUE_FILL_SHARE 0.85 /* of the limit is used, since the estimate may be too low */
 #define SIZE_PRECISION 100    /* image sizes are rounded up to 1/100 GB */
 
 enum {
@@ -36,7 +39,7 @@
 /* Writes the image table and the map of cached images in one pass. */
 struct image_writer {
     const struct pm_name_tables *tables;
-    struct pm_buffer *table;   /* the value, in which the list `table` is open */
+    struct pm_buffer *encoded; /* the value, in which the list `table` is being written */
     struct pm_buffer machines; /* entries of the map `images`, appended to the value at the end */
     int *position;             /* by image: its position in the table, -1: not in it yet */
     int image_count;           /* images in the table so far */
@@ -50,8 +53,8 @@
     if (*position < 0) {
         const char *name = pm_names_text(writer->tables->image_names, cached->image);
         *position = writer->image_count++;
-        pm_cbor_put_text(writer->table, name);
-        pm_cbor_put_number(writer->table, ceil(cached->gb * SIZE_PRECISION) / SIZE_PRECISION);
+        pm_cbor_put_text(writer->encoded, name);
+        pm_cbor_put_number(writer->encoded, ceil(cached->gb * SIZE_PRECISION) / SIZE_PRECISION);
         writer->used += strlen(name) + IMAGE_BYTES;
     }
     pm_cbor_put_count(&writer->machines, (uint64_t)*position);
@@ -80,8 +83,8 @@
     return bytes;
 }
 
-/* Writes ordinary machines first, because services run on them. `failing_bytes` is the estimated
- * size of the failing jobs in JSON bytes. */
+/* Writes `table` and `images`, for ordinary machines first, because services run on them.
+ * `failing_bytes` is the estimated size of the failing jobs in JSON bytes. */
 static void encode_images(const struct pm_scheduler *scheduler, size_t failing_bytes,
                           struct pm_buffer *out)
 {
@@ -90,7 +93,7 @@
     int name_count = pm_names_count(scheduler->tables->image_names);
     struct image_writer writer = {
         .tables = scheduler->tables,
-        .table = out,
+        .encoded = out,
         .position = g_new(int, name_count + 1),
         .used = failing_bytes + estimate_fixed_bytes(settings),
         .limit = (size_t)(settings->store_value_kb * 1024 * VALUE_FILL_SHARE),
@@ -151,6 +154,7 @@
     }
 }
 
+/* Writes `heard`. Delegated machines do not count, because they report to their shard's owner. */
 static void encode_last_messages(const struct pm_scheduler *scheduler, double now, double wall,
                                  struct pm_buffer *out)
 {
@@ -173,7 +177,7 @@
     pm_cbor_put_end(out);
 }
 
-/* Returns the estimated size in JSON bytes. */
+/* Writes `failing`, unless no job fails. Returns its estimated size in JSON bytes. */
 static size_t encode_failing_jobs(const struct pm_scheduler *scheduler, struct pm_buffer *out)
 {
     GPtrArray *active = pm_jobs_active(scheduler->jobs);
--- a/src/scheduler/mandatory_stops.c
+++ b/src/scheduler/mandatory_stops.c
@@ -2,10 +2,10 @@
  * the provider reclaims a spot machine. */
 #include "scheduler/internal.h"
 
-/* A task that has exceeded its estimated run time by more than this may run for long. */
+/* A task that has exceeded its estimated run time by more than this may run for much longer. */
 #define OVERRUN_MAX_S 10.0
-/* The share of the time until an interruption that is relied on: the announced time may be off by
- * half. */
+/* A task continues only if it is expected to end within this share of the time until the announced
+ * interruption, since the announced time may be off by half. */
 #define NOTICE_USABLE_SHARE 0.4
 
 static void stop(struct pm_scheduler *scheduler, struct pm_placement *placement, double grace_s)
--- a/src/scheduler/occupancy.c
+++ b/src/scheduler/occupancy.c
@@ -5,14 +5,13 @@
  * is subtracted from its ledger's sum. ledger_codec.c stores the sums. */
 #include "scheduler/internal.h"
 
-#define CHARGED_SPAN_MAX_S 5.0 /* a longer gap between plans is charged up to this */
-#define BUDGET_SHARE_MIN 1e-3  /* lower bound of a team's share, for one with hardly any budget */
+#define CHARGED_SPAN_MAX_S 5.0 /* a longer gap between plans is charged as this long */
+#define BUDGET_SHARE_MIN 1e-3  /* lower bound of the share of a team with hardly any budget */
 #define SECONDS_PER_HOUR 3600
 
-/* Best-effort work has a minimum runtime of zero: it is unallocated, which means that it is not
- * charged and may be preempted immediately. If it has waited too long to start, it is charged, and
- * is no longer preempted immediately. */
-bool pm_scheduler_is_unallocated(const struct pm_job *job)
+/* Best-effort work is not charged, and in return has no minimum runtime: it may be preempted
+ * immediately. If its start is overdue, it is charged and is no longer preempted immediately. */
+bool pm_scheduler_is_uncharged(const struct pm_job *job)
 {
     return job->priority == PM_PRIORITY_BEST_EFFORT && !job->scheduling.is_overdue_start;
 }
@@ -28,8 +27,7 @@
     return type->gpus > 0 ? MAX(share, spec->gpus / type->gpus) : share;
 }
 
-/* Buckets are numbered from one window before time of day 0, so that no bucket number is negative.
- */
+/* Bucket 0 begins one window before the time of day 0, so that no bucket number is negative. */
 long pm_occupancy_bucket_at(const struct pm_scheduler *scheduler, double wall)
 {
     double window_s = scheduler->operator_settings->window_h * SECONDS_PER_HOUR;
@@ -63,7 +61,7 @@
     struct pm_occupancy_ledger *ledger = &occupancy->ledger[job->spec->team];
     double amount;
 
-    if (pm_scheduler_is_unallocated(job))
+    if (pm_scheduler_is_uncharged(job))
         return;
     amount = span_s * machine_share(scheduler->tables, job->spec, machine);
     ledger->bucket[occupancy->current_bucket % PM_OCCUPANCY_BUCKETS] += amount;
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -1,7 +1,7 @@
 /* Preempts work for a plan's unmet demand. */
 #include "scheduler/internal.h"
 
-enum { TASKS_PER_JOB_MAX = 16 }; /* tasks of one job for which one plan preempts */
+enum { TASKS_PER_JOB_MAX = 16 }; /* one plan preempts for at most this many tasks of a job */
 
 /* The lowest priority of any placement. */
 static enum pm_priority find_lowest_priority(struct pm_scheduler *scheduler)
@@ -28,7 +28,7 @@
     return false;
 }
 
-/* Whether any placement may be preempted for the job. Avoids searches that must fail. */
+/* Whether any placement may be preempted for the job. If not, no machine needs to be searched. */
 static bool may_preempt_anything(const struct pm_scheduler *scheduler, const struct pm_job *job,
                                  enum pm_priority lowest)
 {
--- a/src/scheduler/preemption_rules.c
+++ b/src/scheduler/preemption_rules.c
@@ -64,9 +64,9 @@
             pm_scheduler_is_beyond_guarantee(scheduler, team));
 }
 
-/* Work of a higher priority may preempt unallocated work immediately. Other work below production
- * may be preempted for a guarantee, which is the only rule that allows preempting work of equal or
- * higher priority: a lower usage ratio alone does not. */
+/* Work of a higher priority may preempt uncharged work immediately. Other work below production may
+ * be preempted for a guarantee, and only that rule allows preempting work of equal or higher
+ * priority: a lower usage ratio alone does not. */
 bool pm_scheduler_may_preempt(const struct pm_scheduler *scheduler, const struct pm_job *job,
                               const struct pm_placement *placement, double now)
 {
@@ -74,9 +74,9 @@
 
     if (placement->should_stop || placement->state == PM_PLACEMENT_ENDED || other == job)
         return false;
-    if (pm_scheduler_is_unallocated(other) && job->priority > other->priority)
+    if (pm_scheduler_is_uncharged(other) && job->priority > other->priority)
         return true;
-    if (pm_scheduler_is_unallocated(job))
+    if (pm_scheduler_is_uncharged(job))
         return false;
     if (may_preempt_for_guarantee(scheduler, job, other))
         return true;
@@ -89,10 +89,10 @@
     return may_preempt_by_ratio(scheduler, job, placement, now);
 }
 
-enum pm_priority pm_scheduler_preemptible_below(const struct pm_scheduler *scheduler,
-                                                const struct pm_job *job)
+enum pm_priority pm_scheduler_preemption_priority_limit(const struct pm_scheduler *scheduler,
+                                                        const struct pm_job *job)
 {
-    bool may_use_guarantee = scheduler->has_full_view && !pm_scheduler_is_unallocated(job);
+    bool may_use_guarantee = scheduler->has_full_view && !pm_scheduler_is_uncharged(job);
 
     return may_use_guarantee ? PM_PRIORITY_PRODUCTION : job->priority;
 }
--- a/src/scheduler/preemption_search.c
+++ b/src/scheduler/preemption_search.c
@@ -1,33 +1,37 @@
-/* Finds the machine where preemption for one task loses least work, and preempts there. */
+/* Finds the machine where preemption for one task loses least work, and preempts there. Costs are
+ * in processor-seconds of lost work. */
 #include "scheduler/internal.h"
 #include "base/log.h"
 
 #include <math.h>
 
-/* How long a machine is reserved for the job that preempts there. By then, most of the stopped
- * tasks have ended. */
+/* How long a machine is reserved for the job that preempts there. Most of the stopped tasks end
+ * within this time. */
 #define RESERVATION_S 4.0
-#define FETCH_COST_PER_S 1e4 /* an image fetch outweighs any work lost by preemption */
-#define PREEMPTION_COST 1.0  /* per preemption, in addition to the work that it loses */
+/* Per second of an image fetch. High enough that a machine with the image is preferred however much
+ * work is lost there. */
+#define FETCH_COST_PER_S 1e4
+#define PREEMPTION_COST 1.0 /* per preempted task, in addition to the work that it loses */
 
 /* A placement that may be preempted. */
 struct preemptible {
     struct pm_placement *placement;
-    double loss_s; /* work lost by stopping it now */
+    double loss_s; /* run time lost by stopping the task now */
 };
 
-/* A machine where something may be preempted. `cpus_for` is, by priority, the most processors that
- * work of that priority could get there: those that are free, are being freed, or are used at a
- * lower priority. Computed once per plan, so that the search for each task can skip most machines
- * without looking at their placements. */
+/* A machine where tasks could be made to fit. `cpus_below[priority]` is an upper bound of the
+ * processors that a job gets there if it preempts work below `priority`: those that are free, that
+ * are being freed, or that such work uses. Computed once per plan, so that the search for each task
+ * can skip most machines without looking at their placements. */
 struct candidate {
     struct pm_machine *machine;
-    double cpus_for[PM_PRIORITIES];
+    double cpus_below[PM_PRIORITIES];
 };
 
-/* The placements to preempt on a machine so that one more task fits, and what that costs. */
+/* The placements to preempt on a machine so that one more task fits, and what that costs: the first
+ * `count` entries of `preemption.preemptible`. */
 struct preemption_set {
-    guint count; /* how many of the first entries of `preemption.preemptible` */
+    guint count;
     double cost;
 };
 
@@ -46,21 +50,23 @@
 static void add_candidate(struct pm_scheduler *scheduler, struct pm_machine *machine)
 {
     struct candidate candidate = {.machine = machine};
-    bool is_useful = machine->free.cpus > PM_EPSILON; /* free capacity needs no preemption */
+    /* A task may fit into free capacity without any preemption. */
+    bool is_candidate = machine->free.cpus > PM_EPSILON;
 
     for (int priority = 0; priority < PM_PRIORITIES; priority++)
-        candidate.cpus_for[priority] = machine->free.cpus;
+        candidate.cpus_below[priority] = machine->free.cpus;
     for (guint i = 0; i < machine->placements->len; i++) {
         const struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
-        int lowest =
+        /* The lowest index of `cpus_below` that includes the placement's processors. */
+        int lowest_index =
             placement->should_stop ? PM_PRIORITY_BEST_EFFORT : (int)placement->job->priority + 1;
         if (placement->state == PM_PLACEMENT_ENDED)
             continue;
-        is_useful |= lowest < PM_PRIORITIES;
-        for (int priority = lowest; priority < PM_PRIORITIES; priority++)
-            candidate.cpus_for[priority] += placement->job->spec->cpus;
+        is_candidate |= lowest_index < PM_PRIORITIES;
+        for (int priority = lowest_index; priority < PM_PRIORITIES; priority++)
+            candidate.cpus_below[priority] += placement->job->spec->cpus;
     }
-    if (is_useful)
+    if (is_candidate)
         g_array_append_val(scheduler->preemption.candidates, candidate);
 }
 
@@ -113,8 +119,8 @@
            capacity->ram_gb + PM_EPSILON >= spec->ram_gb;
 }
 
-/* Collects the placements on the machine that the job may preempt, least loss first, and adds the
- * capacity of tasks that are already being stopped to `available`. */
+/* Collects in `preemption.preemptible` the placements on the machine that the job may preempt,
+ * least loss first. Adds the capacity of tasks that are already being stopped to `available`. */
 static void find_preemptible(struct pm_scheduler *scheduler, const struct pm_job *job,
                              const struct pm_machine *machine,
                              struct pm_machine_capacity *available, double now)
@@ -133,8 +139,8 @@
     g_array_sort(preemptible, compare_by_loss);
 }
 
-/* Finds the placements to preempt so that one more task of the job fits on the machine, in addition
- * to the tasks that are already being stopped. Returns false if the task cannot be made to fit. */
+/* Finds the placements that must be preempted, besides those already being stopped, so that one
+ * more task of the job fits on the machine. Returns false if the task cannot be made to fit. */
 static bool find_preemption_set(struct pm_scheduler *scheduler, const struct pm_job *job,
                                 const struct pm_machine *machine,
                                 const struct pm_machine_capacity *reserved,
@@ -173,7 +179,7 @@
     const struct pm_job *job = request->job;
     const GArray *candidates = scheduler->preemption.candidates;
     const int only_zone = request->only_zone;
-    enum pm_priority below = pm_scheduler_preemptible_below(scheduler, job);
+    enum pm_priority priority_limit = pm_scheduler_preemption_priority_limit(scheduler, job);
     struct pm_machine *best = NULL;
     double best_cost = INFINITY;
 
@@ -181,7 +187,7 @@
         const struct candidate *candidate = &g_array_index(candidates, struct candidate, i);
         struct pm_machine *machine = candidate->machine;
         struct preemption_set preemption_set;
-        if (candidate->cpus_for[below] - reserved[machine->index].cpus + PM_EPSILON <
+        if (candidate->cpus_below[priority_limit] - reserved[machine->index].cpus + PM_EPSILON <
                 job->spec->cpus ||
             (only_zone >= 0 && machine->zone != only_zone) ||
             !pm_scheduler_is_machine_allowed(scheduler->tables, job, machine->type, machine->zone,
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -1,5 +1,5 @@
-/* Counts what each team uses of its quota, in one place: plans, leases to shards, a shard's owner
- * and the commit of placements all check it before work starts.
+/* Counts how much of its quota each team uses. This is the only count: plans, leases to shards, the
+ * owners of shards and the commit of placements all check it before work starts.
  *
  * Everything that may be running on a machine counts: placements that are not proven to have ended,
  * the parallelism of leases, and orphan tasks, which a worker reports although they have no
@@ -11,10 +11,11 @@
 #include <string.h>
 
 #define EXCEEDED_LOG_INTERVAL_S 10.0 /* between log lines that the same team is over quota */
-#define NEAR_QUOTA_SHARE 0.9         /* of the quota: from here on a team is near it */
-#define UNLIMITED 1e9                /* a quota of this size or more means no quota */
+#define NEAR_QUOTA_SHARE 0.9         /* usage of at least this share of a quota is logged */
+#define UNLIMITED 1e9                /* a quota of at least this amount sets no limit */
 
-/* A build for tests undercounts the usage by one task, which src/soak must detect. */
+/* One build for tests undercounts each team's usage by the processors of one task. src/soak must
+ * detect that teams exceed their quota. */
 #ifdef PM_PLANTED_QUOTA_FAULT
 #define PLANTED_FAULT_CPUS 2.0
 #else
@@ -27,8 +28,9 @@
     amount->gpus += tasks * spec->gpus;
 }
 
-/* How many tasks of a delegated job its lease allows to run at once. While the parallelism has not
- * been read yet, that is every task that is not durably done. */
+/* How many tasks of a delegated job may run at once: as many as the lease allows (`parallelism`),
+ * but no more than are unfinished, and no fewer than have stored placements. Until the lease has
+ * been read, the parallelism is UINT32_MAX, so all unfinished tasks count. */
 static uint32_t count_leased_tasks(const struct pm_job *job)
 {
     uint32_t done;
@@ -56,7 +58,8 @@
 {
     const GArray *orphans = machine->heartbeat.orphan_tasks;
     /* A delayed copy of a heartbeat may list tasks that have ended since. They count as orphaned,
-     * but do not prove a violation. */
+     * but do not prove a violation. A heartbeat is no such copy if its worker has seen at least the
+     * epoch under which a heartbeat was last acknowledged. */
     bool is_current = machine->delivery.acked_epoch &&
                       machine->heartbeat.fencing_token >= machine->delivery.acked_epoch;
 
@@ -84,7 +87,8 @@
     return amount.cpus > team->cpus_max + PM_EPSILON || amount.gpus > team->gpus_max + PM_EPSILON;
 }
 
-/* Checks that no team exceeds its quota by what workers report. Logs and counts each violation. */
+/* Checks the usage that workers report against each team's quota. Logs and counts violations, for
+ * each team at most once in EXCEEDED_LOG_INTERVAL_S. */
 static void check_reported_usage(struct pm_scheduler *scheduler, double now)
 {
     struct pm_quota_usage *quota = &scheduler->quota;
@@ -123,6 +127,7 @@
     }
     for (guint i = 0; i < active->len; i++) {
         const struct pm_job *job = g_ptr_array_index(active, i);
+        /* Only the leader counts leases: a shard's owner counts its tasks as placements. */
         if (job->delegated && job->spec && scheduler->has_full_view)
             add_tasks(&usage[job->spec->team].leased, job->spec, count_leased_tasks(job));
     }
@@ -150,25 +155,26 @@
     return !is_over_quota(&scheduler->tables->settings->teams[spec->team], amount);
 }
 
-/* What remains of a quota when a share of it is held back. If it means no quota, it is returned as
- * it is. */
-static double below_quota(double quota, double used, double kept_share)
+/* Returns the quota minus the usage and the reserved share. An unlimited quota is returned
+ * unchanged. */
+static double remaining_quota(double quota, double used, double reserved_share)
 {
-    return quota < UNLIMITED ? quota * (1 - kept_share) - used : quota;
+    return quota < UNLIMITED ? quota * (1 - reserved_share) - used : quota;
 }
 
 uint32_t pm_scheduler_leasable_tasks(const struct pm_scheduler *scheduler,
-                                     const struct pm_spec *spec, double kept_share)
+                                     const struct pm_spec *spec, double reserved_share)
 {
     const struct pm_team_setting *team = &scheduler->tables->settings->teams[spec->team];
     struct pm_quota_amount used = pm_quota_total(scheduler, spec->team);
 
-    return pm_spec_tasks_that_fit(spec, below_quota(team->cpus_max, used.cpus, kept_share),
-                                  below_quota(team->gpus_max, used.gpus, kept_share), INFINITY);
+    return pm_spec_tasks_that_fit(spec, remaining_quota(team->cpus_max, used.cpus, reserved_share),
+                                  remaining_quota(team->gpus_max, used.gpus, reserved_share),
+                                  INFINITY);
 }
 
-/* Withdraws proposed placements of the team until it is within its quota, and returns how many.
- * They were never launched, so no proof is needed that they have ended. */
+/* Withdraws proposed placements of the team until it is within its quota, and returns how many were
+ * withdrawn. Their tasks were never launched, so no proof is needed that they have ended. */
 static unsigned withdraw_proposed(struct pm_scheduler *scheduler, int team)
 {
     const struct pm_team_setting *setting = &scheduler->tables->settings->teams[team];
--- a/src/scheduler/ranking.c
+++ b/src/scheduler/ranking.c
@@ -4,8 +4,10 @@
 #include <math.h>
 #include <string.h>
 
-#define NO_DEADLINE_CPU_S 1e12     /* more than any job's remaining work */
-#define PLACED_TASK_DONE_SHARE 0.5 /* of a placed task's work, on average */
+/* Added to the remaining work of jobs without a deadline; more than any job's remaining work. */
+#define NO_DEADLINE_CPU_S 1e12
+/* The share of its work that a placed task has done, on average. */
+#define PLACED_TASK_DONE_SHARE 0.5
 
 /* A job does not wait for capacity until its dependencies are met. The time at which they were met
  * is stored, so that a new leader counts from the same time. */
@@ -15,7 +17,7 @@
                                        : job->spec->submitted_wall;
 }
 
-/* When the job's dependencies were met, or now if the store has no time for that. */
+/* The time of day when the job's dependencies were met, or `wall` if the store does not tell it. */
 static double dependencies_met_wall(const struct pm_job *job, double wall)
 {
     if (job->dependencies.last_ended_wall <= 0 || isinf(job->dependencies.last_ended_wall))
@@ -33,22 +35,23 @@
     return strcmp(left->id, right->id);
 }
 
-/* Compares by the precedence that the preemption rules imply; 0 if it is equal. Production work
- * goes first, regardless of the ratios: it may preempt the rest, so if it ranked lower, other work
- * would be started only to be preempted. Urgent work follows for the same reason. Unallocated work
- * comes last. */
+/* Compares by the precedence that the preemption rules imply; returns 0 if both rank equally.
+ * Production work goes first, regardless of the ratios: it may preempt the rest, so if it ranked
+ * lower, other work would be started only to be preempted. Urgent work follows for the same reason.
+ * Uncharged work comes last. */
 static int compare_by_precedence(const struct pm_job *left, const struct pm_job *right)
 {
     if ((left->priority == PM_PRIORITY_PRODUCTION) != (right->priority == PM_PRIORITY_PRODUCTION))
         return left->priority == PM_PRIORITY_PRODUCTION ? -1 : 1;
     if ((left->priority >= PM_PRIORITY_URGENT) != (right->priority >= PM_PRIORITY_URGENT))
         return left->priority >= PM_PRIORITY_URGENT ? -1 : 1;
-    if (pm_scheduler_is_unallocated(left) != pm_scheduler_is_unallocated(right))
-        return pm_scheduler_is_unallocated(left) ? 1 : -1;
+    if (pm_scheduler_is_uncharged(left) != pm_scheduler_is_uncharged(right))
+        return pm_scheduler_is_uncharged(left) ? 1 : -1;
     return 0;
 }
 
-/* Puts starving jobs first, the longest waiting before the others; 0 if neither goes first. */
+/* Puts starving jobs first, those that have waited longest before the others. Returns 0 if neither
+ * job goes first. */
 static int compare_by_starvation(const struct pm_job *left, const struct pm_job *right)
 {
     if (left->scheduling.is_starving != right->scheduling.is_starving)
--- a/src/scheduler/rebalancing.c
+++ b/src/scheduler/rebalancing.c
@@ -4,7 +4,8 @@
 
 #include <math.h>
 
-#define GAIN_MIN_SHARE 0.25 /* of a machine's processors, the least gain that justifies a move */
+/* The least gain that justifies a move, as a share of the machine's processors. */
+#define GAIN_MIN_SHARE 0.25
 
 /* The best move found so far. */
 struct move {
@@ -36,13 +37,13 @@
         const struct pm_machine *machine = g_ptr_array_index(machines, i);
         bool is_candidate =
             machine && !machine->spot && pm_scheduler_is_machine_usable(scheduler, machine, now);
-        fleet.cpus[i] = is_candidate ? pm_scheduler_preemptible_cpus(machine) : NAN;
+        fleet.cpus[i] = is_candidate ? pm_scheduler_free_or_preemptible_cpus(machine) : NAN;
     }
     return fleet;
 }
 
-/* Looks for a better machine for the placement. `cpus_here` is what is free or preemptible on its
- * machine. */
+/* Looks for a machine where the replica leaves more processors free or preemptible than on its own,
+ * which has `cpus_here` of them. Updates `best` if the gain is greater than that of `best`. */
 static void consider_moves(const struct pm_scheduler *scheduler, struct pm_placement *placement,
                            const struct fleet_cpus *fleet, double cpus_here, struct move *best)
 {
--- a/src/scheduler/requirements.c
+++ b/src/scheduler/requirements.c
@@ -1,7 +1,7 @@
 /* What a job's next task requires of a machine, and which requirements no machine meets.
  *
- * Capacity only shrinks within a plan. Requirements that no machine met need not be tried again in
- * the same plan, for any job that has them. */
+ * Capacity only shrinks within a plan. Requirements that no machine met are therefore not tried
+ * again in the same plan, also not for other jobs that have them. */
 #include "scheduler/internal.h"
 
 #include <string.h>
--- a/src/scheduler/run_time.c
+++ b/src/scheduler/run_time.c
@@ -1,9 +1,10 @@
 /* Run times: compares the measured run times of tasks with their owners' estimates. */
 #include "scheduler/internal.h"
 
-/* Of one task's ratio. Small, because the estimates for the tasks of one job are all off by about
- * the same. */
+/* The weight of one task's ratio in the factor of its class. Small, because the estimates for the
+ * tasks of one job are all off by about the same factor. */
 #define SAMPLE_WEIGHT 0.01
+/* Limits of the ratio of a measured run time to its estimate. */
 #define RATIO_MIN 0.1
 #define RATIO_MAX 10
 
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -17,7 +17,7 @@
     scheduler->is_writable = true;
     scheduler->unmet_demand = g_array_new(FALSE, FALSE, sizeof(struct pm_unmet_demand));
     scheduler->run.queue = g_ptr_array_new();
-    scheduler->cache.open_machines = g_ptr_array_new();
+    scheduler->cache.available_machines = g_ptr_array_new();
     scheduler->cache.unschedulable = g_array_new(FALSE, TRUE, sizeof(struct pm_requirements));
     scheduler->leasing.idle_machines = g_ptr_array_new();
     pm_preemption_scratch_init(&scheduler->preemption);
@@ -28,7 +28,7 @@
 {
     g_array_free(scheduler->unmet_demand, TRUE);
     g_ptr_array_free(scheduler->run.queue, TRUE);
-    g_ptr_array_free(scheduler->cache.open_machines, TRUE);
+    g_ptr_array_free(scheduler->cache.available_machines, TRUE);
     g_array_free(scheduler->cache.unschedulable, TRUE);
     g_ptr_array_free(scheduler->leasing.idle_machines, TRUE);
     pm_preemption_scratch_clear(&scheduler->preemption);
@@ -56,14 +56,14 @@
     scheduler->is_writable = is_writable;
 }
 
-/* Computes once what the plan looks up for each task, so that the cost of a plan grows with the
- * machines that still have capacity rather than with the fleet. */
+/* Computes once what the plan looks up for each task, so that the cost of a plan depends on the
+ * number of machines that still have capacity rather than on the size of the fleet. */
 static void fill_plan_cache(struct pm_scheduler *scheduler, double now)
 {
     struct pm_plan_cache *cache = &scheduler->cache;
     GPtrArray *machines = pm_workers_all(scheduler->workers);
 
-    g_ptr_array_set_size(cache->open_machines, 0);
+    g_ptr_array_set_size(cache->available_machines, 0);
     g_array_set_size(cache->unschedulable, 0);
     memset(cache->is_boot_expected, 0, sizeof cache->is_boot_expected);
     for (guint i = 0; i < machines->len; i++) {
@@ -75,7 +75,7 @@
             cache->is_boot_expected[machine->type][machine->zone][machine->spot] = true;
         else if (machine->free.cpus > PM_EPSILON &&
                  pm_scheduler_is_machine_usable(scheduler, machine, now))
-            g_ptr_array_add(cache->open_machines, machine);
+            g_ptr_array_add(cache->available_machines, machine);
     }
 }
 
@@ -119,7 +119,7 @@
     g_array_set_size(scheduler->unmet_demand, 0);
     for (guint i = 0; i < queue->len && scheduler->run.actions < PM_PLAN_ACTIONS_MAX; i++) {
         struct pm_job *job = g_ptr_array_index(queue, i);
-        if (!pm_scheduler_is_unallocated(job))
+        if (!pm_scheduler_is_uncharged(job))
             pm_scheduler_place_job(scheduler, job, job->priority != PM_PRIORITY_PRODUCTION, now);
     }
     for (guint i = 0; i < queue->len; i++) {
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -92,11 +92,12 @@
 
 /* ---- Leasing jobs and machines to shards ---- */
 
-/* How many tasks of this spec fit within what remains of their team's quota, when the share
- * `kept_share` (0 to 1) of the quota is held back. */
+/* How many tasks of this spec may still be leased within their team's quota. The share
+ * `reserved_share` (0 to 1) of the quota is not available to leases. */
 uint32_t pm_scheduler_leasable_tasks(const struct pm_scheduler *scheduler,
-                                     const struct pm_spec *spec, double kept_share);
-/* Counts `tasks` more tasks as leased, until usage is next recounted. */
+                                     const struct pm_spec *spec, double reserved_share);
+/* Counts `tasks` more tasks as leased. Valid until the next recount, which counts the leases
+ * themselves. */
 void pm_scheduler_charge_lease(struct pm_scheduler *scheduler, const struct pm_spec *spec,
                                uint32_t tasks);
 /* Returns how many more of the job's tasks are within its team's guarantee, and counts them as
@@ -117,9 +118,10 @@
 struct pm_machine *pm_scheduler_pick_idle_machine(struct pm_scheduler *scheduler,
                                                   const struct pm_job *job, uint32_t tasks,
                                                   double now);
-/* Whether a delegated machine may be revoked for the job: by the replica, every task there is below
- * production and belongs to another team, which is beyond its guarantee. Counts the tasks' jobs as
- * stopping. `machine` is an index of the workers slice. */
+/* Whether a delegated machine may be revoked for the job: according to the replica, every task
+ * there has a priority below production and belongs to another team, which uses more than its
+ * guarantee. Adds one task of each such job to the team's processors that are being stopped.
+ * `machine` is an index of the workers slice. */
 bool pm_scheduler_may_preempt_machine(struct pm_scheduler *scheduler, const struct pm_job *job,
                                       int machine);
 
@@ -134,10 +136,10 @@
 /* Processors on usable ordinary machines that services could use immediately: free or preemptible.
  */
 double pm_scheduler_headroom_cpus(struct pm_scheduler *scheduler, double now);
-/* The most processors that services occupy on any one ordinary machine. */
+/* How many processors production work occupies on the ordinary machine where it occupies most. */
 double pm_scheduler_largest_service_cpus(struct pm_scheduler *scheduler, double now);
 /* Processors that array jobs use or could use, including those of delegated machines and of
- * machines that are expected to have booted soon. */
+ * machines that are expected to boot soon. */
 double pm_scheduler_batch_capacity_cpus(struct pm_scheduler *scheduler, double now);
 /* Drains ordinary machines whose services fit elsewhere, so that the autoscaler can terminate them.
  * If there are none, moves one replica from a machine with many to one with much more capacity. */
--- a/src/scheduler/shard_leasing.c
+++ b/src/scheduler/shard_leasing.c
@@ -61,7 +61,7 @@
     if (machine->spot)
         return true;
     if (leasing->headroom_cpus < 0) {
-        scheduler->totals.counted_at = -1; /* recount: this plan may have placed tasks since */
+        scheduler->totals.counted_at = -1; /* recount, since this plan may have placed tasks */
         leasing->headroom_cpus = pm_scheduler_headroom_cpus(scheduler, now);
     }
     return leasing->headroom_cpus - machine->free.cpus >= scheduler->reserve_cpus;
--- a/src/scheduler/starvation.c
+++ b/src/scheduler/starvation.c
@@ -2,23 +2,27 @@
  *
  * Ranking by usage ratio and by remaining work could delay a job for ever: a job of a team with a
  * high ratio, the job with the most work while smaller ones keep arriving, or a gang that never
- * finds all of its capacity free at the same time. A job that would otherwise not have all its
- * tasks started within START_BOUND_S is therefore placed first until it has, the longest waiting
- * before the others. It is marked as late as the machines, which also have the other long waiting
- * jobs to start, can still start it in time. Only a share of the capacity is used for this:
- * otherwise, when there is more work than the machines can do, all jobs would end up waiting for
- * the bound, and hardly any would end on time. */
+ * finds all of its capacity free at the same time. A job that would otherwise not have started all
+ * its tasks within START_BOUND_S is therefore marked as starving: until its tasks have started, it
+ * is placed before the jobs that are not marked. Of the marked jobs, the one that has waited
+ * longest goes first. A job is marked as late as possible, when the machines can just start it in
+ * time after the jobs that have waited longer. Starving jobs get only a share of the capacity.
+ * Otherwise, when there is more work than the machines can do, all jobs would wait until the bound,
+ * and hardly any would end on time. */
 #include "scheduler/internal.h"
 
-#define START_BOUND_S 215.0        /* within which all tasks of a job should have started */
+#define START_BOUND_S 215.0        /* all tasks of a job should start within this time */
 #define CANDIDATE_MIN_WAIT_S 150.0 /* a job that has waited for less is not starving */
-#define STARVING_SHARE 0.75        /* of the batch capacity, the most for overdue starts */
-#define BEST_EFFORT_SHARE 0.25     /* the lower limit that applies to best-effort jobs */
-/* How long best-effort work stays protected after it has started in full. A start counts if nothing
- * stops the task within 30 s, and the image fetch comes before that. */
+/* No job is marked once overdue starts use this share of the batch capacity, and no best-effort job
+ * once they use the second, smaller share. */
+#define STARVING_SHARE 0.75
+#define BEST_EFFORT_SHARE 0.25
+/* How long best-effort work stays protected from preemption after all its tasks have been placed. A
+ * start counts as successful if the task is not stopped within 30 s, and the image fetch comes
+ * before these 30 s. */
 #define STARTED_PROTECTION_S 40.0
-#define GANG_CAPACITY_DELAY_S 45.0 /* until capacity for a whole gang is free */
-#define USABLE_TIME_SHARE 0.7      /* of the machines' time that can be relied on */
+#define GANG_CAPACITY_DELAY_S 45.0 /* how long it takes until capacity for a whole gang is free */
+#define USABLE_TIME_SHARE 0.7      /* the share of the machines' time that can be relied on */
 
 /* Records when all tasks of the job have started. Best-effort work that was placed first until then
  * loses its protection from preemption STARTED_PROTECTION_S later. */
@@ -44,9 +48,9 @@
            !(job->scheduling.has_fully_started && job->priority == PM_PRIORITY_BEST_EFFORT);
 }
 
-/* Appends the jobs that have waited for longer than CANDIDATE_MIN_WAIT_S to `candidates`, longest
- * waiting first, and clears every job's starving mark. Returns how many processors overdue starts
- * already use. */
+/* Appends to `candidates` the jobs that have waited for longer than CANDIDATE_MIN_WAIT_S, those
+ * that have waited longest first, and clears the starving mark of every job. Returns how many
+ * processors are already used by jobs whose start was overdue. */
 static double find_candidates(struct pm_scheduler *scheduler, GPtrArray *candidates, double now)
 {
     GPtrArray *active = pm_jobs_active(scheduler->jobs);
@@ -68,8 +72,8 @@
     return overdue_cpus;
 }
 
-/* How many of the longest waiting jobs must be placed first now, so that the last of them, behind
- * the others, still starts in time. */
+/* How many of the jobs that have waited longest must be placed first now. If they waited any
+ * longer, the last of them, which starts after the others, would not start in time. */
 static guint count_overdue(const struct pm_scheduler *scheduler, const GPtrArray *candidates,
                            double batch_cpus)
 {
--- a/src/scheduler/state.h
+++ b/src/scheduler/state.h
@@ -10,14 +10,15 @@
     PM_CLASSES_MAX = 256,      /* classes whose run times are measured */
     /* Placements made or stopped by one plan; limits how long it holds the controller's lock. */
     PM_PLAN_ACTIONS_MAX = 400,
-    PM_MARKETS = 2, /* ordinary and spot */
+    PM_MARKETS = 2, /* of machines: 0 is ordinary, 1 is spot */
     PM_PRIORITIES = PM_PRIORITY_PRODUCTION + 1
 };
 #define PM_EPSILON 1e-6           /* amounts that differ by less count as equal */
 #define PM_GANG_RESERVATION_S 8.0 /* how long capacity is reserved for a gang */
-#define PM_SERVICE_SHARE 0.25     /* of a machine; see pm_scheduler_uses_service_share() */
-/* How long a replica runs before it may be moved: a start counts only if nothing stops it for a
- * while. */
+/* Share of a machine's processors; see pm_scheduler_uses_service_share(). */
+#define PM_SERVICE_SHARE 0.25
+/* How long a replica runs before it may be moved: its start counts as successful only if the
+ * replica is not stopped for a while. */
 #define PM_REPLICA_SETTLED_S 35.0
 
 /* A team's occupied machine-seconds within the window. */
@@ -30,11 +31,11 @@
 struct pm_occupancy {
     struct pm_occupancy_ledger ledger[PM_TEAMS_MAX];
     long current_bucket; /* number of the bucket of the current time of day */
-    double charged_at;   /* monotonic: occupied time is charged up to this time, 0: not yet */
+    double charged_at;   /* monotonic: occupied time is charged up to this time; 0: never charged */
 };
 
-/* Processors by team that the guarantees are compared with. occupancy.c counts them at the start of
- * a plan; placing, preempting and leasing add to them. */
+/* The processors of each team that are compared with its guarantee. occupancy.c counts them at the
+ * start of a plan; placing, preempting and leasing add to them. */
 struct pm_guarantee_usage {
     double used_cpus[PM_TEAMS_MAX];     /* of all placements */
     double stopping_cpus[PM_TEAMS_MAX]; /* the part of used_cpus that is being stopped */
@@ -56,14 +57,15 @@
 /* Written by quota.c. */
 struct pm_quota_usage {
     struct pm_team_usage team[PM_TEAMS_MAX];
-    double exceeded_logged_at[PM_TEAMS_MAX]; /* monotonic: last logged as over quota, 0: not yet */
+    double exceeded_logged_at[PM_TEAMS_MAX]; /* monotonic: last logged as over quota, 0: never */
     bool has_unchecked_starts;               /* placements were proposed since the last recheck */
     uint64_t violations;
 };
 
-/* The current plan. Written by scheduler.c; whatever places or stops tasks counts its actions. */
+/* The current plan. Written by scheduler.c; all code that places or stops tasks increments
+ * `actions`. */
 struct pm_plan_run {
-    double wall; /* time of day */
+    double wall; /* time of day when the plan began */
     int actions; /* placements made or stopped so far */
     double usage_ratio[PM_TEAMS_MAX];
     GPtrArray *queue; /* of struct pm_job, borrowed: the jobs with waiting tasks, in rank order */
@@ -72,7 +74,7 @@
 /* What the current plan looks up often, computed once. Written by scheduler.c; task_placement.c
  * removes full machines, and task_placement.c and preemption.c add unschedulable requirements. */
 struct pm_plan_cache {
-    GPtrArray *open_machines; /* borrowed: usable, and not full */
+    GPtrArray *available_machines; /* borrowed: usable, with free processors */
     /* Of struct pm_requirements: those that no machine meets. They stay unmet for the rest of the
      * plan, because capacity only shrinks within a plan. */
     GArray *unschedulable;
@@ -94,12 +96,12 @@
 /* Written by shard_leasing.c. */
 struct pm_machine_leasing {
     GPtrArray *idle_machines; /* borrowed */
-    double headroom_cpus;     /* that leases may still use, negative: not counted yet */
+    double headroom_cpus;     /* what leases may still use of it; negative: not counted yet */
 };
 
 /* Written by preemption_search.c. Kept between plans to reuse the memory. */
 struct pm_preemption_scratch {
-    GArray *candidates;  /* machines where something may be preempted */
+    GArray *candidates;  /* machines where tasks could be made to fit */
     GArray *preemptible; /* placements that may be preempted on the machine being searched */
 };
 
@@ -112,6 +114,8 @@
 
     /* Set by the controller. */
     double reserve_cpus; /* on ordinary machines, kept free for services */
+    /* Whether it sees the usage of all teams, as the leader does and the owner of a shard does not;
+     * whether placements can be written to the store now. */
     bool has_full_view, is_writable;
 
     struct pm_occupancy occupancy;
--- a/src/scheduler/task_placement.c
+++ b/src/scheduler/task_placement.c
@@ -18,8 +18,8 @@
              team->cpus + PM_EPSILON ||
          pm_quota_total(scheduler, spec->team).gpus + tasks * spec->gpus > team->gpus + PM_EPSILON))
         return false;
-    /* The quota is checked even within the guarantee: leases count against it before their tasks
-     * run. */
+    /* The quota may be used up even if the guarantee is not: leases count against the quota before
+     * their tasks run. */
     return pm_quota_allows(scheduler, spec, tasks);
 }
 
@@ -49,7 +49,7 @@
     pm_scheduler_add_to_spread(spread, machine);
     scheduler->run.actions++;
     if (machine->free.cpus < PM_EPSILON)
-        g_ptr_array_remove(scheduler->cache.open_machines, machine);
+        g_ptr_array_remove(scheduler->cache.available_machines, machine);
     log_placement(scheduler, job, index, attempt, machine);
 }
 
@@ -83,7 +83,8 @@
 }
 
 /* Returns the machine for the job's next task, or NULL if the task fits nowhere. `previous` is the
- * machine of the job's last placed task, or NULL: array tasks fill it before another is chosen. */
+ * machine of the task that this plan placed last for the job, or NULL. Array tasks fill that
+ * machine before another is chosen. */
 static struct pm_machine *choose_machine(struct pm_scheduler *scheduler, const struct pm_job *job,
                                          struct pm_machine *previous,
                                          const struct pm_zone_spread *spread, double now)
@@ -127,7 +128,8 @@
 }
 
 /* Whether a whole gang may start: none of its tasks is in back-off, and all tasks of its last
- * attempt have ended. Until then those occupy their machines, and bind the gang to their zone. */
+ * attempt have ended. Tasks that have not ended occupy their machines, and restrict the gang to
+ * their zone. */
 static bool is_gang_ready(const struct pm_scheduler *scheduler, struct pm_job *job, double now)
 {
     if (job->work.placed_count || job->work.done_count ||
