--- a/src/cmd/pumicemount/reconciliation.c
+++ b/src/cmd/pumicemount/reconciliation.c
@@ -85,7 +85,7 @@
 
     if (!exclusive_since && controller->is_leader) {
         exclusive_since =
-            pm_election_lease_lower_bound(controller->election, lease->reclaimed_epoch);
+            pm_election_epoch_exclusive_since(controller->election, lease->reclaimed_epoch);
         if (lease->reclaimed_epoch && isfinite(exclusive_since))
             lease->exclusive_since = exclusive_since;
     }
--- a/src/leadership/campaign.c
+++ b/src/leadership/campaign.c
@@ -54,7 +54,7 @@
     term->lease_id = epoch_txn->lease_id;
     term->lease_renewed_at = term->epoch_advanced_at = now;
     term->catch_up_revision = revision;
-    confirmation->checked_at = now;
+    confirmation->check_sent_at = now;
     confirmation->confirmed_at = epoch_txn->sent_at;
     confirmation->continuous_since = epoch_txn->sent_at;
     confirmation->fresh_as_of = epoch_txn->sent_at;
--- a/src/leadership/cancellation_internal.h
+++ b/src/leadership/cancellation_internal.h
@@ -1,5 +1,5 @@
 /* The state of the cancellation quorum, grouped by the file that writes it, and the functions that
- * its files call in one another. No other slice includes this header.
+ * its files share. No other slice includes this header.
  *
  * Everything here is guarded by struct pm_controller.lock and used in the event-loop thread. All
  * times are monotonic seconds. */
@@ -20,7 +20,7 @@
     char id[PM_CANCELLATION_ID_SIZE];
     uint64_t revision;
     double deadline;
-    bool has_acked[PM_PEERS_MAX]; /* the peer has responded to a request with it */
+    bool has_acked[PM_PEERS_MAX]; /* the peer has responded to a request that included it */
     /* Failed requests to the peer. After PM_CANCELLATION_ATTEMPTS_MAX of them the cancellation is
      * not sent to that peer again. */
     uint8_t attempts[PM_PEERS_MAX];
@@ -59,8 +59,8 @@
 
 /* ---- cancellation_quorum.c ---- */
 
-/* Whether the peer with this index has acknowledged the cancellation, by responding to a request
- * with it or by its replica's revision. */
+/* Whether the peer with this index is known to know the cancellation: it has responded to a request
+ * that included it, or its replica has reached the cancellation's revision. */
 bool pm_pending_cancellation_is_known_to(const struct pm_cancel_quorum *quorum,
                                          const struct pm_pending_cancellation *pending, int peer);
 /* Completes the pending cancellations that are settled: a majority knows them, their deadline has
--- a/src/leadership/cancellation_messages.c
+++ b/src/leadership/cancellation_messages.c
@@ -86,8 +86,8 @@
 }
 
 /* Records, in every pending entry of the cancellation, that the peer has responded to the request
- * with it or that the request failed. There are several entries if several users wait for the same
- * cancellation. */
+ * that included it, or that the request failed. There are several entries if several users wait for
+ * the same cancellation. */
 static void note_outcome(struct pm_cancel_quorum *quorum, int peer,
                          const struct published_cancellation *cancellation, bool has_responded)
 {
--- a/src/leadership/cancellation_quorum.c
+++ b/src/leadership/cancellation_quorum.c
@@ -13,7 +13,7 @@
 
 /* How many controllers know a pending cancellation. */
 struct ack_count {
-    int known;    /* controllers that know it, including this one */
+    int known;    /* controllers known to know it, including this one */
     int possible; /* peers that may still acknowledge it */
 };
 
--- a/src/leadership/cancellation_quorum.h
+++ b/src/leadership/cancellation_quorum.h
@@ -1,10 +1,10 @@
 /* Makes cancellations known to a majority of controllers before they are confirmed to users.
  *
- * Safety invariant 7: in an outage of the state service nobody renews a worker's lease without
- * knowing every cancellation that was confirmed to a user. So a user is answered "cancelled" only
- * once a majority knows the cancellation; and a controller that answers workers in an outage first
- * asks a majority what it knows (election.h). This suffices because any two majorities have a
- * controller in common.
+ * Safety invariant 7: in an outage of the state service only controllers that know every
+ * cancellation that was confirmed to a user renew workers' leases. So a user is answered
+ * "cancelled" only once a majority knows the cancellation; and a controller that answers workers in
+ * an outage first asks a majority which cancellations they know (election.h). This suffices because
+ * any two majorities have a controller in common.
  *
  * A controller knows a cancellation when its replica has reached the cancellation's revision, or
  * when a peer has sent it. Each controller publishes the cancellations that it is about to confirm
--- a/src/leadership/confirmation.c
+++ b/src/leadership/confirmation.c
@@ -15,8 +15,8 @@
 /* The maximum staleness of the replica of a controller that answers workers. */
 #define STALENESS_MAX_S 6.0
 
-/* Shortens a duration so that it has not passed by any other clock when it ends by ours, which may
- * be the slower one. */
+/* Shortens a duration, so that when it has passed by our clock, the full duration has not yet
+ * passed by the clock of any other controller, which may run faster. */
 static double deduct_clock_drift(double duration_s)
 {
     return duration_s * (1 - PM_CLOCK_DRIFT_MAX);
@@ -24,8 +24,8 @@
 
 /* ---- freshness of the replica ---- */
 
-/* Returns STALENESS_MAX_S, or less: half of the time that remains of the cancellation deadline
- * after one lease. */
+/* Returns STALENESS_MAX_S, or half of the time that the cancellation deadline leaves after one
+ * lease, whichever is less. */
 static double replica_staleness_max_s(const struct pm_settings *settings)
 {
     double slack_s = (settings->cancel_deadline_s - settings->lease_s) / 2;
@@ -82,7 +82,7 @@
 void pm_election_confirm_epoch(struct pm_election *election, double sent_at,
                                uint64_t store_revision)
 {
-    if (!pm_election_may_act(election))
+    if (!pm_election_leads_or_owns_shard(election))
         return;
     pm_election_note_confirmed(election, sent_at);
     track_freshness(election, sent_at, store_revision);
@@ -113,8 +113,8 @@
     if (election->term.is_leader)
         pm_store_wait_for_revision(election->store, store_revision, on_conflict_caught_up,
                                    election);
-    else /* The watch reports the change of the shard; this check does not delay the next. */
-        election->confirmation.checked_at = 0;
+    else /* the watch reports the change of the shard; this check does not delay the next one */
+        election->confirmation.check_sent_at = 0;
 }
 
 static void on_checked(void *arg, enum pm_store_result result, uint64_t store_revision,
@@ -122,7 +122,7 @@
 {
     struct pm_epoch_txn *epoch_txn = arg;
     struct pm_election *election = epoch_txn->election;
-    bool is_current = pm_election_may_act(election) &&
+    bool is_current = pm_election_leads_or_owns_shard(election) &&
                       pm_election_epoch(election) == epoch_txn->epoch &&
                       election->term.is_leader == epoch_txn->sent_as_leader;
 
@@ -141,7 +141,7 @@
     struct pm_epoch_txn *epoch_txn = g_new0(struct pm_epoch_txn, 1);
 
     election->confirmation.check_in_flight = true;
-    election->confirmation.checked_at = now;
+    election->confirmation.check_sent_at = now;
     epoch_txn->election = election;
     epoch_txn->epoch = pm_election_epoch(election);
     epoch_txn->sent_as_leader = election->term.is_leader;
@@ -193,7 +193,7 @@
 
 bool pm_election_is_confirmed(const struct pm_election *election, double now)
 {
-    return pm_election_may_act(election) && !election->term.catch_up_revision &&
+    return pm_election_leads_or_owns_shard(election) && !election->term.catch_up_revision &&
            now < pm_election_confirmation_deadline(election);
 }
 
--- a/src/leadership/election.h
+++ b/src/leadership/election.h
@@ -12,8 +12,9 @@
  *   p/epoch        the epoch, and the controller that advanced it. Changes only by
  *                  compare-and-swap. Its number is the fencing token that workers obey, and every
  *                  placement is written on the condition of its revision.
- *   p/lead         the leader's lock, attached to a lease: while it exists, the others do not
- *                  campaign. It only saves needless campaigns; all safety rests on p/epoch.
+ *   p/lead         the leader's lock, attached to a lease: while it exists, the other controllers
+ *                  do not campaign. It only avoids needless campaigns; safety depends on p/epoch
+ *                  alone.
  *   p/speaks/NAME  the protocol version of the controller NAME
  *   p/speaks       a lower bound of the protocol versions that the controllers run
  * A controller that is elected also deletes p/b/NAME, its own shard.
@@ -41,10 +42,10 @@
     void (*elected)(void *arg, uint64_t epoch);
     /* This controller no longer leads. */
     void (*stepped_down)(void *arg);
-    /* This controller still leads, now in this later epoch. */
+    /* This controller still leads, and its epoch is now `epoch`. */
     void (*epoch_advanced)(void *arg, uint64_t epoch);
-    /* The epoch was confirmed for the first time since this controller was given a shard, which may
-     * be used from now on. */
+    /* The epoch was confirmed for the first time since this controller became the owner of a shard.
+     * From now on it may use the shard. */
     void (*epoch_confirmed)(void *arg);
     /* A peer knows that the cancellation of job `id` is durable, at this revision of the job's key.
      * `id` is borrowed and not yet validated. */
@@ -137,20 +138,21 @@
 /* As the leader, checks p/epoch at the state service at once, after a transaction conflicted on it
  * or when a peer knows a later epoch. Does nothing while a check or an advance is in flight. */
 void pm_election_recheck_epoch(struct pm_election *election);
-/* Upper bound of the seconds after a cancellation was confirmed to its user during which a
- * controller that does not know the cancellation may still renew the lease of the job's worker.
- * After that the task ends within one lease. */
+/* For at most this many seconds after a cancellation was confirmed to its user, a controller that
+ * does not know the cancellation may still renew the lease of the job's worker. After that the task
+ * ends within one lease. */
 double pm_election_staleness_bound_s(const struct pm_settings *settings,
                                      const struct pm_operator_settings *operator_settings);
-/* The time since when no other controller can have answered workers in place of this one. It
+/* The time since which no other controller can have answered workers in place of this one. It
  * follows from how long this controller has been confirmed without interruption and has not been
  * refused by the state service. */
 double pm_election_exclusive_since(const struct pm_election *election);
-/* The time since when only controllers that knew `epoch` can have renewed a worker's lease: a
- * majority had acknowledged `epoch`, and operator_settings.confirm_s had passed since, allowing for
- * clock drift. `epoch` 0 means the first epoch of this term that a majority acknowledged. INFINITY
- * until a majority has acknowledged it, and when this controller does not lead. */
-double pm_election_lease_lower_bound(const struct pm_election *election, uint64_t epoch);
+/* The time since which no controller that knows only epochs before `epoch` renews workers' leases:
+ * when a majority had acknowledged `epoch`, plus operator_settings.confirm_s and an allowance for
+ * clock drift, since confirmations of earlier epochs stay valid for that long. `epoch` 0 means the
+ * first epoch of this term that a majority acknowledged. INFINITY until a majority has acknowledged
+ * the epoch, and when this controller does not lead. */
+double pm_election_epoch_exclusive_since(const struct pm_election *election, uint64_t epoch);
 
 /* ---- changing the epoch, the term or the shard ---- */
 
@@ -161,8 +163,8 @@
  * reported. */
 void pm_election_advance_epoch(struct pm_election *election, const char *key, uint64_t revision);
 /* As the leader, ends the term and revokes the lease of the leader's lock. This controller then
- * does not campaign for a while, unless no other does. `reason` is only logged. Does nothing when
- * not leading. */
+ * does not campaign for a while, unless the lock stays free because no other controller campaigns.
+ * `reason` is only logged. Does nothing when not leading. */
 void pm_election_step_down(struct pm_election *election, const char *reason);
 /* As a follower, records that this controller owns the shard stored under `key` at `revision`, or
  * none if `revision` is 0. Checks of the epoch compare that revision too from now on. Does nothing
@@ -176,7 +178,7 @@
 /* Whether this follower may answer workers, with the epoch but without commands, so that their
  * leases do not expire while the state service is out and the leader does not respond. It needs the
  * votes of a majority of controllers that have a replica, know no later epoch and are refused
- * themselves; so a controller that alone is refused never gets them. */
+ * themselves. A controller that is the only one refused never gets them. */
 bool pm_election_may_renew_in_outage(const struct pm_election *election, double now);
 /* The time at which pm_election_may_renew_in_outage turns false unless a majority votes again. */
 double pm_election_outage_renewal_deadline(const struct pm_election *election);
--- a/src/leadership/epoch_acks.c
+++ b/src/leadership/epoch_acks.c
@@ -1,6 +1,6 @@
-/* Which peers know the epoch of the term. Once a majority knows it, no majority can confirm an
- * earlier epoch any more. So after the earlier confirmations have expired, only controllers that
- * know this epoch renew workers' leases (pm_election_lease_lower_bound). */
+/* Which peers know the current epoch of the term. Once a majority knows it, no majority can confirm
+ * an earlier epoch any more. So after the earlier confirmations have expired, only controllers that
+ * know this epoch renew workers' leases (pm_election_epoch_exclusive_since). */
 #include "base/clock.h"
 #include "leadership/internal.h"
 
@@ -46,7 +46,7 @@
         note_quorum(acks, pm_clock_monotonic());
 }
 
-double pm_election_lease_lower_bound(const struct pm_election *election, uint64_t epoch)
+double pm_election_epoch_exclusive_since(const struct pm_election *election, uint64_t epoch)
 {
     const struct pm_election_acks *acks = &election->acks;
     double quorum_at = epoch ? acks->quorum_at : acks->first_quorum_at;
--- a/src/leadership/internal.h
+++ b/src/leadership/internal.h
@@ -1,5 +1,5 @@
 /* The state of an election, grouped by the file that writes it, and the functions that the files of
- * the election call in one another. No other slice includes this header.
+ * the leadership slice share. No other slice includes this header.
  *
  * Everything here is guarded by struct pm_controller.lock; timers and response callbacks run in the
  * event-loop thread. All times are monotonic seconds; a time of 0 means "never". */
@@ -48,7 +48,7 @@
     uint64_t epoch_revision;     /* revision of p/epoch after that write */
     uint64_t catch_up_revision;  /* the replica must reach it before we act; 0 once reached */
     double epoch_advanced_at;    /* when the current epoch began */
-    double advance_attempted_at; /* the last attempt that was made because of the epoch's age */
+    double advance_attempted_at; /* when we last tried to advance the epoch because of its age */
     bool advance_in_flight;
     double lease_renewed_at;
     bool lease_renewal_in_flight;
@@ -58,11 +58,12 @@
  * by campaign.c at the start of a term, by election.c at its end, and by outage.c when a majority
  * has voted. */
 struct pm_election_confirmation {
-    double confirmed_at; /* when the latest request that found our epoch in force was sent */
-    double checked_at;
+    double confirmed_at; /* when the latest request that confirmed our epoch was sent */
+    /* When the latest check was sent, or the term began. 0 if it does not delay the next check. */
+    double check_sent_at;
     bool check_in_flight;
-    /* Since when the epoch has been confirmed without interruption and the state service has not
-     * refused us. outage.c moves it forward for as long as the service refuses us. */
+    /* Since this time the epoch has been confirmed without interruption and the state service has
+     * not refused us. While the service refuses us, outage.c sets it to the current time. */
     double continuous_since;
     /* The replica includes every cancellation that was confirmed to a user before this time. */
     double fresh_as_of;
@@ -72,12 +73,12 @@
     double awaited_sent_at;
 };
 
-/* Which peers know the epoch of the term. Written by epoch_acks.c. */
+/* Which peers know the current epoch of the term. Written by epoch_acks.c. */
 struct pm_election_acks {
     bool has_acked[PM_PEERS_MAX];
     uint64_t epoch;
     double quorum_at;       /* when a majority knew this epoch; 0 until it does */
-    double first_quorum_at; /* the earliest such time in this term, for any of its epochs */
+    double first_quorum_at; /* the same for the first epoch of the term that a majority knew */
 };
 
 /* The latest round of requests to all peers. Written by peer_poll.c and peer_endpoint.c.
@@ -87,7 +88,7 @@
     double sent_at;
     int round;
     uint64_t epoch;              /* sent in this round */
-    int votes;                   /* for that epoch, our own included */
+    int votes;                   /* to confirm that epoch, our own included */
     uint64_t highest_epoch;      /* the highest that any peer has ever reported */
     double leader_answered_at;   /* when the holder of the leader's lock last responded */
     double store_served_peer_at; /* when a peer last reported that the state service serves it */
@@ -97,15 +98,16 @@
  * outage.c. */
 struct pm_election_outage {
     double refused_since; /* when the state service began to refuse us; 0 while it does not */
-    int votes;            /* by controllers that are refused themselves, our own included */
-    double confirmed_at;  /* when the latest round that a majority confirmed was sent */
+    int votes;            /* to let this follower renew leases, our own included */
+    double confirmed_at;  /* when the latest round with a majority of such votes was sent */
 };
 
 /* Protocol versions. Written by versions.c, from the replica's feed and the peers' messages. */
 struct pm_election_versions {
-    unsigned peer[PM_PEERS_MAX]; /* the highest that each peer has named; 0 if it has named none */
-    unsigned common;             /* of all controllers, from p/speaks; 0 until that is written */
-    bool is_published;           /* our own version is stored in the state service */
+    /* Indexed by peer: the highest version that it has reported; 0 if it has reported none. */
+    unsigned peer[PM_PEERS_MAX];
+    unsigned common;   /* of all controllers, from p/speaks; 0 until that is written */
+    bool is_published; /* our own version is stored in the state service */
     bool write_in_flight;
     double written_at;
 };
@@ -124,7 +126,7 @@
     const struct pm_settings *settings;
     const struct pm_operator_settings *operator_settings;
     struct pm_election_hooks hooks;
-    struct pm_election_links links; /* all zero until pm_election_attach_links */
+    struct pm_election_links links; /* callbacks; all NULL until pm_election_attach_links */
     char incarnation_id[PM_INCARNATION_ID_SIZE];
     ev_timer timer;
     struct pm_election_replica replica;
@@ -149,8 +151,8 @@
 
 /* ---- inline helpers ---- */
 
-/* Whether this controller leads or owns a shard, and so may have workers to command. */
-static inline bool pm_election_may_act(const struct pm_election *election)
+/* Whether this controller may have workers to command. */
+static inline bool pm_election_leads_or_owns_shard(const struct pm_election *election)
 {
     return election->term.is_leader || election->shard.revision;
 }
@@ -184,19 +186,19 @@
 
 /* ---- epoch_acks.c ---- */
 
-/* Begins a new term with this epoch: like pm_election_reset_epoch_acks, and also forgets
+/* Begins a new term with this epoch: does what pm_election_reset_epoch_acks does, and also forgets
  * `first_quorum_at` of the term before. */
 void pm_election_reset_term_acks(struct pm_election *election, uint64_t epoch, double now);
 /* Begins a new epoch of the term: forgets all acknowledgements, and has the timer poll the peers at
  * once. */
 void pm_election_reset_epoch_acks(struct pm_election *election, uint64_t epoch, double now);
-/* Records that the peer with this index knows the epoch of the term. */
+/* Records that the peer with this index knows the current epoch of the term. */
 void pm_election_note_epoch_acked(struct pm_election *election, int peer);
 
 /* ---- confirmation.c ---- */
 
-/* Records that the epoch was found in force by a request that was sent at `sent_at`. Leaves the
- * freshness of the replica unchanged. */
+/* Records that a request that was sent at `sent_at` has confirmed the epoch. Leaves the freshness
+ * of the replica unchanged. */
 void pm_election_note_confirmed(struct pm_election *election, double sent_at);
 /* Sends a transaction that checks whether p/epoch, and for a follower the key of its shard, still
  * have the revisions that we know. Must not be called while a check is in flight. */
@@ -210,7 +212,8 @@
     double sent_at; /* of the request */
     uint64_t highest_epoch;
     bool has_replica; /* the peer has read the state since it started */
-    /* The peer has sent all cancellations that it knows after our replica's revision. */
+    /* The peer has sent every cancellation that it knows whose revision is later than that of our
+     * replica. */
     bool has_cancellations;
     bool is_refused; /* the state service refuses the peer */
 };
@@ -221,10 +224,12 @@
 bool pm_election_is_refused_now(const struct pm_election *election, double now);
 /* Tracks since when the state service refuses us. Called by the timer. */
 void pm_election_track_refusals(struct pm_election *election, double now);
-/* Begins a round of requests that are sent at `now`, with our own votes already counted. */
+/* Resets the vote counts for a round of requests that is sent at `now`. Our own vote for
+ * confirmation counts at once, our own vote for renewal if we have read the state and the state
+ * service refuses us. */
 void pm_election_reset_votes(struct pm_election *election, double now);
-/* Counts a vote of the current round. Once a majority has voted while the state service refuses us,
- * the epoch is confirmed. */
+/* Counts a peer's vote if it is valid and of the current round. While the state service refuses us,
+ * a majority of votes has the effects that outage.c describes. */
 void pm_election_count_vote(struct pm_election *election, const struct pm_election_vote *vote);
 
 /* ---- peer_poll.c ---- */
@@ -239,7 +244,8 @@
                                const cbor_item_t *value);
 /* Applies a put of p/speaks from the replica's feed. */
 void pm_election_apply_common_version(struct pm_election *election, const cbor_item_t *value);
-/* Records the version that a message of the peer with this index names; 0 if it names none. */
+/* Records the protocol version that the peer with this index has reported, in a message or in the
+ * state service; 0 if its message names none. */
 void pm_election_note_peer_version(struct pm_election *election, int peer, unsigned version);
 /* Writes our own protocol version to the state service, for controllers that our messages do not
  * reach. Once it is stored, the leader writes the version that all controllers are known to run.
--- a/src/leadership/outage.c
+++ b/src/leadership/outage.c
@@ -1,18 +1,20 @@
-/* Outages of the state service: how a controller tells an outage from being the only one refused,
- * and the votes by which a majority lets controllers go on answering workers during an outage.
+/* Outages of the state service: how a controller finds out whether the state service refuses all
+ * controllers or only this one, and how the votes of a majority let controllers go on answering
+ * workers during an outage.
  *
- * A peer's vote means that the peer has read the state, knows no later epoch, and has sent us all
- * cancellations that it knows after our replica's revision (safety invariant 7). A majority of
- * votes confirms the epoch for a leader or the owner of a shard. A follower counts the votes of
- * peers that are refused themselves: a majority of those lets it renew workers' leases in place of
- * a leader that does not respond. */
+ * A peer's vote means that the peer has read the state, knows no later epoch, and has sent us every
+ * cancellation that it knows whose revision is later than that of our replica (safety invariant 7,
+ * see cancellation_quorum.h). For a leader or the owner of a shard each vote is a confirmation
+ * vote: a majority of them confirms the epoch. For a follower, the votes of peers that are refused
+ * themselves are renewal votes: a majority of them lets it renew workers' leases in place of a
+ * leader that does not respond. */
 #include "base/clock.h"
 #include "leadership/internal.h"
 
 #include <glib.h>
 
-/* How long an outage must last before followers renew leases. By then the leader has noticed the
- * outage too. */
+/* How long an outage must last before followers renew leases. After this time the leader has
+ * noticed the outage too. */
 #define RENEWAL_DELAY_S 2.5
 /* A leader that has not responded to us for this long is assumed not to answer workers either. */
 #define LEADER_SILENCE_S 1.5
@@ -40,8 +42,8 @@
 
 void pm_election_reset_votes(struct pm_election *election, double now)
 {
-    /* Our own vote needs no check that we have read the state: a leader or the owner of a shard
-     * has, and other controllers do not use these votes. */
+    /* Our own confirmation vote always counts. Only leaders and owners of shards use these votes,
+     * and they have read the state. */
     election->poll.votes = 1;
     election->outage.votes =
         pm_store_is_ready(election->store) && pm_election_is_refused_now(election, now);
@@ -56,8 +58,9 @@
            vote->highest_epoch <= epoch;
 }
 
-/* A majority's votes also make the replica count as fresh: the voters have sent us all
- * cancellations that they know, and we, who belong to the majority, already know our own. */
+/* The votes of a majority also make the replica count as fresh: the peers that voted have sent us
+ * every cancellation that they know, and this controller, which belongs to the majority, knows its
+ * own. */
 static void count_confirmation_vote(struct pm_election *election, double sent_at)
 {
     struct pm_election_confirmation *confirmation = &election->confirmation;
@@ -85,7 +88,7 @@
 {
     if (!is_valid_vote(election, vote))
         return;
-    if (pm_election_may_act(election))
+    if (pm_election_leads_or_owns_shard(election))
         count_confirmation_vote(election, vote->sent_at);
     if (!election->term.is_leader && vote->is_refused)
         count_renewal_vote(election, vote->sent_at);
--- a/src/leadership/peer_endpoint.c
+++ b/src/leadership/peer_endpoint.c
@@ -9,11 +9,11 @@
 
 #include <glib.h>
 
-/* The approximate maximum of cancellations in a response. Exceeded when the last ones share a
- * revision, since all of one revision go into the same response. */
+/* The approximate maximum of cancellations in a response. All cancellations of one revision go into
+ * the same response, so the last revision may exceed the maximum. */
 enum { CANCELLATIONS_PER_RESPONSE = 300 };
-/* How long after its last response the state service counts as serving this controller. While
- * nothing changes, responses to the watch are at most this far apart. */
+/* For this long after its last response the state service counts as serving this controller. While
+ * nothing changes, the responses to the watch are at most this far apart. */
 #define SERVED_MAX_AGE_S 6.0
 
 /* The cancellations of a response. `list` holds pointers to `entries`, whose ids are borrowed from
--- a/src/leadership/peer_poll.c
+++ b/src/leadership/peer_poll.c
@@ -1,5 +1,5 @@
 /* Asking the peers, by POST /peer, which epochs they know and which jobs were cancelled. Their
- * responses acknowledge the epoch of the term, and are votes in an outage. */
+ * responses acknowledge the current epoch of the term, and are votes in an outage. */
 #include "base/clock.h"
 #include "base/protocol.h"
 #include "leadership/internal.h"
--- a/src/leadership/records.c
+++ b/src/leadership/records.c
@@ -5,7 +5,7 @@
  *   p/lead         leader: name of the holder of the lock; boot: that controller's incarnation
  *   p/speaks/NAME  version: the protocol version that the controller NAME runs
  *   p/speaks       version: a lower bound of the protocol versions that the controllers run
- * All functions depend on nothing but their arguments. */
+ * All functions depend only on their arguments. */
 #include "base/keys.h"
 #include "leadership/internal.h"
 
@@ -52,7 +52,8 @@
     pm_txn_put_end(txn, NO_LEASE);
 }
 
-/* Reads a text field into `out`. What can't be read becomes "", or the part that could be read. */
+/* Reads a text field into `out`. A field that can't be read leaves "", or the part that could be
+ * read. */
 static void read_text(const cbor_item_t *value, const char *field, char *out, size_t size)
 {
     memset(out, 0, size);
--- a/src/leadership/replica_acknowledgement.c
+++ b/src/leadership/replica_acknowledgement.c
@@ -81,8 +81,8 @@
     (void)store_revision;
     (void)conflicting_keys;
     acknowledgement->write_in_flight = false;
-    /* After a failure the write is due again. Any revision but 0 does, since the write stores the
-     * revision that the replica has by then. */
+    /* After a failure the write is due again. Any revision other than 0 makes it due: the value
+     * written is the revision that the replica has reached at that time. */
     if (result != PM_STORE_OK)
         acknowledgement->unpublished_revision = MAX(acknowledgement->unpublished_revision, 1);
 }
--- a/src/leadership/tests/controller_fixtures.h
+++ b/src/leadership/tests/controller_fixtures.h
@@ -155,7 +155,7 @@
         }
 }
 
-/* Starts listening for requests of the peers. Also reopens an endpoint that a test has closed. */
+/* Starts to listen for requests of the peers. Tests also use it to reopen an endpoint. */
 static inline void open_peer_endpoint(struct controller *controller)
 {
     controller->peer_server = pm_http_server_new(loop, controller->settings.peer_listen_addr, 16,
@@ -222,9 +222,10 @@
     return pm_clock_monotonic() > *(double *)arg;
 }
 
-static inline bool has_lease_lower_bound(void *arg)
+/* Whether the controller leads and a majority has acknowledged an epoch of its term. */
+static inline bool is_epoch_acked(void *arg)
 {
-    return isfinite(pm_election_lease_lower_bound(((struct controller *)arg)->election, 0));
+    return isfinite(pm_election_epoch_exclusive_since(((struct controller *)arg)->election, 0));
 }
 
 /* Runs the event loop for this many seconds. */
--- a/src/leadership/tests/test_cancellation_quorum.c
+++ b/src/leadership/tests/test_cancellation_quorum.c
@@ -1,8 +1,8 @@
-/* Safety invariant 7: in an outage of the state service nobody renews a lease without knowing every
- * cancellation that was confirmed to a user. The failure that it prevents: the state service
- * refuses only the leader, another controller confirms a cancellation to its user, and then the
- * service refuses all controllers. The leader, whose replica lacks the cancellation, must not be
- * confirmed by votes and renew the lease under which the cancelled job runs. */
+/* Safety invariant 7: in an outage of the state service only controllers that know every
+ * cancellation that was confirmed to a user renew leases. The failure that it prevents: the state
+ * service refuses only the leader, another controller confirms a cancellation to its user, and then
+ * the service refuses all controllers. The replica of the leader lacks the cancellation. If votes
+ * confirmed the leader, it would renew the lease under which the cancelled job runs. */
 #include "controller_fixtures.h"
 #include "../../jobs/tests/recorded_values.h"
 #include "shard.pb-c.h"
@@ -24,7 +24,8 @@
     assert_true(event_loop_run_until(loop, has_replica, &cluster[1]));
     assert_true(event_loop_run_until(loop, has_replica, &cluster[2]));
     assert_true(event_loop_run_until(loop, is_confirmed, &cluster[0]));
-    /* From then on the leader no longer polls its peers for their versions. */
+    /* Once the leader knows the common version, it no longer polls its peers for their versions.
+     * The responses to such polls would also tell it of cancellations. */
     assert_true(event_loop_run_until(loop, has_common_version, &cluster[0]));
 }
 
@@ -105,8 +106,8 @@
     return pm_jobs_cancellation_revision(((struct controller *)arg)->jobs, "job-1") != 0;
 }
 
-/* A leader that alone is refused gets the cancellation from the controller that confirms it to the
- * user. */
+/* When the state service refuses only the leader, the controller that confirms a cancellation to
+ * the user sends it to the leader. */
 static void refused_leader_is_sent_the_cancellation(void **arg)
 {
     struct controller *cluster = g_new0(struct controller, 3);
@@ -138,8 +139,8 @@
     assert_true(confirm_to_user(&cluster[1], "job-1", commit_cancellation(&cluster[1], "job-1")));
     confirmed_at = pm_clock_monotonic();
     fake_store_set_outage(state_service, true);
-    /* After the staleness bound the leader is confirmed only if it knows the cancellation; at the
-     * end it knows the cancellation and is confirmed. */
+    /* After the staleness bound the leader may be confirmed only if it knows the cancellation. At
+     * the end of the test it knows the cancellation and is confirmed. */
     while (pm_clock_monotonic() < confirmed_at + 4) {
         run_for(0.02);
         if (pm_clock_monotonic() >
@@ -176,8 +177,8 @@
 
 /* Without a majority the cancellation is not confirmed to the user: it is durable, but a leader
  * that does not know it could renew leases. The failure is reported before the publish timeout. The
- * user may repeat the request, which succeeds as soon as a majority is reached, without another
- * write. */
+ * user may repeat the request, which needs no other write and succeeds once a majority can be
+ * reached. */
 static void cancellation_without_a_majority_is_not_confirmed(void **arg)
 {
     struct controller *cluster = g_new0(struct controller, 3);
@@ -210,8 +211,8 @@
     return pm_cancel_quorum_is_acked(awaited->controller->cancel_quorum, awaited->revision);
 }
 
-/* Controllers that do not reach one another acknowledge through the state service which revision
- * their replicas have reached, so cancellations can still be confirmed to users. */
+/* Controllers whose messages do not reach one another write the revision of their replica to the
+ * state service. These acknowledgements let cancellations be confirmed to users. */
 static void acknowledgement_through_the_state_service(void **arg)
 {
     struct controller *cluster = g_new0(struct controller, 3);
@@ -260,8 +261,9 @@
     assert_true(is_confirmed(&cluster[0]));
 }
 
-/* The state service answers the leader's transactions, but the leader's watch hangs: the epoch is
- * confirmed, but the replica is not fresh. */
+/* The state service answers the leader's transactions, but the leader's watch hangs. The checks of
+ * the epoch succeed, but pm_election_is_confirmed must become false, because the replica is not
+ * fresh. */
 static void lagging_replica_prevents_confirmation(void **arg)
 {
     struct controller *cluster = g_new0(struct controller, 3);
@@ -270,8 +272,8 @@
     (void)arg;
     configure_cluster(cluster, 3);
     cluster[0].store_addr = fake_store_second_addr(state_service);
-    /* So long a lease that the epoch is not advanced during the test, since that would poll the
-     * peers. */
+    /* With so long a lease the epoch is not advanced during the test. An advance would poll the
+     * peers, and their responses would tell the leader of the cancellation. */
     cluster[0].settings.lease_s = 60;
     cluster[0].settings.cancel_deadline_s = 64;
     start_controller(&cluster[0]);
@@ -298,9 +300,9 @@
     assert_true(event_loop_run_until(loop, is_confirmed, &cluster[0]));
 }
 
-/* After the last renewal by a controller that does not know the cancellation, a whole lease fits
- * into the rest of the cancellation deadline, allowing for clock drift. Tested with several ratios
- * of lease to deadline. */
+/* The staleness bound plus one lease, with an allowance for clock drift, is shorter than the
+ * cancellation deadline. So a lease that was renewed without knowledge of the cancellation expires
+ * before the deadline. Tested with several ratios of lease to deadline. */
 static void staleness_bound_leaves_time_for_a_lease(void **arg)
 {
     static const double lease_and_deadline_s[][2] = {
@@ -377,7 +379,7 @@
     g_free(large);
 }
 
-/* Recorded messages of the previous version are decoded correctly, and name no protocol version. */
+/* Recorded messages of the previous version, without a protocol version, are decoded correctly. */
 static void reads_messages_of_the_previous_version(void **arg)
 {
     size_t size;
--- a/src/leadership/tests/test_election.c
+++ b/src/leadership/tests/test_election.c
@@ -2,7 +2,8 @@
  * the condition that they expect, so that they do not depend on how fast the test runs. */
 #include "controller_fixtures.h"
 
-/* A controller leads until the lease of its lock expires. Its successor has a higher epoch. */
+/* A controller leads until the lease of the leader's lock expires. Its successor has a higher
+ * epoch. */
 static void successor_has_a_higher_epoch(void **arg)
 {
     struct controller *cluster = g_new0(struct controller, 2);
@@ -15,9 +16,9 @@
     assert_true(is_confirmed(&cluster[0]));
     first_epoch = pm_election_epoch(cluster[0].election);
     /* One of two controllers is no majority, so the epoch is not acknowledged yet. */
-    assert_false(has_lease_lower_bound(&cluster[0]));
+    assert_false(is_epoch_acked(&cluster[0]));
     start_controller(&cluster[1]);
-    assert_true(event_loop_run_until(loop, has_lease_lower_bound, &cluster[0]));
+    assert_true(event_loop_run_until(loop, is_epoch_acked, &cluster[0]));
     assert_int_equal(cluster[1].elected_epoch, 0); /* the lock is not free */
     assert_string_equal(pm_election_other_leader(cluster[1].election), "n0");
     /* The lease of the lock expires: a successor is elected, in a higher epoch. */
@@ -112,7 +113,7 @@
     started_at = pm_clock_monotonic();
     assert_true(event_loop_run_until(loop, has_advanced, controller));
     assert_true(pm_election_epoch(controller->election) > first_epoch);
-    /* The epoch does not advance much sooner than after 0.7 leases. */
+    /* The epoch does not advance much sooner than after 0.7 leases (LEASES_PER_EPOCH). */
     assert_true(pm_clock_monotonic() - started_at >= 0.7 * 0.5 - 0.1);
     assert_int_equal(controller->step_down_count, 0);
     /* The leader does not advance the epoch while the state service refuses it, and does so again
@@ -185,9 +186,10 @@
     pm_txn_put_end(txn, 0);
 }
 
-/* A leader is restarted during an outage. The new process knows nothing of what its predecessor had
- * read and confirmed, so it must not act before it has read the state. Then it is elected at once,
- * in a later epoch, although the predecessor's lease of the lock has not expired. */
+/* A leader is restarted during an outage. The new process does not know what the previous process
+ * had read and confirmed, so it must not act before it has read the state. Once it has read the
+ * state, it is elected at once, in a later epoch, although the previous process's lease of the lock
+ * has not expired. */
 static void restarted_leader_reads_the_state_first(void **arg)
 {
     struct controller *cluster = g_new0(struct controller, 3);
@@ -231,7 +233,8 @@
 }
 
 /* Ten elections in a row, one of them after an outage. Each leader has a later epoch than the one
- * before, two are never confirmed in one epoch, and elections use little of the write budget. */
+ * before, no two controllers are confirmed in the new epoch, and the elections use little of the
+ * write budget. */
 static void ten_consecutive_elections(void **arg)
 {
     /* cluster[0] is not a running controller: it only holds the latest epoch. */
--- a/src/leadership/tests/test_election_outages.c
+++ b/src/leadership/tests/test_election_outages.c
@@ -10,12 +10,12 @@
     assert_true(event_loop_run_until(loop, is_elected, &cluster[0]));
     start_controller(&cluster[1]);
     assert_true(event_loop_run_until(loop, has_replica, &cluster[1]));
-    assert_true(event_loop_run_until(loop, has_lease_lower_bound, &cluster[0]));
+    assert_true(event_loop_run_until(loop, is_epoch_acked, &cluster[0]));
     fake_store_set_outage(state_service, true);
 }
 
-/* A leader that is refused by the state service and knows a later epoch is not confirmed in its
- * own, even if another controller does not know the later epoch yet and votes for the leader's. */
+/* A leader that the state service refuses learns of a later epoch. It is not confirmed in its own
+ * epoch, even if a controller that does not know the later epoch yet votes for it. */
 static void later_epoch_of_a_peer_prevents_confirmation(void **arg)
 {
     struct controller *cluster = g_new0(struct controller, 3);
@@ -60,7 +60,7 @@
 }
 
 /* A leader is cut off from the state service and from its peers, but not from the workers. After
- * confirm_s it is no longer confirmed, so it answers no worker, and that does not change. */
+ * confirm_s it is no longer confirmed, so it answers no worker, and it stays unconfirmed. */
 static void partitioned_leader_is_not_confirmed(void **arg)
 {
     struct controller *cluster = g_new0(struct controller, 3);
@@ -71,7 +71,7 @@
     start_controller(&cluster[0]);
     assert_true(event_loop_run_until(loop, is_elected, &cluster[0]));
     start_controller(&cluster[1]);
-    assert_true(event_loop_run_until(loop, has_lease_lower_bound, &cluster[0]));
+    assert_true(event_loop_run_until(loop, is_epoch_acked, &cluster[0]));
     fake_store_set_hanging(state_service, true);
     pm_http_server_free(cluster[1].peer_server);
     deadline = pm_clock_monotonic() + cluster[0].operator_settings.confirm_s + 0.5;
@@ -95,8 +95,8 @@
 
 /* In an outage of the state service the leader does not respond. Followers may answer workers, so
  * that their leases do not expire, if a majority is refused, has read the state and knows no later
- * epoch. When the leader responds again, it must not compute when leases expire from its own
- * earlier answers, since followers may have renewed the leases later. */
+ * epoch. When the leader responds again, it must not use its own earlier answers to compute when
+ * leases expire, since followers may have renewed the leases later. */
 static void followers_renew_leases_in_an_outage_without_leader(void **arg)
 {
     struct controller *cluster = g_new0(struct controller, 3);
--- a/src/leadership/tests/test_election_versions.c
+++ b/src/leadership/tests/test_election_versions.c
@@ -1,10 +1,10 @@
 /* The common protocol version of all controllers during upgrades. */
 #include "controller_fixtures.h"
 
-/* Formats that the previous version would misread are used once every controller named in the
+/* Formats that the previous version would misread are used only once every controller named in the
  * settings is known to run this version. A controller that has sent no message, or whose messages
- * name no version, counts as running an old one. The common version is stored, so that processes
- * started later read it. */
+ * name no version, counts as running an old version. The common version is stored, so that
+ * processes started later can read it. */
 static void common_version_needs_every_controller(void **arg)
 {
     struct controller *cluster = g_new0(struct controller, 4);
@@ -103,7 +103,7 @@
 }
 
 /* How soon all controllers must know the common version once nothing prevents it. It is well below
- * the 60 s that users wait, since the fake state service and the loopback respond at once. */
+ * the 60 s that users wait, since the fake state service responds at once over the loopback. */
 #define COMMON_VERSION_MAX_S 3.0
 
 static void assert_common_version_soon(struct controller *controller, double since)
@@ -133,7 +133,7 @@
         assert_common_version_soon(&cluster[i], outage_ended_at);
 }
 
-/* The last controller that is upgraded does not reach the state service. The others learn its
+/* The last controller that is upgraded cannot connect to the state service. The others learn its
  * version from its messages. */
 static void last_upgrade_without_the_state_service(void **arg)
 {
--- a/src/leadership/timer.c
+++ b/src/leadership/timer.c
@@ -10,14 +10,14 @@
 
 #define FIRST_TICK_S 0.05
 /* The age at which the epoch is advanced, as a share of a worker's lease. A duplicate of a launch
- * command may arrive more than a lease after the first was carried out. If the task has ended since
+ * command may arrive more than one lease after the command was carried out. If the task has ended
  * and its worker has forgotten it, the duplicate would start it again. Since this share is below 1,
- * the worker has by then accepted a later fencing token and refuses the duplicate, or the worker is
- * a new incarnation. */
+ * the worker has in the meantime either accepted a later fencing token, so that it refuses the
+ * duplicate, or lost its lease and become a new incarnation. */
 #define LEASES_PER_EPOCH 0.7
 /* Interval of attempts to advance the epoch. */
 #define ADVANCE_RETRY_S 1.0
-/* How many checks of the epoch are made in confirm_s, for which a confirmation is valid. */
+/* How many checks of the epoch are sent in confirm_s, for which time a confirmation is valid. */
 #define CHECKS_PER_CONFIRMATION 3
 /* How many times the peers are polled in confirm_s while the epoch depends on their responses. */
 #define POLLS_PER_CONFIRMATION 4
@@ -69,10 +69,10 @@
     const struct pm_election_confirmation *confirmation = &election->confirmation;
     double interval_s = election->operator_settings->confirm_s / CHECKS_PER_CONFIRMATION;
 
-    if (!pm_election_may_act(election) || confirmation->check_in_flight ||
+    if (!pm_election_leads_or_owns_shard(election) || confirmation->check_in_flight ||
         election->term.advance_in_flight)
         return;
-    if (now - MAX(confirmation->confirmed_at, confirmation->checked_at) > interval_s)
+    if (now - MAX(confirmation->confirmed_at, confirmation->check_sent_at) > interval_s)
         pm_election_check_epoch(election, now);
 }
 
@@ -82,9 +82,9 @@
         pm_election_poll_peers(election, now);
 }
 
-/* A leader polls the peers until a majority knows its epoch. While the state service refuses us,
- * every controller polls: to confirm the epoch by votes, and to find out whether it is the only one
- * refused. */
+/* A leader polls the peers until a majority knows its epoch. A controller that the state service
+ * refuses also polls: to confirm the epoch by votes, and to find out whether it is the only one
+ * that is refused. */
 static void poll_peers_for_epoch(struct pm_election *election, double now)
 {
     bool needs_acks = election->term.is_leader && !election->acks.quorum_at;
--- a/src/leadership/versions.c
+++ b/src/leadership/versions.c
@@ -26,7 +26,7 @@
     if (!strcmp(controller, election->settings->name) && version >= PM_PROTOCOL_VERSION)
         versions->is_published = true;
     peer = pm_settings_find_peer(election->settings, controller);
-    if (peer >= 0) /* versions later than ours count as ours */
+    if (peer >= 0) /* a version later than ours counts as ours */
         pm_election_note_peer_version(election, peer, (unsigned)MIN(version, PM_PROTOCOL_VERSION));
 }
 
@@ -54,7 +54,7 @@
     return MAX(election->versions.common, PM_PROTOCOL_FIRST);
 }
 
-/* The lowest version of all controllers, ours included; 0 until every peer has named its own. */
+/* The lowest version of all controllers, ours included; 0 until every peer has reported its own. */
 static unsigned find_lowest_version(const struct pm_election *election)
 {
     unsigned lowest = PM_PROTOCOL_VERSION;
--- a/src/shards/tests/test_shards.c
+++ b/src/shards/tests/test_shards.c
@@ -97,7 +97,7 @@
     /* The worker's lease counts as live until a majority has acknowledged the new epoch. */
     assert_true(machine->lease.reclaimed_epoch == pm_election_epoch(leader.election));
     assert_false(pm_workers_is_lease_expired(
-        machine, pm_election_lease_lower_bound(leader.election, machine->lease.reclaimed_epoch),
+        machine, pm_election_epoch_exclusive_since(leader.election, machine->lease.reclaimed_epoch),
         0.001, pm_clock_monotonic() + 1000));
 }
 
