--- a/src/scheduler/tests/trace_inputs.h
+++ b/src/scheduler/tests/trace_inputs.h
@@ -142,7 +142,7 @@
         job->scheduling.is_overdue_start = job->scheduling.is_starving = false;
     }
     pm_workers_reset(world->workers);
-    pm_jobs_reset_work(world->jobs);
+    pm_jobs_reset_working_state(world->jobs);
     pm_scheduler_reset(world->scheduler);
 }
 
@@ -173,14 +173,14 @@
 /* ---- Workers ---- */
 
 /* Applies the worker's message in the line; prints whether it was malformed or stale. */
-static void apply_message(struct trace_world *world, char **words, enum pm_task_list_source source)
+static void apply_message(struct trace_world *world, char **words, enum pm_report_source source)
 {
     cbor_item_t *message = trace_read_message(world, words);
     struct pm_machine *machine;
     bool is_fresh;
 
-    machine = pm_workers_apply_heartbeat(world->workers, message, source, world->epoch, world->now,
-                                         &is_fresh);
+    machine = pm_workers_apply_report(world->workers, message, source, world->epoch, world->now,
+                                      &is_fresh);
     if (machine && !trace_number(words, "unlisted", 0))
         machine->provider.is_listed = true; /* the machine is in the provider's inventory */
     if (!machine)
@@ -194,27 +194,27 @@
  * the machine. For the other arguments, see trace_read_message(). */
 static void run_heartbeat(struct trace_world *world, char **words)
 {
-    apply_message(world, words, PM_SOURCE_HEARTBEAT);
+    apply_message(world, words, PM_REPORT_HEARTBEAT);
 }
 
 /* push_reply MACHINE ... [unlisted=1]: the task list in the worker's reply to a push; the arguments
  * are those of `heartbeat` */
 static void run_push_reply(struct trace_world *world, char **words)
 {
-    apply_message(world, words, PM_SOURCE_PUSH);
+    apply_message(world, words, PM_REPORT_PUSH_REPLY);
 }
 
 /* ack MACHINE: the worker's heartbeat is answered with 200 */
 static void run_ack(struct trace_world *world, char **words)
 {
-    pm_machine_note_ack(trace_machine(world, words), world->epoch, world->now);
+    pm_machine_note_heartbeat_ack(trace_machine(world, words), world->epoch, world->now);
 }
 
 /* Ends the push in flight with that HTTP status; with push=N, the push of that number. */
 static void end_push(struct trace_world *world, char **words, int status)
 {
     struct pm_machine *machine = trace_machine(world, words);
-    uint64_t push = (uint64_t)trace_number(words, "push", (double)machine->push.in_flight);
+    uint64_t push = (uint64_t)trace_number(words, "push", (double)machine->push.in_flight_number);
 
     if (!pm_worker_push_done(machine, push, world->epoch, status))
         g_string_append(world->output, "> not in flight\n");
