--- a/src/autoscaler/internal.h
+++ b/src/autoscaler/internal.h
@@ -148,7 +148,7 @@
     PM_PROVIDER_NO_ANSWER,   /* the provider may have carried out the request, or may do so later */
     PM_PROVIDER_NOT_SENT     /* the provider will never carry out the request */
 };
-/* Maps an HTTP status, PM_HTTP_NO_ANSWER or PM_HTTP_NOT_SENT to a result. */
+/* Maps an HTTP status, PM_HTTP_NO_RESPONSE or PM_HTTP_NOT_SENT to a result. */
 enum pm_provider_result pm_provider_result_of(int status);
 /* Returns the result's name for logs, a string constant. */
 const char *pm_provider_result_name(enum pm_provider_result result);
--- a/src/autoscaler/provider_client.c
+++ b/src/autoscaler/provider_client.c
@@ -9,7 +9,7 @@
         return PM_PROVIDER_OK;
     if (status == PM_PROVIDER_HTTP_UNAVAILABLE)
         return PM_PROVIDER_NO_CAPACITY;
-    if (status == PM_HTTP_NO_ANSWER)
+    if (status == PM_HTTP_NO_RESPONSE)
         return PM_PROVIDER_NO_ANSWER;
     return status > 0 ? PM_PROVIDER_REJECTED : PM_PROVIDER_NOT_SENT;
 }
--- a/src/base/cbor.c
+++ b/src/base/cbor.c
@@ -1,4 +1,4 @@
-/* Decoding CBOR: a checked parse and typed reads. */
+/* Decoding of CBOR: a checked parse and typed reads. */
 #include "base/cbor.h"
 
 #include <glib.h>
@@ -9,21 +9,21 @@
 /* Major types of RFC 8949. */
 enum cbor_major { MAJOR_BYTES = 2, MAJOR_TEXT = 3, MAJOR_LIST = 4, MAJOR_MAP = 5, MAJOR_TAG = 6 };
 
-/* Additional information of an item's first byte. */
+/* Values of the lower five bits of an item's first byte, its "additional information". */
 enum { INFO_ONE_BYTE = 24, INFO_EIGHT_BYTES = 27, INFO_INDEFINITE = 31 };
 
 static const unsigned char break_byte = 0xff;
 
-/* The first bytes of an item. */
+/* The head of an item: its first byte and the argument that follows it. */
 struct item_head {
     unsigned major, info;
-    uint64_t value; /* a length, a count or a number, by the major type */
-    size_t next;    /* offset of what follows */
+    uint64_t value; /* a length, a number of entries or an integer, depending on the major type */
+    size_t next;    /* offset of the byte after the head */
 };
 
 static size_t skip_item(const unsigned char *data, size_t size, size_t offset, int depth);
 
-/* False: truncated, or reserved. */
+/* Returns false if the head is truncated or has a reserved value. */
 static bool read_head(const unsigned char *data, size_t size, size_t offset, struct item_head *head)
 {
     size_t length;
@@ -48,7 +48,8 @@
     return true;
 }
 
-/* Whether the item at `offset` may be a part of a text or byte string of indefinite length. */
+/* Returns whether an item with that first byte may be a chunk of an indefinite-length string of
+ * that major type. */
 static bool is_string_chunk(unsigned char first, unsigned major)
 {
     return first >> 5 == major && (first & 31) != INFO_INDEFINITE;
@@ -80,7 +81,8 @@
     uint64_t count = head->major == MAJOR_MAP ? 2 * head->value : head->value;
     size_t offset = head->next;
 
-    /* Each entry takes a byte at least: a claim of more would only cost memory. */
+    /* Each entry takes at least one byte. Without this check, a false count would only cost time
+     * and memory. */
     if (head->value > size - offset)
         return 0;
     for (uint64_t i = 0; i < count; i++) {
@@ -91,12 +93,12 @@
     return offset;
 }
 
-/* The offset behind the item at `offset`, or 0 when it is malformed or nested too deeply. */
+/* Returns the offset after the item at `offset`, or 0 if it is malformed or nested too deeply. */
 static size_t skip_item(const unsigned char *data, size_t size, size_t offset, int depth)
 {
     struct item_head head;
 
-    if (depth > PM_CBOR_DEPTH || !read_head(data, size, offset, &head))
+    if (depth > PM_CBOR_DEPTH_MAX || !read_head(data, size, offset, &head))
         return 0;
     if (head.info == INFO_INDEFINITE)
         return skip_indefinite(data, size, &head, depth);
@@ -135,7 +137,7 @@
         cbor_decref(&item);
 }
 
-static cbor_item_t *find(const cbor_item_t *map, const char *key)
+static cbor_item_t *find_value(const cbor_item_t *map, const char *key)
 {
     size_t length = strlen(key);
 
@@ -159,7 +161,7 @@
 
 cbor_item_t *pm_cbor_get(const cbor_item_t *map, const char *key)
 {
-    cbor_item_t *item = find(map, key);
+    cbor_item_t *item = find_value(map, key);
 
     return item && !is_null(item) ? item : NULL;
 }
@@ -193,12 +195,12 @@
             memcpy(out, cbor_string_handle(item), used);
     } else {
         for (size_t i = 0; i < cbor_string_chunk_count(item); i++) {
-            cbor_item_t *part = cbor_string_chunks_handle(item)[i];
-            size_t length = cbor_string_length(part);
+            cbor_item_t *chunk = cbor_string_chunks_handle(item)[i];
+            size_t length = cbor_string_length(chunk);
             if (used + length >= size)
                 return false;
             if (length)
-                memcpy(out + used, cbor_string_handle(part), length);
+                memcpy(out + used, cbor_string_handle(chunk), length);
             used += length;
         }
     }
@@ -233,7 +235,7 @@
 
 bool pm_cbor_read_flag(const cbor_item_t *item, bool *out)
 {
-    /* Of a number, the library's own question ends the process. */
+    /* cbor_is_bool aborts the process if the item is a number, so that is ruled out first. */
     if (!item || !cbor_isa_float_ctrl(item) || !cbor_float_ctrl_is_ctrl(item) ||
         !cbor_is_bool(item))
         return false;
--- a/src/base/cbor_writer.c
+++ b/src/base/cbor_writer.c
@@ -1,4 +1,4 @@
-/* Encoding CBOR into a growing buffer. */
+/* Encoding of CBOR to a growing buffer. */
 #include "base/cbor.h"
 
 #include <glib.h>
@@ -15,9 +15,9 @@
 {
     if (!size)
         return;
-    if (buf->room - buf->size < size) {
-        buf->room = MAX(buf->room * 2, buf->size + size + 64);
-        buf->data = g_realloc(buf->data, buf->room);
+    if (buf->capacity - buf->size < size) {
+        buf->capacity = MAX(buf->capacity * 2, buf->size + size + 64);
+        buf->data = g_realloc(buf->data, buf->capacity);
     }
     memcpy(buf->data + buf->size, data, size);
     buf->size += size;
@@ -28,6 +28,7 @@
     pm_buffer_append(buf, &byte, 1);
 }
 
+/* Appends the head of an item, with the argument in its shortest form. */
 static void put_head(struct pm_buffer *buf, unsigned major, uint64_t value)
 {
     unsigned char head[9];
@@ -96,8 +97,8 @@
 void pm_cbor_put_item(struct pm_buffer *buf, const cbor_item_t *item)
 {
     unsigned char *bytes = NULL;
-    size_t room = 0;
-    size_t size = cbor_serialize_alloc(item, &bytes, &room);
+    size_t capacity = 0;
+    size_t size = cbor_serialize_alloc(item, &bytes, &capacity);
 
     pm_buffer_append(buf, bytes, size);
     free(bytes);
--- a/src/base/http.h
+++ b/src/base/http.h
@@ -1,7 +1,8 @@
-/* HTTP/1.1 over libev with http-parser: a server and a client, both non-blocking, no policy.
+/* A non-blocking HTTP/1.1 server and client, on libev and http-parser. Retries and other policy are
+ * left to the callers.
  *
- * Replies and requests are only queued here; the bytes leave from the loop, so a caller that holds
- * a lock never waits for, nor performs, I/O. */
+ * The functions below only queue requests and replies. The event loop sends them, so a caller that
+ * holds a lock neither waits for I/O nor performs it. */
 #ifndef PM_BASE_HTTP_H
 #define PM_BASE_HTTP_H
 
@@ -13,68 +14,74 @@
 struct pm_http_client;
 struct pm_http_request;
 
+/* The maximum size of a request's body, in bytes. A larger request is refused. */
 enum { PM_HTTP_BODY_MAX = 64 * 1024 };
 
 enum pm_http_method { PM_HTTP_GET, PM_HTTP_POST, PM_HTTP_DELETE, PM_HTTP_OTHER };
 
-/* Borrowed until the reply. Every request gets exactly one pm_http_reply, now or later, also when
- * its connection has gone meanwhile. */
+/* A request, valid until the handler's reply. The handler calls pm_http_reply exactly once for
+ * every request, even if the connection was closed in the meantime. */
 struct pm_http_request {
     enum pm_http_method method;
     const char *path; /* without the query */
     const char *query;
     const unsigned char *body;
     size_t body_size;
-    double deadline; /* set by the handler, steady: an answer that goes out later is dropped with
-                      * its connection instead; 0: no matter when */
-    double arrived_at;
+    /* Monotonic time, set by the handler. After it, the connection is closed instead of sending the
+     * response. 0 if there is no deadline. */
+    double deadline;
+    double arrived_at; /* time of day */
 };
 
-/* Handles a request; it may reply before it returns, or later. */
+/* Handles a request. It may reply before it returns, or later. */
 typedef void pm_http_handler(void *arg, struct pm_http_request *req);
 
-/* Listens on `addr` ("IP:PORT") with at most `conns_max` open connections; `handler` is called from
- * the loop. NULL with errno when the address can't be bound. */
+/* Listens on `addr` ("IP:PORT") with at most `conns_max` open connections. The event loop calls
+ * `handler`. Returns NULL and sets errno if the address can't be bound. */
 struct pm_http_server *pm_http_server_new(struct ev_loop *loop, const char *addr, int conns_max,
                                           pm_http_handler *handler, void *arg);
 /* Closes all connections and the listener. */
 void pm_http_server_free(struct pm_http_server *server);
-/* Queues the response and frees the request. `body` is copied; `retry_after` above 0 adds that
- * header, in whole seconds. */
+/* Queues the response and frees the request. `body` is copied. A `retry_after` above 0 adds a
+ * Retry-After header with that many seconds. */
 void pm_http_reply(struct pm_http_request *req, int status, const void *body, size_t size,
                    int retry_after);
 
-/* What a call came to, besides a status. */
+/* The results of a call that got no HTTP status. */
 enum {
-    PM_HTTP_NO_ANSWER = -1, /* no answer: it may have been, or may yet be, carried out */
-    PM_HTTP_NOT_SENT = -2   /* not a byte of it left: it will never be carried out */
+    /* No response came. The server may have processed the request, or may yet process it. */
+    PM_HTTP_NO_RESPONSE = -1,
+    /* No byte of the request was sent. The server will never process it. */
+    PM_HTTP_NOT_SENT = -2
 };
 
-/* A call has ended: with a status of HTTP, or one of the above. `body` is borrowed for the call. */
+/* Called when a call has ended. `status` is the HTTP status or one of the results above. `body` is
+ * valid only until the function returns. */
 typedef void pm_http_done(void *arg, int status, const unsigned char *body, size_t size);
 
-/* A client with at most `conns_max` open connections over all targets. */
+/* Returns a client with at most `conns_max` open connections to all servers together. */
 struct pm_http_client *pm_http_client_new(struct ev_loop *loop, int conns_max);
-/* Closes idle connections. No call may be under way. */
+/* Closes the idle connections and frees the client. No call may be in progress. */
 void pm_http_client_free(struct pm_http_client *client);
-/* A call that has ended, as it speaks for or against the way to its target. What failed for want of
- * sockets here, or was dropped here as too late, is not told. */
+/* A call that has ended, as evidence of whether the link to its server works. */
 struct pm_http_outcome {
     const char *addr, *method, *target;
     int status;
-    double began_at, ended_at; /* steady */
+    double began_at, ended_at; /* monotonic */
 };
 typedef void pm_http_observer(void *arg, const struct pm_http_outcome *outcome);
-/* Tells `observer` of every call that ends from now on, before the call's own `done`. */
+/* From now on, calls `observer` for every call that ends, before the call's own `done`. Calls that
+ * failed for local reasons are left out: there was no free socket, or the call was dropped because
+ * its deadline had passed. */
 void pm_http_client_observe(struct pm_http_client *client, pm_http_observer *observer, void *arg);
-/* Sends a request to `addr` ("IP:PORT"); all arguments are copied. Calls `done` exactly once, from
- * the loop, with PM_HTTP_NO_ANSWER or PM_HTTP_NOT_SENT after `timeout_s` at the latest. An answer
- * with a body of over `body_max` bytes counts as none. */
+/* Sends a request to `addr` ("IP:PORT"). All arguments are copied. The event loop calls `done`
+ * exactly once: after `timeout_s` at the latest, then with PM_HTTP_NO_RESPONSE or PM_HTTP_NOT_SENT.
+ * A response whose body exceeds `body_max` bytes counts as no response. */
 void pm_http_call(struct pm_http_client *client, const char *addr, const char *method,
                   const char *target, const void *body, size_t size, double timeout_s,
                   size_t body_max, pm_http_done *done, void *arg);
-/* The same, but the request is never written after the monotonic time `deadline` (0: no deadline):
- * the call then ends as PM_HTTP_NOT_SENT. */
+/* Like pm_http_call, but if sending has not begun by the monotonic time `deadline` (0 if there is
+ * no deadline), the call ends with PM_HTTP_NOT_SENT. */
 void pm_http_call_until(struct pm_http_client *client, const char *addr, const char *method,
                         const char *target, const void *body, size_t size, double timeout_s,
                         size_t body_max, double deadline, pm_http_done *done, void *arg);
--- a/src/base/http_client.c
+++ b/src/base/http_client.c
@@ -1,4 +1,5 @@
-/* The HTTP client: connections kept by target, one request on each at a time. */
+/* The HTTP client. It keeps idle connections open, grouped by server, and sends one request at a
+ * time on each connection. */
 #include "base/http.h"
 #include "base/cbor.h"
 #include "base/clock.h"
@@ -18,10 +19,11 @@
 struct endpoint {
     char addr[64];
     struct sockaddr_in socket_addr;
-    GQueue idle_connections; /* of struct call with no request */
+    GQueue idle_connections; /* of struct connection, most recently used first */
 };
 
-struct call { /* a connection, and the request that it carries */
+/* A connection to an endpoint, and the call in progress on it. */
+struct connection {
     struct pm_http_client *client;
     struct endpoint *endpoint;
     int fd;
@@ -33,12 +35,12 @@
     pm_http_done *done;
     void *arg;
     bool is_busy, is_connected, is_complete, keep_alive;
-    bool failed_locally;      /* for want of a socket, or dropped as too late */
-    double began_at;          /* steady */
-    char method[8], path[64]; /* the latter as far as it fits */
-    double deadline;          /* steady: the request is not to go out later, 0: no matter when */
-    bool is_send_due;         /* among the client's `due` */
-    GList idle_link;          /* in the client's `idle`, while not busy */
+    bool failed_locally;      /* no socket was available, or the deadline had passed */
+    double began_at;          /* monotonic */
+    char method[8], path[64]; /* `path` is truncated if it does not fit */
+    double deadline;          /* monotonic; sending does not begin after it; 0 if there is none */
+    bool is_send_due;         /* the connection is in the client's `send_due` */
+    GList idle_link;          /* in the client's `idle_connections`, while not busy */
 };
 
 struct pm_http_client {
@@ -48,85 +50,90 @@
     int connection_count, connections_max;
     pm_http_observer *observer;
     void *observer_arg;
-    GQueue idle_connections; /* of struct call with no request, the latest used first */
-    GQueue send_due;         /* of struct call, with something to send */
+    GQueue idle_connections; /* of struct connection, most recently used first */
+    GQueue send_due;         /* of struct connection, with a request to send */
 };
 
-static void free_call(struct call *call)
+static void free_connection(struct connection *connection)
 {
-    ev_io_stop(call->client->loop, &call->read_watcher);
-    ev_io_stop(call->client->loop, &call->write_watcher);
-    ev_timer_stop(call->client->loop, &call->timeout_timer);
-    if (call->fd >= 0)
-        close(call->fd);
-    if (!call->is_busy) {
-        g_queue_remove(&call->endpoint->idle_connections, call);
-        g_queue_unlink(&call->client->idle_connections, &call->idle_link);
+    ev_io_stop(connection->client->loop, &connection->read_watcher);
+    ev_io_stop(connection->client->loop, &connection->write_watcher);
+    ev_timer_stop(connection->client->loop, &connection->timeout_timer);
+    if (connection->fd >= 0)
+        close(connection->fd);
+    if (!connection->is_busy) {
+        g_queue_remove(&connection->endpoint->idle_connections, connection);
+        g_queue_unlink(&connection->client->idle_connections, &connection->idle_link);
     }
-    if (call->is_send_due)
-        g_queue_remove(&call->client->send_due, call);
-    pm_buffer_free(&call->out_buffer);
-    pm_buffer_free(&call->body);
-    call->client->connection_count--;
-    g_free(call);
+    if (connection->is_send_due)
+        g_queue_remove(&connection->client->send_due, connection);
+    pm_buffer_free(&connection->out_buffer);
+    pm_buffer_free(&connection->body);
+    connection->client->connection_count--;
+    g_free(connection);
 }
 
-static void notify_observer(const struct call *call, int status)
+static void notify_observer(const struct connection *connection, int status)
 {
-    struct pm_http_outcome outcome = {call->endpoint->addr, call->method,        call->path, status,
-                                      call->began_at,       pm_clock_monotonic()};
+    struct pm_http_outcome outcome = {connection->endpoint->addr, connection->method,
+                                      connection->path,           status,
+                                      connection->began_at,       pm_clock_monotonic()};
 
-    if (call->client->observer && !call->failed_locally)
-        call->client->observer(call->client->observer_arg, &outcome);
+    if (connection->client->observer && !connection->failed_locally)
+        connection->client->observer(connection->client->observer_arg, &outcome);
 }
 
-static void end_call(struct call *call, int status)
+/* Reports the result of the call to the observer and the caller. Keeps the connection open if it
+ * can be used again and its endpoint has fewer than 16 idle ones. */
+static void complete_call(struct connection *connection, int status)
 {
-    pm_http_done *done = call->done;
-    void *arg = call->arg;
-    struct pm_buffer body = call->body;
-
-    call->body = (struct pm_buffer){0};
-    call->done = NULL;
-    ev_timer_stop(call->client->loop, &call->timeout_timer);
-    notify_observer(call, status);
-    if (status > 0 && call->keep_alive && call->endpoint->idle_connections.length < 16) {
-        call->is_busy = false;
-        call->out_buffer.size = call->sent_size = 0;
-        g_queue_push_head(&call->endpoint->idle_connections, call);
-        call->idle_link = (GList){.data = call};
-        g_queue_push_head_link(&call->client->idle_connections, &call->idle_link);
+    pm_http_done *done = connection->done;
+    void *arg = connection->arg;
+    struct pm_buffer body = connection->body;
+
+    connection->body = (struct pm_buffer){0};
+    connection->done = NULL;
+    ev_timer_stop(connection->client->loop, &connection->timeout_timer);
+    notify_observer(connection, status);
+    if (status > 0 && connection->keep_alive &&
+        connection->endpoint->idle_connections.length < 16) {
+        connection->is_busy = false;
+        connection->out_buffer.size = connection->sent_size = 0;
+        g_queue_push_head(&connection->endpoint->idle_connections, connection);
+        connection->idle_link = (GList){.data = connection};
+        g_queue_push_head_link(&connection->client->idle_connections, &connection->idle_link);
     } else {
-        free_call(call);
+        free_connection(connection);
     }
     if (done)
         done(arg, status, body.data, body.size);
     pm_buffer_free(&body);
 }
 
-static void fail_call(struct call *call)
+/* Ends the call in progress without a response, or frees the connection if it is idle. */
+static void handle_failure(struct connection *connection)
 {
-    if (call->is_busy)
-        end_call(call, call->sent_size ? PM_HTTP_NO_ANSWER : PM_HTTP_NOT_SENT);
+    if (connection->is_busy)
+        complete_call(connection, connection->sent_size ? PM_HTTP_NO_RESPONSE : PM_HTTP_NOT_SENT);
     else
-        free_call(call);
+        free_connection(connection);
 }
 
 static int on_body(http_parser *parser, const char *at, size_t size)
 {
-    struct call *call = parser->data;
+    struct connection *connection = parser->data;
 
-    if (call->body.size + size > call->body_max)
+    if (connection->body.size + size > connection->body_max)
         return 1;
-    pm_buffer_append(&call->body, at, size);
+    pm_buffer_append(&connection->body, at, size);
     return 0;
 }
 
 static int on_message_complete(http_parser *parser)
 {
-    struct call *call = parser->data;
+    struct connection *connection = parser->data;
 
-    return pm_http_end_message(parser, &call->is_complete, &call->keep_alive);
+    return pm_http_end_message(parser, &connection->is_complete, &connection->keep_alive);
 }
 
 static const http_parser_settings parser_callbacks = {
@@ -136,79 +143,80 @@
 
 static void on_readable(struct ev_loop *loop, ev_io *watcher, int events)
 {
-    struct call *call = watcher->data;
+    struct connection *connection = watcher->data;
     char data[16 * 1024];
-    ssize_t size = recv(call->fd, data, sizeof data, 0);
+    ssize_t size = recv(connection->fd, data, sizeof data, 0);
 
     (void)loop;
     (void)events;
     if (size < 0 && (errno == EAGAIN || errno == EINTR))
         return;
-    if (size <= 0 || !call->is_busy) { /* closed, or speaking out of turn */
-        if (size == 0 && call->is_busy && call->is_connected)
-            http_parser_execute(&call->parser, &parser_callbacks, data, 0);
-        if (call->is_busy && call->is_complete) {
-            call->keep_alive = false;
-            end_call(call, call->parser.status_code);
+    /* The connection was closed or is broken, or the server sent data without a request. */
+    if (size <= 0 || !connection->is_busy) {
+        if (size == 0 && connection->is_busy && connection->is_connected)
+            http_parser_execute(&connection->parser, &parser_callbacks, data, 0);
+        if (connection->is_busy && connection->is_complete) {
+            connection->keep_alive = false;
+            complete_call(connection, connection->parser.status_code);
         } else {
-            fail_call(call);
+            handle_failure(connection);
         }
         return;
     }
-    http_parser_execute(&call->parser, &parser_callbacks, data, (size_t)size);
-    if (call->is_complete) {
-        call->is_complete = false;
-        end_call(call, call->parser.status_code);
-    } else if (HTTP_PARSER_ERRNO(&call->parser) != HPE_OK) {
-        fail_call(call);
+    http_parser_execute(&connection->parser, &parser_callbacks, data, (size_t)size);
+    if (connection->is_complete) {
+        connection->is_complete = false;
+        complete_call(connection, connection->parser.status_code);
+    } else if (HTTP_PARSER_ERRNO(&connection->parser) != HPE_OK) {
+        handle_failure(connection);
     }
 }
 
-static void send_request(struct ev_loop *loop, struct call *call)
+static void send_request(struct ev_loop *loop, struct connection *connection)
 {
-    if (!call->sent_size && pm_http_is_past_deadline(call->deadline)) {
-        call->keep_alive = false;
-        call->failed_locally = true;
-        end_call(call, PM_HTTP_NOT_SENT);
+    if (!connection->sent_size && pm_http_is_past_deadline(connection->deadline)) {
+        connection->keep_alive = false;
+        connection->failed_locally = true;
+        complete_call(connection, PM_HTTP_NOT_SENT);
         return;
     }
-    if (!pm_http_send_rest(call->fd, &call->out_buffer, &call->sent_size)) {
-        fail_call(call);
+    if (!pm_http_send_remaining(connection->fd, &connection->out_buffer, &connection->sent_size)) {
+        handle_failure(connection);
         return;
     }
-    if (call->sent_size == call->out_buffer.size)
-        ev_io_stop(loop, &call->write_watcher);
+    if (connection->sent_size == connection->out_buffer.size)
+        ev_io_stop(loop, &connection->write_watcher);
     else
-        ev_io_start(loop, &call->write_watcher);
+        ev_io_start(loop, &connection->write_watcher);
 }
 
 static void on_writable(struct ev_loop *loop, ev_io *watcher, int events)
 {
-    struct call *call = watcher->data;
+    struct connection *connection = watcher->data;
 
     (void)events;
-    if (!call->is_connected) {
+    if (!connection->is_connected) {
         int error = 0;
         socklen_t size = sizeof error;
-        if (getsockopt(call->fd, SOL_SOCKET, SO_ERROR, &error, &size) || error) {
-            fail_call(call);
+        if (getsockopt(connection->fd, SOL_SOCKET, SO_ERROR, &error, &size) || error) {
+            handle_failure(connection);
             return;
         }
-        call->is_connected = true;
-        ev_io_start(loop, &call->read_watcher);
+        connection->is_connected = true;
+        ev_io_start(loop, &connection->read_watcher);
     }
-    send_request(loop, call);
+    send_request(loop, connection);
 }
 
 static void send_queued_requests(struct ev_loop *loop, ev_prepare *watcher, int events)
 {
     struct pm_http_client *client = watcher->data;
-    struct call *call;
+    struct connection *connection;
 
     (void)events;
-    while ((call = g_queue_pop_head(&client->send_due))) {
-        call->is_send_due = false;
-        send_request(loop, call);
+    while ((connection = g_queue_pop_head(&client->send_due))) {
+        connection->is_send_due = false;
+        send_request(loop, connection);
     }
 }
 
@@ -216,7 +224,7 @@
 {
     (void)loop;
     (void)events;
-    fail_call(watcher->data);
+    handle_failure(watcher->data);
 }
 
 struct pm_http_client *pm_http_client_new(struct ev_loop *loop, int conns_max)
@@ -244,12 +252,12 @@
 static gboolean free_endpoint(gpointer key, gpointer value, gpointer arg)
 {
     struct endpoint *endpoint = value;
-    struct call *call;
+    struct connection *connection;
 
     (void)key;
     (void)arg;
-    while ((call = g_queue_peek_head(&endpoint->idle_connections)))
-        free_call(call); /* takes itself out of the queue */
+    while ((connection = g_queue_peek_head(&endpoint->idle_connections)))
+        free_connection(connection); /* also removes it from the queue */
     g_free(endpoint);
     return TRUE;
 }
@@ -263,30 +271,32 @@
     g_free(client);
 }
 
-static struct call *open_call(struct pm_http_client *client, struct endpoint *endpoint)
+static struct connection *open_connection(struct pm_http_client *client, struct endpoint *endpoint)
 {
-    struct call *call = g_new0(struct call, 1);
+    struct connection *connection = g_new0(struct connection, 1);
 
-    /* Of more targets than connections may be open, those not called for longest are let go of: one
-     * kept open to each worker must not shut out the state service. */
+    /* If there are more endpoints than connections may be open, the connection that has been idle
+     * longest is closed: connections kept open to all workers must not leave none for the state
+     * service. */
     if (client->connection_count >= client->connections_max && client->idle_connections.tail)
-        free_call(client->idle_connections.tail->data);
-    call->client = client;
-    call->endpoint = endpoint;
-    call->fd = client->connection_count < client->connections_max ? pm_http_new_socket() : -1;
+        free_connection(client->idle_connections.tail->data);
+    connection->client = client;
+    connection->endpoint = endpoint;
+    connection->fd = client->connection_count < client->connections_max ? pm_http_new_socket() : -1;
     client->connection_count++;
-    ev_init(&call->timeout_timer, on_timeout);
-    ev_io_init(&call->read_watcher, on_readable, call->fd, EV_READ);
-    ev_io_init(&call->write_watcher, on_writable, call->fd, EV_WRITE);
-    call->read_watcher.data = call->write_watcher.data = call->timeout_timer.data = call;
-    if (call->fd >= 0 &&
-        connect(call->fd, (struct sockaddr *)&endpoint->socket_addr,
+    ev_init(&connection->timeout_timer, on_timeout);
+    ev_io_init(&connection->read_watcher, on_readable, connection->fd, EV_READ);
+    ev_io_init(&connection->write_watcher, on_writable, connection->fd, EV_WRITE);
+    connection->read_watcher.data = connection->write_watcher.data =
+        connection->timeout_timer.data = connection;
+    if (connection->fd >= 0 &&
+        connect(connection->fd, (struct sockaddr *)&endpoint->socket_addr,
                 sizeof endpoint->socket_addr) &&
         errno != EINPROGRESS) {
-        close(call->fd);
-        call->fd = -1;
+        close(connection->fd);
+        connection->fd = -1;
     }
-    return call;
+    return connection;
 }
 
 void pm_http_call(struct pm_http_client *client, const char *addr, const char *method,
@@ -305,53 +315,55 @@
     endpoint = g_new0(struct endpoint, 1);
     snprintf(endpoint->addr, sizeof endpoint->addr, "%s", addr);
     if (!pm_http_parse_addr(addr, &endpoint->socket_addr))
-        pm_error("http.address", "bad address %s", addr);
+        pm_error("http.address", "malformed server address \"%s\", expected IP:PORT", addr);
     g_queue_init(&endpoint->idle_connections);
     g_hash_table_insert(client->endpoints, endpoint->addr, endpoint);
     return endpoint;
 }
 
-/* An idle connection to the endpoint, or a new one. */
-static struct call *acquire_call(struct pm_http_client *client, struct endpoint *endpoint)
+/* Returns an idle connection to the endpoint, or else a new one. */
+static struct connection *acquire_connection(struct pm_http_client *client,
+                                             struct endpoint *endpoint)
 {
-    struct call *call = g_queue_pop_head(&endpoint->idle_connections);
+    struct connection *connection = g_queue_pop_head(&endpoint->idle_connections);
 
-    if (!call)
-        return open_call(client, endpoint);
-    g_queue_unlink(&client->idle_connections, &call->idle_link);
-    return call;
+    if (!connection)
+        return open_connection(client, endpoint);
+    g_queue_unlink(&client->idle_connections, &connection->idle_link);
+    return connection;
 }
 
-static void write_request(struct call *call, const char *method, const char *target,
-                          const void *body, size_t size)
+static void format_request(struct connection *connection, const char *method, const char *target,
+                           const void *body, size_t size)
 {
     char head[PM_HTTP_TARGET_MAX + 256];
     int length = snprintf(head, sizeof head,
                           "%s %s HTTP/1.1\r\nHost: %s\r\nContent-Type: application/cbor\r\n"
                           "Content-Length: %zu\r\n\r\n",
-                          method, target, call->endpoint->addr, size);
+                          method, target, connection->endpoint->addr, size);
 
-    call->out_buffer.size = call->sent_size = 0;
-    pm_buffer_append(&call->out_buffer, head, (size_t)length);
-    pm_buffer_append(&call->out_buffer, body, size);
+    connection->out_buffer.size = connection->sent_size = 0;
+    pm_buffer_append(&connection->out_buffer, head, (size_t)length);
+    pm_buffer_append(&connection->out_buffer, body, size);
 }
 
-/* Sends the request when the loop next waits, or as soon as the connection is there. */
-static void start_call(struct call *call, double timeout_s)
+/* Starts the timeout, and has the request sent: before the loop next waits or, on a new connection,
+ * as soon as it is established. */
+static void start_call(struct connection *connection, double timeout_s)
 {
-    struct pm_http_client *client = call->client;
-    bool has_socket = call->fd >= 0;
+    struct pm_http_client *client = connection->client;
+    bool has_socket = connection->fd >= 0;
 
-    /* Without a socket the call fails from the loop, as every outcome is reported from there. */
-    ev_timer_set(&call->timeout_timer, has_socket ? timeout_s : 0., 0.);
-    ev_timer_start(client->loop, &call->timeout_timer);
+    /* Without a socket, the timer ends the call at once: only the loop reports outcomes. */
+    ev_timer_set(&connection->timeout_timer, has_socket ? timeout_s : 0., 0.);
+    ev_timer_start(client->loop, &connection->timeout_timer);
     if (!has_socket)
         return;
-    if (call->is_connected) {
-        call->is_send_due = true;
-        g_queue_push_tail(&client->send_due, call);
+    if (connection->is_connected) {
+        connection->is_send_due = true;
+        g_queue_push_tail(&client->send_due, connection);
     } else {
-        ev_io_start(client->loop, &call->write_watcher);
+        ev_io_start(client->loop, &connection->write_watcher);
     }
 }
 
@@ -359,20 +371,20 @@
                         const char *target, const void *body, size_t size, double timeout_s,
                         size_t body_max, double deadline, pm_http_done *done, void *arg)
 {
-    struct call *call = acquire_call(client, find_endpoint(client, addr));
-
-    call->is_busy = true;
-    call->failed_locally = call->fd < 0;
-    call->began_at = pm_clock_monotonic();
-    g_strlcpy(call->method, method, sizeof call->method);
-    g_strlcpy(call->path, target, sizeof call->path);
-    call->done = done;
-    call->arg = arg;
-    call->body_max = body_max;
-    call->deadline = deadline;
-    http_parser_init(&call->parser, HTTP_RESPONSE);
-    call->parser.data = call;
-    call->is_complete = false;
-    write_request(call, method, target, body, size);
-    start_call(call, timeout_s);
+    struct connection *connection = acquire_connection(client, find_endpoint(client, addr));
+
+    connection->is_busy = true;
+    connection->failed_locally = connection->fd < 0;
+    connection->began_at = pm_clock_monotonic();
+    g_strlcpy(connection->method, method, sizeof connection->method);
+    g_strlcpy(connection->path, target, sizeof connection->path);
+    connection->done = done;
+    connection->arg = arg;
+    connection->body_max = body_max;
+    connection->deadline = deadline;
+    http_parser_init(&connection->parser, HTTP_RESPONSE);
+    connection->parser.data = connection;
+    connection->is_complete = false;
+    format_request(connection, method, target, body, size);
+    start_call(connection, timeout_s);
 }
--- a/src/base/http_connection.c
+++ b/src/base/http_connection.c
@@ -14,12 +14,12 @@
 enum {
     HEADER_BYTES_MAX = 8 * 1024,
     READ_SIZE = 16 * 1024,
-    KEPT_BUFFER_BYTES = 8192 /* a response buffer that has grown larger is freed once it is sent */
+    RETAINED_BUFFER_BYTES_MAX = 8192 /* a larger response buffer is freed once it is sent */
 };
 
-#define REQUEST_TIMEOUT_S 10.0 /* a request must arrive whole within this */
-#define IDLE_TIMEOUT_S 75.0    /* a connection without a request is closed after this */
-#define REFUSAL_LINGER_S 1.0   /* for which a refused request is still read, and discarded */
+#define REQUEST_TIMEOUT_S 10.0 /* a request must arrive completely within this */
+#define IDLE_TIMEOUT_S 75.0    /* a connection is closed after this long without a request */
+#define REFUSAL_LINGER_S 1.0   /* how long the rest of a refused request is read and discarded */
 
 void pm_http_close_connection(struct pm_http_connection *connection)
 {
@@ -65,10 +65,10 @@
 {
     struct pm_buffer *buffer = &connection->out_buffer;
 
-    /* Clients come round in turn: closing the connection that was quiet longest for each new one
-     * would close every connection just before its client asks again. A client that comes late is
-     * closed at once instead. */
-    if (connection->server->connection_count > connection->server->connections_kept)
+    /* Clients send their requests in turn. If each new connection replaced the one that was idle
+     * longest, every connection would be closed just before its client's next request. Instead,
+     * the connections that exceed the limit are closed right after their response. */
+    if (connection->server->connection_count > connection->server->keep_alive_max)
         connection->close_after = true;
     append_header(buffer,
                   "HTTP/1.1 %d %s\r\nContent-Type: application/cbor\r\nContent-Length: %zu\r\n",
@@ -100,7 +100,7 @@
     g_free(server_request);
 }
 
-static enum pm_http_method method_of(const http_parser *parser)
+static enum pm_http_method to_method(const http_parser *parser)
 {
     switch (parser->method) {
     case HTTP_GET:
@@ -130,7 +130,7 @@
     request->public.body = request->body.data;
     request->public.body_size = request->body.size;
     request->public.arrived_at = ev_now(connection->server->loop);
-    request->public.method = method_of(&connection->parser);
+    request->public.method = to_method(&connection->parser);
     request->connection = connection;
     connection->request = request;
     g_queue_unlink(&connection->server->connections, connection->queue_link);
@@ -203,7 +203,7 @@
 {
     struct pm_http_connection *connection = parser->data;
 
-    /* The parser pauses here, so that one request is handled at a time. */
+    /* This pauses the parser, so that one request is handled at a time. */
     return pm_http_end_message(parser, &connection->is_complete, &connection->keep_alive);
 }
 
@@ -253,7 +253,8 @@
         refuse_request(connection);
         return;
     }
-    /* Runs on from a request's first byte, so that a client cannot keep it open by slow sending. */
+    /* The timer is not restarted after a request's first byte, so that a client can't hold the
+     * connection open by sending slowly. */
     if (!ev_is_active(&connection->idle_timer) || connection->idle_timer.repeat > REQUEST_TIMEOUT_S)
         restart_idle_timer(connection, REQUEST_TIMEOUT_S);
 }
@@ -273,9 +274,9 @@
         return;
     }
     if (connection->refusal_status)
-        return; /* the rest of a request that was refused is discarded */
+        return; /* the rest of a refused request is discarded */
     if (connection->request || connection->close_after) {
-        /* Nothing may follow before the answer: pipelining is not part of the protocol. */
+        /* The client sent more before it got the response. Pipelining is not supported. */
         pm_http_close_connection(connection);
         return;
     }
@@ -284,7 +285,7 @@
 
 static void send_response(struct ev_loop *loop, struct pm_http_connection *connection)
 {
-    if (!pm_http_send_rest(connection->fd, &connection->out_buffer, &connection->sent_size)) {
+    if (!pm_http_send_remaining(connection->fd, &connection->out_buffer, &connection->sent_size)) {
         pm_http_close_connection(connection);
         return;
     }
@@ -293,11 +294,12 @@
         return;
     }
     connection->out_buffer.size = connection->sent_size = 0;
-    if (connection->out_buffer.room > KEPT_BUFFER_BYTES)
+    if (connection->out_buffer.capacity > RETAINED_BUFFER_BYTES_MAX)
         pm_buffer_free(&connection->out_buffer);
     ev_io_stop(loop, &connection->write_watcher);
     if (connection->refusal_status) {
-        /* Closing with unread bytes would reset the connection and take the answer with it. */
+        /* Closing a socket with unread bytes resets the connection, and the client may lose the
+         * response. */
         shutdown(connection->fd, SHUT_WR);
         restart_idle_timer(connection, REFUSAL_LINGER_S);
     } else if (connection->close_after) {
--- a/src/base/http_server.c
+++ b/src/base/http_server.c
@@ -1,4 +1,4 @@
-/* The HTTP server's listener: it accepts connections, and closes some when there are too many. */
+/* The HTTP server's listener: accepts connections, and closes old ones when there are too many. */
 #include "base/http_server_internal.h"
 
 #include <errno.h>
@@ -6,12 +6,12 @@
 #include <unistd.h>
 
 enum {
-    ACCEPTS_MAX = 16, /* in one turn of the loop */
-    SPARE_SHARE = 8   /* one connection in so many stays free for new ones */
+    ACCEPTS_PER_TURN_MAX = 16, /* connections accepted in one iteration of the event loop */
+    SPARE_DIVISOR = 8          /* one of SPARE_DIVISOR connections is kept free for new clients */
 };
 
-/* Makes place for one more connection by closing the one whose last request is longest ago: its
- * client can come again. False: that one is being served. */
+/* Makes room for a new connection by closing the one whose latest request was the longest ago: its
+ * client can reconnect. Returns false if that connection is being served. */
 static bool close_oldest(struct pm_http_server *server)
 {
     struct pm_http_connection *oldest = server->connections.head->data;
@@ -28,7 +28,7 @@
 
     (void)loop;
     (void)events;
-    for (int i = 0; i < ACCEPTS_MAX; i++) {
+    for (int i = 0; i < ACCEPTS_PER_TURN_MAX; i++) {
         int fd = accept4(server->accept_watcher.fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (fd < 0)
             return;
@@ -40,7 +40,7 @@
     }
 }
 
-/* The listening socket, or -1 with errno. */
+/* Returns a listening socket, or -1 with errno set. */
 static int open_listener(const struct sockaddr_in *socket_addr)
 {
     int enabled = 1;
@@ -76,7 +76,7 @@
     server = g_new0(struct pm_http_server, 1);
     server->loop = loop;
     server->connections_max = conns_max;
-    server->connections_kept = conns_max - conns_max / SPARE_SHARE;
+    server->keep_alive_max = conns_max - conns_max / SPARE_DIVISOR;
     server->handler = handler;
     server->arg = arg;
     g_queue_init(&server->connections);
--- a/src/base/http_socket.c
+++ b/src/base/http_socket.c
@@ -1,4 +1,4 @@
-/* Sockets and addresses, for the server and the client. */
+/* Sockets, addresses and deadlines, for the HTTP server and the HTTP client. */
 #include "base/http_internal.h"
 #include "base/clock.h"
 
@@ -31,15 +31,15 @@
 
 int pm_http_new_socket(void)
 {
-    int one = 1;
+    int enabled = 1;
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 
     if (fd >= 0)
-        setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
+        setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
     return fd;
 }
 
-bool pm_http_send_rest(int fd, const struct pm_buffer *buf, size_t *sent)
+bool pm_http_send_remaining(int fd, const struct pm_buffer *buf, size_t *sent)
 {
     ssize_t written = send(fd, buf->data + *sent, buf->size - *sent, MSG_NOSIGNAL);
 
@@ -49,10 +49,10 @@
     return true;
 }
 
-int pm_http_end_message(http_parser *parser, bool *complete, bool *keep)
+int pm_http_end_message(http_parser *parser, bool *complete, bool *keep_alive)
 {
     *complete = true;
-    *keep = http_should_keep_alive(parser);
+    *keep_alive = http_should_keep_alive(parser);
     http_parser_pause(parser, 1);
     return 0;
 }
--- a/src/base/tests/test_http.c
+++ b/src/base/tests/test_http.c
@@ -1,5 +1,5 @@
-/* What was decided on something that was confirmed a while ago is not written once that is too old:
- * the process may have stood still in between. */
+/* Tests of deadlines: a request or response that rests on a confirmation is not sent once the
+ * confirmation has expired. This happens if the process was suspended after it decided to send. */
 #include "testing/fake_store.h"
 #include "base/clock.h"
 #include "base/http.h"
@@ -12,22 +12,22 @@
 #include <stdio.h>
 #include <cmocka.h>
 
-enum { NOT_YET = -100 };
+enum { IN_PROGRESS = -100 };
 
 static struct ev_loop *loop;
 static struct pm_http_client *client;
 static struct pm_http_server *server;
 static char addr[64];
-static double answer_valid_for; /* seconds; 0: no matter when it is written */
-static int handled;
+static double response_valid_for_s; /* 0 if there is no deadline */
+static int handled_count;
 
-static void on_request(void *arg, struct pm_http_request *req)
+static void on_request(void *arg, struct pm_http_request *request)
 {
     (void)arg;
-    handled++;
-    if (answer_valid_for)
-        req->deadline = pm_clock_monotonic() + answer_valid_for;
-    pm_http_reply(req, 200, NULL, 0, 0);
+    handled_count++;
+    if (response_valid_for_s)
+        request->deadline = pm_clock_monotonic() + response_valid_for_s;
+    pm_http_reply(request, 200, NULL, 0, 0);
 }
 
 static void on_done(void *arg, int status, const unsigned char *body, size_t size)
@@ -39,7 +39,7 @@
 
 static bool has_ended(void *arg)
 {
-    return *(int *)arg != NOT_YET;
+    return *(int *)arg != IN_PROGRESS;
 }
 
 static int set_up(void **state)
@@ -50,8 +50,8 @@
     client = pm_http_client_new(loop, 8);
     server = pm_http_server_new(loop, addr, 8, on_request, NULL);
     assert_non_null(server);
-    answer_valid_for = 0;
-    handled = 0;
+    response_valid_for_s = 0;
+    handled_count = 0;
     return 0;
 }
 
@@ -64,49 +64,49 @@
     return 0;
 }
 
-static int ask(double valid_until)
+static int send_request(double deadline)
 {
-    int status = NOT_YET;
+    int status = IN_PROGRESS;
 
-    pm_http_call_until(client, addr, "GET", "/", NULL, 0, 2, 1024, valid_until, on_done, &status);
+    pm_http_call_until(client, addr, "GET", "/", NULL, 0, 2, 1024, deadline, on_done, &status);
     assert_true(event_loop_run_until(loop, has_ended, &status));
     return status;
 }
 
-static void what_is_still_valid_is_written(void **state)
+static void messages_before_their_deadline_are_sent(void **state)
 {
     (void)state;
-    answer_valid_for = 10;
-    assert_int_equal(ask(pm_clock_monotonic() + 10), 200);
-    assert_int_equal(ask(0), 200);
-    assert_int_equal(handled, 2);
+    response_valid_for_s = 10;
+    assert_int_equal(send_request(pm_clock_monotonic() + 10), 200);
+    assert_int_equal(send_request(0), 200);
+    assert_int_equal(handled_count, 2);
 }
 
-/* The caller hears nothing, and asks another controller. */
-static void an_answer_that_is_too_late_is_dropped(void **state)
+/* The client gets no response, and can ask another controller. */
+static void response_after_its_deadline_is_dropped(void **state)
 {
     (void)state;
-    answer_valid_for = -1;
-    assert_int_equal(ask(0), PM_HTTP_NO_ANSWER);
-    assert_int_equal(handled, 1);
+    response_valid_for_s = -1;
+    assert_int_equal(send_request(0), PM_HTTP_NO_RESPONSE);
+    assert_int_equal(handled_count, 1);
 }
 
-/* A command that was not written is known not to arrive: nothing about it is in doubt. */
-static void a_command_that_is_too_late_is_not_sent(void **state)
+/* Such a call ends as not sent: the caller knows that the server will never process the request. */
+static void request_after_its_deadline_is_not_sent(void **state)
 {
     (void)state;
-    assert_int_equal(ask(pm_clock_monotonic() - 1), PM_HTTP_NOT_SENT);
-    assert_int_equal(ask(0), 200); /* a connection that is kept open */
-    assert_int_equal(ask(pm_clock_monotonic() - 1), PM_HTTP_NOT_SENT);
-    assert_int_equal(handled, 1);
+    assert_int_equal(send_request(pm_clock_monotonic() - 1), PM_HTTP_NOT_SENT);
+    assert_int_equal(send_request(0), 200); /* leaves an idle connection for the next call */
+    assert_int_equal(send_request(pm_clock_monotonic() - 1), PM_HTTP_NOT_SENT);
+    assert_int_equal(handled_count, 1);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(what_is_still_valid_is_written, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(an_answer_that_is_too_late_is_dropped, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(a_command_that_is_too_late_is_not_sent, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(messages_before_their_deadline_are_sent, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(response_after_its_deadline_is_dropped, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(request_after_its_deadline_is_not_sent, set_up, tear_down),
     };
 
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/src/cmd/pumicectl/gather.c
+++ b/src/cmd/pumicectl/gather.c
@@ -36,7 +36,7 @@
 {
     if (status == PM_HTTP_NOT_SENT)
         return "not reached";
-    if (status == PM_HTTP_NO_ANSWER)
+    if (status == PM_HTTP_NO_RESPONSE)
         return "no answer in time";
     if (status == STATUS_UNAVAILABLE)
         return "refuses (503)";
--- a/src/cmd/pumicemount/worker_endpoint.c
+++ b/src/cmd/pumicemount/worker_endpoint.c
@@ -62,7 +62,7 @@
                         const cbor_item_t *report)
 {
     struct pm_controller *controller = push->controller;
-    int outcome = status > 0 && !report ? PM_HTTP_NO_ANSWER : status;
+    int outcome = status > 0 && !report ? PM_HTTP_NO_RESPONSE : status;
 
     if (!pm_worker_push_done(machine, push->number, push->epoch, outcome))
         return;
--- a/src/scheduler/tests/trace_inputs.h
+++ b/src/scheduler/tests/trace_inputs.h
@@ -209,14 +209,14 @@
 
     if (!pm_worker_push_done(machine, push, world->epoch, status))
         g_string_append(world->output, "> not in flight\n");
-    else if (status == PM_HTTP_NO_ANSWER)
+    else if (status == PM_HTTP_NO_RESPONSE)
         pm_machine_note_delivery_failure(machine, "a /do has no answer", world->now);
 }
 
 /* push_unanswered MACHINE [push=N] */
 static void run_push_unanswered(struct trace_world *world, char **words)
 {
-    end_push(world, words, PM_HTTP_NO_ANSWER);
+    end_push(world, words, PM_HTTP_NO_RESPONSE);
 }
 
 /* push_answered MACHINE [push=N] */
--- a/src/store/internal.h
+++ b/src/store/internal.h
@@ -94,8 +94,8 @@
 
 /* ---- result.c ---- */
 
-/* The result that an HTTP status, or PM_HTTP_NO_ANSWER or PM_HTTP_NOT_SENT, stands for. Any status
- * that is not named in enum pm_store_result is PM_STORE_UNAVAILABLE. */
+/* The result that an HTTP status, or PM_HTTP_NO_RESPONSE or PM_HTTP_NOT_SENT, stands for. Any
+ * status that is not named in enum pm_store_result is PM_STORE_UNAVAILABLE. */
 enum pm_store_result pm_store_result_of(int status);
 
 /* ---- codec.c ---- */
--- a/src/store/result.c
+++ b/src/store/result.c
@@ -14,7 +14,7 @@
         return PM_STORE_CONFLICT;
     case 429:
         return PM_STORE_THROTTLED;
-    case PM_HTTP_NO_ANSWER:
+    case PM_HTTP_NO_RESPONSE:
         return PM_STORE_UNKNOWN_OUTCOME;
     case PM_HTTP_NOT_SENT:
         return PM_STORE_NOT_SENT;
--- a/src/store/tests/test_store.c
+++ b/src/store/tests/test_store.c
@@ -182,7 +182,7 @@
         {429, PM_STORE_THROTTLED, "throttled"},
         {500, PM_STORE_UNAVAILABLE, "unavailable"}, /* not named: as if not executed */
         {503, PM_STORE_UNAVAILABLE, "unavailable"},
-        {PM_HTTP_NO_ANSWER, PM_STORE_UNKNOWN_OUTCOME, "unknown outcome"},
+        {PM_HTTP_NO_RESPONSE, PM_STORE_UNKNOWN_OUTCOME, "unknown outcome"},
         {PM_HTTP_NOT_SENT, PM_STORE_NOT_SENT, "not sent"},
     };
 
--- a/src/workers/push.c
+++ b/src/workers/push.c
@@ -12,7 +12,7 @@
 
 static void settle_placement(struct pm_placement *placement, uint64_t number, int status)
 {
-    if (status == PM_HTTP_NO_ANSWER) {
+    if (status == PM_HTTP_NO_RESPONSE) {
         placement->launch_outcome_unknown |= placement->launch_push == number;
     } else if (status == PM_HTTP_NOT_SENT) {
         if (placement->launch_push == number)
@@ -35,7 +35,7 @@
     for (guint i = 0; i < machine->placements->len; i++)
         settle_placement(g_ptr_array_index(machine->placements, i), number, status);
     /* A copy of an unanswered push may still arrive minutes later. */
-    if (status == PM_HTTP_NO_ANSWER && machine->push.has_launches) {
+    if (status == PM_HTTP_NO_RESPONSE && machine->push.has_launches) {
         machine->push.unknown_outcome_epoch = epoch;
         machine->push.unknown_outcome_incarnation = machine->heartbeat.incarnation;
     }
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -285,7 +285,7 @@
  * Called before pm_workers_encode_commands. */
 uint64_t pm_worker_push_begin(struct pm_workers *workers, struct pm_machine *machine);
 /* Records the result of the push of that number, which was sent under `epoch`. `status` is the HTTP
- * status, PM_HTTP_NO_ANSWER (its launches have an unknown outcome) or PM_HTTP_NOT_SENT. Returns
+ * status, PM_HTTP_NO_RESPONSE (its launches have an unknown outcome) or PM_HTTP_NOT_SENT. Returns
  * false and does nothing if the push is not the one in flight, but from before a reset. */
 bool pm_worker_push_done(struct pm_machine *machine, uint64_t number, uint64_t epoch, int status);
 
