--- a/src/base/log.c
+++ b/src/base/log.c
@@ -20,14 +20,14 @@
         snprintf(controller_name, sizeof controller_name, "%s", controller);
 }
 
-bool pm_log_is_on(enum pm_log_level level)
+bool pm_log_is_enabled(enum pm_log_level level)
 {
     return level <= threshold;
 }
 
 void pm_log_write(enum pm_log_level level, const char *event, const char *format, ...)
 {
-    static const char *const names[] = {"error", "info", "debug"};
+    static const char *const level_names[] = {"error", "info", "debug"};
     char line[1024];
     va_list args;
     int used;
@@ -35,7 +35,7 @@
 
     if (level > threshold)
         return;
-    used = snprintf(line, sizeof line, "%s %s %s ", names[level], controller_name, event);
+    used = snprintf(line, sizeof line, "%s %s %s ", level_names[level], controller_name, event);
     va_start(args, format);
     added = vsnprintf(line + used, sizeof line - (size_t)used, format, args);
     va_end(args);
@@ -44,7 +44,7 @@
     if (used > (int)sizeof line - 2)
         used = (int)sizeof line - 2;
     line[used++] = '\n';
-    /* One write a line, so that lines of two threads never mix. */
+    /* One system call for each line, so that lines of different threads never mix. */
     if (write(STDERR_FILENO, line, (size_t)used) < 0)
         return;
 }
--- a/src/base/names.c
+++ b/src/base/names.c
@@ -3,8 +3,8 @@
 #include <glib.h>
 
 struct pm_names {
-    GHashTable *index;
-    GPtrArray *texts; /* owns the texts */
+    GHashTable *index; /* from a text to its index plus 1: a lookup returns 0 if there is none */
+    GPtrArray *texts;  /* owns the texts */
 };
 
 struct pm_names *pm_names_new(void)
--- a/src/base/operator_settings.c
+++ b/src/base/operator_settings.c
@@ -30,7 +30,7 @@
     };
 }
 
-/* Every key is optional: a pointer that stays NULL leaves the default. */
+/* The file's contents. Every key is optional: if its pointer is NULL, the default is kept. */
 struct links_section {
     bool *observe, *decide;
     double *probe_s, *down_s, *recover_s, *half_life_s, *expire_s;
@@ -98,7 +98,7 @@
 static const cyaml_schema_value_t yaml_schema = {
     CYAML_VALUE_MAPPING(CYAML_FLAG_POINTER, struct operator_file, yaml_fields)};
 
-/* Collects the parser's messages in one line: the key at fault, then its path. */
+/* The parser's messages, joined to one line: they name the invalid key first, then its path. */
 struct parser_messages {
     char *text;
     size_t size;
@@ -118,20 +118,23 @@
             *character = ';';
 }
 
-/* Applies the values that the file has, and keeps the first that is outside its range. */
+/* Where the error of the first invalid value is written. Once `failed` is set, values that follow
+ * are not checked. */
 struct reader {
     char *err;
     size_t err_size;
     bool failed;
 };
 
+/* Sets `out` to the value if the file has one and it is in its range. */
 static void apply_number(struct reader *reader, double *out, const double *value, const char *name,
                          double minimum, double maximum)
 {
     if (!value || reader->failed)
         return;
     if (!isfinite(*value) || *value < minimum || *value > maximum) {
-        snprintf(reader->err, reader->err_size, "%s: outside %g to %g", name, minimum, maximum);
+        snprintf(reader->err, reader->err_size, "%s: must be between %g and %g", name, minimum,
+                 maximum);
         reader->failed = true;
         return;
     }
@@ -157,11 +160,12 @@
     if (reader->failed)
         return;
     if (out->decide && !out->observe)
-        snprintf(reader->err, reader->err_size, "links.decide: needs links.observe");
+        snprintf(reader->err, reader->err_size, "links.decide: requires links.observe");
     else if (out->expire_s < 2 * out->probe_s)
-        snprintf(reader->err, reader->err_size, "links.expire_s: less than twice links.probe_s");
+        snprintf(reader->err, reader->err_size,
+                 "links.expire_s: must be at least twice links.probe_s");
     else if (out->trace_mb < 1 || out->trace_mb > 4096)
-        snprintf(reader->err, reader->err_size, "links.trace_mb: outside 1 to 4096");
+        snprintf(reader->err, reader->err_size, "links.trace_mb: must be between 1 and 4096");
     else
         return;
     reader->failed = true;
@@ -182,7 +186,7 @@
     if (file->record_mb)
         out->audit_log_mb = *file->record_mb;
     if (!reader->failed && (out->audit_log_mb < 1 || out->audit_log_mb > 65536)) {
-        snprintf(reader->err, reader->err_size, "duties.record_mb: outside 1 to 65536");
+        snprintf(reader->err, reader->err_size, "duties.record_mb: must be between 1 and 65536");
         reader->failed = true;
     }
 }
@@ -204,7 +208,7 @@
         out->admit_max = *file->admit_max;
     if (!reader->failed && (out->admit_min < 1 || out->admit_max < out->admit_min)) {
         snprintf(reader->err, reader->err_size,
-                 "admit_min, admit_max: need 1 <= admit_min <= admit_max");
+                 "admit_min, admit_max: must satisfy 1 <= admit_min <= admit_max");
         reader->failed = true;
     }
     if (file->links)
@@ -234,7 +238,7 @@
         return false;
     }
     if (!file)
-        return true; /* an empty file */
+        return true; /* the file is empty */
     apply_all(&reader, out, file);
     cyaml_free(&config, &yaml_schema, file, 0);
     return !reader.failed;
--- a/src/base/writer.c
+++ b/src/base/writer.c
@@ -4,12 +4,13 @@
 
 struct pm_writer {
     struct pm_writer_hooks hooks;
-    int most;
-    GAsyncQueue *queue; /* the writer itself, as an item, ends the thread */
+    int capacity;
+    GAsyncQueue *queue; /* the thread ends when it pops the writer itself */
     GThread *thread;
     gint dropped;
 };
 
+/* Returns the next item, or NULL if none came within `idle_us`. */
 static gpointer next_item(struct pm_writer *writer)
 {
     if (!writer->hooks.idle)
@@ -33,12 +34,12 @@
     return NULL;
 }
 
-struct pm_writer *pm_writer_new(const char *name, int most, const struct pm_writer_hooks *hooks)
+struct pm_writer *pm_writer_new(const char *name, int capacity, const struct pm_writer_hooks *hooks)
 {
     struct pm_writer *writer = g_new0(struct pm_writer, 1);
 
     writer->hooks = *hooks;
-    writer->most = most;
+    writer->capacity = capacity;
     writer->queue = g_async_queue_new();
     writer->thread = g_thread_new(name, run_writer, writer);
     return writer;
@@ -54,7 +55,7 @@
 
 void pm_writer_push(struct pm_writer *writer, void *item)
 {
-    if (g_async_queue_length(writer->queue) < writer->most) {
+    if (g_async_queue_length(writer->queue) < writer->capacity) {
         g_async_queue_push(writer->queue, item);
         return;
     }
