--- a/src/base/tests/known_red.c
+++ b/src/base/tests/known_red.c
@@ -1,8 +1,9 @@
-/* Linked to every test program: lets CI pass over a test that is listed in KNOWN-RED.txt, and run
- * it by itself.
+/* Linked to every test program. It lets CI skip a test that is listed in KNOWN-RED.txt, or run that
+ * test alone.
  *
- * PM_KNOWN_RED is a list of PROGRAM:TEST, parted by blanks, of which a program skips its own; one
- * for each program at most. PM_TEST_FILTER names the only test to run. */
+ * PM_KNOWN_RED is a list of PROGRAM:TEST entries, separated by blanks, with at most one for each
+ * program. A program skips the test of its entry. PM_TEST_FILTER names the only test to run, and
+ * takes precedence over PM_KNOWN_RED. */
 #include <errno.h>
 #include <glib.h>
 #include <setjmp.h>
@@ -13,7 +14,8 @@
 #include <string.h>
 #include <cmocka.h>
 
-/* The test listed for this program; borrowed, NULL: none. */
+/* Returns the test that is listed for this program, as a pointer into `list`, or NULL if there is
+ * none. */
 static const char *find_known_red(char *list, const char *program)
 {
     size_t size = strlen(program);
--- a/src/base/tests/test_base.c
+++ b/src/base/tests/test_base.c
@@ -1,4 +1,5 @@
-/* Bodies from outside cost bounded memory and time; settings name the field at fault. */
+/* Tests that decoding a malicious CBOR body costs only bounded memory and time, and that the error
+ * for an invalid settings file names the field. */
 #include "base/cbor.h"
 #include "base/settings.h"
 
@@ -17,26 +18,26 @@
     return pm_cbor_parse(bytes, size);
 }
 
-static void refuses_hostile_cbor(void **state)
+static void rejects_malicious_cbor(void **state)
 {
     char deep[4096];
 
     (void)state;
-    memset(deep, 0x81, sizeof deep); /* lists in lists, without end */
+    memset(deep, 0x81, sizeof deep); /* nested lists that are never closed */
     assert_null(parse(deep, sizeof deep));
     assert_null(parse("\x9b\x00\x00\x00\x01\x00\x00\x00\x00", 9)); /* claims 2^32 entries */
     assert_null(parse("\xbb\xff\xff\xff\xff\xff\xff\xff\xff", 9));
     assert_null(parse("\x7b\xff\xff\xff\xff\xff\xff\xff\xff", 9)); /* a text longer than memory */
     assert_null(parse("\xa1\x61", 2));                             /* truncated */
-    assert_null(parse("\xa0\x00", 2));                             /* something behind it */
+    assert_null(parse("\xa0\x00", 2));                             /* a byte after the item */
     assert_null(parse("\xbf\x61\x61\xff", 4));                     /* a key without a value */
     assert_null(parse("", 0));
     assert_null(parse("\xff", 1));
 }
 
-/* Asked whether a floating-point number is true or false, the library ended the process: one
- * submission with 1.5 for `spread` was enough. */
-static void a_number_is_no_flag(void **state)
+/* libcbor's cbor_is_bool aborts the process if the item is a floating-point number. A single
+ * submission with 1.5 for `spread` was enough to end a controller. */
+static void number_is_not_read_as_flag(void **state)
 {
     static const char *const numbers[] = {"\xa1\x61"
                                           "f\xfb\x3f\xf8\x01\x01\x01\x01\x01\x01",
@@ -55,7 +56,7 @@
     }
 }
 
-static void reads_what_it_writes(void **state)
+static void reads_back_what_was_written(void **state)
 {
     struct pm_buffer buf = {0};
     cbor_item_t *item;
@@ -78,7 +79,7 @@
     assert_non_null(item);
     assert_true(pm_cbor_read_text(pm_cbor_get(item, "t"), text, sizeof text));
     assert_string_equal(text, "abc");
-    assert_false(pm_cbor_read_text(pm_cbor_get(item, "t"), text, 3)); /* no room for it */
+    assert_false(pm_cbor_read_text(pm_cbor_get(item, "t"), text, 3)); /* too small for the NUL */
     assert_true(pm_cbor_read_count(pm_cbor_get(item, "c"), &count));
     assert_true(count == UINT64_MAX);
     assert_false(pm_cbor_read_count(pm_cbor_get(item, "n"), &count));
@@ -87,7 +88,7 @@
     assert_false(pm_cbor_read_number(pm_cbor_get(item, "nan"), &number));
     assert_true(pm_cbor_read_flag(pm_cbor_get(item, "f"), &flag));
     assert_true(flag);
-    assert_false(pm_cbor_has(item, "z")); /* null is as good as absent */
+    assert_false(pm_cbor_has(item, "z")); /* null counts as absent */
     pm_cbor_free(item);
     pm_buffer_free(&buf);
 }
@@ -105,7 +106,7 @@
     return path;
 }
 
-static const char good[] =
+static const char valid_settings[] =
     "host_name = \"n0\"\ndomain = \"z\"\nserve_on = \"127.0.0.1:1\"\nback = \"127.0.0.1:2\"\n"
     "new_field = 3\n[outside]\ncloud = \"127.0.0.1:3\"\nstate = \"127.0.0.1:4\"\n"
     "[settings]\nsize = 1\nzones = [\"z\"]\n"
@@ -119,7 +120,7 @@
 {
     struct pm_settings settings;
     char err[256];
-    const char *path = write_file(good);
+    const char *path = write_file(valid_settings);
 
     (void)state;
     assert_true(pm_settings_load(&settings, path, err, sizeof err));
@@ -131,11 +132,11 @@
     assert_true(settings.heartbeat_s == 2.0);
 }
 
-static void names_the_field_at_fault(void **state)
+static void error_names_the_invalid_field(void **state)
 {
     struct pm_settings settings;
     char err[256];
-    char *text = g_strdup(good);
+    char *text = g_strdup(valid_settings);
     const char *path;
 
     (void)state;
@@ -147,13 +148,16 @@
     g_free(text);
 }
 
-/* Limits to come count from the start, where they are lower; what is wrong there is named. */
-static void reads_limits_to_come(void **state)
+/* A limit in `state.next` that is lower than the current one applies from the start. An error names
+ * an invalid field there. */
+static void reads_upcoming_limits(void **state)
 {
-    static const char *const wrong[] = {"value_kb = -2.0", "txn_ops = \"four\"", "write_rps = nan"};
+    static const char *const invalid[] = {"value_kb = -2.0", "txn_ops = \"four\"",
+                                          "write_rps = nan"};
     struct pm_settings settings;
     char err[256];
-    char *text = g_strdup_printf("%s[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 40\n", good);
+    char *text =
+        g_strdup_printf("%s[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 40\n", valid_settings);
     const char *path = write_file(text);
 
     (void)state;
@@ -163,11 +167,11 @@
     assert_true(settings.store_value_kb == 2.0);
     assert_true(settings.store_value_kb_initial == 16.0);
     assert_int_equal(settings.store_txn_ops, 12);
-    assert_true(settings.store_write_rps == 30.0); /* nothing is said of it */
+    assert_true(settings.store_write_rps == 30.0); /* not in `state.next` */
     for (int i = 0; i < 3; i++) {
         char *field =
-            g_strdup_printf("settings.state.next.%.*s", (int)strcspn(wrong[i], " "), wrong[i]);
-        text = g_strdup_printf("%s[settings.state.next]\n%s\n", good, wrong[i]);
+            g_strdup_printf("settings.state.next.%.*s", (int)strcspn(invalid[i], " "), invalid[i]);
+        text = g_strdup_printf("%s[settings.state.next]\n%s\n", valid_settings, invalid[i]);
         path = write_file(text);
         assert_false(pm_settings_load(&settings, path, err, sizeof err));
         unlink(path);
@@ -188,21 +192,21 @@
     unlink(path);
     assert_true(operator_settings.min_runtime_s == 60);
     assert_int_equal(operator_settings.admit_max, 99);
-    assert_true(operator_settings.window_h == 24); /* the default stays */
+    assert_true(operator_settings.window_h == 24); /* the default is kept */
     path = write_file("no_such_key: 1\n");
     assert_false(pm_operator_settings_load(&operator_settings, path, err, sizeof err));
     unlink(path);
-    path = write_file("min_runtime_s: 99999\n"); /* above the design's cap of 8 hours */
+    path = write_file("min_runtime_s: 99999\n"); /* above the maximum of 8 hours */
     assert_false(pm_operator_settings_load(&operator_settings, path, err, sizeof err));
     unlink(path);
 }
 
-/* Of the links' settings too, the key and its path are named. */
-static void names_links_settings_at_fault(void **state)
+/* An error names the key with its path also for the settings of links. */
+static void error_names_the_invalid_links_setting(void **state)
 {
     static const struct {
-        const char *text, *named;
-    } wrong[] = {
+        const char *text, *expected;
+    } invalid[] = {
         {"links:\n  prob_s: 1\n", "prob_s"},
         {"links:\n  probe_s: soon\n", "links"},
         {"links:\n  down_s: 0.01\n", "links.down_s"},
@@ -216,12 +220,12 @@
     const char *path;
 
     (void)state;
-    for (size_t i = 0; i < sizeof wrong / sizeof *wrong; i++) {
-        path = write_file(wrong[i].text);
+    for (size_t i = 0; i < sizeof invalid / sizeof *invalid; i++) {
+        path = write_file(invalid[i].text);
         assert_false(pm_operator_settings_load(&operator_settings, path, err, sizeof err));
         unlink(path);
-        if (!strstr(err, wrong[i].named))
-            fail_msg("%s: %s", wrong[i].text, err);
+        if (!strstr(err, invalid[i].expected))
+            fail_msg("%s: %s", invalid[i].text, err);
     }
     assert_true(
         pm_operator_settings_load(&operator_settings, "deploy/operators.yaml", err, sizeof err));
@@ -233,10 +237,14 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(refuses_hostile_cbor),          cmocka_unit_test(a_number_is_no_flag),
-        cmocka_unit_test(names_links_settings_at_fault), cmocka_unit_test(reads_what_it_writes),
-        cmocka_unit_test(reads_platform_settings),       cmocka_unit_test(names_the_field_at_fault),
-        cmocka_unit_test(reads_operator_settings),       cmocka_unit_test(reads_limits_to_come),
+        cmocka_unit_test(rejects_malicious_cbor),
+        cmocka_unit_test(number_is_not_read_as_flag),
+        cmocka_unit_test(error_names_the_invalid_links_setting),
+        cmocka_unit_test(reads_back_what_was_written),
+        cmocka_unit_test(reads_platform_settings),
+        cmocka_unit_test(error_names_the_invalid_field),
+        cmocka_unit_test(reads_operator_settings),
+        cmocka_unit_test(reads_upcoming_limits),
     };
 
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/src/base/tests/test_wire_formats.c
+++ b/src/base/tests/test_wire_formats.c
@@ -1,7 +1,7 @@
-/* Messages between controllers, and stored values, byte for byte as protocol version 5 writes them.
- * A field number, a stored name or a type that changes by accident shows here; what earlier
- * versions wrote is in jobs/tests/recorded_values.h. Recorded in hexadecimal digits; not to be made
- * anew from later code. */
+/* Tests that messages between controllers and stored values are the same bytes as those recorded
+ * from protocol version 5. They guard against an accidental change of a field number, a stored name
+ * or a type. The recordings are in hexadecimal, and must not be made again with later code. Values
+ * of earlier versions are in jobs/tests/recorded_values.h. */
 #include "../../jobs/tests/job_fixtures.h"
 #include "../../jobs/tests/recorded_values.h"
 #include "base/cbor.h"
@@ -19,14 +19,14 @@
 #include <stddef.h>
 #include <cmocka.h>
 
-#define PEER_ASK "0a026e301029189c032090032805"
-#define PEER_TELL                                                                                  \
+#define PEER_REQUEST "0a026e301029189c032090032805"
+#define PEER_RESPONSE                                                                              \
     "0a026e31102a180120012801309e033801420f0a0a6a6f622d303030343132109d0348015005"                 \
     "5a03010203"
-#define CANCEL_CALL "0a026e30109e031a0f0a0a6a6f622d303030343132109d03"
-#define CANCEL_TELL "0a026e31109f03"
-#define BLOCK_CALL "0a026e3010291a08692d3030303030311a08692d3030303030322208692d303030303032"
-#define BLOCK_TELL                                                                                 \
+#define CANCELLATION_REQUEST "0a026e30109e031a0f0a0a6a6f622d303030343132109d03"
+#define CANCELLATION_RESPONSE "0a026e31109f03"
+#define SHARD_REQUEST "0a026e3010291a08692d3030303030311a08692d3030303030322208692d303030303032"
+#define SHARD_RESPONSE                                                                             \
     "0a10303132333435363738396162636465661001180120012a08692d3030303030333208692d"                 \
     "3030303030343a08692d303030303035420a6a6f622d303030343132"
 #define VIEWS                                                                                      \
@@ -35,8 +35,8 @@
 #define STORED_VIEW                                                                                \
     "bf6565706f63681829656c65616473f56573746174650665636c6f756401657065657273bf66"                 \
     "6e6f64652d3105ff657a6f6e6573bf616101616204ffff"
-#define STORED_SEEN "bf6765646974696f6e00ff"
-#define STORED_TYPES                                                                               \
+#define STORED_ACKED_REVISION "bf6765646974696f6e00ff"
+#define STORED_MACHINE_TYPES                                                                       \
     "9fbf63736b7568626f6b68796c6c616463707573fb40300000000000006c616363656c657261"                 \
     "746f7273fb40000000000000006672616d5f6762fb4050000000000000686c6f63616c5f6762"                 \
     "fb40690000000000006d70756c6c5f67625f7065725f73fb3fe0000000000000657072696365"                 \
@@ -52,122 +52,123 @@
     return g_string_free(out, FALSE);
 }
 
-static void assert_bytes(const unsigned char *data, size_t size, const char *digits)
+static void assert_bytes(const unsigned char *data, size_t size, const char *expected_hex)
 {
-    char *written = to_hex(data, size);
+    char *encoded = to_hex(data, size);
 
-    assert_string_equal(written, digits);
-    g_free(written);
+    assert_string_equal(encoded, expected_hex);
+    g_free(encoded);
 }
 
-/* The message packs to those digits, and reads back from them as the same bytes. */
-static void assert_message(const ProtobufCMessage *message, const char *digits)
+/* Asserts that the message packs to those bytes, and that they unpack to a message that packs to
+ * the same bytes again. */
+static void assert_message_matches(const ProtobufCMessage *message, const char *expected_hex)
 {
     unsigned char *data = g_malloc(protobuf_c_message_get_packed_size(message) + 1);
     size_t size = protobuf_c_message_pack(message, data);
     ProtobufCMessage *read;
     unsigned char *recorded;
 
-    assert_bytes(data, size, digits);
-    recorded = recorded_bytes(digits, &size);
+    assert_bytes(data, size, expected_hex);
+    recorded = recorded_bytes(expected_hex, &size);
     read = protobuf_c_message_unpack(message->descriptor, NULL, size, recorded);
     assert_non_null(read);
     assert_int_equal(protobuf_c_message_pack(read, data), size);
-    assert_bytes(data, size, digits);
+    assert_bytes(data, size, expected_hex);
     protobuf_c_message_free_unpacked(read, NULL);
     g_free(recorded);
     g_free(data);
 }
 
-static void peers_messages_are_as_recorded(void **arg)
+static void peer_messages_match_recording(void **arg)
 {
-    Pm__PeerRequest ask = PM__PEER_REQUEST__INIT;
-    Pm__PeerResponse tell = PM__PEER_RESPONSE__INIT;
+    Pm__PeerRequest request = PM__PEER_REQUEST__INIT;
+    Pm__PeerResponse response = PM__PEER_RESPONSE__INIT;
     Pm__Cancellation cancelled = PM__CANCELLATION__INIT;
     Pm__Cancellation *list[] = {&cancelled};
     unsigned char views[] = {1, 2, 3};
 
     (void)arg;
-    ask.from = "n0";
-    ask.epoch = 41;
-    ask.store_revision = 412;
-    ask.after = 400;
-    ask.protocol_version = 5;
-    assert_message(&ask.base, PEER_ASK);
+    request.from = "n0";
+    request.epoch = 41;
+    request.store_revision = 412;
+    request.after = 400;
+    request.protocol_version = 5;
+    assert_message_matches(&request.base, PEER_REQUEST);
     cancelled.id = "job-000412";
     cancelled.revision = 413;
-    tell.from = "n1";
-    tell.highest_epoch = 42;
-    tell.has_state = true;
-    tell.store_serving = true;
-    tell.store_refusing = true;
-    tell.store_revision = 414;
-    tell.has_cancellations = true;
-    tell.cancelled = list;
-    tell.n_cancelled = 1;
-    tell.has_more = true;
-    tell.protocol_version = 5;
-    tell.views.data = views;
-    tell.views.len = sizeof views;
-    assert_message(&tell.base, PEER_TELL);
+    response.from = "n1";
+    response.highest_epoch = 42;
+    response.has_state = true;
+    response.store_serving = true;
+    response.store_refusing = true;
+    response.store_revision = 414;
+    response.has_cancellations = true;
+    response.cancelled = list;
+    response.n_cancelled = 1;
+    response.has_more = true;
+    response.protocol_version = 5;
+    response.views.data = views;
+    response.views.len = sizeof views;
+    assert_message_matches(&response.base, PEER_RESPONSE);
 }
 
-static void cancellations_messages_are_as_recorded(void **arg)
+static void cancellation_messages_match_recording(void **arg)
 {
-    Pm__CancellationRequest call = PM__CANCELLATION_REQUEST__INIT;
-    Pm__CancellationResponse tell = PM__CANCELLATION_RESPONSE__INIT;
+    Pm__CancellationRequest request = PM__CANCELLATION_REQUEST__INIT;
+    Pm__CancellationResponse response = PM__CANCELLATION_RESPONSE__INIT;
     Pm__Cancellation cancelled = PM__CANCELLATION__INIT;
     Pm__Cancellation *list[] = {&cancelled};
 
     (void)arg;
     cancelled.id = "job-000412";
     cancelled.revision = 413;
-    call.from = "n0";
-    call.store_revision = 414;
-    call.cancelled = list;
-    call.n_cancelled = 1;
-    assert_message(&call.base, CANCEL_CALL);
-    tell.from = "n1";
-    tell.store_revision = 415;
-    assert_message(&tell.base, CANCEL_TELL);
+    request.from = "n0";
+    request.store_revision = 414;
+    request.cancelled = list;
+    request.n_cancelled = 1;
+    assert_message_matches(&request.base, CANCELLATION_REQUEST);
+    response.from = "n1";
+    response.store_revision = 415;
+    assert_message_matches(&response.base, CANCELLATION_RESPONSE);
 }
 
-static void blocks_messages_are_as_recorded(void **arg)
+static void shard_messages_match_recording(void **arg)
 {
-    Pm__ShardRequest call = PM__SHARD_REQUEST__INIT;
-    Pm__ShardResponse tell = PM__SHARD_RESPONSE__INIT;
-    char *leaving[] = {"i-000001", "i-000002"};
+    Pm__ShardRequest request = PM__SHARD_REQUEST__INIT;
+    Pm__ShardResponse response = PM__SHARD_RESPONSE__INIT;
+    char *revoking_ids[] = {"i-000001", "i-000002"};
     char *stop[] = {"i-000002"};
-    char *clean[] = {"i-000003"};
-    char *bad[] = {"i-000004"};
-    char *silent[] = {"i-000005"};
+    char *drained_ids[] = {"i-000003"};
+    char *quarantined_ids[] = {"i-000004"};
+    char *unreachable_ids[] = {"i-000005"};
     char *failing[] = {"job-000412"};
 
     (void)arg;
-    call.from = "n0";
-    call.epoch = 41;
-    call.revoking = leaving;
-    call.n_revoking = 2;
-    call.stop = stop;
-    call.n_stop = 1;
-    assert_message(&call.base, BLOCK_CALL);
-    tell.incarnation_id = "0123456789abcdef";
-    tell.ready = true;
-    tell.workers_unreachable = true;
-    tell.launch_outcome_unknown = true;
-    tell.drained = clean;
-    tell.n_drained = 1;
-    tell.quarantined = bad;
-    tell.n_quarantined = 1;
-    tell.unreachable = silent;
-    tell.n_unreachable = 1;
-    tell.failing = failing;
-    tell.n_failing = 1;
-    assert_message(&tell.base, BLOCK_TELL);
+    request.from = "n0";
+    request.epoch = 41;
+    request.revoking = revoking_ids;
+    request.n_revoking = 2;
+    request.stop = stop;
+    request.n_stop = 1;
+    assert_message_matches(&request.base, SHARD_REQUEST);
+    response.incarnation_id = "0123456789abcdef";
+    response.ready = true;
+    response.workers_unreachable = true;
+    response.launch_outcome_unknown = true;
+    response.drained = drained_ids;
+    response.n_drained = 1;
+    response.quarantined = quarantined_ids;
+    response.n_quarantined = 1;
+    response.unreachable = unreachable_ids;
+    response.n_unreachable = 1;
+    response.failing = failing;
+    response.n_failing = 1;
+    assert_message_matches(&response.base, SHARD_RESPONSE);
 }
 
-/* Two controllers and two zones, as node-0 sees them. */
-static struct pm_settings view_settings(const char *self, const char *other)
+/* Returns the settings of `self` in a cluster of two controllers and two zones. */
+static struct pm_settings two_controller_settings(const char *self, const char *other)
 {
     struct pm_settings settings = {.cluster_size = 2, .peer_count = 1, .zone_count = 2};
 
@@ -178,7 +179,7 @@
     return settings;
 }
 
-static struct pm_view some_view(double at)
+static struct pm_view example_view(double at)
 {
     struct pm_view view = {.evaluated_at = at, .leads = true, .epoch = 41};
 
@@ -191,12 +192,12 @@
     return view;
 }
 
-static void views_of_links_are_as_recorded(void **arg)
+static void link_views_match_recording(void **arg)
 {
-    struct pm_settings settings = view_settings("node-0", "node-1");
-    struct pm_settings receiver = view_settings("node-1", "node-0");
+    struct pm_settings settings = two_controller_settings("node-0", "node-1");
+    struct pm_settings receiver = two_controller_settings("node-1", "node-0");
     struct pm_matrix matrix;
-    struct pm_view view = some_view(100);
+    struct pm_view view = example_view(100);
     struct pm_buffer out = {0};
     unsigned char *data;
     unsigned char *recorded;
@@ -228,13 +229,13 @@
     assert_int_equal(view.zone[1], PM_LINK_ONE_WAY);
 }
 
-/* As the cloud told them, and as they are kept under p/types. */
-static void stored_machine_types_are_read(void **arg)
+/* The recording is in the format of both the provider's answer and the value of p/types. */
+static void recorded_machine_types_are_read(void **arg)
 {
     static struct pm_settings settings;
     struct pm_name_tables tables;
     size_t size;
-    unsigned char *recorded = recorded_bytes(STORED_TYPES, &size);
+    unsigned char *recorded = recorded_bytes(STORED_MACHINE_TYPES, &size);
     cbor_item_t *value = pm_cbor_parse(recorded, size);
     struct pm_buffer copy = {0};
     const struct pm_machine_type *type;
@@ -256,7 +257,7 @@
     assert_int_equal((int)type->ready_s, 20);
     assert_int_equal(type->zones, 1);
     pm_cbor_put_item(&copy, value);
-    assert_bytes(copy.data, copy.size, STORED_TYPES);
+    assert_bytes(copy.data, copy.size, STORED_MACHINE_TYPES);
     pm_buffer_free(&copy);
     pm_cbor_free(value);
     g_free(recorded);
@@ -278,7 +279,7 @@
     (void)revision;
 }
 
-static void ignore_drop(void *arg, const char *key, uint64_t revision)
+static void ignore_delete(void *arg, const char *key, uint64_t revision)
 {
     (void)arg;
     (void)key;
@@ -301,19 +302,21 @@
     return fake_store_revision(arg, "p/seen/n0") > 0;
 }
 
-/* The acknowledgement of a cancellation by way of the state service: written, and read. */
-static void stored_acknowledgements_are_as_recorded(void **arg)
+/* A controller acknowledges a cancellation by writing a key to the state service, and counts the
+ * keys of its peers. */
+static void stored_acknowledgements_match_recording(void **arg)
 {
     static struct pm_settings settings = {.cluster_size = 3, .peer_count = 2};
     struct ev_loop *loop = ev_loop_new(EVFLAG_AUTO);
-    struct fake_store *state = fake_store_new(loop);
+    struct fake_store *state_service = fake_store_new(loop);
     struct pm_http_client *http = pm_http_client_new(loop, 16);
-    const struct pm_store_observer feed = {ignore_put,   ignore_drop,     ignore_event,
-                                           ignore_event, ignore_revision, NULL};
-    struct pm_store *store = pm_store_new(loop, http, fake_store_addr(state), 1000, &feed);
-    struct pm_cancel_quorum *cancels;
+    const struct pm_store_observer observer = {ignore_put,   ignore_delete,   ignore_event,
+                                               ignore_event, ignore_revision, NULL};
+    struct pm_store *store =
+        pm_store_new(loop, http, fake_store_addr(state_service), 1000, &observer);
+    struct pm_cancel_quorum *quorum;
     unsigned char *recorded;
-    char *written;
+    char *encoded;
     cbor_item_t *value;
     size_t size;
 
@@ -321,19 +324,19 @@
     strcpy(settings.name, "n0");
     strcpy(settings.peers[0].name, "n1");
     strcpy(settings.peers[1].name, "n2");
-    cancels = pm_cancel_quorum_new(loop, store, http, &settings,
-                                   &(struct pm_cancel_quorum_hooks){ignore_cancelled, NULL});
-    pm_cancel_quorum_note_cancellation_read(cancels, 1);
-    assert_true(event_loop_run_until(loop, has_acknowledged, state));
-    written = fake_store_value_hex(state, "p/seen/n0");
-    assert_string_equal(written, STORED_SEEN);
-    g_free(written);
+    quorum = pm_cancel_quorum_new(loop, store, http, &settings,
+                                  &(struct pm_cancel_quorum_hooks){ignore_cancelled, NULL});
+    pm_cancel_quorum_note_cancellation_read(quorum, 1);
+    assert_true(event_loop_run_until(loop, has_acknowledged, state_service));
+    encoded = fake_store_value_hex(state_service, "p/seen/n0");
+    assert_string_equal(encoded, STORED_ACKED_REVISION);
+    g_free(encoded);
     recorded = recorded_bytes("bf6765646974696f6e19019cff", &size); /* {edition: 412} */
     value = pm_cbor_parse(recorded, size);
-    assert_false(pm_cancel_quorum_is_acked(cancels, 412));
-    pm_cancel_quorum_apply_put(cancels, "p/seen/n1", value);
-    assert_true(pm_cancel_quorum_is_acked(cancels, 412)); /* two of three */
-    assert_false(pm_cancel_quorum_is_acked(cancels, 413));
+    assert_false(pm_cancel_quorum_is_acked(quorum, 412));
+    pm_cancel_quorum_apply_put(quorum, "p/seen/n1", value);
+    assert_true(pm_cancel_quorum_is_acked(quorum, 412)); /* by two of three controllers */
+    assert_false(pm_cancel_quorum_is_acked(quorum, 413));
     pm_cbor_free(value);
     g_free(recorded);
 }
@@ -341,18 +344,19 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(peers_messages_are_as_recorded),
-        cmocka_unit_test(cancellations_messages_are_as_recorded),
-        cmocka_unit_test(blocks_messages_are_as_recorded),
-        cmocka_unit_test(views_of_links_are_as_recorded),
-        cmocka_unit_test(stored_machine_types_are_read),
-        cmocka_unit_test(stored_acknowledgements_are_as_recorded),
+        cmocka_unit_test(peer_messages_match_recording),
+        cmocka_unit_test(cancellation_messages_match_recording),
+        cmocka_unit_test(shard_messages_match_recording),
+        cmocka_unit_test(link_views_match_recording),
+        cmocka_unit_test(recorded_machine_types_are_read),
+        cmocka_unit_test(stored_acknowledgements_match_recording),
     };
 
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
 
-/* The loop and its clients live until the process ends, as those of a daemon do. */
+/* Turns leak detection off: the event loop and its clients exist until the process ends, as in a
+ * controller. */
 const char *__asan_default_options(void);
 const char *__asan_default_options(void)
 {
