--- a/src/store/internal.h
+++ b/src/store/internal.h
@@ -96,8 +96,8 @@
 
 /* ---- result.c ---- */
 
-/* Converts an HTTP status, PM_HTTP_NO_ANSWER or PM_HTTP_NOT_SENT into a result. A status without a
- * result of its own becomes PM_STORE_UNAVAILABLE. */
+/* Converts an HTTP status, PM_HTTP_NO_RESPONSE or PM_HTTP_NOT_SENT into a result. A status without
+ * a result of its own becomes PM_STORE_UNAVAILABLE. */
 enum pm_store_result pm_store_result_from_status(int status);
 
 /* ---- codec.c ---- */
