--- a/src/cmd/pumicectl/audit_files.c
+++ b/src/cmd/pumicectl/audit_files.c
@@ -5,7 +5,8 @@
 
 enum { REASON_SIZE = 256 };
 
-/* The time in UTC, owned by the caller; "" if it is out of range. */
+/* Formats a wall-clock time in UTC. Returns a text owned by the caller, or "" if the time is out of
+ * range. */
 static char *format_wall(double wall)
 {
     GDateTime *time = g_date_time_new_from_unix_utc((gint64)wall);
@@ -18,6 +19,7 @@
     return text;
 }
 
+/* Appends the entry to the JSON array `arg`. */
 static void add_entry(void *arg, const struct pm_audit_entry *entry)
 {
     json_t *entries = arg;
@@ -36,15 +38,16 @@
     case PM_AUDIT_FILE_COMPLETE:
         return "whole";
     case PM_AUDIT_FILE_TRUNCATED:
-        return "read to its last whole entry";
+        return "incomplete, read up to its last complete entry";
     case PM_AUDIT_FILE_CORRUPT:
-        return "damaged after the last entry told";
+        return "corrupt after its last readable entry";
     default:
-        return "not a record";
+        return "missing, or not an audit log file";
     }
 }
 
-/* Reads one file and adds its entries to `entries`; the object is owned by the caller. */
+/* Reads one file, appends its entries to `entries` and sets `state`. Returns an object that
+ * describes the file, owned by the caller. */
 static json_t *read_file(const char *path, json_t *entries, enum pm_audit_file_state *state)
 {
     char reason[REASON_SIZE];
--- a/src/cmd/pumicectl/cbor_to_json.c
+++ b/src/cmd/pumicectl/cbor_to_json.c
@@ -11,7 +11,7 @@
     return character < ' ' || character == DELETE_CHARACTER;
 }
 
-/* The text without control characters: an answer must not steer the terminal. */
+/* Replaces control characters, so that an answer cannot send escape sequences to the terminal. */
 static json_t *convert_text(const cbor_item_t *item)
 {
     char text[TEXT_MAX];
--- a/src/cmd/pumicectl/commands.c
+++ b/src/cmd/pumicectl/commands.c
@@ -15,24 +15,22 @@
 
 enum { FILES_MAX = 4096, TARGET_SIZE = 64, PROBLEM_SIZE = 96 };
 
-/* A command of one or two words, and what it needs after them. */
+/* An entry of the command table. */
 struct pm_command {
-    const char *name, *second_word; /* NULL: of one word */
+    const char *name, *second_word; /* `second_word` is NULL if the name is one word */
     int min_arguments, max_arguments;
-    const char *needs; /* what the arguments are, for a message */
-    bool is_offline;   /* needs no settings */
+    const char *expected_arguments; /* for the message about a wrong number of arguments */
+    bool is_offline;                /* sends no requests, and so needs no settings */
     const char *template_text;
-    bool is_framed; /* the template goes between those of the begin and the end */
-    /* What is requested of all controllers, and how their answers are reported. NULL: `run` is
-     * called instead. */
+    bool is_framed; /* the template is put between begin.mustache and end.mustache */
+    /* The path that is requested from all controllers, and the function that makes the report from
+     * their answers. If `target` is NULL, `run` is called instead. */
     const char *target;
     struct pm_report (*report)(const struct pm_gathered *gathered);
     struct pm_report (*run)(const struct pm_invocation *invocation,
                             const struct pm_settings *settings);
 };
 
-/* ---- commands with arguments ---- */
-
 static struct pm_report run_why(const struct pm_invocation *invocation,
                                 const struct pm_settings *settings)
 {
@@ -68,8 +66,6 @@
     return pm_report_audit_files(invocation->arguments, invocation->argument_count, false);
 }
 
-/* ---- the table ---- */
-
 static const struct pm_command commands[] = {
     {.name = "status",
      .target = STATUS_PATH,
@@ -94,7 +90,7 @@
     {.name = "why",
      .min_arguments = 1,
      .max_arguments = 1,
-     .needs = "one job",
+     .expected_arguments = "one job id",
      .template_text = template_why,
      .is_framed = true,
      .run = run_why},
@@ -102,14 +98,14 @@
      .second_word = "drain",
      .min_arguments = 1,
      .max_arguments = 1,
-     .needs = "one duty",
+     .expected_arguments = "one duty name",
      .template_text = template_drain,
      .run = run_drain},
     {.name = "record",
      .second_word = "list",
      .min_arguments = 1,
      .max_arguments = FILES_MAX,
-     .needs = "files",
+     .expected_arguments = "1 to 4096 files",
      .is_offline = true,
      .template_text = template_record,
      .run = run_audit_list},
@@ -117,14 +113,13 @@
      .second_word = "verify",
      .min_arguments = 1,
      .max_arguments = FILES_MAX,
-     .needs = "files",
+     .expected_arguments = "1 to 4096 files",
      .is_offline = true,
      .template_text = template_record,
      .run = run_audit_verify},
 };
 
-/* ---- parsing ---- */
-
+/* Returns the command that the first words after the program's name select, or NULL. */
 static const struct pm_command *find_command(int argc, char **argv)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(commands); i++) {
@@ -137,7 +132,7 @@
     return NULL;
 }
 
-/* NULL, or what is wrong with the number of arguments. */
+/* Returns NULL, or an error message if the number of arguments is wrong. */
 static const char *check_argument_count(const struct pm_command *command, int count)
 {
     static char problem[PROBLEM_SIZE];
@@ -146,22 +141,24 @@
         return NULL;
     if (!command->max_arguments)
         return "unexpected argument";
-    snprintf(problem, sizeof problem, "%s: needs %s", command->name, command->needs);
+    snprintf(problem, sizeof problem, "%s: expected %s", command->name,
+             command->expected_arguments);
     return problem;
 }
 
-/* NULL, or what is wrong with the arguments, whose number is right. */
+/* Returns NULL, or an error message if an argument or --dry-run is wrong for the command. The
+ * number of arguments has been checked before. */
 static const char *check_arguments(const struct pm_invocation *invocation)
 {
     const char *name = invocation->command->name;
     enum pm_role role;
 
     if (!strcmp(name, "why") && !pm_job_id_is_valid(invocation->arguments[0]))
-        return "why: not the id of a job";
+        return "why: not a valid job id";
     if (!strcmp(name, "duty") && !pm_role_from_name(invocation->arguments[0], &role))
-        return "duty drain: rent, return or clean";
+        return "duty drain: the duty must be rent, return or clean";
     if (!strcmp(name, "cleanup") != invocation->dry_run)
-        return "--dry-run goes with cleanup, which does nothing else";
+        return "cleanup requires --dry-run, and no other command accepts it";
     return NULL;
 }
 
@@ -171,19 +168,17 @@
     int command_words;
 
     if (argc < 2)
-        return "a command is needed";
+        return "no command given";
     out->command = find_command(argc, argv);
     if (!out->command)
-        return "no such command";
-    command_words = out->command->second_word ? 3 : 2; /* with the program's name */
+        return "unknown command";
+    command_words = out->command->second_word ? 3 : 2; /* counts the program's name */
     out->arguments = argv + command_words;
     out->argument_count = argc - command_words;
     problem = check_argument_count(out->command, out->argument_count);
     return problem ? problem : check_arguments(out);
 }
 
-/* ---- running ---- */
-
 bool pm_command_needs_settings(const struct pm_command *command)
 {
     return !command->is_offline;
--- a/src/cmd/pumicectl/commands.h
+++ b/src/cmd/pumicectl/commands.h
@@ -1,5 +1,5 @@
-/* The commands of pumicectl: which there are, what arguments they need, and running one. No state
- * but constants. */
+/* The table of pumicectl's commands: parses the command line and runs a command. The only state is
+ * the text of the last error message. */
 #ifndef PM_CMD_PUMICECTL_COMMANDS_H
 #define PM_CMD_PUMICECTL_COMMANDS_H
 
@@ -10,24 +10,24 @@
 
 struct pm_command;
 
-/* A command of the command line, with what follows it. */
+/* A command with its arguments and options, as given on the command line. */
 struct pm_invocation {
     const struct pm_command *command;
-    char *const *arguments; /* that follow the command's own words; borrowed */
+    char *const *arguments; /* without the words of the command itself; borrowed */
     int argument_count;
     bool dry_run;
-    double timeout_s; /* for each request to a controller */
+    double timeout_s; /* of each request; for `duty drain`, of the wait for the next holder */
 };
 
-/* Finds the command that the words after the options name, and sets `out` to it and to its
- * arguments. `out->dry_run` is set before. NULL, or what is wrong with the words: a text that is
- * valid until the next call. */
+/* Parses the command and its arguments from `argv`, from which the options have been removed, into
+ * `out`. The caller sets `out->dry_run` before the call, because the arguments are checked against
+ * it. Returns NULL, or an error message that is valid until the next call. */
 const char *pm_invocation_parse(struct pm_invocation *out, int argc, char **argv);
-/* Whether the command needs the settings of a controller. */
+/* Whether the command needs the settings file of a controller. */
 bool pm_command_needs_settings(const struct pm_command *command);
-/* The template of the command's text; owned by the caller. */
+/* Returns the Mustache template for the command's text output; owned by the caller. */
 char *pm_command_template(const struct pm_command *command);
-/* Runs the command. `settings` is not read unless the command needs settings. */
+/* Runs the command. `settings` is read only if pm_command_needs_settings(). */
 struct pm_report pm_invocation_run(const struct pm_invocation *invocation,
                                    const struct pm_settings *settings);
 
--- a/src/cmd/pumicectl/controller_views.c
+++ b/src/cmd/pumicectl/controller_views.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-/* The controller's view in an answer; NULL: the answer has none. */
+/* Returns the controller's view in the body of one answer, or NULL if the body has none. */
 static const json_t *find_view(const json_t *body, const char *controller)
 {
     const json_t *views = json_object_get(json_object_get(body, "links"), "views");
--- a/src/cmd/pumicectl/controller_views.h
+++ b/src/cmd/pumicectl/controller_views.h
@@ -1,13 +1,15 @@
-/* Views: what a controller observes of its links and its fitness. A controller answers with its own
- * view, and with the views that it has of the others. No state, no I/O. */
+/* Finds controllers' views in the gathered answers. A view is what one controller observes: the
+ * state of its links, and its fitness to lead and for other work. Each answer contains the
+ * controller's own view, and copies of the other controllers' views. No state, no I/O. */
 #ifndef PM_CMD_PUMICECTL_CONTROLLER_VIEWS_H
 #define PM_CMD_PUMICECTL_CONTROLLER_VIEWS_H
 
 #include "gather.h"
 
-/* The view of the controller with this index in `gathered`: its own if it answered, else that of
- * the first other controller that has one; borrowed from `gathered`. Sets `source` to the name of
- * the controller whose answer it is from. NULL: there is none. */
+/* Returns the view of the controller with this index in `gathered`, borrowed, or NULL if no answer
+ * contains it. The view is taken from the controller's own answer if possible, else from the first
+ * other answer that contains it. Sets `source` to the name of the controller that sent that
+ * answer. */
 const json_t *pm_find_controller_view(const struct pm_gathered *gathered, int controller,
                                       const char **source);
 
--- a/src/cmd/pumicectl/drain.c
+++ b/src/cmd/pumicectl/drain.c
@@ -24,25 +24,23 @@
     STATUS_CONFLICT = 409
 };
 
-/* A client of the state service that makes one request at a time. */
+/* A blocking client of the state service, with one request at a time. */
 struct state_client {
     struct ev_loop *loop;
     struct pm_http_client *http;
     const char *addr;
-    int status;   /* of the last answer; not positive: there was none */
-    json_t *body; /* of the last answer, owned */
+    int status;   /* HTTP status of the last request, or PM_HTTP_NO_ANSWER or PM_HTTP_NOT_SENT */
+    json_t *body; /* body of the last answer; owned, may be NULL */
 };
 
-/* A key as it was read. */
+/* The result of reading a key. */
 struct stored_key {
-    bool is_reached;   /* the state service answered */
-    uint64_t revision; /* 0: there is no such key */
-    uint64_t token;    /* of a request to drain */
-    char holder[PM_NAME_MAX];
+    bool is_reached;          /* the state service answered */
+    uint64_t revision;        /* 0 if the key does not exist */
+    uint64_t token;           /* the fencing token in a drain request; 0 for other keys */
+    char holder[PM_NAME_MAX]; /* the holder in a role's key; "" for other keys */
 };
 
-/* ---- requests ---- */
-
 static void on_answer(void *arg, int status, const unsigned char *body, size_t size)
 {
     struct state_client *client = arg;
@@ -53,15 +51,16 @@
     ev_break(client->loop, EVBREAK_ALL);
 }
 
-/* Returns when the request is answered or has timed out. `body` may be NULL. */
-static void call(struct state_client *client, const char *method, const char *target,
-                 const struct pm_buffer *body)
+/* Sends a request and waits until it is answered or has timed out. `body` may be NULL. */
+static void send_request(struct state_client *client, const char *method, const char *target,
+                         const struct pm_buffer *body)
 {
     pm_http_call(client->http, client->addr, method, target, body ? body->data : NULL,
                  body ? body->size : 0, REQUEST_TIMEOUT_S, ANSWER_MAX, on_answer, client);
     ev_run(client->loop, 0);
 }
 
+/* Reads the key `prefix` + `role_name`. */
 static struct stored_key read_key(struct state_client *client, const char *prefix,
                                   const char *role_name)
 {
@@ -70,7 +69,7 @@
     char target[KEY_SIZE];
 
     snprintf(target, sizeof target, "/kv/%s%s", prefix, role_name);
-    call(client, "GET", target, NULL);
+    send_request(client, "GET", target, NULL);
     key.is_reached = client->status == STATUS_OK || client->status == STATUS_NOT_FOUND;
     if (client->status != STATUS_OK)
         return key;
@@ -81,7 +80,9 @@
     return key;
 }
 
-/* Writes a request to drain the holder of `token`, in place of the one at `request_revision`. */
+/* Commits a drain request for the holder whose key has the revision `token`. The commit fails with
+ * STATUS_CONFLICT if that key has changed, or if the request's key is no longer at
+ * `request_revision`. */
 static void write_request(struct state_client *client, const char *role_name, uint64_t token,
                           uint64_t request_revision)
 {
@@ -99,13 +100,11 @@
     pm_cbor_put_end(&txn.writes);
     pm_txn_put_end(&txn, 0);
     pm_txn_encode(&txn, &body);
-    call(client, "POST", "/txn", &body);
+    send_request(client, "POST", "/txn", &body);
     pm_buffer_free(&body);
     pm_txn_free(&txn);
 }
 
-/* ---- waiting for the next holder ---- */
-
 static void on_timer(struct ev_loop *loop, ev_timer *timer, int events)
 {
     (void)timer;
@@ -123,7 +122,8 @@
     ev_timer_stop(loop, &timer);
 }
 
-/* The key of the holder after the one with `token`; without a revision if there is none in time. */
+/* Polls until another controller holds the role, and returns its key. Returns a key with revision 0
+ * if none does within `timeout_s`. `token` is the previous holder's. */
 static struct stored_key wait_for_next_holder(struct state_client *client, const char *role_name,
                                               uint64_t token, double timeout_s)
 {
@@ -138,9 +138,7 @@
     return (struct stored_key){0};
 }
 
-/* ---- the report ---- */
-
-/* `holder` and `next` may be NULL: not known. */
+/* Makes the report. `holder` and `next` are NULL if they are not known. */
 static struct pm_report make_report(const char *role_name, const char *outcome, bool is_requested,
                                     const struct stored_key *holder, const struct stored_key *next)
 {
@@ -159,6 +157,7 @@
     return report;
 }
 
+/* Reads both keys, commits the request, and waits for the next holder. */
 static struct pm_report drain(struct state_client *client, const char *role_name, double timeout_s)
 {
     struct stored_key holder = read_key(client, PM_KEY_ROLE_PREFIX, role_name);
@@ -171,22 +170,24 @@
     if (!holder.revision)
         return make_report(role_name, "nobody holds it; nothing was changed", false, NULL, NULL);
     if (request.revision && request.token == holder.revision)
-        return make_report(role_name, "its holder was asked before; nothing was changed", true,
-                           &holder, NULL);
+        return make_report(role_name,
+                           "its holder has already been asked to release it; nothing was changed",
+                           true, &holder, NULL);
     write_request(client, role_name, holder.revision, request.revision);
     if (client->status == STATUS_CONFLICT)
-        return make_report(role_name,
-                           "it has passed on, or another operator asked first; nothing was changed",
-                           false, &holder, NULL);
+        return make_report(
+            role_name,
+            "its holder has changed, or another operator asked first; nothing was changed", false,
+            &holder, NULL);
     if (client->status != STATUS_OK)
-        return make_report(role_name,
-                           "no answer from the state service: the request may have been made",
-                           false, &holder, NULL);
+        return make_report(
+            role_name, "the state service did not confirm the request, which may have been stored",
+            false, &holder, NULL);
     next = wait_for_next_holder(client, role_name, holder.revision, timeout_s);
     return make_report(role_name,
-                       next.revision ? "its holder has given it up"
-                                     : "its holder is asked to give it up, and nobody else has it "
-                                       "yet",
+                       next.revision
+                           ? "its holder has released it"
+                           : "its holder was asked to release it, and nobody else holds it yet",
                        true, &holder, &next);
 }
 
--- a/src/cmd/pumicectl/gather.c
+++ b/src/cmd/pumicectl/gather.c
@@ -7,42 +7,45 @@
 
 enum {
     ANSWER_MAX = 1024 * 1024, /* bytes */
-    REQUESTS_MAX = PM_GATHER_MAX + 2,
+    REQUESTS_MAX = PM_GATHER_CONTROLLERS_MAX + 2,
     STATUS_OK = 200,
     STATUS_NOT_FOUND = 404,
     STATUS_UNAVAILABLE = 503
 };
 
-/* The requests' own timeouts end them before the loop is stopped. */
+/* The event loop is stopped this long after the requests' own timeout, which normally ends them
+ * first. */
 #define DEADLINE_MARGIN_S 0.5
 
+/* A request, and where its answer is stored. */
 struct pending_request {
     struct gathering *gathering;
     struct pm_answer *answer;
 };
 
+/* The state of one call of pm_gather(). */
 struct gathering {
     struct ev_loop *loop;
     struct pm_http_client *client;
     double timeout_s;
     struct pending_request requests[REQUESTS_MAX];
     int request_count;
-    int open_count; /* not answered yet */
+    int pending_count; /* requests that have not ended yet */
 };
 
-/* ---- one request ---- */
-
+/* Returns the error text for a request that ended without status 200. */
 static const char *describe_error(int status)
 {
     if (status == PM_HTTP_NOT_SENT)
-        return "not reached";
+        return "connection failed";
     if (status == PM_HTTP_NO_ANSWER)
-        return "no answer in time";
+        return "no answer";
     if (status == STATUS_UNAVAILABLE)
-        return "refuses (503)";
-    return status == STATUS_NOT_FOUND ? "knows nothing of that (404)" : "an unexpected status";
+        return "service unavailable (HTTP 503)";
+    return status == STATUS_NOT_FOUND ? "not found (HTTP 404)" : "unexpected HTTP status";
 }
 
+/* Decodes the body. The answer is an error unless the body is a map. */
 static void read_body(struct pm_answer *answer, const unsigned char *body, size_t size)
 {
     answer->body = pm_json_from_cbor(body, size);
@@ -50,7 +53,7 @@
         return;
     json_decref(answer->body);
     answer->body = NULL;
-    answer->error = "a malformed answer";
+    answer->error = "malformed answer";
 }
 
 static void on_answer(void *arg, int status, const unsigned char *body, size_t size)
@@ -63,7 +66,7 @@
     answer->error = status == STATUS_OK ? NULL : describe_error(status);
     if (status == STATUS_OK)
         read_body(answer, body, size);
-    if (!--gathering->open_count)
+    if (!--gathering->pending_count)
         ev_break(gathering->loop, EVBREAK_ALL);
 }
 
@@ -71,16 +74,15 @@
 {
     struct pending_request *request = &gathering->requests[gathering->request_count++];
 
-    answer->error = "no answer in time";
+    answer->error = "no answer";
     *request = (struct pending_request){.gathering = gathering, .answer = answer};
-    gathering->open_count++;
+    gathering->pending_count++;
     pm_http_call(gathering->client, answer->addr, "GET", target, NULL, 0, gathering->timeout_s,
                  ANSWER_MAX, on_answer, request);
 }
 
-/* ---- all of them ---- */
-
-static void name_answers(struct pm_gathered *out, const struct pm_settings *settings)
+/* Sets the names and addresses of all answers, and clears the rest. */
+static void init_answers(struct pm_gathered *out, const struct pm_settings *settings)
 {
     memset(out, 0, sizeof *out);
     out->controller_count = settings->peer_count + 1;
@@ -102,6 +104,7 @@
     ev_break(loop, EVBREAK_ALL);
 }
 
+/* Runs the event loop until every request has ended, or until the deadline. */
 static void run_until_answered(struct gathering *gathering)
 {
     ev_timer deadline;
@@ -118,7 +121,7 @@
     struct gathering gathering = {.loop = ev_loop_new(EVFLAG_AUTO), .timeout_s = timeout_s};
 
     gathering.client = pm_http_client_new(gathering.loop, REQUESTS_MAX);
-    name_answers(out, settings);
+    init_answers(out, settings);
     for (int i = 0; i < out->controller_count; i++)
         send_request(&gathering, &out->controllers[i], target);
     send_request(&gathering, &out->leader_key, "/kv/p/lead");
@@ -136,7 +139,7 @@
     json_decref(gathered->epoch_key.body);
 }
 
-int pm_gathered_count(const struct pm_gathered *gathered)
+int pm_gathered_answer_count(const struct pm_gathered *gathered)
 {
     int count = 0;
 
--- a/src/cmd/pumicectl/json_fields.h
+++ b/src/cmd/pumicectl/json_fields.h
@@ -5,11 +5,12 @@
 #include <jansson.h>
 #include <stdbool.h>
 
-/* The text under `key`, borrowed from `object`; "" if there is none, or `object` is no object. */
+/* Returns the text under `key`, borrowed from `object`, or "" if there is none or `object` is not
+ * an object (or NULL). */
 const char *pm_json_text(const json_t *object, const char *key);
-/* The boolean under `key`; false if there is none. */
+/* Returns the boolean under `key`, or false if there is none. */
 bool pm_json_flag(const json_t *object, const char *key);
-/* The number under `key`; 0 if there is none. */
+/* Returns the number under `key`, or 0 if there is none. */
 double pm_json_number(const json_t *object, const char *key);
 
 #endif
--- a/src/cmd/pumicectl/main.c
+++ b/src/cmd/pumicectl/main.c
@@ -1,4 +1,5 @@
-/* pumicectl, the operators' tool: shows the state of a cluster, and drains a singleton role. */
+/* pumicectl, the operators' tool: shows the state of a cluster, and drains a singleton role. This
+ * file parses the options, runs the command and prints its report. */
 #include "base/log.h"
 #include "base/settings.h"
 #include "commands.h"
@@ -17,29 +18,34 @@
 
 static const char summary[] =
     "Commands:\n"
-    "  status                    who leads, who answers, how much work there is\n"
-    "  links                     who reaches whom, and since when that is known\n"
-    "  duties                    who holds which duty, and how fit each controller is for it\n"
-    "  why JOB                   why a job does not run\n"
-    "  duty drain NAME           asks the holder of rent, return or clean to give it up; who\n"
-    "                            rents and returns leads, and leaves the lead\n"
-    "  cleanup --dry-run         which stored keys the holder of clean takes away, and when\n"
-    "  record list FILE...       the entries of the record of duties\n"
-    "  record verify FILE...     whether its files are whole\n"
+    "  status                    show the leader, the controllers that answer, and counts of\n"
+    "                            jobs, tasks and machines\n"
+    "  links                     show the state of each link, and the age of the observation\n"
+    "  duties                    show the holder of each duty, and the fitness of each controller\n"
+    "  why JOB                   show why a job does not run\n"
+    "  duty drain NAME           ask the holder of the duty rent, return or clean to release it;\n"
+    "                            rent and return are held by the leader, which then steps\n"
+    "                            down as leader\n"
+    "  cleanup --dry-run         list the stored keys that the holder of clean will delete, and\n"
+    "                            which of them are due\n"
+    "  record list FILE...       list the entries of audit log files\n"
+    "  record verify FILE...     check that audit log files are complete\n"
     "\n"
-    "The settings file is that of any controller: its own address, its peers' and the state\n"
-    "service's are asked at the same time. What a controller that does not answer would say is\n"
-    "taken from the others where they know it, marked with who told it and how old it is. record\n"
-    "needs no settings.\n"
+    "The settings file may be that of any controller: pumicectl queries this controller, its\n"
+    "peers and the state service at the same time. If a controller does not answer, its links\n"
+    "and fitness are shown as last reported to the others, with the source and the age of that\n"
+    "report. record needs no settings.\n"
     "\n"
-    "duty drain is the only command that changes something: on the condition that the duty is\n"
-    "still held as it was read. Without the state service it refuses; repeating it is harmless.\n"
+    "duty drain is the only command that changes anything. The change is made only if the holder\n"
+    "of the duty has not changed since it was read. It is refused while the state service is not\n"
+    "reached, and is safe to repeat.\n"
     "\n"
     "Exit status:\n"
-    "  0  all is well\n"
-    "  1  something is wrong in the cluster; the last lines say what\n"
-    "  2  wrong use, or settings that can't be read\n"
-    "  3  no controller was reached\n";
+    "  0  no problems\n"
+    "  1  the report lists problems, duty drain was refused, or an audit log file is not\n"
+    "     complete\n"
+    "  2  invalid command line, or the settings can't be loaded\n"
+    "  3  no controller answered\n";
 
 struct options {
     char *config, *format;
@@ -53,9 +59,7 @@
     return PM_EXIT_USAGE;
 }
 
-/* ---- output ---- */
-
-/* False: there is no text for the document. */
+/* Returns false if the document could not be rendered. */
 static bool print_text(const json_t *document, const struct pm_command *command)
 {
     char *template_text = pm_command_template(command);
@@ -77,7 +81,7 @@
     return is_printed;
 }
 
-/* Returns the exit status. */
+/* Returns the exit status: the report's, or PM_EXIT_PROBLEMS if the report could not be printed. */
 static int print_report(const struct pm_report *report, const struct pm_command *command,
                         const char *format)
 {
@@ -87,21 +91,19 @@
     return !is_printed || fflush(stdout) ? PM_EXIT_PROBLEMS : (int)report->exit;
 }
 
-/* ---- running ---- */
-
-/* NULL, or what is wrong with the options. */
+/* Returns NULL, or an error message if an option is missing or has an invalid value. */
 static const char *check_options(const struct options *options, const struct pm_command *command)
 {
     if (!options->config && pm_command_needs_settings(command))
-        return "--config FILE is needed";
+        return "--config FILE is required";
     if (strcmp(options->format, "text") != 0 && strcmp(options->format, "json") != 0)
-        return "--format: text or json";
+        return "--format must be text or json";
     if (!(options->timeout_s > 0 && options->timeout_s <= MAX_TIMEOUT_S))
-        return "--timeout: above 0, at most 60 seconds";
+        return "--timeout must be greater than 0 and at most 60 seconds";
     return NULL;
 }
 
-/* Returns the exit status. */
+/* Runs the command that the arguments name. Returns the exit status. */
 static int run(struct options *options, int argc, char **argv)
 {
     static struct pm_settings settings;
@@ -134,15 +136,16 @@
 int main(int argc, char **argv)
 {
     struct options options = {.timeout_s = DEFAULT_TIMEOUT_S};
-    GOptionEntry entries[] = {
-        {"config", 0, 0, G_OPTION_ARG_FILENAME, &options.config, "a controller's settings (TOML)",
-         "FILE"},
-        {"format", 0, 0, G_OPTION_ARG_STRING, &options.format, "text (default) or json", "FORMAT"},
-        {"timeout", 0, 0, G_OPTION_ARG_DOUBLE, &options.timeout_s,
-         "how long to wait for answers, 3 by default", "SECONDS"},
-        {"dry-run", 0, 0, G_OPTION_ARG_NONE, &options.dry_run, "with cleanup: only tell", NULL},
-        {0}};
-    GOptionContext *context = g_option_context_new("COMMAND - look into a cluster");
+    GOptionEntry entries[] = {{"config", 0, 0, G_OPTION_ARG_FILENAME, &options.config,
+                               "settings file of any controller (TOML)", "FILE"},
+                              {"format", 0, 0, G_OPTION_ARG_STRING, &options.format,
+                               "output format: text (default) or json", "FORMAT"},
+                              {"timeout", 0, 0, G_OPTION_ARG_DOUBLE, &options.timeout_s,
+                               "how long to wait for answers, 3 by default", "SECONDS"},
+                              {"dry-run", 0, 0, G_OPTION_ARG_NONE, &options.dry_run,
+                               "required by cleanup: list the keys, delete nothing", NULL},
+                              {0}};
+    GOptionContext *context = g_option_context_new("COMMAND - inspect a cluster");
     GError *error = NULL;
     int status;
 
--- a/src/cmd/pumicectl/render.cpp
+++ b/src/cmd/pumicectl/render.cpp
@@ -1,4 +1,4 @@
-// Renders documents with the Mustache library, which is header-only C++.
+// Renders documents as text. Written in C++ because the Mustache library is a C++ header.
 #include "render.h"
 
 #include <kainjow/mustache.hpp>
@@ -15,6 +15,7 @@
 namespace
 {
 
+// Formats a number: integers as they are, others with one decimal.
 std::string number_text(const json_t *value)
 {
     char text[64];
@@ -26,6 +27,7 @@
     return text;
 }
 
+// Returns the text of a string or number, and an empty text for other types.
 std::string cell_text(const json_t *value)
 {
     if (json_is_string(value))
@@ -33,7 +35,7 @@
     return json_is_number(value) ? number_text(value) : std::string();
 }
 
-// The widest text of each key in a list of maps.
+// Returns the length of the longest text of each key in a list of maps.
 std::map<std::string, size_t> column_widths(const json_t *rows)
 {
     std::map<std::string, size_t> widths;
@@ -52,6 +54,7 @@
 
 data convert(const json_t *value);
 
+// Converts an object. With `widths`, pads its texts and numbers, and adds a has_KEY flag for each.
 data convert_map(const json_t *map, const std::map<std::string, size_t> *widths)
 {
     data out{data::type::object};
--- a/src/cmd/pumicectl/report.h
+++ b/src/cmd/pumicectl/report.h
@@ -1,5 +1,6 @@
-/* The report of each command: one JSON document, from which the text is made as well, and the exit
- * status. The names of fields in documents are part of the tool's output. No state, no I/O. */
+/* The reports of the commands. A report is a JSON document, which is printed as it is or rendered
+ * as text, and an exit status. Scripts read the document, so the names of its fields must not
+ * change. No state, no I/O. */
 #ifndef PM_CMD_PUMICECTL_REPORT_H
 #define PM_CMD_PUMICECTL_REPORT_H
 
@@ -7,8 +8,8 @@
 
 enum pm_exit {
     PM_EXIT_OK = 0,
-    PM_EXIT_PROBLEMS = 1, /* something is wrong in the cluster, or a request was refused */
-    PM_EXIT_USAGE = 2,
+    PM_EXIT_PROBLEMS = 1,   /* problems in the cluster or in a file, or a refused request */
+    PM_EXIT_USAGE = 2,      /* invalid command line, or the settings can't be loaded */
     PM_EXIT_UNREACHABLE = 3 /* no controller answered */
 };
 
@@ -17,15 +18,16 @@
     enum pm_exit exit;
 };
 
-/* Who leads, who answers, and how much work there is. */
+/* Reports which controller leads, which ones answered, and counts of jobs, tasks and machines. */
 struct pm_report pm_report_status(const struct pm_gathered *gathered);
-/* Which links between controllers, and to the services, work. */
+/* Reports the state of every link, between controllers and from controllers to services. */
 struct pm_report pm_report_links(const struct pm_gathered *gathered);
-/* Which controller has which singleton role, and how fit each is to lead. */
+/* Reports which controller holds each singleton role, each controller's fitness for its roles, and
+ * the owners of shards. */
 struct pm_report pm_report_roles(const struct pm_gathered *gathered);
-/* Which stored keys garbage collection will delete, and when. */
+/* Reports which stored keys garbage collection will delete, and which of them are due. */
 struct pm_report pm_report_cleanup(const struct pm_gathered *gathered);
-/* Why the job does not run. */
+/* Reports the state of the job, and the reasons why it does not run. */
 struct pm_report pm_report_why(const struct pm_gathered *gathered, const char *job);
 
 #endif
--- a/src/cmd/pumicectl/report_cleanup.c
+++ b/src/cmd/pumicectl/report_cleanup.c
@@ -1,8 +1,9 @@
 #include "json_fields.h"
 #include "report_frame.h"
 
-/* The answer of the controller that collects garbage, which decides; else the first one: all
- * replicas have the same keys. NULL: there is none. */
+/* Returns the answer of the controller that holds the garbage collection role, because that
+ * controller decides. If it did not answer, returns the first answer, because all replicas have the
+ * same keys. Returns NULL if no controller answered. */
 static const struct pm_answer *find_best_answer(const struct pm_gathered *gathered)
 {
     const struct pm_answer *best = NULL;
--- a/src/cmd/pumicectl/report_frame.c
+++ b/src/cmd/pumicectl/report_frame.c
@@ -15,6 +15,8 @@
     g_free(text);
 }
 
+/* Describes the state service and the leader stored in it. A key that does not exist (404) is a
+ * valid answer. */
 static json_t *describe_state_service(const struct pm_gathered *gathered, json_t *problems)
 {
     const struct pm_answer *leader_key = &gathered->leader_key;
@@ -23,13 +25,14 @@
     bool is_reached = !leader_key->error || leader_key->status == STATUS_NOT_FOUND;
 
     if (!is_reached)
-        pm_report_add_problem(problems, "the state service: %s", leader_key->error);
+        pm_report_add_problem(problems, "state service: %s", leader_key->error);
     return json_pack("{s:b, s:s, s:s, s:I}", "reached", is_reached, "error",
                      is_reached ? "" : leader_key->error, "leader", pm_json_text(leader, "leader"),
                      "epoch", (json_int_t)pm_json_number(epoch, "epoch"));
 }
 
-/* How many controllers lead with a confirmed epoch; sets `name` to the last one's, if any. */
+/* Returns how many controllers lead with a confirmed epoch. Sets `name` to the last one's name, and
+ * leaves it unchanged if there is none. */
 static int count_leaders(const struct pm_gathered *gathered, const char **name)
 {
     int count = 0;
@@ -58,15 +61,16 @@
 {
     const char *leader = "";
     int leader_count = count_leaders(gathered, &leader);
-    int answered = pm_gathered_count(gathered);
+    int answered = pm_gathered_answer_count(gathered);
     json_t *state_service = describe_state_service(gathered, problems);
 
     add_unreachable_controllers(gathered, problems);
     if (answered && !leader_count)
-        pm_report_add_problem(problems, "no controller that answered leads with a confirmed epoch");
+        pm_report_add_problem(problems,
+                              "no controller that answered is a leader with a confirmed epoch");
     if (leader_count > 1)
-        pm_report_add_problem(problems, "%d controllers say that they lead with a confirmed epoch",
-                              leader_count);
+        pm_report_add_problem(
+            problems, "%d controllers claim to be the leader with a confirmed epoch", leader_count);
     return json_pack("{s:i, s:i, s:b, s:s, s:o}", "answered", answered, "asked",
                      gathered->controller_count, "complete", answered == gathered->controller_count,
                      "leader", leader_count == 1 ? leader : "", "state_service", state_service);
@@ -80,7 +84,7 @@
 
     json_object_set_new(document, "well", json_boolean(!has_problems));
     json_object_set_new(document, "problems", problems);
-    if (!pm_gathered_count(gathered))
+    if (!pm_gathered_answer_count(gathered))
         report.exit = PM_EXIT_UNREACHABLE;
     else if (has_problems)
         report.exit = PM_EXIT_PROBLEMS;
--- a/src/cmd/pumicectl/report_frame.h
+++ b/src/cmd/pumicectl/report_frame.h
@@ -1,5 +1,5 @@
-/* What the reports on the whole cluster have in common: their begin, their problems, their end. No
- * state, no I/O. */
+/* The parts that all reports on a cluster have in common: the summary of answers at the beginning,
+ * and the list of problems at the end. No state, no I/O. */
 #ifndef PM_CMD_PUMICECTL_REPORT_FRAME_H
 #define PM_CMD_PUMICECTL_REPORT_FRAME_H
 
@@ -8,13 +8,14 @@
 
 #include <glib.h>
 
-/* Appends one line on something that is wrong to `problems`. */
+/* Appends a problem, formatted as one line of text, to `problems`. */
 void pm_report_add_problem(json_t *problems, const char *format, ...) G_GNUC_PRINTF(2, 3);
-/* A new document with who answered and who leads, owned by the caller; what is wrong with that is
- * added to `problems`. */
+/* Returns a new document with the number of answers, the leader and the state service, owned by the
+ * caller. Appends the problems found there to `problems`. */
 json_t *pm_report_begin(const struct pm_gathered *gathered, json_t *problems);
-/* Adds `problems` to the document; consumes both. The exit status follows from the problems, and
- * from whether any controller answered. */
+/* Adds `problems` to the document and takes ownership of both. The exit status is
+ * PM_EXIT_UNREACHABLE if no controller answered, PM_EXIT_PROBLEMS if there are problems, else
+ * PM_EXIT_OK. */
 struct pm_report pm_report_end(const struct pm_gathered *gathered, json_t *document,
                                json_t *problems);
 
--- a/src/cmd/pumicectl/report_links.c
+++ b/src/cmd/pumicectl/report_links.c
@@ -4,12 +4,14 @@
 
 #include <string.h>
 
+/* A link in an unknown state is not reported as a problem. */
 static bool is_working(const char *link_state)
 {
     return !strcmp(link_state, "up") || !strcmp(link_state, "unknown");
 }
 
-/* Adds one link to `rows`; `source` is the controller whose answer has the view. */
+/* Appends one link from controller `from` to `rows`, and a problem if a fresh view shows that it
+ * does not work. `source` is the controller whose answer contains the view. */
 static void add_link(json_t *rows, json_t *problems, const json_t *view, const json_t *link,
                      const char *from, const char *source)
 {
@@ -21,10 +23,11 @@
                                           target, "state", state, "told_by", source, "second_hand",
                                           is_second_hand, "age_s", pm_json_number(view, "age_s")));
     if (!is_working(state) && pm_json_flag(view, "fresh"))
-        pm_report_add_problem(problems, "%s to %s: %s%s%s", from, target, state,
-                              is_second_hand ? ", told by " : "", is_second_hand ? source : "");
+        pm_report_add_problem(problems, "link from %s to %s: %s%s%s", from, target, state,
+                              is_second_hand ? ", reported by " : "", is_second_hand ? source : "");
 }
 
+/* Appends all links of one view. */
 static void add_links(json_t *rows, json_t *problems, const json_t *view, const char *from,
                       const char *source)
 {
@@ -47,7 +50,7 @@
         if (view)
             add_links(rows, problems, view, answer->name, source);
         else if (answer->body)
-            pm_report_add_problem(problems, "controller %s does not observe its links",
+            pm_report_add_problem(problems, "controller %s does not monitor its links",
                                   answer->name);
     }
     json_object_set_new(document, "links", rows);
--- a/src/cmd/pumicectl/report_roles.c
+++ b/src/cmd/pumicectl/report_roles.c
@@ -5,8 +5,8 @@
 
 #include <string.h>
 
-/* ---- fitness of each controller for each of its roles ---- */
-
+/* Appends the fitness of a controller for one role to `rows`. Appends a problem if a fresh view
+ * shows that the leader is not fit to lead. */
 static void add_fitness(json_t *rows, json_t *problems, const json_t *view, const json_t *role,
                         const char *controller, const char *source)
 {
@@ -20,10 +20,11 @@
                                           reason, "holds", is_leader, "told_by", source, "age_s",
                                           pm_json_number(view, "age_s")));
     if (is_leader && strcmp(fitness, "fit") != 0 && pm_json_flag(view, "fresh"))
-        pm_report_add_problem(problems, "%s leads, and is %s for it: %s", controller, fitness,
-                              reason);
+        pm_report_add_problem(problems, "controller %s leads, but its fitness to lead is %s: %s",
+                              controller, fitness, reason);
 }
 
+/* Appends the fitness for every role in a view. */
 static void add_view(json_t *rows, json_t *problems, const json_t *view, const char *controller,
                      const char *source)
 {
@@ -33,8 +34,7 @@
         add_fitness(rows, problems, view, json_array_get(roles, i), controller, source);
 }
 
-/* ---- singleton roles ---- */
-
+/* Returns the singleton role of that name in an answer, borrowed, or NULL. */
 static const json_t *find_role(const json_t *body, const char *name)
 {
     const json_t *roles = json_object_get(body, "single_duties");
@@ -45,8 +45,8 @@
     return NULL;
 }
 
-/* The answer with the highest token of the role; of equal ones, the holder's. NULL: there is none.
- */
+/* Returns the answer with the highest fencing token of the role, or NULL if no answer contains the
+ * role. Of answers with the same token, the holder's is preferred. */
 static const struct pm_answer *find_newest_answer(const struct pm_gathered *gathered,
                                                   const char *name)
 {
@@ -66,6 +66,7 @@
     return newest;
 }
 
+/* Appends the role, as `answer` describes it, to `rows`, and its problems to `problems`. */
 static void add_singleton_role(json_t *rows, json_t *problems, const char *name,
                                const struct pm_answer *answer)
 {
@@ -77,8 +78,8 @@
     json_object_set_new(role, "own", json_boolean(pm_json_flag(role, "holds")));
     json_array_append_new(rows, role);
     if (pm_json_flag(role, "unreadable"))
-        pm_report_add_problem(problems,
-                              "duty %s: its holder's value can't be read, nobody takes it", name);
+        pm_report_add_problem(
+            problems, "duty %s: the stored holder can't be decoded, so nobody acquires it", name);
     else if (!has_holder && pm_json_number(role, "open_intents") > 0)
         pm_report_add_problem(problems, "duty %s: nobody holds it, and intents are open", name);
 }
@@ -96,9 +97,7 @@
     return rows;
 }
 
-/* ---- the report ---- */
-
-/* Owners of shards of machines, as the leader lists them. */
+/* Returns the owners of shards, as listed by the controllers that lead. */
 static json_t *list_shard_owners(const struct pm_gathered *gathered)
 {
     json_t *owners = json_array();
--- a/src/cmd/pumicectl/report_status.c
+++ b/src/cmd/pumicectl/report_status.c
@@ -1,11 +1,12 @@
 #include "json_fields.h"
 #include "report_frame.h"
 
+/* Returns what the controller is: the leader, the owner of a shard, or a replica. */
 static const char *describe_role(const json_t *body)
 {
     if (pm_json_flag(body, "leads"))
-        return pm_json_flag(body, "confirmed") ? "leader" : "leader, not confirmed";
-    return pm_json_flag(body, "holds_block") ? "holds a block" : "replica";
+        return pm_json_flag(body, "confirmed") ? "leader" : "leader, epoch not confirmed";
+    return pm_json_flag(body, "holds_block") ? "shard owner" : "replica";
 }
 
 static json_t *describe_controller(const struct pm_answer *answer)
@@ -26,10 +27,10 @@
 static void add_controller_problems(json_t *problems, const struct pm_answer *answer)
 {
     if (pm_json_flag(json_object_get(answer->body, "links"), "lagging"))
-        pm_report_add_problem(problems, "controller %s lags or stood still a moment ago",
+        pm_report_add_problem(problems, "controller %s was suspended or unresponsive a moment ago",
                               answer->name);
     if (pm_json_flag(json_object_get(answer->body, "state_service"), "refuses"))
-        pm_report_add_problem(problems, "controller %s is refused by the state service",
+        pm_report_add_problem(problems, "controller %s is refused by the state service (HTTP 503)",
                               answer->name);
 }
 
--- a/src/cmd/pumicectl/report_why.c
+++ b/src/cmd/pumicectl/report_why.c
@@ -3,45 +3,46 @@
 
 #include <string.h>
 
-/* How much an answer on a job is worth: the leader knows most, unless it has delegated the job;
- * then a controller that gives a reason of its own. */
-enum answer_worth {
-    WORTH_NO_ANSWER,
-    WORTH_NO_REASON,
-    WORTH_LEADER_DELEGATED,
-    WORTH_OWN_REASON,
-    WORTH_LEADER
+/* How informative a controller's answer about a job is, in ascending order. The leader knows most,
+ * unless it has delegated the job to the owner of a shard; then the answer of a controller that
+ * gives its own reason is better. */
+enum answer_rank {
+    RANK_NO_ANSWER,
+    RANK_NO_REASON,
+    RANK_LEADER_DELEGATED,
+    RANK_OWN_REASON,
+    RANK_LEADER
 };
 
-static enum answer_worth rate_answer(const json_t *body)
+static enum answer_rank rank_answer(const json_t *body)
 {
     const json_t *reasons = json_object_get(body, "reasons");
     const char *reason = pm_json_text(json_array_get(reasons, 0), "reason");
 
     if (!body)
-        return WORTH_NO_ANSWER;
+        return RANK_NO_ANSWER;
     if (pm_json_flag(body, "leads"))
-        return strcmp(reason, "delegated") != 0 ? WORTH_LEADER : WORTH_LEADER_DELEGATED;
+        return strcmp(reason, "delegated") != 0 ? RANK_LEADER : RANK_LEADER_DELEGATED;
     if (!pm_json_flag(body, "known"))
-        return WORTH_NO_REASON;
+        return RANK_NO_REASON;
     if (!strcmp(reason, "not-placed-here") || !strcmp(reason, "not-recorded"))
-        return WORTH_NO_REASON;
-    return WORTH_OWN_REASON;
+        return RANK_NO_REASON;
+    return RANK_OWN_REASON;
 }
 
-/* The first of the best answers; NULL: there is none. */
+/* Returns the first answer of the highest rank, or NULL if no controller answered. */
 static const struct pm_answer *find_best_answer(const struct pm_gathered *gathered)
 {
     const struct pm_answer *best = NULL;
-    enum answer_worth best_worth = WORTH_NO_ANSWER;
+    enum answer_rank best_rank = RANK_NO_ANSWER;
 
     for (int i = 0; i < gathered->controller_count; i++) {
         const struct pm_answer *answer = &gathered->controllers[i];
-        enum answer_worth worth = rate_answer(answer->body);
-        if (worth <= best_worth)
+        enum answer_rank rank = rank_answer(answer->body);
+        if (rank <= best_rank)
             continue;
         best = answer;
-        best_worth = worth;
+        best_rank = rank;
     }
     return best;
 }
@@ -59,6 +60,6 @@
     if (best)
         json_object_set(document, "answer", best->body);
     if (best && !is_known)
-        pm_report_add_problem(problems, "%s knows no job %s", best->name, job);
+        pm_report_add_problem(problems, "controller %s does not know job %s", best->name, job);
     return pm_report_end(gathered, document, problems);
 }
--- a/src/cmd/pumicectl/tests/test_pumicectl.c
+++ b/src/cmd/pumicectl/tests/test_pumicectl.c
@@ -1,4 +1,4 @@
-/* pumicectl with real controllers, also in failed states: its output and its exit status. */
+/* Tests the output and exit status of pumicectl against real controllers, also during faults. */
 #include "testing/cluster.h"
 #include "base/http.h"
 
@@ -16,7 +16,8 @@
 
 static char audit_log_dir[] = "/tmp/pumicectl-record-XXXXXX";
 
-/* Makes the directory of the audit log too. Owned by the caller; the cluster borrows it. */
+/* Creates the directory of the audit log, and returns operators' settings that name it. The text is
+ * owned by the caller; the cluster borrows it. */
 static char *make_operator_settings(void)
 {
     assert_non_null(g_mkdtemp(audit_log_dir));
@@ -27,7 +28,7 @@
                            audit_log_dir);
 }
 
-static struct cluster *cluster;
+static struct cluster *cluster; /* shared by all tests, which run in order */
 
 static bool has_started_tasks(struct cluster *tested_cluster)
 {
@@ -49,7 +50,7 @@
     return cluster_run_until(cluster, has_started_tasks, DEADLINE_S) ? 0 : -1;
 }
 
-/* The paths of the audit log's files, in no order; owned by the caller. */
+/* Returns the paths of the audit log's files, in no particular order; owned by the caller. */
 static GPtrArray *list_audit_files(void)
 {
     GDir *dir = g_dir_open(audit_log_dir, 0, NULL);
@@ -75,7 +76,8 @@
     return rmdir(audit_log_dir);
 }
 
-/* Runs the tool with the settings of that controller; the output is owned by the caller. */
+/* Runs pumicectl with the settings of that controller and a timeout of 1.5 s. Returns its output,
+ * owned by the caller. */
 static char *run_tool(int controller, const char *command, const char *argument, const char *format,
                       int *status)
 {
@@ -87,6 +89,7 @@
     return cluster_run_tool(cluster, argv, status);
 }
 
+/* Runs the command and returns its JSON document, owned by the caller. */
 static json_t *load_json(int controller, const char *command, const char *argument, int *status)
 {
     char *text = run_tool(controller, command, argument, "json", status);
@@ -97,6 +100,8 @@
     return document;
 }
 
+/* Runs the command and fails the test unless its exit status is `expected`. Returns its JSON
+ * document, owned by the caller. */
 static json_t *run_json(int controller, const char *command, const char *argument, int expected)
 {
     int status;
@@ -108,7 +113,8 @@
     return document;
 }
 
-/* Repeats the command until it has that exit status; fails after half a minute. */
+/* Repeats the command until its exit status is `expected`. Fails the test after 60 attempts, 0.5 s
+ * apart. */
 static void wait_for_status(const char *command, int expected)
 {
     int status = -1;
@@ -147,6 +153,7 @@
     json_decref(document);
 }
 
+/* Whether the document of the command links has a link from `source` to `target` in that state. */
 static bool find_link(const json_t *document, const char *source, const char *target,
                       const char *state)
 {
@@ -186,7 +193,8 @@
     wait_for_status("links", 0);
 }
 
-/* The others' view of a stopped controller is shown, and marked as second-hand. */
+/* The links of a stopped controller are shown as the other controllers last saw them, with the name
+ * of the controller that reported them. */
 static void links_of_a_stopped_controller_are_second_hand(void **arg)
 {
     int stopped = (cluster_leader(cluster) + 1) % 3;
@@ -198,8 +206,8 @@
     cluster_kill(cluster, stopped);
     text = run_tool(stopped, "links", NULL, "text", &status);
     assert_int_equal(status, 1);
-    assert_non_null(strstr(text, "2 of 3 controllers answered: what follows is not whole"));
-    snprintf(expected_text, sizeof expected_text, "told by node-");
+    assert_non_null(strstr(text, "2 of 3 controllers answered; this report is incomplete"));
+    snprintf(expected_text, sizeof expected_text, "reported by node-");
     assert_non_null(strstr(text, expected_text));
     snprintf(expected_text, sizeof expected_text, "controller node-%d at", stopped);
     assert_non_null(strstr(text, expected_text));
@@ -218,7 +226,7 @@
 
     (void)arg;
     cluster_set_load(cluster, 0);
-    job = cluster_submit_array(cluster, 400, 9.9); /* more than the machines and the limit allow */
+    job = cluster_submit_array(cluster, 400, 9.9); /* exceeds both capacity and quota */
     cluster_run(cluster, 4);
     document = run_json(0, "why", job, 0);
     assert_true(json_is_true(json_object_get(document, "known")));
@@ -250,12 +258,11 @@
     json_decref(document);
     fake_store_set_outage(cluster_store(cluster), false);
     wait_for_status("status", 0);
-    wait_for_status("duties", 0); /* the leader is fit again, as the tests after this one expect */
+    wait_for_status("duties", 0); /* waits until the leader is fit: later tests need it */
 }
 
-/* ---- singleton roles ---- */
-
-/* The role in the document of the command duties; borrowed from it. */
+/* Returns the role in the document of the command duties, borrowed from it. Fails the test if the
+ * role is missing. */
 static const json_t *find_singleton_role(const json_t *document, const char *name)
 {
     const json_t *roles = json_object_get(document, "single_duties");
@@ -267,6 +274,8 @@
     return NULL;
 }
 
+/* Runs `duty drain` with a timeout of 8 s, which lets it wait for the next holder, and checks the
+ * exit status. Returns its JSON document, owned by the caller. */
 static json_t *run_drain(const char *role, int expected)
 {
     const char *argv[] = {PM_TOOL,    "--config", cluster_settings_path(cluster, 0),
@@ -305,12 +314,12 @@
     assert_int_equal(json_integer_value(json_object_get(role, "token")),
                      fake_store_revision(cluster_store(cluster), "p/duty/return"));
     role = find_singleton_role(document, "clean");
-    /* Not the leader, while there are others. */
+    /* The leader leaves this role to other controllers; here it only has to be held. */
     assert_string_not_equal(get_text(role, "holder"), "");
     json_decref(document);
 }
 
-/* The holder of this role is the leader: another controller becomes leader, and work goes on. */
+/* The leader holds the scale-out role, so draining the role makes another controller the leader. */
 static void drain_passes_scale_out_to_another_leader(void **arg)
 {
     int leader_before = cluster_leader(cluster);
@@ -321,12 +330,12 @@
     document = run_drain("rent", 0);
     assert_int_not_equal(cluster_leader(cluster), leader_before);
     assert_true(fake_store_revision(cluster_store(cluster), "p/duty/rent") > token);
-    assert_string_equal(get_text(document, "outcome"), "its holder has given it up");
+    assert_string_equal(get_text(document, "outcome"), "its holder has released it");
     json_decref(document);
     assert_int_equal(fake_store_revision(cluster_store(cluster), "p/drain/rent"), 0);
 }
 
-/* Two operators at the same time: one request is accepted, the other one is refused. */
+/* Two operators drain a role at the same time: one request is accepted, the other one refused. */
 static void concurrent_drains_pass_the_role_on_once(void **arg)
 {
     char *command = g_strdup_printf("for i in 1 2; do %s --config %s --timeout 4 --format json "
@@ -342,10 +351,11 @@
     (void)arg;
     text = cluster_run_tool(cluster, argv, &status);
     for (const char *position = text; (position = strstr(position, "\"outcome\"")); position++) {
-        accepted += g_str_has_prefix(position, "\"outcome\": \"its holder has given it up") ||
-                    g_str_has_prefix(position, "\"outcome\": \"its holder is asked");
-        refused += g_str_has_prefix(position, "\"outcome\": \"its holder was asked before") ||
-                   g_str_has_prefix(position, "\"outcome\": \"it has passed on") ||
+        accepted +=
+            g_str_has_prefix(position, "\"outcome\": \"its holder has released it") ||
+            g_str_has_prefix(position, "\"outcome\": \"its holder was asked to release it, and");
+        refused += g_str_has_prefix(position, "\"outcome\": \"its holder has already been asked") ||
+                   g_str_has_prefix(position, "\"outcome\": \"its holder has changed") ||
                    g_str_has_prefix(position, "\"outcome\": \"nobody holds it");
     }
     assert_int_equal(accepted, 1);
@@ -376,7 +386,8 @@
     return !fake_store_revision(cluster_store(tested_cluster), "p/links/ghost");
 }
 
-/* The holder of the role later deletes what the dry run shows. */
+/* The dry run lists an obsolete key and does not delete it; the holder of the role deletes it
+ * later. */
 static void cleanup_shows_what_is_deleted_later(void **arg)
 {
     const char *argv[] = {PM_TOOL,     "--config", cluster_settings_path(cluster, 0),
@@ -401,7 +412,8 @@
     g_free(text);
 }
 
-/* The files of running controllers are read to the last entry, and reported as not closed. */
+/* Files that running controllers still write are read up to the last entry and reported as not
+ * closed. */
 static void record_reads_files_of_running_controllers(void **arg)
 {
     GPtrArray *paths = list_audit_files();
@@ -424,7 +436,7 @@
         g_free(text);
         text = cluster_run_tool(cluster, verify_command, &status);
         assert_int_equal(status, 1);
-        assert_non_null(strstr(text, "read to its last whole entry"));
+        assert_non_null(strstr(text, "incomplete, read up to its last complete entry"));
         g_free(text);
     }
     assert_true(has_rental);
@@ -448,7 +460,8 @@
     assert_int_equal(status, 2);
 }
 
-/* Answers with bodies that are no CBOR, no map, or contain control characters. */
+/* Answers in turn with a body that is not CBOR, one that is not a map, and one with control
+ * characters. */
 static void on_request(void *arg, struct pm_http_request *request)
 {
     static const char *const hostile_bodies[] = {"\xff\xff\xff", "\x83\x01\x02\x03",
@@ -460,7 +473,7 @@
     ++*request_count;
 }
 
-/* Replaces every text that follows `prefix`, up to the closing quotation mark. */
+/* Replaces every value that follows `prefix`, up to the closing quotation mark. */
 static void replace_values(GString *config_text, const char *prefix, const char *value)
 {
     char *position = strstr(config_text->str, prefix);
@@ -540,7 +553,7 @@
         cmocka_unit_test(record_reads_files_of_running_controllers),
         cmocka_unit_test(wrong_use_is_rejected),
         cmocka_unit_test(hostile_answers_are_harmless),
-        cmocka_unit_test(no_controller_is_reached), /* kills the controllers: must be the last */
+        cmocka_unit_test(no_controller_is_reached), /* last, because it kills the controllers */
     };
 
     cmocka_set_test_filter(g_getenv("PM_TEST_FILTER"));
