--- a/src/cmd/measure-cuts/main.c
+++ b/src/cmd/measure-cuts/main.c
@@ -1,6 +1,7 @@
-/* Measures what follows a network fault at the leader: real controller processes over loopback, the
- * stand-ins, a running workload. Prints one line for each kind of fault, times in seconds. Not part
- * of CI: a kind takes minutes. */
+/* measure-cuts: measures failover after a network fault on the leader's links. Runs real controller
+ * processes over loopback, with the stand-ins for the other services and a running workload. Prints
+ * one line for each kind of fault, with times in seconds. Not part of CI, because each kind takes
+ * minutes. */
 #include "testing/cluster.h"
 #include "base/clock.h"
 
@@ -9,20 +10,24 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define START_TIMEOUT_S 30.0 /* a cluster that does no work by then is given up */
-#define WAIT_S 30.0          /* what has not come about by then counts as this long */
-#define SETTLE_S 11.0        /* makes the leader one of long standing: see pm_fitness_delays */
-#define STEP_S 0.02
-#define LOAD_EVERY_S 0.4
+/* A repeat whose cluster has not started enough tasks within this time is not counted. */
+#define START_TIMEOUT_S 30.0
+/* Limit of the wait after a fault. An event that does not occur is counted with this time. */
+#define WAIT_S 30.0
+/* Longer than the leader's minimum term (pm_fitness_delays.min_term_s), so that the leader may
+ * yield as soon as the fault starts. */
+#define SETTLE_S 11.0
+#define STEP_S 0.02      /* interval at which the cluster is observed */
+#define LOAD_EVERY_S 0.4 /* interval of job submissions */
 
 enum { REPEATS_MAX = 1000, MIN_STARTS = 4, EXIT_USAGE = 2 };
 
-/* A fault of all the leader's links of one sort. */
+/* A fault of all the leader's links of one type. */
 struct fault_kind {
     const char *name;
     enum cluster_link link;
     struct relay_fault fault;
-    double flap_s; /* the fault is there and gone for that long in turn; 0: it stays */
+    double flap_s; /* the fault starts and stops in turn every `flap_s`; 0 if it is permanent */
 };
 
 static const struct fault_kind fault_kinds[] = {
@@ -41,22 +46,23 @@
     double flap_for_s;
 };
 
-/* What followed a fault. */
+/* The result of one repeat. Times are counted from the start of the fault; they are set only for a
+ * permanent fault, and the number of changes only for a flapping one. */
 struct outcome {
-    double last_answer_s;        /* after the fault, the leader last answered a heartbeat */
-    double new_leader_s;         /* another controller led */
-    double work_resumed_s;       /* a task was started under the new leader */
-    unsigned leadership_changes; /* while the fault came and went */
+    double last_answer_s;        /* until the old leader last answered a heartbeat */
+    double new_leader_s;         /* until another controller became leader */
+    double work_resumed_s;       /* until a task was started under the new leader */
+    unsigned leadership_changes; /* changes of leader during the measurement */
 };
 
-/* ---- one repeat ---- */
-
+/* Whether the cluster has a leader and has started at least MIN_STARTS tasks. */
 static bool is_working(struct cluster *cluster)
 {
     return history_start_count(cluster_history(cluster)) >= MIN_STARTS &&
            cluster_leader(cluster) >= 0;
 }
 
+/* Sets the fault on the links of that kind: to every zone, or to the state service. */
 static void set_faults(struct cluster *cluster, const struct fault_kind *kind, int controller,
                        struct relay_fault fault)
 {
@@ -66,7 +72,8 @@
         cluster_set_link_fault(cluster, controller, kind->link, target, fault);
 }
 
-static struct outcome follow_permanent_fault(struct cluster *cluster, int old_leader)
+/* Observes the cluster until the new leader has started a task, or for WAIT_S. */
+static struct outcome observe_permanent_fault(struct cluster *cluster, int old_leader)
 {
     const struct fake_provider *provider = cluster_provider(cluster);
     const struct history *history = cluster_history(cluster);
@@ -93,18 +100,19 @@
     return outcome;
 }
 
-static struct outcome follow_flapping_fault(struct cluster *cluster, const struct options *options,
-                                            const struct fault_kind *kind, int old_leader)
+/* Starts and stops the fault in turn, and counts the changes of leader. */
+static struct outcome observe_flapping_fault(struct cluster *cluster, const struct options *options,
+                                             const struct fault_kind *kind, int old_leader)
 {
     const struct relay_fault none = {0};
     struct outcome outcome = {0};
     double started_at = pm_clock_monotonic();
     int last_leader = old_leader;
 
-    for (int turn = 0; pm_clock_monotonic() - started_at < options->flap_for_s; turn++) {
-        double turn_ends_at = pm_clock_monotonic() + kind->flap_s;
-        set_faults(cluster, kind, old_leader, turn % 2 ? none : kind->fault);
-        while (pm_clock_monotonic() < turn_ends_at) {
+    for (int phase = 0; pm_clock_monotonic() - started_at < options->flap_for_s; phase++) {
+        double phase_ends_at = pm_clock_monotonic() + kind->flap_s;
+        set_faults(cluster, kind, old_leader, phase % 2 ? none : kind->fault);
+        while (pm_clock_monotonic() < phase_ends_at) {
             int leader = cluster_leader(cluster);
             cluster_run(cluster, STEP_S);
             if (leader < 0)
@@ -116,16 +124,18 @@
     return outcome;
 }
 
-static struct outcome follow_fault(struct cluster *cluster, const struct options *options,
-                                   const struct fault_kind *kind, int leader)
+static struct outcome observe_fault(struct cluster *cluster, const struct options *options,
+                                    const struct fault_kind *kind, int leader)
 {
     if (kind->flap_s > 0)
-        return follow_flapping_fault(cluster, options, kind, leader);
+        return observe_flapping_fault(cluster, options, kind, leader);
     set_faults(cluster, kind, leader, kind->fault);
-    return follow_permanent_fault(cluster, leader);
+    return observe_permanent_fault(cluster, leader);
 }
 
-/* False: the cluster did no work, or had no leader; `outcome` is unset. */
+/* Starts a cluster, injects the fault at the leader and observes the cluster. Returns false, with
+ * `outcome` unset, if the cluster started too few tasks, or had no leader, before the
+ * fault. */
 static bool measure_once(const struct options *options, const struct fault_kind *kind,
                          GRand *random, struct outcome *outcome)
 {
@@ -146,16 +156,15 @@
     leader = cluster_leader(cluster);
     is_ready = is_ready && leader >= 0;
     if (is_ready)
-        *outcome = follow_fault(cluster, options, kind, leader);
+        *outcome = observe_fault(cluster, options, kind, leader);
     cluster_free(cluster);
     if (*history_violations(cluster_history(cluster)))
-        printf("BROKEN RULE %s: %s", kind->name, history_violations(cluster_history(cluster)));
+        printf("INVARIANT VIOLATED %s: %s", kind->name,
+               history_violations(cluster_history(cluster)));
     g_free(operator_yaml);
     return is_ready;
 }
 
-/* ---- all repeats ---- */
-
 static int compare_times(const void *left, const void *right)
 {
     double left_s = *(const double *)left;
@@ -170,6 +179,8 @@
     printf("  %s median %.2f, most %.2f;", label, times[count / 2], times[count - 1]);
 }
 
+/* Prints the times until the old leader stops answering heartbeats, another controller leads, and
+ * tasks are started again. */
 static void print_outcomes(const struct outcome *outcomes, int count)
 {
     static double last_answer_s[REPEATS_MAX];
@@ -182,8 +193,8 @@
         work_resumed_s[i] = outcomes[i].work_resumed_s;
     }
     print_times("stops", last_answer_s, count);
-    print_times("another leads", new_leader_s, count);
-    print_times("work starts", work_resumed_s, count);
+    print_times("new leader", new_leader_s, count);
+    print_times("work resumes", work_resumed_s, count);
     printf("\n");
 }
 
@@ -193,9 +204,10 @@
 
     for (int i = 0; i < count; i++)
         changes += outcomes[i].leadership_changes;
-    printf("  %.2f changes of lead in %.0f s\n", (double)changes / count, flap_for_s);
+    printf("  %.2f changes of leader in %.0f s\n", (double)changes / count, flap_for_s);
 }
 
+/* Measures one kind of fault and prints its line. */
 static void measure(const struct options *options, const struct fault_kind *kind)
 {
     static struct outcome outcomes[REPEATS_MAX];
@@ -214,21 +226,26 @@
     fflush(stdout);
 }
 
-/* ---- options ---- */
-
+/* Returns false if an option is unknown, missing or out of range. */
 static bool read_options(struct options *options, int argc, char **argv)
 {
-    const GOptionEntry entries[] = {
-        {"daemon", 0, 0, G_OPTION_ARG_FILENAME, &options->daemon, "the program measured", "FILE"},
-        {"operator", 0, 0, G_OPTION_ARG_FILENAME, &options->operator_file,
-         "its operators' settings", "FILE"},
-        {"kind", 0, 0, G_OPTION_ARG_STRING, &options->kind, "this kind of cut alone", "KIND"},
-        {"controllers", 0, 0, G_OPTION_ARG_INT, &options->controllers, "4 by default", "N"},
-        {"repeats", 0, 0, G_OPTION_ARG_INT, &options->repeats, "20 by default", "N"},
-        {"seed", 0, 0, G_OPTION_ARG_INT, &options->seed, "1 by default", "N"},
-        {"flap-for", 0, 0, G_OPTION_ARG_DOUBLE, &options->flap_for_s, "60 by default", "SECONDS"},
-        {0}};
-    GOptionContext *context = g_option_context_new("- measure what follows a cut link");
+    const GOptionEntry entries[] = {{"daemon", 0, 0, G_OPTION_ARG_FILENAME, &options->daemon,
+                                     "the controller program to measure (required)", "FILE"},
+                                    {"operator", 0, 0, G_OPTION_ARG_FILENAME,
+                                     &options->operator_file,
+                                     "operators' settings for the controllers", "FILE"},
+                                    {"kind", 0, 0, G_OPTION_ARG_STRING, &options->kind,
+                                     "measure only this kind of fault", "KIND"},
+                                    {"controllers", 0, 0, G_OPTION_ARG_INT, &options->controllers,
+                                     "controllers in the cluster, 4 by default", "N"},
+                                    {"repeats", 0, 0, G_OPTION_ARG_INT, &options->repeats,
+                                     "repeats for each kind, 20 by default", "N"},
+                                    {"seed", 0, 0, G_OPTION_ARG_INT, &options->seed,
+                                     "seed of the random times, 1 by default", "N"},
+                                    {"flap-for", 0, 0, G_OPTION_ARG_DOUBLE, &options->flap_for_s,
+                                     "duration of a flapping fault, 60 by default", "SECONDS"},
+                                    {0}};
+    GOptionContext *context = g_option_context_new("- measure failover after a link fault");
     bool is_parsed;
 
     g_option_context_add_main_entries(context, entries, NULL);
@@ -244,7 +261,7 @@
     struct options options = {.controllers = 4, .repeats = 20, .seed = 1, .flap_for_s = 60};
 
     if (!read_options(&options, argc, argv)) {
-        fprintf(stderr, "measure-cuts: wrong use (see --help)\n");
+        fprintf(stderr, "measure-cuts: invalid options (see --help)\n");
         return EXIT_USAGE;
     }
     for (size_t i = 0; i < G_N_ELEMENTS(fault_kinds); i++)
