--- a/src/cmd/plan-bench/main.c
+++ b/src/cmd/plan-bench/main.c
@@ -1,9 +1,9 @@
-/* Measures the scheduler and the handling of heartbeats on synthetic jobs and machines: plan-bench
- * [MACHINES [JOBS]].
+/* plan-bench [MACHINES [JOBS]]: measures the scheduler, the handling of heartbeats, and
+ * dependencies between jobs, on synthetic jobs and machines.
  *
- * Every round a share of the running tasks ends, reported by their workers' heartbeats, and one run
- * of the scheduler places what waits. Times are of this machine; compare them with those of an
- * earlier version. */
+ * In each round, heartbeats from a share of the machines report that their array tasks have ended,
+ * and the scheduler places the waiting tasks. The times depend on the machine that runs the
+ * benchmark: compare them only with those of another version on the same machine. */
 #include "base/clock.h"
 #include "base/log.h"
 #include "scheduler/scheduler.h"
@@ -16,16 +16,16 @@
 enum {
     ROUNDS = 200,
     ARRAY_TASKS = 110,
-    HEARTBEAT_SHARE = 40,    /* one of so many machines ends its tasks in a round */
-    SERVICE_EVERY = 4,       /* one of so many jobs is a service */
-    DEPENDENT_EVERY = 4,     /* one of so many jobs depends on the one before */
-    FIRST_DEPENDENT = 500000 /* numbers of the jobs that measure dependencies begin here */
+    HEARTBEAT_SHARE = 40,    /* a machine sends a heartbeat once in this many rounds */
+    SERVICE_EVERY = 4,       /* one job in this many is a service, the others are arrays */
+    DEPENDENT_EVERY = 4,     /* one job in this many depends on the previous job */
+    FIRST_DEPENDENT = 500000 /* lowest number of the jobs in time_dependencies() */
 };
-#define ROUND_S 0.2
-#define FIRST_ROUND_AT 100
-#define MICROSECONDS 1e6
+#define ROUND_S 0.2        /* time that a round advances the clock by */
+#define FIRST_ROUND_AT 100 /* time of the first round, in seconds */
+#define MICROSECONDS 1e6   /* in a second */
 
-/* What is measured, and what it needs. */
+/* The modules that are measured, with their settings. */
 static struct bench {
     struct pm_settings settings;
     struct pm_operator_settings operator_settings;
@@ -33,12 +33,11 @@
     struct pm_jobs *jobs;
     struct pm_workers *workers;
     struct pm_scheduler *scheduler;
-    uint64_t revision;
-    double now;
+    uint64_t revision; /* of the last simulated write to the state service */
+    double now;        /* the simulated time, in seconds */
 } bench;
 
-/* ---- workers' hooks: nothing follows from them here ---- */
-
+/* A hook of the workers module; the benchmark has nothing to do. */
 static void on_task_ended(void *arg, struct pm_placement *placement, enum pm_task_exit task_exit,
                           bool checkpointed, double now)
 {
@@ -49,6 +48,7 @@
     (void)now;
 }
 
+/* A hook of the workers module; the benchmark has nothing to do. */
 static void on_task_running(void *arg, struct pm_placement *placement, double now)
 {
     (void)arg;
@@ -56,8 +56,6 @@
     (void)now;
 }
 
-/* ---- jobs ---- */
-
 static struct pm_spec service_spec(void)
 {
     return (struct pm_spec){.zone = -1,
@@ -89,7 +87,7 @@
                             .submitted_wall = bench.now};
 }
 
-/* The dependencies' list is owned by the spec. */
+/* Sets the dependencies to the jobs with these numbers. The list is owned by the spec. */
 static void set_dependencies(struct pm_spec *spec, const int *dependencies, int count)
 {
     GPtrArray *ids;
@@ -103,7 +101,8 @@
     g_ptr_array_free(ids, TRUE);
 }
 
-/* Adds the job to the replica. `dependencies`: the numbers of the jobs that it depends on. */
+/* Adds the job with this number to the replica. `dependencies` are the numbers of the jobs that it
+ * depends on. */
 static void add_job(int number, const int *dependencies, int dependency_count)
 {
     bool is_service = number % SERVICE_EVERY == 0;
@@ -125,7 +124,8 @@
     pm_buffer_free(&buf);
 }
 
-static void add_usual_job(int number)
+/* Adds a job for the rounds; one in DEPENDENT_EVERY depends on the previous job. */
+static void add_round_job(int number)
 {
     int previous = number - 1;
     bool is_dependent = number % DEPENDENT_EVERY == DEPENDENT_EVERY - 1;
@@ -133,8 +133,7 @@
     add_job(number, &previous, is_dependent);
 }
 
-/* ---- heartbeats ---- */
-
+/* Encodes a task in a heartbeat: an array task has ended, a service runs. */
 static void put_task(const struct pm_placement *placement, struct pm_buffer *out)
 {
     bool has_ended = placement->job->spec->kind == PM_WORKLOAD_ARRAY;
@@ -150,8 +149,7 @@
     pm_cbor_put_end(out);
 }
 
-/* A heartbeat with all that the replica has on the machine: array tasks have ended, services run.
- */
+/* Encodes a heartbeat that reports every task placed on the machine. */
 static void put_heartbeat(const struct pm_machine *machine, struct pm_buffer *out)
 {
     pm_cbor_put_map(out);
@@ -171,6 +169,7 @@
     pm_cbor_put_end(out);
 }
 
+/* Decodes and applies a heartbeat of the machine, as a controller does when it receives one. */
 static void apply_heartbeat(const struct pm_machine *machine)
 {
     struct pm_buffer buf = {0};
@@ -184,8 +183,6 @@
     pm_buffer_free(&buf);
 }
 
-/* ---- set-up ---- */
-
 static void init_settings(struct pm_settings *settings)
 {
     strcpy(settings->zone_names[0], "a");
@@ -216,7 +213,8 @@
     tables->type_count = 2;
 }
 
-/* Every fourth is large, half are in each zone, two of three are spot machines. */
+/* Adds a machine that the provider lists. Every fourth is large, half are in each zone, and two of
+ * three are spot machines. */
 static void add_machine(int index)
 {
     struct pm_machine *machine;
@@ -246,15 +244,14 @@
         pm_scheduler_new(&bench.tables, bench.jobs, bench.workers, &bench.operator_settings);
 }
 
-/* ---- rounds ---- */
-
-/* Totals over all rounds. */
+/* Totals over all rounds, and the longest run of the scheduler. */
 struct round_times {
     double scheduling_s, longest_scheduling_s, heartbeats_s;
     long placed, heartbeats;
 };
 
-/* In the first round every machine sends a heartbeat. */
+/* Applies the round's heartbeats, with their time added to `times`. In the first round, every
+ * machine sends one. */
 static void send_heartbeats(const GPtrArray *machines, int round, struct round_times *times)
 {
     double started_at = pm_clock_monotonic();
@@ -268,6 +265,7 @@
     times->heartbeats_s += pm_clock_monotonic() - started_at;
 }
 
+/* Runs one plan, and adds its time to `times`. */
 static void run_scheduler(struct round_times *times)
 {
     double started_at = pm_clock_monotonic();
@@ -279,7 +277,7 @@
     times->longest_scheduling_s = MAX(times->longest_scheduling_s, elapsed_s);
 }
 
-/* What was placed runs at once. */
+/* Sets the tasks that the scheduler has placed to running, without waiting for a heartbeat. */
 static void start_placed_tasks(const GPtrArray *machines)
 {
     for (guint i = 0; i < machines->len; i++) {
@@ -292,6 +290,7 @@
     }
 }
 
+/* Runs all rounds, each with one more job than the last, and prints the average times. */
 static void time_rounds(int machine_count, int job_count)
 {
     struct round_times times = {0};
@@ -300,28 +299,28 @@
     for (int round = 0; round < ROUNDS; round++) {
         GPtrArray *machines = pm_workers_all(bench.workers);
         for (; next_job < job_count + round; next_job++)
-            add_usual_job(next_job);
+            add_round_job(next_job);
         send_heartbeats(machines, round, &times);
         run_scheduler(&times);
         start_placed_tasks(machines);
         bench.now += ROUND_S;
     }
-    printf("%d machines, %d jobs: plan %.0f us (longest %.0f us), %ld placed; report %.1f us\n",
+    printf("%d machines, %d jobs: plan %.0f us (longest %.0f us), %ld placed; heartbeat %.1f us\n",
            machine_count, next_job, times.scheduling_s / ROUNDS * MICROSECONDS,
            times.longest_scheduling_s * MICROSECONDS, times.placed,
            times.heartbeats_s / (double)times.heartbeats * MICROSECONDS);
 }
 
-/* ---- dependencies ---- */
-
-/* An odd number: an array, never a service. */
+/* Returns the number of the dependent job at this index. It is odd, so that the job is an array and
+ * not a service (see SERVICE_EVERY). */
 static int array_number(int index)
 {
     return FIRST_DEPENDENT + 2 * index + 1;
 }
 
-/* Cancels the first of the jobs `from` to `until` (exclusive), and with it all others, which depend
- * on it; they were added within `adding_s`. */
+/* Cancels the job at index `from`, which also cancels the jobs up to `until` (exclusive), because
+ * they all depend on it. Prints the times for a job; `adding_s` is the time that adding all of them
+ * took. */
 static void time_cancellation(const char *label, int from, int until, double adding_s)
 {
     double started_at = pm_clock_monotonic();
@@ -330,12 +329,12 @@
 
     snprintf(id, sizeof id, "job-%06d", array_number(from));
     pm_jobs_apply_cancellation(bench.jobs, id, ++bench.revision);
-    printf("%s, %d jobs: %.1f us a job told, %.1f us a job cancelled\n", label, count,
+    printf("%s, %d jobs: %.1f us per job added, %.1f us per job cancelled\n", label, count,
            adding_s / count * MICROSECONDS,
            (pm_clock_monotonic() - started_at) / count * MICROSECONDS);
 }
 
-/* Each job depends on the one before. Returns the next free index, as the others do. */
+/* Measures a chain: each job depends on the previous one. Returns the next free index. */
 static int time_chain(int from, int length)
 {
     double started_at = pm_clock_monotonic();
@@ -348,7 +347,8 @@
     return from + length;
 }
 
-/* Each level's join depends on two sides, which depend on the join below. */
+/* Measures a ladder of diamonds: the last job of each level depends on two jobs, which both depend
+ * on the last job of the level below. Returns the next free index. */
 static int time_ladder(int from, int levels)
 {
     double started_at = pm_clock_monotonic();
@@ -367,7 +367,8 @@
     return next;
 }
 
-/* Many jobs depend on one, and another one depends on all of them. */
+/* Measures a fan: `width` jobs depend on one job, and a last job depends on all of them. Returns
+ * the next free index. */
 static int time_fan(int from, int width)
 {
     double started_at = pm_clock_monotonic();
@@ -380,7 +381,7 @@
         add_job(middle[i], &first, 1);
     }
     add_job(array_number(from + 1 + width), middle, width);
-    time_cancellation("out to many and in again", from, from + width + 2,
+    time_cancellation("a fan-out and fan-in", from, from + width + 2,
                       pm_clock_monotonic() - started_at);
     g_free(middle);
     return from + width + 2;
