--- a/src/cmd/pumicectl/commands.c
+++ b/src/cmd/pumicectl/commands.c
@@ -140,7 +140,7 @@
     if (count >= command->min_arguments && count <= command->max_arguments)
         return NULL;
     if (!command->max_arguments)
-        return "unexpected argument";
+        return "the command takes no arguments";
     snprintf(problem, sizeof problem, "%s: expected %s", command->name,
              command->expected_arguments);
     return problem;
@@ -156,9 +156,9 @@
     if (!strcmp(name, "why") && !pm_job_id_is_valid(invocation->arguments[0]))
         return "why: not a valid job id";
     if (!strcmp(name, "duty") && !pm_role_from_name(invocation->arguments[0], &role))
-        return "duty drain: the duty must be rent, return or clean";
+        return "duty drain: the duty must be 'rent', 'return' or 'clean'";
     if (!strcmp(name, "cleanup") != invocation->dry_run)
-        return "cleanup requires --dry-run, and no other command accepts it";
+        return "--dry-run is required by cleanup and accepted by no other command";
     return NULL;
 }
 
--- a/src/cmd/pumicectl/commands.h
+++ b/src/cmd/pumicectl/commands.h
@@ -13,10 +13,10 @@
 /* A command with its arguments and options, as given on the command line. */
 struct pm_invocation {
     const struct pm_command *command;
-    char *const *arguments; /* without the words of the command itself; borrowed */
+    char *const *arguments; /* without the word or words that name the command; borrowed */
     int argument_count;
     bool dry_run;
-    double timeout_s; /* of each request; for `duty drain`, of the wait for the next holder */
+    double timeout_s; /* for each request; for `duty drain`, for the wait for the next holder */
 };
 
 /* Parses the command and its arguments from `argv`, from which the options have been removed, into
--- a/src/cmd/pumicectl/controller_views.h
+++ b/src/cmd/pumicectl/controller_views.h
@@ -1,6 +1,8 @@
 /* Finds controllers' views in the gathered answers. A view is what one controller observes: the
  * state of its links, and its fitness to lead and for other work. Each answer contains the
- * controller's own view, and copies of the other controllers' views. No state, no I/O. */
+ * controller's own view, and copies of the other controllers' views. A view expires after
+ * `links.expire_s` of the operators' settings; until then, its flag "fresh" is set. No state, no
+ * I/O. */
 #ifndef PM_CMD_PUMICECTL_CONTROLLER_VIEWS_H
 #define PM_CMD_PUMICECTL_CONTROLLER_VIEWS_H
 
--- a/src/cmd/pumicectl/drain.c
+++ b/src/cmd/pumicectl/drain.c
@@ -24,7 +24,7 @@
     STATUS_CONFLICT = 409
 };
 
-/* A blocking client of the state service, with one request at a time. */
+/* A blocking client of the state service, with one HTTP request at a time. */
 struct state_client {
     struct ev_loop *loop;
     struct pm_http_client *http;
@@ -33,12 +33,14 @@
     json_t *body; /* body of the last answer; owned, may be NULL */
 };
 
-/* The result of reading a key. */
+/* The result of reading a role's key or drain request. */
 struct stored_key {
-    bool is_reached;          /* the state service answered */
-    uint64_t revision;        /* 0 if the key does not exist */
-    uint64_t token;           /* the fencing token in a drain request; 0 for other keys */
-    char holder[PM_NAME_MAX]; /* the holder in a role's key; "" for other keys */
+    bool is_reached;   /* the state service answered with HTTP status 200 or 404 */
+    uint64_t revision; /* 0 if the key does not exist */
+    /* In a drain request: the fencing token (revision of the role's key) of the holder that is
+     * asked to release the role. It is 0 in a role's key. */
+    uint64_t token;
+    char holder[PM_NAME_MAX]; /* in a role's key: the holder's name; "" in a drain request */
 };
 
 static void on_answer(void *arg, int status, const unsigned char *body, size_t size)
@@ -51,7 +53,7 @@
     ev_break(client->loop, EVBREAK_ALL);
 }
 
-/* Sends a request and waits until it is answered or has timed out. `body` may be NULL. */
+/* Sends an HTTP request and waits until it is answered or has timed out. `body` may be NULL. */
 static void send_request(struct state_client *client, const char *method, const char *target,
                          const struct pm_buffer *body)
 {
@@ -80,11 +82,11 @@
     return key;
 }
 
-/* Commits a drain request for the holder whose key has the revision `token`. The commit fails with
- * STATUS_CONFLICT if that key has changed, or if the request's key is no longer at
- * `request_revision`. */
-static void write_request(struct state_client *client, const char *role_name, uint64_t token,
-                          uint64_t request_revision)
+/* Commits a drain request to the holder with the fencing token `token`. The commit fails with
+ * STATUS_CONFLICT if the role's key is no longer at revision `token`, or if the key of the drain
+ * request is no longer at `drain_revision`. */
+static void commit_drain_request(struct state_client *client, const char *role_name, uint64_t token,
+                                 uint64_t drain_revision)
 {
     struct pm_txn txn = {0};
     struct pm_buffer body = {0};
@@ -93,7 +95,7 @@
     snprintf(key, sizeof key, PM_KEY_ROLE_PREFIX "%s", role_name);
     pm_txn_compare(&txn, key, token);
     snprintf(key, sizeof key, PM_KEY_DRAIN_PREFIX "%s", role_name);
-    pm_txn_compare(&txn, key, request_revision);
+    pm_txn_compare(&txn, key, drain_revision);
     pm_txn_put(&txn, key);
     pm_cbor_put_map(&txn.writes);
     pm_cbor_put_pair_count(&txn.writes, "token", token);
@@ -122,8 +124,8 @@
     ev_timer_stop(loop, &timer);
 }
 
-/* Polls until another controller holds the role, and returns its key. Returns a key with revision 0
- * if none does within `timeout_s`. `token` is the previous holder's. */
+/* Polls until the role is held under another fencing token than `token`, that of the previous
+ * holder. Returns the role's key, or a key with revision 0 if `timeout_s` passes before. */
 static struct stored_key wait_for_next_holder(struct state_client *client, const char *role_name,
                                               uint64_t token, double timeout_s)
 {
@@ -138,7 +140,8 @@
     return (struct stored_key){0};
 }
 
-/* Makes the report. `holder` and `next` are NULL if they are not known. */
+/* Makes the report. `holder` is the role's key before the request, and `next` the key with the new
+ * holder; each is NULL if it is not known. */
 static struct pm_report make_report(const char *role_name, const char *outcome, bool is_requested,
                                     const struct stored_key *holder, const struct stored_key *next)
 {
@@ -157,38 +160,44 @@
     return report;
 }
 
-/* Reads both keys, commits the request, and waits for the next holder. */
+/* Reads the role's key and its drain request, commits a new drain request unless the holder has
+ * already been asked, and waits for the next holder. */
 static struct pm_report drain(struct state_client *client, const char *role_name, double timeout_s)
 {
     struct stored_key holder = read_key(client, PM_KEY_ROLE_PREFIX, role_name);
-    struct stored_key request = read_key(client, PM_KEY_DRAIN_PREFIX, role_name);
+    struct stored_key drain_request = read_key(client, PM_KEY_DRAIN_PREFIX, role_name);
     struct stored_key next;
 
-    if (!holder.is_reached || !request.is_reached)
-        return make_report(role_name, "the state service is not reached; nothing was changed",
-                           false, NULL, NULL);
+    if (!holder.is_reached || !drain_request.is_reached)
+        return make_report(
+            role_name,
+            "the duty's state could not be read from the state service; nothing was changed", false,
+            NULL, NULL);
     if (!holder.revision)
-        return make_report(role_name, "nobody holds it; nothing was changed", false, NULL, NULL);
-    if (request.revision && request.token == holder.revision)
         return make_report(role_name,
-                           "its holder has already been asked to release it; nothing was changed",
-                           true, &holder, NULL);
-    write_request(client, role_name, holder.revision, request.revision);
+                           "no controller holds the duty under a lease; nothing was changed", false,
+                           NULL, NULL);
+    if (drain_request.revision && drain_request.token == holder.revision)
+        return make_report(
+            role_name, "the holder has already been asked to release the duty; nothing was changed",
+            true, &holder, NULL);
+    commit_drain_request(client, role_name, holder.revision, drain_request.revision);
     if (client->status == STATUS_CONFLICT)
         return make_report(
             role_name,
-            "its holder has changed, or another operator asked first; nothing was changed", false,
-            &holder, NULL);
+            "the holder has changed, or another operator has already asked it; nothing was changed",
+            false, &holder, NULL);
     if (client->status != STATUS_OK)
         return make_report(
-            role_name, "the state service did not confirm the request, which may have been stored",
+            role_name,
+            "the state service did not confirm the drain request, which may have been stored",
             false, &holder, NULL);
     next = wait_for_next_holder(client, role_name, holder.revision, timeout_s);
-    return make_report(role_name,
-                       next.revision
-                           ? "its holder has released it"
-                           : "its holder was asked to release it, and nobody else holds it yet",
-                       true, &holder, &next);
+    return make_report(
+        role_name,
+        next.revision ? "the duty is now held under a new token"
+                      : "the holder was asked to release the duty, which has no new holder yet",
+        true, &holder, &next);
 }
 
 struct pm_report pm_drain_role(const struct pm_settings *settings, const char *role_name,
--- a/src/cmd/pumicectl/gather.c
+++ b/src/cmd/pumicectl/gather.c
@@ -45,7 +45,7 @@
     return status == STATUS_NOT_FOUND ? "not found (HTTP 404)" : "unexpected HTTP status";
 }
 
-/* Decodes the body. The answer is an error unless the body is a map. */
+/* Decodes the body into `answer`. Sets an error if the body is not a map. */
 static void read_body(struct pm_answer *answer, const unsigned char *body, size_t size)
 {
     answer->body = pm_json_from_cbor(body, size);
--- a/src/cmd/pumicectl/main.c
+++ b/src/cmd/pumicectl/main.c
@@ -20,29 +20,34 @@
     "Commands:\n"
     "  status                    show the leader, the controllers that answer, and counts of\n"
     "                            jobs, tasks and machines\n"
-    "  links                     show the state of each link, and the age of the observation\n"
-    "  duties                    show the holder of each duty, and the fitness of each controller\n"
+    "  links                     show the state of each controller's links, and how long ago it\n"
+    "                            was observed\n"
+    "  duties                    show the holder and the open intents (unsettled requests to the\n"
+    "                            machine provider) of each duty, and the fitness of each\n"
+    "                            controller\n"
     "  why JOB                   show why a job does not run\n"
-    "  duty drain NAME           ask the holder of the duty rent, return or clean to release it;\n"
-    "                            rent and return are held by the leader, which then steps\n"
-    "                            down as leader\n"
-    "  cleanup --dry-run         list the stored keys that the holder of clean will delete, and\n"
-    "                            which of them are due\n"
+    "  duty drain NAME           ask the holder of a duty to release the duty; NAME is 'rent'\n"
+    "                            (scale-out), 'return' (scale-in) or 'clean' (garbage\n"
+    "                            collection). 'rent' and 'return' are held by the leader, which\n"
+    "                            then steps down as leader\n"
+    "  cleanup --dry-run         list the obsolete keys that garbage collection will delete from\n"
+    "                            the state service, and which of them may be deleted now\n"
     "  record list FILE...       list the entries of audit log files\n"
     "  record verify FILE...     check that audit log files are complete\n"
     "\n"
     "The settings file may be that of any controller: pumicectl queries this controller, its\n"
     "peers and the state service at the same time. If a controller does not answer, its links\n"
-    "and fitness are shown as last reported to the others, with the source and the age of that\n"
-    "report. record needs no settings.\n"
+    "and fitness are shown as it last reported them to another controller, with the name of\n"
+    "that controller and the age of the report. 'record list' and 'record verify' do not need\n"
+    "--config.\n"
     "\n"
-    "duty drain is the only command that changes anything. The change is made only if the holder\n"
-    "of the duty has not changed since it was read. It is refused while the state service is not\n"
-    "reached, and is safe to repeat.\n"
+    "'duty drain' is the only command that changes anything. It stores a request for the holder\n"
+    "of the duty, unless the holder has changed since it was read. The command fails if the\n"
+    "state service can't be reached or does not confirm the request; it can safely be repeated.\n"
     "\n"
     "Exit status:\n"
     "  0  no problems\n"
-    "  1  the report lists problems, duty drain was refused, or an audit log file is not\n"
+    "  1  the report lists problems, 'duty drain' failed, or an audit log file is not\n"
     "     complete\n"
     "  2  invalid command line, or the settings can't be loaded\n"
     "  3  no controller answered\n";
@@ -141,7 +146,9 @@
                               {"format", 0, 0, G_OPTION_ARG_STRING, &options.format,
                                "output format: text (default) or json", "FORMAT"},
                               {"timeout", 0, 0, G_OPTION_ARG_DOUBLE, &options.timeout_s,
-                               "how long to wait for answers, 3 by default", "SECONDS"},
+                               "how long to wait for answers, or after 'duty drain' for the next "
+                               "holder; 3 by default",
+                               "SECONDS"},
                               {"dry-run", 0, 0, G_OPTION_ARG_NONE, &options.dry_run,
                                "required by cleanup: list the keys, delete nothing", NULL},
                               {0}};
--- a/src/cmd/pumicectl/report.h
+++ b/src/cmd/pumicectl/report.h
@@ -18,14 +18,16 @@
     enum pm_exit exit;
 };
 
-/* Reports which controller leads, which ones answered, and counts of jobs, tasks and machines. */
+/* Reports which controller leads, which controllers answered, and counts of jobs, tasks and
+ * machines. */
 struct pm_report pm_report_status(const struct pm_gathered *gathered);
 /* Reports the state of every link, between controllers and from controllers to services. */
 struct pm_report pm_report_links(const struct pm_gathered *gathered);
 /* Reports which controller holds each singleton role, each controller's fitness for its roles, and
  * the owners of shards. */
 struct pm_report pm_report_roles(const struct pm_gathered *gathered);
-/* Reports which stored keys garbage collection will delete, and which of them are due. */
+/* Reports which stored keys are obsolete and will be deleted by garbage collection, and which of
+ * them may be deleted now. */
 struct pm_report pm_report_cleanup(const struct pm_gathered *gathered);
 /* Reports the state of the job, and the reasons why it does not run. */
 struct pm_report pm_report_why(const struct pm_gathered *gathered, const char *job);
--- a/src/cmd/pumicectl/report_cleanup.c
+++ b/src/cmd/pumicectl/report_cleanup.c
@@ -2,8 +2,8 @@
 #include "report_frame.h"
 
 /* Returns the answer of the controller that holds the garbage collection role, because that
- * controller decides. If it did not answer, returns the first answer, because all replicas have the
- * same keys. Returns NULL if no controller answered. */
+ * controller decides what is deleted. If the holder did not answer, returns the first answer,
+ * because all replicas have the same keys. Returns NULL if no controller answered. */
 static const struct pm_answer *find_best_answer(const struct pm_gathered *gathered)
 {
     const struct pm_answer *best = NULL;
--- a/src/cmd/pumicectl/report_frame.c
+++ b/src/cmd/pumicectl/report_frame.c
@@ -31,8 +31,8 @@
                      "epoch", (json_int_t)pm_json_number(epoch, "epoch"));
 }
 
-/* Returns how many controllers lead with a confirmed epoch. Sets `name` to the last one's name, and
- * leaves it unchanged if there is none. */
+/* Returns how many controllers lead with a confirmed epoch. Sets `name` to the name of the last
+ * such controller; without one, leaves `name` unchanged. */
 static int count_leaders(const struct pm_gathered *gathered, const char **name)
 {
     int count = 0;
--- a/src/cmd/pumicectl/report_links.c
+++ b/src/cmd/pumicectl/report_links.c
@@ -4,14 +4,14 @@
 
 #include <string.h>
 
-/* A link in an unknown state is not reported as a problem. */
+/* Whether the link works as far as is known: an unknown state is not reported as a problem. */
 static bool is_working(const char *link_state)
 {
     return !strcmp(link_state, "up") || !strcmp(link_state, "unknown");
 }
 
-/* Appends one link from controller `from` to `rows`, and a problem if a fresh view shows that it
- * does not work. `source` is the controller whose answer contains the view. */
+/* Appends one link from controller `from` to `rows`. Appends a problem if the link does not work,
+ * unless the view has expired. `source` is the controller whose answer contains the view. */
 static void add_link(json_t *rows, json_t *problems, const json_t *view, const json_t *link,
                      const char *from, const char *source)
 {
@@ -27,7 +27,7 @@
                               is_second_hand ? ", reported by " : "", is_second_hand ? source : "");
 }
 
-/* Appends all links of one view. */
+/* Appends all links in the view of controller `from`. */
 static void add_links(json_t *rows, json_t *problems, const json_t *view, const char *from,
                       const char *source)
 {
--- a/src/cmd/pumicectl/report_roles.c
+++ b/src/cmd/pumicectl/report_roles.c
@@ -5,26 +5,28 @@
 
 #include <string.h>
 
-/* Appends the fitness of a controller for one role to `rows`. Appends a problem if a fresh view
- * shows that the leader is not fit to lead. */
+/* Appends a row with the fitness of a controller for one role to `rows`. `role` is an entry of
+ * the list of roles in the controller's view. Appends a problem if the controller leads without
+ * being fit to lead, unless the view has expired. `source` is the controller whose answer contains
+ * the view. */
 static void add_fitness(json_t *rows, json_t *problems, const json_t *view, const json_t *role,
                         const char *controller, const char *source)
 {
     const char *name = pm_json_text(role, "duty");
     const char *fitness = pm_json_text(role, "fitness");
     const char *reason = pm_json_text(role, "reason");
-    bool is_leader = pm_json_flag(view, "leads") && !strcmp(name, "lead");
+    bool holds_leadership = pm_json_flag(view, "leads") && !strcmp(name, "lead");
 
     json_array_append_new(rows, json_pack("{s:s, s:s, s:s, s:s, s:b, s:s, s:f}", "controller",
                                           controller, "duty", name, "fitness", fitness, "reason",
-                                          reason, "holds", is_leader, "told_by", source, "age_s",
-                                          pm_json_number(view, "age_s")));
-    if (is_leader && strcmp(fitness, "fit") != 0 && pm_json_flag(view, "fresh"))
+                                          reason, "holds", holds_leadership, "told_by", source,
+                                          "age_s", pm_json_number(view, "age_s")));
+    if (holds_leadership && strcmp(fitness, "fit") != 0 && pm_json_flag(view, "fresh"))
         pm_report_add_problem(problems, "controller %s leads, but its fitness to lead is %s: %s",
                               controller, fitness, reason);
 }
 
-/* Appends the fitness for every role in a view. */
+/* Appends the controller's fitness for every role in its view. */
 static void add_view(json_t *rows, json_t *problems, const json_t *view, const char *controller,
                      const char *source)
 {
@@ -34,7 +36,7 @@
         add_fitness(rows, problems, view, json_array_get(roles, i), controller, source);
 }
 
-/* Returns the singleton role of that name in an answer, borrowed, or NULL. */
+/* Returns the singleton role `name` from the body of an answer, borrowed, or NULL. */
 static const json_t *find_role(const json_t *body, const char *name)
 {
     const json_t *roles = json_object_get(body, "single_duties");
@@ -66,7 +68,7 @@
     return newest;
 }
 
-/* Appends the role, as `answer` describes it, to `rows`, and its problems to `problems`. */
+/* Appends the role to `rows` as `answer` describes it, and its problems to `problems`. */
 static void add_singleton_role(json_t *rows, json_t *problems, const char *name,
                                const struct pm_answer *answer)
 {
@@ -79,9 +81,15 @@
     json_array_append_new(rows, role);
     if (pm_json_flag(role, "unreadable"))
         pm_report_add_problem(
-            problems, "duty %s: the stored holder can't be decoded, so nobody acquires it", name);
+            problems,
+            "duty %s: the stored holder can't be decoded, so no controller can acquire the duty",
+            name);
     else if (!has_holder && pm_json_number(role, "open_intents") > 0)
-        pm_report_add_problem(problems, "duty %s: nobody holds it, and intents are open", name);
+        pm_report_add_problem(
+            problems,
+            "duty %s: no controller holds it under a lease, but it has open intents "
+            "(unsettled requests to the machine provider)",
+            name);
 }
 
 static json_t *list_singleton_roles(const struct pm_gathered *gathered, json_t *problems)
@@ -97,7 +105,8 @@
     return rows;
 }
 
-/* Returns the owners of shards, as listed by the controllers that lead. */
+/* Returns the owners of shards, as listed by the leader. While the leader changes, two controllers
+ * may claim to lead; then the lists of both are returned. */
 static json_t *list_shard_owners(const struct pm_gathered *gathered)
 {
     json_t *owners = json_array();
--- a/src/cmd/pumicectl/report_status.c
+++ b/src/cmd/pumicectl/report_status.c
@@ -1,7 +1,7 @@
 #include "json_fields.h"
 #include "report_frame.h"
 
-/* Returns what the controller is: the leader, the owner of a shard, or a replica. */
+/* Returns the controller's role in the cluster: leader, shard owner or replica. */
 static const char *describe_role(const json_t *body)
 {
     if (pm_json_flag(body, "leads"))
@@ -30,7 +30,8 @@
         pm_report_add_problem(problems, "controller %s was suspended or unresponsive a moment ago",
                               answer->name);
     if (pm_json_flag(json_object_get(answer->body, "state_service"), "refuses"))
-        pm_report_add_problem(problems, "controller %s is refused by the state service (HTTP 503)",
+        pm_report_add_problem(problems,
+                              "the state service refuses the requests of controller %s (HTTP 503)",
                               answer->name);
 }
 
--- a/src/cmd/pumicectl/report_why.c
+++ b/src/cmd/pumicectl/report_why.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 /* How informative a controller's answer about a job is, in ascending order. The leader knows most,
- * unless it has delegated the job to the owner of a shard; then the answer of a controller that
- * gives its own reason is better. */
+ * unless it has delegated the job to the owner of a shard; then the answer of another controller
+ * that gives a reason of its own is better. */
 enum answer_rank {
     RANK_NO_ANSWER,
     RANK_NO_REASON,
--- a/src/cmd/pumicectl/tests/test_pumicectl.c
+++ b/src/cmd/pumicectl/tests/test_pumicectl.c
@@ -16,8 +16,8 @@
 
 static char audit_log_dir[] = "/tmp/pumicectl-record-XXXXXX";
 
-/* Creates the directory of the audit log, and returns operators' settings that name it. The text is
- * owned by the caller; the cluster borrows it. */
+/* Creates the directory of the audit log, and returns operators' settings that name the directory.
+ * The text is owned by the caller. */
 static char *make_operator_settings(void)
 {
     assert_non_null(g_mkdtemp(audit_log_dir));
@@ -38,7 +38,7 @@
 
 static int set_up(void **arg)
 {
-    static char *operator_settings; /* borrowed by the cluster until it is freed */
+    static char *operator_settings; /* must outlive the cluster, which borrows it */
 
     (void)arg;
     operator_settings = make_operator_settings();
@@ -76,8 +76,8 @@
     return rmdir(audit_log_dir);
 }
 
-/* Runs pumicectl with the settings of that controller and a timeout of 1.5 s. Returns its output,
- * owned by the caller. */
+/* Runs pumicectl with the settings of controller `controller` and a timeout of 1.5 s. Returns the
+ * output of pumicectl, owned by the caller. */
 static char *run_tool(int controller, const char *command, const char *argument, const char *format,
                       int *status)
 {
@@ -153,9 +153,9 @@
     json_decref(document);
 }
 
-/* Whether the document of the command links has a link from `source` to `target` in that state. */
-static bool find_link(const json_t *document, const char *source, const char *target,
-                      const char *state)
+/* Whether the output of `links` contains a link from `source` to `target` in state `state`. */
+static bool has_link(const json_t *document, const char *source, const char *target,
+                     const char *state)
 {
     const json_t *links = json_object_get(document, "links");
 
@@ -184,7 +184,7 @@
         json_decref(document);
         cluster_run(cluster, 0.5);
         document = load_json(follower, "links", NULL, &status);
-        found = find_link(document, name, "state service", "down");
+        found = has_link(document, name, "state service", "down");
     }
     assert_true(found);
     assert_int_equal(status, 1);
@@ -258,11 +258,11 @@
     json_decref(document);
     fake_store_set_outage(cluster_store(cluster), false);
     wait_for_status("status", 0);
-    wait_for_status("duties", 0); /* waits until the leader is fit: later tests need it */
+    wait_for_status("duties", 0); /* later tests need a leader that is fit */
 }
 
-/* Returns the role in the document of the command duties, borrowed from it. Fails the test if the
- * role is missing. */
+/* Returns the singleton role `name` from the output of `duties`, borrowed from `document`. Fails
+ * the test if the role is missing. */
 static const json_t *find_singleton_role(const json_t *document, const char *name)
 {
     const json_t *roles = json_object_get(document, "single_duties");
@@ -270,12 +270,12 @@
     for (size_t i = 0; i < json_array_size(roles); i++)
         if (!strcmp(get_text(json_array_get(roles, i), "duty"), name))
             return json_array_get(roles, i);
-    fail_msg("no duty %s", name);
+    fail_msg("the output of `duties` does not contain the duty %s", name);
     return NULL;
 }
 
-/* Runs `duty drain` with a timeout of 8 s, which lets it wait for the next holder, and checks the
- * exit status. Returns its JSON document, owned by the caller. */
+/* Runs `duty drain` with a timeout of 8 s, long enough for the role to get its next holder. Fails
+ * the test unless the exit status is `expected`. Returns the JSON document, owned by the caller. */
 static json_t *run_drain(const char *role, int expected)
 {
     const char *argv[] = {PM_TOOL,    "--config", cluster_settings_path(cluster, 0),
@@ -314,12 +314,14 @@
     assert_int_equal(json_integer_value(json_object_get(role, "token")),
                      fake_store_revision(cluster_store(cluster), "p/duty/return"));
     role = find_singleton_role(document, "clean");
-    /* The leader leaves this role to other controllers; here it only has to be held. */
+    /* Usually another controller than the leader holds this role, but the leader may hold it too,
+     * so the test only checks that there is a holder. */
     assert_string_not_equal(get_text(role, "holder"), "");
     json_decref(document);
 }
 
-/* The leader holds the scale-out role, so draining the role makes another controller the leader. */
+/* Only the leader may hold the scale-out role, so draining the role makes another controller the
+ * leader. */
 static void drain_passes_scale_out_to_another_leader(void **arg)
 {
     int leader_before = cluster_leader(cluster);
@@ -330,7 +332,7 @@
     document = run_drain("rent", 0);
     assert_int_not_equal(cluster_leader(cluster), leader_before);
     assert_true(fake_store_revision(cluster_store(cluster), "p/duty/rent") > token);
-    assert_string_equal(get_text(document, "outcome"), "its holder has released it");
+    assert_string_equal(get_text(document, "outcome"), "the duty is now held under a new token");
     json_decref(document);
     assert_int_equal(fake_store_revision(cluster_store(cluster), "p/drain/rent"), 0);
 }
@@ -352,11 +354,12 @@
     text = cluster_run_tool(cluster, argv, &status);
     for (const char *position = text; (position = strstr(position, "\"outcome\"")); position++) {
         accepted +=
-            g_str_has_prefix(position, "\"outcome\": \"its holder has released it") ||
-            g_str_has_prefix(position, "\"outcome\": \"its holder was asked to release it, and");
-        refused += g_str_has_prefix(position, "\"outcome\": \"its holder has already been asked") ||
-                   g_str_has_prefix(position, "\"outcome\": \"its holder has changed") ||
-                   g_str_has_prefix(position, "\"outcome\": \"nobody holds it");
+            g_str_has_prefix(position, "\"outcome\": \"the duty is now held under a new token") ||
+            g_str_has_prefix(position,
+                             "\"outcome\": \"the holder was asked to release the duty, which");
+        refused += g_str_has_prefix(position, "\"outcome\": \"the holder has already been asked") ||
+                   g_str_has_prefix(position, "\"outcome\": \"the holder has changed") ||
+                   g_str_has_prefix(position, "\"outcome\": \"no controller holds the duty");
     }
     assert_int_equal(accepted, 1);
     assert_int_equal(refused, 1);
@@ -381,13 +384,13 @@
     assert_true(fake_store_revision(cluster_store(cluster), "p/duty/rent") >= token);
 }
 
-static bool unknown_view_is_deleted(struct cluster *tested_cluster)
+static bool view_of_unknown_controller_is_deleted(struct cluster *tested_cluster)
 {
     return !fake_store_revision(cluster_store(tested_cluster), "p/links/ghost");
 }
 
-/* The dry run lists an obsolete key and does not delete it; the holder of the role deletes it
- * later. */
+/* The dry run lists an obsolete key, the view of a controller that is not in the settings, and does
+ * not delete it; the holder of the garbage collection role deletes the key later. */
 static void cleanup_shows_what_is_deleted_later(void **arg)
 {
     const char *argv[] = {PM_TOOL,     "--config", cluster_settings_path(cluster, 0),
@@ -406,18 +409,18 @@
     assert_int_equal(json_array_size(json_object_get(document, "keys")), 1);
     assert_string_equal(get_text(json_array_get(json_object_get(document, "keys"), 0), "key"),
                         "p/links/ghost");
-    assert_false(unknown_view_is_deleted(cluster));
-    assert_true(cluster_run_until(cluster, unknown_view_is_deleted, DEADLINE_S));
+    assert_false(view_of_unknown_controller_is_deleted(cluster));
+    assert_true(cluster_run_until(cluster, view_of_unknown_controller_is_deleted, DEADLINE_S));
     json_decref(document);
     g_free(text);
 }
 
-/* Files that running controllers still write are read up to the last entry and reported as not
- * closed. */
+/* Audit log files that running controllers still write to are read up to the last complete entry,
+ * and reported as not closed. */
 static void record_reads_files_of_running_controllers(void **arg)
 {
     GPtrArray *paths = list_audit_files();
-    bool has_rental = false;
+    bool has_scale_out = false;
 
     (void)arg;
     assert_true(paths->len >= 2);
@@ -432,14 +435,15 @@
             fprintf(stderr, "%s\n", text);
         assert_int_equal(status, 1);
         assert_non_null(strstr(text, "it was never closed"));
-        has_rental |= strstr(text, "\"event\": \"sent\"") && strstr(text, "\"subject\": \"rent-");
+        has_scale_out |=
+            strstr(text, "\"event\": \"sent\"") && strstr(text, "\"subject\": \"rent-");
         g_free(text);
         text = cluster_run_tool(cluster, verify_command, &status);
         assert_int_equal(status, 1);
         assert_non_null(strstr(text, "incomplete, read up to its last complete entry"));
         g_free(text);
     }
-    assert_true(has_rental);
+    assert_true(has_scale_out);
     g_ptr_array_free(paths, TRUE);
 }
 
@@ -460,8 +464,8 @@
     assert_int_equal(status, 2);
 }
 
-/* Answers in turn with a body that is not CBOR, one that is not a map, and one with control
- * characters. */
+/* Answers requests in turn with a body that is not CBOR, a body that is not a map, and a body with
+ * control characters. */
 static void on_request(void *arg, struct pm_http_request *request)
 {
     static const char *const hostile_bodies[] = {"\xff\xff\xff", "\x83\x01\x02\x03",
@@ -473,7 +477,7 @@
     ++*request_count;
 }
 
-/* Replaces every value that follows `prefix`, up to the closing quotation mark. */
+/* Replaces the value after every `prefix`, up to the closing quotation mark, with `value`. */
 static void replace_values(GString *config_text, const char *prefix, const char *value)
 {
     char *position = strstr(config_text->str, prefix);
