--- a/src/cmd/measure-cuts/main.c
+++ b/src/cmd/measure-cuts/main.c
@@ -1,7 +1,8 @@
-/* measure-cuts: measures failover after a network fault on the leader's links. Runs real controller
- * processes over loopback, with the stand-ins for the other services and a running workload. Prints
- * one line for each kind of fault, with times in seconds. Not part of CI, because each kind takes
- * minutes. */
+/* measure-cuts: measures failover after a network fault on the leader's links. A run starts a new
+ * cluster of controller processes over loopback, with fake implementations of the state service,
+ * the provider and the workers, and submits jobs to it throughout; then it injects one fault.
+ * Prints one line for each kind of fault, with times in seconds. Not part of CI, because each kind
+ * takes minutes. */
 #include "testing/cluster.h"
 #include "base/clock.h"
 
@@ -10,15 +11,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A repeat whose cluster has not started enough tasks within this time is not counted. */
+/* A run is not measured if its cluster, after this time, has no leader or has started fewer than
+ * MIN_STARTS tasks. */
 #define START_TIMEOUT_S 30.0
-/* Limit of the wait after a fault. An event that does not occur is counted with this time. */
-#define WAIT_S 30.0
+/* Observation ends this long after the start of a permanent fault. An event that has not occurred
+ * by then is recorded with this time. */
+#define OBSERVE_TIMEOUT_S 30.0
 /* Longer than the leader's minimum term (pm_fitness_delays.min_term_s), so that the leader may
  * yield as soon as the fault starts. */
 #define SETTLE_S 11.0
-#define STEP_S 0.02      /* interval at which the cluster is observed */
-#define LOAD_EVERY_S 0.4 /* interval of job submissions */
+#define OBSERVE_INTERVAL_S 0.02 /* interval between observations of the cluster */
+#define SUBMIT_INTERVAL_S 0.4   /* interval between job submissions */
 
 enum { REPEATS_MAX = 1000, MIN_STARTS = 4, EXIT_USAGE = 2 };
 
@@ -27,7 +30,9 @@
     const char *name;
     enum cluster_link link;
     struct relay_fault fault;
-    double flap_s; /* the fault starts and stops in turn every `flap_s`; 0 if it is permanent */
+    /* A flapping fault is on for this long, then off for as long, and so on. 0 if the fault is
+     * permanent. */
+    double flap_s;
 };
 
 static const struct fault_kind fault_kinds[] = {
@@ -41,18 +46,18 @@
 };
 
 struct options {
-    char *daemon, *operator_file, *kind;
+    char *daemon, *operator_settings_path, *kind;
     int controllers, repeats, seed;
     double flap_for_s;
 };
 
-/* The result of one repeat. Times are counted from the start of the fault; they are set only for a
- * permanent fault, and the number of changes only for a flapping one. */
+/* The result of one run. The times count from the start of the fault, and are set only for a
+ * permanent fault. `leadership_changes` is set only for a flapping fault. */
 struct outcome {
     double last_answer_s;        /* until the old leader last answered a heartbeat */
     double new_leader_s;         /* until another controller became leader */
     double work_resumed_s;       /* until a task was started under the new leader */
-    unsigned leadership_changes; /* changes of leader during the measurement */
+    unsigned leadership_changes; /* how often another controller became leader */
 };
 
 /* Whether the cluster has a leader and has started at least MIN_STARTS tasks. */
@@ -62,7 +67,8 @@
            cluster_leader(cluster) >= 0;
 }
 
-/* Sets the fault on the links of that kind: to every zone, or to the state service. */
+/* Sets `fault` on the links of the controller that `kind` is about: the links to all zones, or the
+ * link to the state service. An empty `fault` ends the fault. */
 static void set_faults(struct cluster *cluster, const struct fault_kind *kind, int controller,
                        struct relay_fault fault)
 {
@@ -72,35 +78,37 @@
         cluster_set_link_fault(cluster, controller, kind->link, target, fault);
 }
 
-/* Observes the cluster until the new leader has started a task, or for WAIT_S. */
+/* Observes the cluster until the new leader has started a task, or for OBSERVE_TIMEOUT_S. */
 static struct outcome observe_permanent_fault(struct cluster *cluster, int old_leader)
 {
     const struct fake_provider *provider = cluster_provider(cluster);
     const struct history *history = cluster_history(cluster);
-    struct outcome outcome = {.new_leader_s = WAIT_S, .work_resumed_s = WAIT_S};
+    struct outcome outcome = {.new_leader_s = OBSERVE_TIMEOUT_S,
+                              .work_resumed_s = OBSERVE_TIMEOUT_S};
     unsigned answered = fake_provider_answered_heartbeats(provider, old_leader);
     double started_at = pm_clock_monotonic();
     unsigned starts = 0;
 
-    while (pm_clock_monotonic() - started_at < WAIT_S && outcome.work_resumed_s >= WAIT_S) {
+    while (pm_clock_monotonic() - started_at < OBSERVE_TIMEOUT_S &&
+           outcome.work_resumed_s >= OBSERVE_TIMEOUT_S) {
         int leader = cluster_leader(cluster);
         double elapsed_s = pm_clock_monotonic() - started_at;
-        cluster_run(cluster, STEP_S);
+        cluster_run(cluster, OBSERVE_INTERVAL_S);
         if (fake_provider_answered_heartbeats(provider, old_leader) > answered) {
             answered = fake_provider_answered_heartbeats(provider, old_leader);
             outcome.last_answer_s = elapsed_s;
         }
-        if (outcome.new_leader_s >= WAIT_S && leader >= 0 && leader != old_leader) {
+        if (outcome.new_leader_s >= OBSERVE_TIMEOUT_S && leader >= 0 && leader != old_leader) {
             outcome.new_leader_s = elapsed_s;
             starts = history_start_count(history);
         }
-        if (outcome.new_leader_s < WAIT_S && history_start_count(history) > starts)
+        if (outcome.new_leader_s < OBSERVE_TIMEOUT_S && history_start_count(history) > starts)
             outcome.work_resumed_s = elapsed_s;
     }
     return outcome;
 }
 
-/* Starts and stops the fault in turn, and counts the changes of leader. */
+/* Starts and stops the fault in turn for `flap_for_s`, and counts the changes of leader. */
 static struct outcome observe_flapping_fault(struct cluster *cluster, const struct options *options,
                                              const struct fault_kind *kind, int old_leader)
 {
@@ -114,7 +122,7 @@
         set_faults(cluster, kind, old_leader, phase % 2 ? none : kind->fault);
         while (pm_clock_monotonic() < phase_ends_at) {
             int leader = cluster_leader(cluster);
-            cluster_run(cluster, STEP_S);
+            cluster_run(cluster, OBSERVE_INTERVAL_S);
             if (leader < 0)
                 continue;
             outcome.leadership_changes += leader != last_leader;
@@ -133,9 +141,9 @@
     return observe_permanent_fault(cluster, leader);
 }
 
-/* Starts a cluster, injects the fault at the leader and observes the cluster. Returns false, with
- * `outcome` unset, if the cluster started too few tasks, or had no leader, before the
- * fault. */
+/* Starts a cluster, injects the fault on the leader's links and observes the cluster. Returns
+ * false, and leaves `outcome` unchanged, if the cluster did not work within START_TIMEOUT_S, or had
+ * no leader when the fault was due. */
 static bool measure_once(const struct options *options, const struct fault_kind *kind,
                          GRand *random, struct outcome *outcome)
 {
@@ -146,11 +154,11 @@
     bool is_ready;
     int leader;
 
-    if (options->operator_file)
-        g_file_get_contents(options->operator_file, &operator_yaml, NULL, NULL);
+    if (options->operator_settings_path)
+        g_file_get_contents(options->operator_settings_path, &operator_yaml, NULL, NULL);
     settings.operator_yaml = operator_yaml;
     cluster = cluster_new(&settings);
-    cluster_set_load(cluster, LOAD_EVERY_S);
+    cluster_set_load(cluster, SUBMIT_INTERVAL_S);
     is_ready = cluster_run_until(cluster, is_working, START_TIMEOUT_S);
     cluster_run(cluster, SETTLE_S + g_rand_double(random));
     leader = cluster_leader(cluster);
@@ -158,6 +166,7 @@
     if (is_ready)
         *outcome = observe_fault(cluster, options, kind, leader);
     cluster_free(cluster);
+    /* The history can still be read after cluster_free(). */
     if (*history_violations(cluster_history(cluster)))
         printf("INVARIANT VIOLATED %s: %s", kind->name,
                history_violations(cluster_history(cluster)));
@@ -176,11 +185,11 @@
 static void print_times(const char *label, double *times, int count)
 {
     qsort(times, (size_t)count, sizeof *times, compare_times);
-    printf("  %s median %.2f, most %.2f;", label, times[count / 2], times[count - 1]);
+    printf("  %s: median %.2f s, maximum %.2f s;", label, times[count / 2], times[count - 1]);
 }
 
-/* Prints the times until the old leader stops answering heartbeats, another controller leads, and
- * tasks are started again. */
+/* Prints the times until the old leader last answered a heartbeat, until another controller became
+ * leader, and until a task was started under the new leader. */
 static void print_outcomes(const struct outcome *outcomes, int count)
 {
     static double last_answer_s[REPEATS_MAX];
@@ -192,9 +201,9 @@
         new_leader_s[i] = outcomes[i].new_leader_s;
         work_resumed_s[i] = outcomes[i].work_resumed_s;
     }
-    print_times("stops", last_answer_s, count);
+    print_times("last answer of the old leader", last_answer_s, count);
     print_times("new leader", new_leader_s, count);
-    print_times("work resumes", work_resumed_s, count);
+    print_times("first task start under the new leader", work_resumed_s, count);
     printf("\n");
 }
 
@@ -204,7 +213,8 @@
 
     for (int i = 0; i < count; i++)
         changes += outcomes[i].leadership_changes;
-    printf("  %.2f changes of leader in %.0f s\n", (double)changes / count, flap_for_s);
+    printf("  mean of %.2f leader changes per run of %.0f s\n", (double)changes / count,
+           flap_for_s);
 }
 
 /* Measures one kind of fault and prints its line. */
@@ -217,7 +227,7 @@
     for (int i = 0; i < options->repeats; i++)
         count += measure_once(options, kind, random, &outcomes[count]);
     g_rand_free(random);
-    printf("%s: %d of %d repeats, %d controllers;", kind->name, count, options->repeats,
+    printf("%s: %d of %d runs measured, %d controllers;", kind->name, count, options->repeats,
            options->controllers);
     if (count && kind->flap_s > 0)
         print_changes(outcomes, count, options->flap_for_s);
@@ -229,22 +239,24 @@
 /* Returns false if an option is unknown, missing or out of range. */
 static bool read_options(struct options *options, int argc, char **argv)
 {
-    const GOptionEntry entries[] = {{"daemon", 0, 0, G_OPTION_ARG_FILENAME, &options->daemon,
-                                     "the controller program to measure (required)", "FILE"},
-                                    {"operator", 0, 0, G_OPTION_ARG_FILENAME,
-                                     &options->operator_file,
-                                     "operators' settings for the controllers", "FILE"},
-                                    {"kind", 0, 0, G_OPTION_ARG_STRING, &options->kind,
-                                     "measure only this kind of fault", "KIND"},
-                                    {"controllers", 0, 0, G_OPTION_ARG_INT, &options->controllers,
-                                     "controllers in the cluster, 4 by default", "N"},
-                                    {"repeats", 0, 0, G_OPTION_ARG_INT, &options->repeats,
-                                     "repeats for each kind, 20 by default", "N"},
-                                    {"seed", 0, 0, G_OPTION_ARG_INT, &options->seed,
-                                     "seed of the random times, 1 by default", "N"},
-                                    {"flap-for", 0, 0, G_OPTION_ARG_DOUBLE, &options->flap_for_s,
-                                     "duration of a flapping fault, 60 by default", "SECONDS"},
-                                    {0}};
+    const GOptionEntry entries[] = {
+        {"daemon", 0, 0, G_OPTION_ARG_FILENAME, &options->daemon,
+         "the controller program to measure (required)", "FILE"},
+        {"operator", 0, 0, G_OPTION_ARG_FILENAME, &options->operator_settings_path,
+         "file with the operators' settings for the controllers (YAML)", "FILE"},
+        {"kind", 0, 0, G_OPTION_ARG_STRING, &options->kind,
+         "measure only this kind of fault, for example state-reset", "KIND"},
+        {"controllers", 0, 0, G_OPTION_ARG_INT, &options->controllers,
+         "controllers in the cluster, 1 to 8, 4 by default", "N"},
+        {"repeats", 0, 0, G_OPTION_ARG_INT, &options->repeats,
+         "runs for each kind of fault, 1 to 1000, 20 by default; a run is "
+         "not measured if its cluster does not work before the fault",
+         "N"},
+        {"seed", 0, 0, G_OPTION_ARG_INT, &options->seed,
+         "seed of the random delay before each fault, 1 by default", "N"},
+        {"flap-for", 0, 0, G_OPTION_ARG_DOUBLE, &options->flap_for_s,
+         "how long to observe a flapping fault, 60 by default", "SECONDS"},
+        {0}};
     GOptionContext *context = g_option_context_new("- measure failover after a link fault");
     bool is_parsed;
 
@@ -261,7 +273,9 @@
     struct options options = {.controllers = 4, .repeats = 20, .seed = 1, .flap_for_s = 60};
 
     if (!read_options(&options, argc, argv)) {
-        fprintf(stderr, "measure-cuts: invalid options (see --help)\n");
+        fprintf(stderr,
+                "measure-cuts: --daemon is missing, or an option is unknown or out of range "
+                "(see --help)\n");
         return EXIT_USAGE;
     }
     for (size_t i = 0; i < G_N_ELEMENTS(fault_kinds); i++)
--- a/src/cmd/plan-bench/main.c
+++ b/src/cmd/plan-bench/main.c
@@ -1,5 +1,6 @@
-/* plan-bench [MACHINES [JOBS]]: measures the scheduler, the handling of heartbeats, and
- * dependencies between jobs, on synthetic jobs and machines.
+/* plan-bench [MACHINES [JOBS]]: measures how long the scheduler takes to place tasks, and how long
+ * it takes to apply heartbeats and to add and cancel jobs that depend on each other. The jobs and
+ * machines are synthetic.
  *
  * In each round, heartbeats from a share of the machines report that their array tasks have ended,
  * and the scheduler places the waiting tasks. The times depend on the machine that runs the
@@ -16,16 +17,16 @@
 enum {
     ROUNDS = 200,
     ARRAY_TASKS = 110,
-    HEARTBEAT_SHARE = 40,    /* a machine sends a heartbeat once in this many rounds */
-    SERVICE_EVERY = 4,       /* one job in this many is a service, the others are arrays */
-    DEPENDENT_EVERY = 4,     /* one job in this many depends on the previous job */
-    FIRST_DEPENDENT = 500000 /* lowest number of the jobs in time_dependencies() */
+    ROUNDS_PER_HEARTBEAT = 40,    /* a machine sends one heartbeat in this many rounds */
+    SERVICE_EVERY = 4,            /* one job in this many is a service, the others are arrays */
+    DEPENDENT_EVERY = 4,          /* one job in this many depends on the previous job */
+    FIRST_DEPENDENCY_JOB = 500000 /* the jobs of time_dependencies() are numbered from here */
 };
-#define ROUND_S 0.2        /* time that a round advances the clock by */
-#define FIRST_ROUND_AT 100 /* time of the first round, in seconds */
-#define MICROSECONDS 1e6   /* in a second */
+#define ROUND_S 0.2        /* simulated duration of a round */
+#define FIRST_ROUND_AT 100 /* simulated time of the first round, in seconds */
+#define MICROSECONDS_PER_S 1e6
 
-/* The modules that are measured, with their settings. */
+/* The modules that the benchmark measures, and their settings. */
 static struct bench {
     struct pm_settings settings;
     struct pm_operator_settings operator_settings;
@@ -87,7 +88,7 @@
                             .submitted_wall = bench.now};
 }
 
-/* Sets the dependencies to the jobs with these numbers. The list is owned by the spec. */
+/* Makes the job of `spec` depend on the jobs with these numbers. The spec owns the list. */
 static void set_dependencies(struct pm_spec *spec, const int *dependencies, int count)
 {
     GPtrArray *ids;
@@ -124,7 +125,7 @@
     pm_buffer_free(&buf);
 }
 
-/* Adds a job for the rounds; one in DEPENDENT_EVERY depends on the previous job. */
+/* Adds a job for time_rounds(). One job in DEPENDENT_EVERY depends on the previous job. */
 static void add_round_job(int number)
 {
     int previous = number - 1;
@@ -133,7 +134,7 @@
     add_job(number, &previous, is_dependent);
 }
 
-/* Encodes a task in a heartbeat: an array task has ended, a service runs. */
+/* Encodes a task in a heartbeat. An array task is reported as ended, a service task as running. */
 static void put_task(const struct pm_placement *placement, struct pm_buffer *out)
 {
     bool has_ended = placement->job->spec->kind == PM_WORKLOAD_ARRAY;
@@ -213,8 +214,8 @@
     tables->type_count = 2;
 }
 
-/* Adds a machine that the provider lists. Every fourth is large, half are in each zone, and two of
- * three are spot machines. */
+/* Adds a machine that the provider lists. One machine in four is large, half of the machines are in
+ * each zone, and two of three are spot machines. */
 static void add_machine(int index)
 {
     struct pm_machine *machine;
@@ -244,20 +245,20 @@
         pm_scheduler_new(&bench.tables, bench.jobs, bench.workers, &bench.operator_settings);
 }
 
-/* Totals over all rounds, and the longest run of the scheduler. */
+/* Totals over all rounds, and the duration of the longest plan. */
 struct round_times {
     double scheduling_s, longest_scheduling_s, heartbeats_s;
     long placed, heartbeats;
 };
 
-/* Applies the round's heartbeats, with their time added to `times`. In the first round, every
- * machine sends one. */
+/* Applies the heartbeats of the round, and adds the time that this takes to `times`. In the first
+ * round, every machine sends a heartbeat. */
 static void send_heartbeats(const GPtrArray *machines, int round, struct round_times *times)
 {
     double started_at = pm_clock_monotonic();
 
     for (int i = 0; i < (int)machines->len; i++) {
-        if (round && (i + round) % HEARTBEAT_SHARE)
+        if (round && (i + round) % ROUNDS_PER_HEARTBEAT)
             continue;
         apply_heartbeat(g_ptr_array_index(machines, i));
         times->heartbeats++;
@@ -265,7 +266,7 @@
     times->heartbeats_s += pm_clock_monotonic() - started_at;
 }
 
-/* Runs one plan, and adds its time to `times`. */
+/* Makes one plan, in which the scheduler places waiting tasks, and adds its duration to `times`. */
 static void run_scheduler(struct round_times *times)
 {
     double started_at = pm_clock_monotonic();
@@ -277,7 +278,7 @@
     times->longest_scheduling_s = MAX(times->longest_scheduling_s, elapsed_s);
 }
 
-/* Sets the tasks that the scheduler has placed to running, without waiting for a heartbeat. */
+/* Marks the tasks that the scheduler has placed as running, without a heartbeat that reports it. */
 static void start_placed_tasks(const GPtrArray *machines)
 {
     for (guint i = 0; i < machines->len; i++) {
@@ -290,7 +291,7 @@
     }
 }
 
-/* Runs all rounds, each with one more job than the last, and prints the average times. */
+/* Runs all rounds, each with one more job than the previous round, and prints the average times. */
 static void time_rounds(int machine_count, int job_count)
 {
     struct round_times times = {0};
@@ -305,82 +306,86 @@
         start_placed_tasks(machines);
         bench.now += ROUND_S;
     }
-    printf("%d machines, %d jobs: plan %.0f us (longest %.0f us), %ld placed; heartbeat %.1f us\n",
-           machine_count, next_job, times.scheduling_s / ROUNDS * MICROSECONDS,
-           times.longest_scheduling_s * MICROSECONDS, times.placed,
-           times.heartbeats_s / (double)times.heartbeats * MICROSECONDS);
+    printf(
+        "%d machines, %d jobs: average plan %.0f us (longest %.0f us), %ld tasks placed; average "
+        "heartbeat %.1f us\n",
+        machine_count, next_job, times.scheduling_s / ROUNDS * MICROSECONDS_PER_S,
+        times.longest_scheduling_s * MICROSECONDS_PER_S, times.placed,
+        times.heartbeats_s / (double)times.heartbeats * MICROSECONDS_PER_S);
 }
 
-/* Returns the number of the dependent job at this index. It is odd, so that the job is an array and
- * not a service (see SERVICE_EVERY). */
-static int array_number(int index)
+/* Returns the number of job `index` of time_dependencies(). The number is odd, so that add_job()
+ * makes the job an array and not a service (see SERVICE_EVERY). */
+static int dependency_job_number(int index)
 {
-    return FIRST_DEPENDENT + 2 * index + 1;
+    return FIRST_DEPENDENCY_JOB + 2 * index + 1;
 }
 
-/* Cancels the job at index `from`, which also cancels the jobs up to `until` (exclusive), because
- * they all depend on it. Prints the times for a job; `adding_s` is the time that adding all of them
- * took. */
+/* Cancels job `from`, which also cancels the jobs up to `until` (exclusive), because they all
+ * depend on job `from`, directly or not. Prints the average times per job. `adding_s` is how long
+ * it took to add all these jobs. */
 static void time_cancellation(const char *label, int from, int until, double adding_s)
 {
     double started_at = pm_clock_monotonic();
     int count = until - from;
     char id[32];
 
-    snprintf(id, sizeof id, "job-%06d", array_number(from));
+    snprintf(id, sizeof id, "job-%06d", dependency_job_number(from));
     pm_jobs_apply_cancellation(bench.jobs, id, ++bench.revision);
     printf("%s, %d jobs: %.1f us per job added, %.1f us per job cancelled\n", label, count,
-           adding_s / count * MICROSECONDS,
-           (pm_clock_monotonic() - started_at) / count * MICROSECONDS);
+           adding_s / count * MICROSECONDS_PER_S,
+           (pm_clock_monotonic() - started_at) / count * MICROSECONDS_PER_S);
 }
 
-/* Measures a chain: each job depends on the previous one. Returns the next free index. */
+/* Measures a chain of jobs that starts with job `from`: each job depends on the previous one.
+ * Returns the index after the last job. */
 static int time_chain(int from, int length)
 {
     double started_at = pm_clock_monotonic();
 
     for (int i = 0; i < length; i++) {
-        int previous = array_number(from + i - 1);
-        add_job(array_number(from + i), &previous, i > 0);
+        int previous = dependency_job_number(from + i - 1);
+        add_job(dependency_job_number(from + i), &previous, i > 0);
     }
     time_cancellation("a chain", from, from + length, pm_clock_monotonic() - started_at);
     return from + length;
 }
 
-/* Measures a ladder of diamonds: the last job of each level depends on two jobs, which both depend
- * on the last job of the level below. Returns the next free index. */
+/* Measures a ladder of diamonds that starts with job `from`: the last job of each level depends on
+ * two jobs, which both depend on the last job of the previous level. Returns the index after the
+ * last job. */
 static int time_ladder(int from, int levels)
 {
     double started_at = pm_clock_monotonic();
     int next = from + 1;
 
-    add_job(array_number(from), NULL, 0);
+    add_job(dependency_job_number(from), NULL, 0);
     for (int level = 0; level < levels; level++) {
-        int below = array_number(next - 1);
-        int sides[] = {array_number(next), array_number(next + 1)};
-        add_job(sides[0], &below, 1);
-        add_job(sides[1], &below, 1);
-        add_job(array_number(next + 2), sides, 2);
+        int previous_last = dependency_job_number(next - 1);
+        int sides[] = {dependency_job_number(next), dependency_job_number(next + 1)};
+        add_job(sides[0], &previous_last, 1);
+        add_job(sides[1], &previous_last, 1);
+        add_job(dependency_job_number(next + 2), sides, 2);
         next += 3;
     }
     time_cancellation("a ladder of diamonds", from, next, pm_clock_monotonic() - started_at);
     return next;
 }
 
-/* Measures a fan: `width` jobs depend on one job, and a last job depends on all of them. Returns
- * the next free index. */
+/* Measures a fan-out and fan-in: `width` jobs depend on job `from`, and a last job depends on all
+ * of them. Returns the index after the last job. */
 static int time_fan(int from, int width)
 {
     double started_at = pm_clock_monotonic();
-    int first = array_number(from);
+    int first = dependency_job_number(from);
     int *middle = g_new(int, width);
 
     add_job(first, NULL, 0);
     for (int i = 0; i < width; i++) {
-        middle[i] = array_number(from + 1 + i);
+        middle[i] = dependency_job_number(from + 1 + i);
         add_job(middle[i], &first, 1);
     }
-    add_job(array_number(from + 1 + width), middle, width);
+    add_job(dependency_job_number(from + 1 + width), middle, width);
     time_cancellation("a fan-out and fan-in", from, from + width + 2,
                       pm_clock_monotonic() - started_at);
     g_free(middle);
