--- a/src/soak/fault_injection.c
+++ b/src/soak/fault_injection.c
@@ -1,34 +1,40 @@
-/* Begins and ends the faults of a schedule at the cluster and its stand-ins. */
+/* Begins and ends the faults of a schedule: sets them at the cluster and its fake services. */
 #include "soak/soak_internal.h"
 
 #include <math.h>
 
-#define DELAYED_MESSAGE_SHARE 0.3
+#define DELAYED_MESSAGE_SHARE 0.3 /* of heartbeats and of commands */
 
-enum { MACHINES_AT_ONCE_MAX = 4, CANCELLATIONS_MAX = 6 };
+enum {
+    MACHINES_AT_ONCE_MAX = 4, /* that one fault partitions or suspends */
+    CANCELLATIONS_MAX = 6     /* jobs that one fault cancels */
+};
 
-/* Parts of a fault's choice that are drawn apart from its lowest bits. */
-enum { CHOICE_OF_LINK_FAULT = 16, CHOICE_OF_MACHINE_COUNT = 64 };
+/* A fault's random number `choice` is divided by these before a link fault or a number of machines
+ * is selected with it. The low bits, which select the controller or the first machine, then have
+ * little influence on that selection. */
+enum { LINK_FAULT_DIVISOR = 16, MACHINE_COUNT_DIVISOR = 64 };
 
 void fault_injection_init(struct fault_injection *injection)
 {
     injection->active = g_array_new(FALSE, FALSE, sizeof(struct active_fault));
 }
 
-/* A line in the controllers' log, between theirs. */
+/* Writes to the controllers' log that a fault begins or ends. */
 static void log_change(const struct soak *soak, const char *change,
                        const struct active_fault *active)
 {
     if (!soak->log)
         return;
-    fprintf(soak->log, "soak %.2f %s %s of %d\n", soak_elapsed_s(soak), change,
+    fprintf(soak->log, "soak %.2f s: %s %s, controller %d\n", soak_elapsed_s(soak), change,
             fault_kind_name(active->fault.kind), active->controller);
     fflush(soak->log);
 }
 
 /* ---- links ---- */
 
-/* Packets are lost both ways, one way or the other, or connections are reset. */
+/* Returns one of four link faults: packets are blocked in both directions, only from the controller
+ * or only to it, or connections are reset. */
 static struct relay_fault choose_link_fault(const struct fault *fault)
 {
     static const struct relay_fault link_faults[] = {
@@ -37,10 +43,11 @@
         {.to_controller = true},
         {.reset = true}};
 
-    return link_faults[fault->choice / CHOICE_OF_LINK_FAULT % G_N_ELEMENTS(link_faults)];
+    return link_faults[fault->choice / LINK_FAULT_DIVISOR % G_N_ELEMENTS(link_faults)];
 }
 
-/* `targets`: how many peers or zones there are at the other end. */
+/* Sets or clears the fault of all links of that type at the controller. `targets` is the number of
+ * peers or zones that such links lead to; 1 for other types. */
 static void set_link_faults(struct soak *soak, const struct active_fault *active,
                             enum cluster_link link, int targets, bool begins)
 {
@@ -55,6 +62,7 @@
 
 /* ---- controllers ---- */
 
+/* This and the other switch_ functions begin the fault if `begins`, otherwise they end it. */
 static void switch_controller_fault(struct soak *soak, const struct active_fault *active,
                                     bool begins)
 {
@@ -93,7 +101,7 @@
         fake_store_execute_delayed_txn(store);
 }
 
-/* A lost answer and a refused watch concern the next request: nothing is to be ended. */
+/* A lost answer and a refused watch affect only the next request, so their end changes nothing. */
 static void switch_store_fault(struct soak *soak, const struct fault *fault, bool begins)
 {
     struct fake_store *store = cluster_store(soak->cluster);
@@ -115,7 +123,7 @@
 static void switch_machines(struct soak *soak, const struct fault *fault, bool begins)
 {
     struct fake_provider *provider = cluster_provider(soak->cluster);
-    unsigned count = 1 + fault->choice / CHOICE_OF_MACHINE_COUNT % MACHINES_AT_ONCE_MAX;
+    unsigned count = 1 + fault->choice / MACHINE_COUNT_DIVISOR % MACHINES_AT_ONCE_MAX;
 
     for (unsigned i = 0; i < count; i++) {
         if (fault->kind == FAULT_MACHINE_CUT)
@@ -125,7 +133,8 @@
     }
 }
 
-static void extend_delays(struct soak *soak, double until_s)
+/* Records that commands are delayed until `until_s`, or longer if that was recorded before. */
+static void extend_command_delays(struct soak *soak, double until_s)
 {
     soak->injection.delayed_until_s = MAX(soak->injection.delayed_until_s, until_s);
 }
@@ -136,11 +145,11 @@
     double share = begins ? DELAYED_MESSAGE_SHARE : 0;
 
     if (active->fault.kind == FAULT_LATE_MESSAGES) {
-        extend_delays(soak, active->until_s);
+        extend_command_delays(soak, active->end_s);
         fake_provider_delay_messages(provider, share, share);
     } else if (active->fault.kind == FAULT_MACHINE_HANGS) {
-        /* What was sent to it meanwhile is executed and never answered. */
-        extend_delays(soak, begins ? active->until_s : soak_elapsed_s(soak));
+        /* Commands sent to a suspended machine are executed when it resumes, and never answered. */
+        extend_command_delays(soak, begins ? active->end_s : soak_elapsed_s(soak));
         switch_machines(soak, &active->fault, begins);
     } else if (active->fault.kind == FAULT_MACHINE_CUT) {
         switch_machines(soak, &active->fault, begins);
@@ -157,9 +166,9 @@
         cluster_cancel_any(soak->cluster, g_rand_int(soak->random));
 }
 
-/* ---- any fault ---- */
+/* ---- faults of all kinds ---- */
 
-/* Begins the fault, or ends it. */
+/* Logs the change, and calls the function for the fault's kind. */
 static void switch_fault(struct soak *soak, const struct active_fault *active, bool begins)
 {
     log_change(soak, begins ? "begin" : "end", active);
@@ -197,38 +206,40 @@
     }
 }
 
-static bool concerns_controller(enum fault_kind kind)
+static bool affects_controller(enum fault_kind kind)
 {
     return kind <= FAULT_REFUSED_ALONE;
 }
 
-static bool concerns_process(enum fault_kind kind)
+static bool affects_process(enum fault_kind kind)
 {
     return kind <= FAULT_PAUSE;
 }
 
-/* Whether the same fault is in progress at that controller: ending one must not end both. */
-static bool is_active(const struct soak *soak, enum fault_kind kind, int controller)
+/* Returns whether a fault of the same kind is in progress at that controller. Two of them must not
+ * overlap: the end of the first would end both. Kill and pause count as the same kind. */
+static bool is_fault_active(const struct soak *soak, enum fault_kind kind, int controller)
 {
     const GArray *active_faults = soak->injection.active;
 
     for (guint i = 0; i < active_faults->len; i++) {
         const struct active_fault *active = &g_array_index(active_faults, struct active_fault, i);
         bool is_same = active->fault.kind == kind ||
-                       (concerns_process(active->fault.kind) && concerns_process(kind));
+                       (affects_process(active->fault.kind) && affects_process(kind));
         if (is_same && active->controller == controller)
             return true;
     }
     return false;
 }
 
-bool fault_injection_has_process(const struct soak *soak, int controller)
+bool fault_injection_affects_process(const struct soak *soak, int controller)
 {
-    return is_active(soak, FAULT_KILL, controller);
+    return is_fault_active(soak, FAULT_KILL, controller);
 }
 
-/* The one that is meant, or any if there is none. */
-static int find_controller(const struct soak *soak, const struct fault *fault)
+/* Returns the leader or a shard owner, as the fault's target says. If there is none, or the target
+ * is any controller, the fault's random number selects one. */
+static int choose_controller(const struct soak *soak, const struct fault *fault)
 {
     int controller = -1;
 
@@ -245,9 +256,9 @@
 {
     struct active_fault active = {*fault, -1, soak_elapsed_s(soak) + fault->duration_s};
 
-    if (concerns_controller(fault->kind))
-        active.controller = find_controller(soak, fault);
-    if (is_active(soak, fault->kind, active.controller))
+    if (affects_controller(fault->kind))
+        active.controller = choose_controller(soak, fault);
+    if (is_fault_active(soak, fault->kind, active.controller))
         return;
     switch_fault(soak, &active, true);
     g_array_append_val(soak->injection.active, active);
@@ -259,7 +270,7 @@
 
     for (guint i = 0; i < active_faults->len;) {
         struct active_fault active = g_array_index(active_faults, struct active_fault, i);
-        if (active.until_s > now_s) {
+        if (active.end_s > now_s) {
             i++;
             continue;
         }
--- a/src/soak/fault_schedule.c
+++ b/src/soak/fault_schedule.c
@@ -4,12 +4,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_GAP_S 4.0         /* between the starts of two faults */
-#define OVERLAP_SHARE 0.5     /* of faults that start soon after the one before */
-#define MAX_OVERLAP_GAP_S 1.0 /* between those */
+#define MAX_GAP_S 4.0 /* longest time between the starts of two consecutive faults */
+/* This share of faults starts within MAX_OVERLAP_GAP_S of the fault before, so that faults often
+ * overlap. */
+#define OVERLAP_SHARE 0.5
+#define MAX_OVERLAP_GAP_S 1.0
 #define MIN_DURATION_S 0.05
-#define SHORT_DURATION_S 0.8 /* ends before anything is noticed */
-#define MAX_DURATION_S 13.0  /* three leases */
+#define SHORT_DURATION_S 0.8 /* a fault up to this long ends before the controllers detect it */
+#define MAX_DURATION_S 13.0  /* a little longer than three of the short worker leases in soak.c */
 
 static const char *const kind_names[FAULT_KIND_COUNT] = {
     "kill",          "pause",         "cut-state",     "cut-peers",   "cut-workers",
@@ -26,7 +28,7 @@
 
 /* ---- kinds ---- */
 
-/* FAULT_KIND_COUNT: there is no such name. */
+/* Returns FAULT_KIND_COUNT if there is no such name. */
 static enum fault_kind find_kind(const char *name)
 {
     for (int kind = 0; kind < FAULT_KIND_COUNT; kind++)
@@ -66,7 +68,7 @@
     }
 }
 
-/* Short ones are as likely as long ones. */
+/* Short durations are as likely as long ones. */
 static double draw_duration(GRand *random)
 {
     if (g_rand_boolean(random))
@@ -102,7 +104,8 @@
 
 /* ---- selection ---- */
 
-/* Marks the listed numbers in `selected`. False: that is no list of numbers up to `count`. */
+/* Marks the listed faults in `selected`, by index. Returns false if `numbers` is not a list of
+ * numbers from 1 to `count`. */
 static bool parse_numbers(const char *numbers, guint count, bool *selected)
 {
     char **list = g_strsplit(numbers, ",", -1);
@@ -135,8 +138,8 @@
 {
     for (guint i = 0; i < schedule->len; i++) {
         const struct fault *fault = &g_array_index(schedule, struct fault, i);
-        printf("  %3u at %6.2f s for %5.2f s: %s, %s, %u\n", i + 1, fault->start_s,
-               fault->duration_s, kind_names[fault->kind], target_names[fault->target],
-               fault->choice);
+        printf("  fault %3u at %6.2f s for %5.2f s: %s, target %s, choice %u\n", i + 1,
+               fault->start_s, fault->duration_s, kind_names[fault->kind],
+               target_names[fault->target], fault->choice);
     }
 }
--- a/src/soak/main.c
+++ b/src/soak/main.c
@@ -1,5 +1,6 @@
-/* A randomized fault test on real processes: controllers over loopback with the stand-ins. Exit
- * code 0: clean; 1: a rule was broken; 2: bad input, or a program that does not start. */
+/* Runs the randomized fault test: real controller processes over loopback, with fake services. Exit
+ * codes: 0 if no violation was found, 1 if one was, 2 on bad input or if the cluster fails to
+ * start. */
 #include "soak/soak.h"
 
 #include <glib.h>
@@ -16,31 +17,36 @@
     int seed, count, controllers, machines;
     double seconds, lease_s;
     gboolean with_roles;
-    char *daemon, *old_daemon, *only, *kinds, *operator_file, *log_directory;
+    char *daemon, *old_daemon, *selected_faults, *kinds, *operator_file, *log_directory;
 };
 
 static bool read_options(struct options *options, int argc, char **argv, GError **error)
 {
     const GOptionEntry entries[] = {
-        {"seed", 's', 0, G_OPTION_ARG_INT, &options->seed, "the first seed", "N"},
-        {"count", 'n', 0, G_OPTION_ARG_INT, &options->count, "how many seeds, one after another",
-         "N"},
-        {"seconds", 't', 0, G_OPTION_ARG_DOUBLE, &options->seconds, "length of a run's troubles",
+        {"seed", 's', 0, G_OPTION_ARG_INT, &options->seed, "first seed", "N"},
+        {"count", 'n', 0, G_OPTION_ARG_INT, &options->count,
+         "number of seeds to run, one after another", "N"},
+        {"seconds", 't', 0, G_OPTION_ARG_DOUBLE, &options->seconds, "length of the fault schedule",
          "S"},
-        {"controllers", 'c', 0, G_OPTION_ARG_INT, &options->controllers, "3 to 8", "N"},
-        {"machines", 'm', 0, G_OPTION_ARG_INT, &options->machines, "at most so many", "N"},
-        {"daemon", 'd', 0, G_OPTION_ARG_FILENAME, &options->daemon, "the program", "FILE"},
-        {"duties", 0, 0, G_OPTION_ARG_NONE, &options->with_roles, "links and duties are on", NULL},
-        {"old-daemon", 0, 0, G_OPTION_ARG_FILENAME, &options->old_daemon, "runs first, once",
-         "FILE"},
-        {"operator", 0, 0, G_OPTION_ARG_FILENAME, &options->operator_file, "operators' settings",
-         "FILE"},
-        {"lease", 0, 0, G_OPTION_ARG_DOUBLE, &options->lease_s, "the workers' lease; drawn", "S"},
-        {"kinds", 0, 0, G_OPTION_ARG_STRING, &options->kinds, "only such troubles", "NAME,NAME"},
-        {"only", 0, 0, G_OPTION_ARG_STRING, &options->only, "only these troubles, by number",
-         "N,N"},
-        {"logs", 0, 0, G_OPTION_ARG_FILENAME, &options->log_directory, "a directory for logs",
-         "DIR"},
+        {"controllers", 'c', 0, G_OPTION_ARG_INT, &options->controllers,
+         "number of controllers, 3 to 8", "N"},
+        {"machines", 'm', 0, G_OPTION_ARG_INT, &options->machines, "maximum number of machines",
+         "N"},
+        {"daemon", 'd', 0, G_OPTION_ARG_FILENAME, &options->daemon,
+         "daemon that the controllers run", "FILE"},
+        {"duties", 0, 0, G_OPTION_ARG_NONE, &options->with_roles, "enable links and duties", NULL},
+        {"old-daemon", 0, 0, G_OPTION_ARG_FILENAME, &options->old_daemon,
+         "earlier daemon, which controller 0 runs for the first half", "FILE"},
+        {"operator", 0, 0, G_OPTION_ARG_FILENAME, &options->operator_file,
+         "file with the operators' settings", "FILE"},
+        {"lease", 0, 0, G_OPTION_ARG_DOUBLE, &options->lease_s,
+         "length of the workers' leases; 0: drawn from the seed", "S"},
+        {"kinds", 0, 0, G_OPTION_ARG_STRING, &options->kinds, "draw only these kinds of fault",
+         "NAME,NAME"},
+        {"only", 0, 0, G_OPTION_ARG_STRING, &options->selected_faults,
+         "inject only these faults, by number", "N,N"},
+        {"logs", 0, 0, G_OPTION_ARG_FILENAME, &options->log_directory,
+         "directory in which logs are kept", "DIR"},
         {NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL}};
     GOptionContext *context = g_option_context_new("- a randomized fault test");
     bool ok;
@@ -51,25 +57,25 @@
     return ok;
 }
 
-/* Why the options can't be used; NULL: they can. */
+/* Returns what is wrong with the options, or NULL if they are valid. */
 static const char *find_bad_option(const struct options *options)
 {
     if (options->seed < 0)
-        return "the seed is below 0";
+        return "--seed is negative";
     if (options->count < 1 || options->count > SEEDS_MAX)
-        return "the count is not from 1 to 100000";
+        return "--count is not from 1 to 100000";
     if (options->controllers < CONTROLLERS_MIN || options->controllers > CONTROLLERS_MAX)
-        return "the controllers are not from 3 to 8";
+        return "--controllers is not from 3 to 8";
     if (options->machines < 1 || options->machines > MACHINES_MAX)
-        return "the machines are not from 1 to 400";
+        return "--machines is not from 1 to 400";
     if (!(options->seconds > 0 && options->seconds <= SECONDS_MAX))
-        return "the seconds are not above 0, and 3600 at most";
+        return "--seconds is not above 0 and at most 3600";
     if (!(options->lease_s >= 0 && options->lease_s <= LEASE_MAX_S))
-        return "the lease is not from 0 to 60 seconds";
+        return "--lease is not from 0 to 60 seconds";
     if (!fault_schedule_parse_kinds(options->kinds))
-        return "no such kind of trouble";
+        return "--kinds contains an unknown kind of fault";
     if (access(options->daemon, X_OK) || (options->old_daemon && access(options->old_daemon, X_OK)))
-        return "the daemon can't be run";
+        return "--daemon or --old-daemon is not an executable file";
     return NULL;
 }
 
@@ -77,15 +83,16 @@
 {
     bool is_clean = !result->violations[0];
 
-    printf("seed %u: %u troubles in %.0f s, %u jobs, %u starts, stand-ins stalled %.2f s: %s\n",
+    printf("seed %u: %u faults scheduled, %.0f s, %u jobs, %u task starts, "
+           "fake services stalled for at most %.2f s: %s\n",
            seed, result->faults, result->seconds, result->jobs, result->starts, result->max_stall_s,
            is_clean ? "clean" : "violated");
     if (!is_clean)
-        printf("%slog: %s\n", result->violations, log ? log : "none kept (--logs DIR)");
+        printf("%slog: %s\n", result->violations, log ? log : "not kept (use --logs DIR)");
     fflush(stdout);
 }
 
-/* Runs one seed, and returns its exit code. */
+/* Runs the soak with one seed. Returns the exit code for it. */
 static int run_seed(const struct options *options, const char *operator_yaml, guint32 seed)
 {
     char *log = options->log_directory
@@ -100,7 +107,7 @@
                                            .lease_s = options->lease_s,
                                            .kinds = fault_schedule_parse_kinds(options->kinds),
                                            .with_roles = options->with_roles,
-                                           .only = options->only,
+                                           .selected_faults = options->selected_faults,
                                            .operator_yaml = operator_yaml,
                                            .log_file = log,
                                            .print_schedule = options->count == 1};
@@ -113,7 +120,9 @@
         g_free(result.violations);
     } else {
         code = EXIT_INPUT;
-        fprintf(stderr, "soak: seed %u: the list of troubles can't be read, or no task starts\n",
+        fprintf(stderr,
+                "soak: seed %u: --only does not list faults of the schedule, "
+                "or the cluster failed to start\n",
                 seed);
     }
     g_free(log);
@@ -134,8 +143,7 @@
         (options.operator_file &&
          !g_file_get_contents(options.operator_file, &operator_yaml, NULL, &error))) {
         fprintf(stderr, "soak: %s\n",
-                error ? error->message
-                      : (bad_option ? bad_option : "an argument that is not known"));
+                error ? error->message : (bad_option ? bad_option : "unexpected argument"));
         return EXIT_INPUT;
     }
     for (int i = 0; i < options.count; i++) {
@@ -145,7 +153,8 @@
     return worst;
 }
 
-/* Clusters last as long as the process: calls in flight outlive them. */
+/* Disables leak detection: a cluster's memory is kept until the process ends, because calls in
+ * flight outlive the cluster. */
 const char *__asan_default_options(void);
 const char *__asan_default_options(void)
 {
--- a/src/soak/soak.c
+++ b/src/soak/soak.c
@@ -1,4 +1,5 @@
-/* One run from its seed to its result. */
+/* Executes one run: sets up the cluster, follows the fault schedule, waits for open jobs to end,
+ * and returns the result. */
 #include "soak/soak_internal.h"
 #include "base/clock.h"
 #include "soak/workload.h"
@@ -6,26 +7,26 @@
 #include <glib/gstdio.h>
 #include <unistd.h>
 
-#define START_TIMEOUT_S 30.0  /* a cluster that starts no task by then does not start */
-#define SETTLE_TIMEOUT_S 90.0 /* once all faults are over, every job is over within this */
-#define STEP_S 0.05
-#define SUBMIT_GAP_MAX_S 0.8
+#define START_TIMEOUT_S 30.0  /* within which has_started must become true */
+#define SETTLE_TIMEOUT_S 90.0 /* within which all jobs must end after the last fault */
+#define STEP_S 0.05           /* the event loop runs this long between two checks */
+#define SUBMIT_GAP_MAX_S 0.8  /* longest time between two submissions */
 
 enum {
-    OPEN_JOBS_MAX = 40, /* that users wait for at a time */
+    OPEN_JOBS_MAX = 40, /* users submit no job while they wait for this many */
     MACHINE_CPUS = 8,
-    USUAL_MACHINES = 10
+    MACHINES_PER_SCALE_STEP = 10 /* the workload's scale grows by 1 with this many machines */
 };
 
-/* Short leases, so that much happens in a minute. */
+/* The leases are short, so that many of them expire in a run of a minute. */
 #define DEFAULT_OPERATOR_YAML "leader_ttl_s: 1.5\nconfirm_s: 0.8\nidle_return_s: 3\n"
 #define ROLES_OPERATOR_YAML                                                                        \
     DEFAULT_OPERATOR_YAML                                                                          \
     "links:\n  observe: true\n  decide: true\n  probe_s: 0.5\n"                                    \
     "  down_s: 1\n  expire_s: 4\nduties:\n  fence: true\n  ttl_s: 2\n"
 
-/* With the short one much happens in a minute; within the long one commands may be delayed for
- * longer than they are waited for. */
+/* The workers' lease is one of these. With the short one, many leases expire in a minute. Within
+ * the long one, a command may be delayed for longer than its sender waits for the answer. */
 static const double worker_leases_s[] = {4, 15};
 
 double soak_elapsed_s(const struct soak *soak)
@@ -40,10 +41,10 @@
     return settings->with_roles ? ROLES_OPERATOR_YAML : DEFAULT_OPERATOR_YAML;
 }
 
-/* Work grows with the machines. */
+/* The workload grows with the number of machines. */
 static unsigned workload_scale(const struct soak_settings *settings)
 {
-    return (unsigned)MAX(1, settings->max_machines / USUAL_MACHINES);
+    return (unsigned)MAX(1, settings->max_machines / MACHINES_PER_SCALE_STEP);
 }
 
 /* ---- the run ---- */
@@ -58,16 +59,19 @@
     fault_injection_end_due(soak, soak_elapsed_s(soak));
 }
 
-/* Controller 0 is upgraded in the middle of the run, unless a fault has its process then. */
+/* Upgrades controller 0 once half of the run is over. Returns false if it is too early, or if a
+ * fault has killed or suspended the controller's process; the next step tries again. */
 static bool try_upgrade(struct soak *soak)
 {
-    if (soak_elapsed_s(soak) < soak->settings->seconds / 2 || fault_injection_has_process(soak, 0))
+    if (soak_elapsed_s(soak) < soak->settings->seconds / 2 ||
+        fault_injection_affects_process(soak, 0))
         return false;
     cluster_upgrade(soak->cluster);
     return true;
 }
 
-/* Begins the faults that are due. Returns the index of the next one. */
+/* Begins the faults that are due, from index `next` on. Returns the index of the first that is not
+ * due yet. */
 static guint begin_due_faults(struct soak *soak, guint next)
 {
     for (; next < soak->schedule->len; next++) {
@@ -97,7 +101,8 @@
     }
 }
 
-/* All faults end, services are cancelled: every job is over in time. */
+/* Ends all faults, cancels the services, and waits until every job has ended. Jobs that are still
+ * open after SETTLE_TIMEOUT_S are recorded as violations. */
 static void settle(struct soak *soak)
 {
     double deadline_s;
@@ -133,7 +138,8 @@
     return worker_leases_s[g_rand_int_range(random, 0, G_N_ELEMENTS(worker_leases_s))];
 }
 
-/* Draws all that depends on the seed. False: the list of selected faults is not valid. */
+/* Draws everything that depends on the seed, and opens the log. Returns false if the list of
+ * selected faults is invalid. */
 static bool prepare(struct soak *soak)
 {
     const struct soak_settings *settings = soak->settings;
@@ -145,7 +151,8 @@
     g_rand_free(seeded);
     if (settings->print_schedule)
         fault_schedule_print(soak->schedule);
-    if (settings->only && !fault_schedule_select(soak->schedule, settings->only))
+    if (settings->selected_faults &&
+        !fault_schedule_select(soak->schedule, settings->selected_faults))
         return false;
     fault_injection_init(&soak->injection);
     violations_init(&soak->violations);
@@ -171,35 +178,39 @@
     return cluster_new(&cluster_settings);
 }
 
-static struct soak *current; /* for has_started, which gets no argument of its own */
+/* Read by has_started, to which cluster_run_until passes only the cluster. */
+static struct soak *current_soak;
 
-/* With roles: once all controllers support them, and one was acquired. */
+/* Returns whether a task was started and, if roles are enabled, the scale-out role was acquired. A
+ * role is acquired only once all controllers support roles. */
 static bool has_started(struct cluster *cluster)
 {
-    const struct call_checker *calls = current->violations.calls;
+    const struct call_checker *checker = current_soak->violations.checker;
 
     return history_start_count(cluster_history(cluster)) > 0 &&
-           (!calls || call_checker_acquisitions(calls) > 0);
+           (!checker || call_checker_acquisitions(checker) > 0);
 }
 
 static bool wait_for_start(struct soak *soak)
 {
     bool is_started;
 
-    current = soak;
+    current_soak = soak;
     is_started = cluster_run_until(soak->cluster, has_started, START_TIMEOUT_S);
     soak->started_at = pm_clock_monotonic();
-    if (soak->violations.calls) /* of what was rented before all controllers supported roles */
-        call_checker_clear_violations(soak->violations.calls);
+    /* Machines rented before all controllers supported roles have no intents. */
+    if (soak->violations.checker)
+        call_checker_clear_violations(soak->violations.checker);
     return is_started;
 }
 
-/* Ends the processes, and frees what the run owns but for the text of its violations. */
+/* Ends the processes, and frees everything that the run owns except the text of its violations,
+ * which the result owns. */
 static void clean_up(struct soak *soak)
 {
     cluster_free(soak->cluster);
-    if (soak->violations.calls)
-        call_checker_free(soak->violations.calls);
+    if (soak->violations.checker)
+        call_checker_free(soak->violations.checker);
     if (soak->log)
         fclose(soak->log);
     if (!soak->settings->log_file)
@@ -218,7 +229,7 @@
         return false;
     soak.cluster = start_cluster(&soak);
     if (settings->with_roles)
-        violations_check_calls(&soak);
+        violations_check_provider_calls(&soak);
     workload_submit(soak.cluster, soak.random, workload_scale(settings));
     is_started = wait_for_start(&soak);
     if (is_started) {
--- a/src/soak/soak.h
+++ b/src/soak/soak.h
@@ -1,8 +1,9 @@
-/* One run of the randomized fault test: real controllers over loopback, users, faults by a
- * schedule, and all that happens checked meanwhile.
+/* One run of the randomized fault test: real controller processes over loopback, simulated users,
+ * and faults injected by a schedule. The history of the run is checked for violations while it is
+ * recorded.
  *
- * It owns its cluster and all stand-ins for the length of the run. Called by the soak program and
- * by tests, in one thread; only one run at a time. */
+ * A run owns its cluster and all fake services until it ends. Called by the soak program and by
+ * tests, in one thread; only one run at a time. */
 #ifndef PM_SOAK_SOAK_H
 #define PM_SOAK_SOAK_H
 
@@ -11,30 +12,38 @@
 /* All pointers are borrowed until the run has ended. */
 struct soak_settings {
     guint32 seed;
-    double seconds; /* length of the schedule of faults */
+    double seconds; /* length of the fault schedule */
     int controller_count, max_machines;
-    const char *daemon;        /* the program that the controllers run */
-    const char *old_daemon;    /* an earlier version, which controller 0 runs for the first half;
-                                * NULL: none */
-    double lease_s;            /* of the workers; 0: drawn */
-    unsigned kinds;            /* see fault_schedule_draw */
-    const char *only;          /* see fault_schedule_select; NULL: all faults */
-    bool with_roles;           /* links and roles are on, and calls to the provider are checked */
-    const char *operator_yaml; /* the operators' settings; NULL: the soak's own */
-    const char *log_file;      /* controllers' logs with the soak's own marks; NULL: none is kept */
-    bool print_schedule;
+    const char *daemon; /* path of the daemon that the controllers run */
+    /* Path of an earlier version, which controller 0 runs for the first half of the run. NULL:
+     * every controller runs `daemon` from the start. */
+    const char *old_daemon;
+    double lease_s;              /* length of the workers' leases; 0: drawn from the seed */
+    unsigned kinds;              /* bit set of the fault kinds to draw, see fault_schedule_draw */
+    const char *selected_faults; /* list for fault_schedule_select; NULL: all faults are injected */
+    /* Enables links and roles in the default operator settings, and checks the calls to the
+     * provider. */
+    bool with_roles;
+    const char *operator_yaml; /* the operators' settings; NULL: the soak's defaults */
+    /* Path of the controllers' log, to which the soak adds lines about faults and violations. NULL:
+     * a temporary file, removed after the run. */
+    const char *log_file;
+    bool print_schedule; /* print the whole schedule to standard output */
 };
 
-/* What came of a run. */
+/* The result of a run. */
 struct soak_result {
+    /* Faults in the schedule, task attempts that workers started, and submitted jobs. */
     unsigned faults, starts, jobs;
-    double seconds;
-    double max_stall_s; /* for which the stand-ins stood still at most: a busy machine */
-    char *violations;   /* one line each, with the second; owned by the caller */
+    double seconds; /* length of the run, including the wait for open jobs after the last fault */
+    /* The longest time by which one step of the event loop overran. The fake services answer nobody
+     * meanwhile; a long stall means that the host is overloaded. */
+    double max_stall_s;
+    char *violations; /* one line for each, most with the second of the run; owned by the caller */
 };
 
-/* Runs one soak. False: `only` is no valid list, or the daemon does not start; `result` is then
- * unset, or to be ignored. */
+/* Runs one soak. Returns false if `selected_faults` is not a valid list, or if the cluster fails to
+ * start; `result` may then be unset and must be ignored. */
 bool soak_run(const struct soak_settings *settings, struct soak_result *result);
 
 #endif
--- a/src/soak/soak_internal.h
+++ b/src/soak/soak_internal.h
@@ -1,4 +1,4 @@
-/* What the files of the soak share; nobody else includes it. */
+/* Declarations shared by the files of src/soak. Not included elsewhere. */
 #ifndef PM_SOAK_SOAK_INTERNAL_H
 #define PM_SOAK_SOAK_INTERNAL_H
 
@@ -11,31 +11,35 @@
 /* A fault in progress. */
 struct active_fault {
     struct fault fault;
-    int controller; /* -1: it concerns none */
-    double until_s; /* seconds of the run */
+    int controller; /* index of the affected controller; -1: the fault affects none */
+    double end_s;   /* seconds since the start of the run */
 };
 
-/* Written by fault_injection.c. */
+/* State of the fault injection. Only fault_injection.c changes it. */
 struct fault_injection {
-    GArray *active;         /* of struct active_fault */
-    double delayed_until_s; /* seconds of the run: until then commands are, or were, delayed */
+    GArray *active; /* of struct active_fault */
+    /* When the latest period of delayed commands ends or has ended, in seconds since the start of
+     * the run. */
+    double delayed_until_s;
 };
 
-/* Written by violations.c. */
+/* The violations found so far. Only violations.c changes them. */
 struct violations {
-    GString *text;              /* one line each */
-    struct call_checker *calls; /* NULL: calls to the provider are not checked */
-    size_t history_length;      /* of the history's violations that are in the text already */
-    size_t calls_length;        /* of the call checker's */
+    GString *text;                /* one line for each */
+    struct call_checker *checker; /* of calls to the provider; NULL: they are not checked */
+    size_t history_bytes_copied;  /* of the history's violations, into `text` */
+    size_t checker_bytes_copied;  /* of the call checker's violations, into `text` */
 };
 
 struct soak {
     const struct soak_settings *settings;
     struct cluster *cluster;
-    GRand *random;    /* of the workload, and of what the stand-ins delay */
+    GRand *random;    /* draws the workload, and which messages the fake services delay */
     GArray *schedule; /* of struct fault */
-    char *log_path;   /* the caller's, or one that is removed after the run */
-    FILE *log;        /* NULL: it can't be opened */
+    char *log_path;   /* the caller's log file, or a temporary one that is removed after the run */
+    FILE *log;        /* `log_path`, open for appending; NULL: could not be opened */
+    /* When the run started (monotonic seconds), the length of the workers' leases, and the longest
+     * stall, see struct soak_result. */
     double started_at, lease_s, max_stall_s;
     struct fault_injection injection;
     struct violations violations;
@@ -43,31 +47,33 @@
 
 /* ---- soak.c ---- */
 
-/* Seconds of the run so far. */
+/* Returns the seconds since the start of the run. */
 double soak_elapsed_s(const struct soak *soak);
 
 /* ---- fault_injection.c ---- */
 
-/* Makes room for active faults. */
+/* Initializes the state without active faults. */
 void fault_injection_init(struct fault_injection *injection);
-/* Begins a fault, unless one of the same kind is in progress at the same controller. */
+/* Begins a fault. Does nothing if a fault of the same kind is in progress at the same controller;
+ * kinds that affect the process count as the same kind. */
 void fault_injection_begin(struct soak *soak, const struct fault *fault);
-/* Ends the faults whose time is over at `now_s` (seconds of the run). */
+/* Ends the faults that are due to end by `now_s` (seconds since the start of the run). */
 void fault_injection_end_due(struct soak *soak, double now_s);
 /* Ends all faults in progress. */
 void fault_injection_end_all(struct soak *soak);
-/* Whether a fault has the process of that controller in its power. */
-bool fault_injection_has_process(const struct soak *soak, int controller);
+/* Returns whether a controller's process is killed or suspended by a fault in progress. */
+bool fault_injection_affects_process(const struct soak *soak, int controller);
 
 /* ---- violations.c ---- */
 
-/* Starts without violations. */
+/* Initializes the state without violations. */
 void violations_init(struct violations *violations);
-/* Checks the calls to the provider from now on. */
-void violations_check_calls(struct soak *soak);
-/* Appends what the checkers have found since the last call, with the second of the run. */
+/* Creates the call checker. It checks all calls to the provider from now on. */
+void violations_check_provider_calls(struct soak *soak);
+/* Appends the violations that the history and the call checker have found since the last call,
+ * each with the second of the run. */
 void violations_collect(struct soak *soak);
-/* Appends what the controllers have logged. */
+/* Appends the violations that the controllers have logged; called once, after the run. */
 void violations_collect_logged(struct soak *soak);
 
 #endif
--- a/src/soak/tests/test_soak.c
+++ b/src/soak/tests/test_soak.c
@@ -1,5 +1,5 @@
-/* A short soak, which is to be clean; a daemon whose count of a team's usage is off by one task,
- * which is to be found; and the soak's own input. */
+/* Checks that a short soak finds no violation, that a soak detects a daemon which undercounts a
+ * team's usage by one task, and that the soak program rejects bad input. */
 #include "soak/soak.h"
 
 #include <glib/gstdio.h>
@@ -45,8 +45,9 @@
     char *log = g_strdup_printf("%s/pumicemount-test-soak-%d.log", g_get_tmp_dir(), (int)getpid());
 
     (void)arg;
-    /* Whether a controller logs it depends on when its workers report, so the log begins with such
-     * lines. */
+    /* Whether a controller logs the exceeded quota depends on when its workers report. To test that
+     * logged violations are found, the log begins with two such lines: the current name of the
+     * event, and the name in earlier versions. */
     assert_true(g_file_set_contents(
         log, "error node-9 quota.exceeded planted\nerror node-8 quota.over planted\n", -1, NULL));
     settings.log_file = log;
@@ -61,7 +62,8 @@
     g_free(violations);
 }
 
-/* Runs the program and returns its exit code. `is_explained`: it gave the reason in one line. */
+/* Runs the program and returns its exit code. Sets `is_explained` to whether standard error is one
+ * line that begins with "soak: ". */
 static int run_program(const char *const *argv, bool *is_explained)
 {
     char *message = NULL;
@@ -95,7 +97,7 @@
     }
 }
 
-/* The same seed gives the same faults, and a selection of them keeps its times. */
+/* The same seed gives the same faults, and selected faults stay unchanged. */
 static void schedule_is_reproducible_and_selectable(void **arg)
 {
     GRand *first = g_rand_new_with_seed(SEED);
@@ -130,7 +132,8 @@
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
 
-/* Clusters last as long as the process: calls in flight outlive them. */
+/* Disables leak detection: a cluster's memory is kept until the process ends, because calls in
+ * flight outlive the cluster. */
 const char *__asan_default_options(void);
 const char *__asan_default_options(void)
 {
--- a/src/soak/violations.c
+++ b/src/soak/violations.c
@@ -1,14 +1,16 @@
-/* Collects what the checkers find, and what the controllers log, with the second of the run. */
+/* Collects the violations that the checkers find, with the second of the run, and those that the
+ * controllers log. */
 #include "soak/soak_internal.h"
 #include "base/clock.h"
 
 #include <math.h>
 #include <string.h>
 
-/* A machine that no controller has answered for this long may be terminated with what runs there.
- */
+/* A machine that runs tasks may be terminated only if no controller has answered its heartbeats for
+ * this long. */
 #define UNANSWERED_S 2.0
-/* For so long after commands were delayed, workers may be taken for unreachable. */
+/* Controllers may consider machines unreachable while commands are delayed, and until this long
+ * after the last delay has ended. */
 #define UNREACHABLE_AFTER_DELAY_S 5.0
 
 void violations_init(struct violations *violations)
@@ -21,19 +23,20 @@
     g_string_append_printf(soak->violations.text, "%.2f s: %s\n", soak_elapsed_s(soak), line);
     if (!soak->log)
         return;
-    fprintf(soak->log, "soak %.2f violation %s\n", soak_elapsed_s(soak), line);
+    fprintf(soak->log, "soak %.2f s: violation: %s\n", soak_elapsed_s(soak), line);
     fflush(soak->log);
 }
 
-/* Appends the lines of `all` behind its first `*known` bytes. */
-static void append_new_lines(struct soak *soak, const char *all, size_t *known)
+/* Appends the lines of `all` after its first `*copied_bytes`, which were appended before. Updates
+ * `*copied_bytes`. */
+static void append_new_lines(struct soak *soak, const char *all, size_t *copied_bytes)
 {
     char **lines;
 
-    if (strlen(all) == *known)
+    if (strlen(all) == *copied_bytes)
         return;
-    lines = g_strsplit(all + *known, "\n", -1);
-    *known = strlen(all);
+    lines = g_strsplit(all + *copied_bytes, "\n", -1);
+    *copied_bytes = strlen(all);
     for (char **line = lines; *line; line++)
         if (**line)
             append_line(soak, *line);
@@ -45,10 +48,10 @@
     struct violations *violations = &soak->violations;
 
     append_new_lines(soak, history_violations(cluster_history(soak->cluster)),
-                     &violations->history_length);
-    if (violations->calls)
-        append_new_lines(soak, call_checker_violations(violations->calls),
-                         &violations->calls_length);
+                     &violations->history_bytes_copied);
+    if (violations->checker)
+        append_new_lines(soak, call_checker_violations(violations->checker),
+                         &violations->checker_bytes_copied);
 }
 
 /* ---- calls to the provider ---- */
@@ -57,11 +60,14 @@
 {
     const struct soak *soak = arg;
 
-    call_checker_on_state_change(soak->violations.calls, key, data, revision, pm_clock_monotonic());
+    call_checker_on_state_change(soak->violations.checker, key, data, revision,
+                                 pm_clock_monotonic());
 }
 
-/* A machine whose commands got no answer lately was rightly taken for unreachable, and is
- * terminated with what it runs, though its heartbeats were answered. */
+/* While commands are delayed, and for UNREACHABLE_AFTER_DELAY_S after that, some commands get no
+ * answer. A controller may then rightly consider a machine unreachable and terminate it together
+ * with its tasks, although the machine's heartbeats are answered. So the call is passed to the
+ * checker as if no heartbeat had ever been answered. */
 static void on_provider_call(void *arg, const struct fake_provider_call *call)
 {
     const struct soak *soak = arg;
@@ -69,19 +75,20 @@
 
     if (soak_elapsed_s(soak) < soak->injection.delayed_until_s + UNREACHABLE_AFTER_DELAY_S)
         adjusted.unanswered_s = INFINITY;
-    call_checker_on_call(soak->violations.calls, &adjusted);
+    call_checker_on_call(soak->violations.checker, &adjusted);
 }
 
-void violations_check_calls(struct soak *soak)
+void violations_check_provider_calls(struct soak *soak)
 {
-    soak->violations.calls = call_checker_new(UNANSWERED_S);
+    soak->violations.checker = call_checker_new(UNANSWERED_S);
     cluster_observe(soak->cluster, on_store_change, soak);
     fake_provider_observe(cluster_provider(soak->cluster), on_provider_call, soak);
 }
 
 /* ---- logs ---- */
 
-/* The last two are the names that a daemon before an upgrade gives these events. */
+/* Returns whether a log line reports a violation. The last two events are the names that earlier
+ * versions of the daemon log; a run with an upgrade contains both. */
 static bool is_logged_violation(const char *line)
 {
     static const char *const events[] = {" quota.exceeded ", " quota.start_rejected ",
@@ -93,8 +100,9 @@
     return false;
 }
 
-/* The controllers compare quotas with what workers report, and check each start at its write: what
- * they log of that is a violation too. */
+/* The controllers compare the usage that workers report with the quotas, and check the quota again
+ * when they write the start of a task. A failure of either check is logged and counts as a
+ * violation, too. */
 void violations_collect_logged(struct soak *soak)
 {
     char *text = NULL;
--- a/src/soak/workload.c
+++ b/src/soak/workload.c
@@ -2,17 +2,17 @@
 
 #include <string.h>
 
-/* Shares of jobs. */
-#define DEPENDENT_SHARE 0.1 /* depend on the job before */
+/* Shares of all jobs that have these properties. */
+#define DEPENDENT_SHARE 0.1 /* depend on the job submitted before */
 #define URGENT_SHARE 0.2
 #define ACCELERATED_SHARE 0.5
 #define ZONE_BOUND_SHARE 0.3
 #define ARRAY_SHARE 0.75
-#define GANG_SHARE 0.15 /* the rest are services */
+#define GANG_SHARE 0.15 /* jobs that are neither arrays nor gangs are services */
 
 enum { ARRAY_TASKS_MAX = 12, GANG_TASKS_MIN = 2, GANG_TASKS_MAX = 4, SERVICE_TASKS_MAX = 3 };
 
-/* Run times in tenths of a second. */
+/* Limits of the tasks' run times, in tenths of a second. */
 enum { RUN_TENTHS_MIN = 5, ARRAY_RUN_TENTHS_MAX = 60, GANG_RUN_TENTHS_MAX = 40 };
 
 static struct cluster_team teams[WORKLOAD_TEAMS] = {
@@ -20,14 +20,15 @@
 
 const struct cluster_team *workload_teams(double machine_cpus)
 {
-    /* The limits of two teams together are less than the machines have, so that they bind; for one
-     * of them guarantee and limit are the same. */
+    /* The limits of the first two teams together are less than the machines' processors, so these
+     * teams reach their limits before the machines are full. The first team's guarantee equals its
+     * limit. */
     teams[0].cpus = teams[0].cpus_max = 0.3 * machine_cpus;
     teams[1].cpus = 0.1 * machine_cpus;
     teams[1].cpus_max = 0.3 * machine_cpus;
     teams[2].cpus = 0.2 * machine_cpus;
     teams[2].cpus_max = 0.5 * machine_cpus;
-    teams[2].accelerators_max = 0.1 * machine_cpus; /* this binds first */
+    teams[2].accelerators_max = 0.1 * machine_cpus; /* reached before cpus_max */
     return teams;
 }
 
@@ -36,7 +37,8 @@
     return g_rand_int_range(random, RUN_TENTHS_MIN, max_tenths) / 10.0;
 }
 
-/* Mostly arrays; some gangs, and services that are cancelled later. */
+/* Draws the kind, task count and run time of a job. A service gets no run time: it runs until the
+ * soak cancels it. */
 static void draw_kind(GRand *random, struct cluster_job *job, unsigned scale)
 {
     double share = g_rand_double(random);
@@ -57,11 +59,11 @@
 
 void workload_submit(struct cluster *cluster, GRand *random, unsigned scale)
 {
-    static char previous[32]; /* the job that the next one may depend on */
+    static char previous[32]; /* id of the job that the next one may depend on */
     struct cluster_job job = {.priority = "normal", .zone = -1, .cpus = 2};
     bool is_service;
 
-    if (!cluster_job_count(cluster)) /* it was another run's */
+    if (!cluster_job_count(cluster)) /* `previous` was set by an earlier run */
         previous[0] = 0;
     draw_kind(random, &job, scale);
     is_service = !strcmp(job.kind, "standing");
@@ -78,5 +80,5 @@
         job.dependency = previous;
     g_strlcpy(previous, cluster_submit_job(cluster, &job), sizeof previous);
     if (is_service)
-        previous[0] = 0; /* nothing can wait for a service */
+        previous[0] = 0; /* a service does not end, so no job may depend on it */
 }
--- a/src/soak/workload.h
+++ b/src/soak/workload.h
@@ -1,5 +1,5 @@
-/* What the users of a soak submit: more than their teams' quotas allow, all the time. It owns the
- * teams; called by the soak's run, in its only thread. */
+/* The workload of a soak: the teams, and the jobs that their users submit. The users always request
+ * more than their teams' quotas allow. Owns the teams; called by soak.c, in its only thread. */
 #ifndef PM_SOAK_WORKLOAD_H
 #define PM_SOAK_WORKLOAD_H
 
@@ -7,10 +7,12 @@
 
 enum { WORKLOAD_TEAMS = 3 };
 
-/* WORKLOAD_TEAMS teams with quotas for machines of that many processors: two that reach their
- * limits, and one whose accelerators bind first. Borrowed, valid until the next call. */
+/* Returns WORKLOAD_TEAMS teams whose quotas are shares of `machine_cpus`, the processors of all
+ * machines together. Two teams reach their limits of processors, the third first reaches its limit
+ * of accelerators. Borrowed, valid until the next call. */
 const struct cluster_team *workload_teams(double machine_cpus);
-/* Submits a job drawn by `random` to the cluster; arrays have `scale` times as many tasks. */
+/* Draws a job with `random` and submits it to the cluster. Array jobs get `scale` times the drawn
+ * number of tasks. */
 void workload_submit(struct cluster *cluster, GRand *random, unsigned scale);
 
 #endif
