--- a/src/autoscaler/autoscaler.c
+++ b/src/autoscaler/autoscaler.c
@@ -57,8 +57,8 @@
     g_hash_table_remove_all(inventory->listed);
 }
 
-/* The request budget, the request for machine types and the confirmed terminations are not reset:
- * they do not depend on which controller is the leader. */
+/* The tokens of the request budget, the request for machine types and the confirmed terminations
+ * are not reset: they do not depend on which controller is the leader. */
 void pm_autoscaler_reset(struct pm_autoscaler *autoscaler, uint64_t epoch)
 {
     autoscaler->epoch = epoch;
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -5,10 +5,10 @@
  * machine. "Ordinary" is the provider's word for on-demand: not spot, at a higher price, and not
  * interrupted.
  *
- * It runs only on the leader. The controller calls pm_autoscaler_run after each plan. A run marks
- * machines for termination, computes which machines the unmet demand needs beyond those that are up
- * or booting, and sends the requests that the provider's request limit allows. While singleton
- * roles are active, each request to rent or terminate is first stored as an intent
+ * The autoscaler runs only on the leader. The controller calls pm_autoscaler_run after each plan. A
+ * run marks machines for termination, computes which machines the unmet demand needs beyond those
+ * that are up or booting, and sends the requests that the provider's request limit allows. While
+ * singleton roles are active, each request to rent or terminate is first stored as an intent
  * (roles/intent.h), so that the next holder of the role completes it if this controller does not.
  * Without roles the leader sends the requests directly.
  *
@@ -60,9 +60,10 @@
  * term and ignores answers to requests that are still in flight. `epoch` is the epoch of the new
  * term, which becomes part of the idempotency keys of its requests; it is 0 after a step-down. */
 void pm_autoscaler_reset(struct pm_autoscaler *autoscaler, uint64_t epoch);
-/* Sets whether placements can be written and this process was not suspended recently. While
- * `writable` is false, machines with placements are not terminated for missed heartbeats alone, and
- * for a limited time idle machines are kept. */
+/* Sets whether placements can be written. The controller also passes false if this process was
+ * suspended recently, because it has then missed heartbeats. While `writable` is false, machines
+ * with placements are not terminated for missed heartbeats alone, and for a limited time idle
+ * machines are kept. */
 void pm_autoscaler_set_writable(struct pm_autoscaler *autoscaler, bool writable, double now);
 /* Decides which machines to rent and to terminate, and sends the requests that the provider's limit
  * allows. Called only on the leader. Does nothing until the machine types are known. */
@@ -76,9 +77,10 @@
 
 /* ---- silent_zones.c ---- */
 
-/* Reads from the previous leader's ledger which zones no longer sent it heartbeats, and since when.
- * Called on an election, after pm_autoscaler_reset. `ledger` is borrowed for the call. If it is
- * NULL or malformed, no zone counts as silent. */
+/* Records `now` as the time of this leader's election. Reads from the previous leader's ledger
+ * which zones no longer sent it heartbeats, and since when. Called on an election, after
+ * pm_autoscaler_reset. `ledger` is borrowed for the call. If it is NULL or malformed, no zone
+ * counts as silent. */
 void pm_autoscaler_decode_silent_zones(struct pm_autoscaler *autoscaler, const cbor_item_t *ledger,
                                        double now, double wall_now);
 
@@ -88,8 +90,8 @@
  * setting, or a smaller share of it in a larger fleet of `machine_count` machines. */
 double pm_autoscaler_idle_timeout_s(const struct pm_operator_settings *operator_settings,
                                     int machine_count);
-/* Marks machines for termination that have failed, are lost, never booted, or are quarantined,
- * drained or idle. The requests to terminate them are sent later. */
+/* Marks for termination the machines that have failed, are lost, never booted, or are quarantined,
+ * drained or idle. pm_autoscaler_run then requests their termination. */
 void pm_autoscaler_mark_scale_in(struct pm_autoscaler *autoscaler, double now);
 
 /* ---- machine_types.c, machine_types_codec.c ---- */
--- a/src/autoscaler/batch_backlog.c
+++ b/src/autoscaler/batch_backlog.c
@@ -9,15 +9,15 @@
 #include <math.h>
 
 /* Spot machines are rented for all of the estimated work. Ordinary machines cost several times as
- * much, and estimates are off by half, so ordinary machines are rented for this share of the work
- * only. */
+ * much, and the estimates can be wrong by half, so ordinary machines are rented for only this share
+ * of the work. */
 #define ORDINARY_WORK_SHARE 0.7
 
 /* The remaining time of a running task is estimated as at least this share of its estimated
  * duration, even if the task has already run for longer than estimated. */
 #define RUNNING_TASK_LEFT_MIN 0.2
 /* The leader does not know when a running task of a shard's job started. The task is assumed to
- * need its estimated duration divided by this, which is right on average. */
+ * need its estimated duration divided by this: on average, running tasks are half done. */
 #define SHARD_TASK_LEFT_DIVISOR 2
 /* A job's last task should start this share of a task's duration before the job's deadline. */
 #define LAST_START_SHARE 0.6
@@ -31,8 +31,9 @@
 
 /* The array work up to and including the current job, and the capacity that processes it. */
 struct batch_backlog {
-    double work_cpu_s;    /* processor-seconds */
-    double capacity_cpus; /* processors, including those of machines that are booting */
+    double work_cpu_s; /* processor-seconds */
+    /* Processors, including those of machines that are booting or to be rented. */
+    double capacity_cpus;
 };
 
 /* ---- running work ---- */
@@ -89,8 +90,8 @@
 /* ---- waiting work ---- */
 
 /* Whether the job's constraints allow its tasks on some machine that is up or soon will be,
- * regardless of how much of its capacity is free. For a job bound to one zone, all capacity may be
- * in other zones. */
+ * regardless of how much of the machine's capacity is free. False, for example, for a job bound to
+ * a zone while all machines are in other zones. */
 static bool may_run_on_capacity(const struct pm_sizing *sizing, const struct pm_job *job)
 {
     const struct pm_name_tables *tables = sizing->autoscaler->tables;
@@ -124,8 +125,9 @@
     return job->deadline_wall - sizing->wall_now - task_duration_s * LAST_START_SHARE;
 }
 
-/* Returns how many processors the backlog needs to be done in time. If there is no deadline, or new
- * machines would come up too late for it, the time is pm_sizing_backlog_target_s instead. */
+/* Returns how many processors the backlog needs to be done by the time at which the job's last task
+ * must start. If there is no deadline, or new machines would come up too late for it, the backlog
+ * is to be done within pm_sizing_backlog_target_s instead. */
 static double needed_cpus(const struct pm_sizing *sizing, const struct batch_backlog *backlog,
                           const struct pm_job *job, double task_duration_s,
                           double until_last_start_s)
--- a/src/autoscaler/demand_rate.c
+++ b/src/autoscaler/demand_rate.c
@@ -1,6 +1,6 @@
-/* Measures the rate at which array work arrives. Array work arrives as a stream of jobs, each of
- * which is done before a machine that was rented for it would have booted. Spot machines for the
- * steady part of this demand are therefore rented ahead of the jobs, and kept. */
+/* Measures the rate at which array work arrives. Array work arrives as a stream of short jobs: a
+ * job is done before a machine rented for it would have booted. Spot machines for the steady part
+ * of this demand are therefore rented ahead of the jobs, and kept. */
 #include "autoscaler/sizing.h"
 
 #include <math.h>
--- a/src/autoscaler/internal.h
+++ b/src/autoscaler/internal.h
@@ -150,7 +150,7 @@
 enum pm_provider_result {
     PM_PROVIDER_OK,
     PM_PROVIDER_NO_CAPACITY, /* the provider has no machine of that kind now */
-    PM_PROVIDER_REJECTED,    /* any other answer */
+    PM_PROVIDER_REJECTED,    /* the provider refused the request for another reason */
     PM_PROVIDER_NO_ANSWER,   /* the provider may have carried out the request, or may do so later */
     PM_PROVIDER_NOT_SENT     /* the provider will never carry out the request */
 };
@@ -280,7 +280,7 @@
 
 /* ---- boot_tracking.c ---- */
 
-/* How a machine's boot compares with those of its type and kind. */
+/* How far along a machine's boot is, compared with other boots of its type and kind. */
 enum pm_boot_state {
     PM_BOOT_EXPECTED, /* still within the time in which most machines of its type come up */
     PM_BOOT_LATE,     /* overdue, and boots of its kind are late in general */
@@ -323,9 +323,9 @@
 void pm_autoscaler_mark_silent_machines(struct pm_autoscaler *autoscaler, double now);
 /* Handles zones that have been silent since before this leader was elected: once the silence of
  * such a zone is longer than a lease, marks the zone's machines that have placements for
- * termination. `has_reported` has PM_ZONES_MAX entries: whether a machine of the zone has sent this
- * leader a heartbeat. */
-void pm_autoscaler_mark_silent_zones(struct pm_autoscaler *autoscaler, const bool *has_reported,
-                                     double now);
+ * termination. `zone_has_reported` has PM_ZONES_MAX entries, one for each zone: whether a machine
+ * of the zone has sent this leader a heartbeat. */
+void pm_autoscaler_mark_silent_zones(struct pm_autoscaler *autoscaler,
+                                     const bool *zone_has_reported, double now);
 
 #endif
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -86,8 +86,8 @@
 }
 
 /* Whether the inventory, which does not list the machine, proves that the machine is lost. An
- * inventory shows the state at one past moment, so a machine that it does not list is lost if it
- * lists one that was rented later. Otherwise the machine must have been rented, and have sent its
+ * inventory shows the state at one past moment, so a machine is lost if the inventory lists a
+ * machine that was rented later. Otherwise the machine must have been rented, and have sent its
  * last message, longer ago than the inventory can be out of date. */
 static bool is_proven_lost(const struct pm_autoscaler *autoscaler, const struct pm_machine *machine,
                            double lag_s, double now)
@@ -98,7 +98,8 @@
         return true;
     if (inventory->started_at - machine->provider.rented_at <= lag_s)
         return false;
-    /* The worker of a machine in a shard reports to the shard's owner. */
+    /* The worker of a machine in a shard reports to the shard's owner, so the time of its last
+     * message to this controller says nothing. */
     return machine->shard.assigned_to || now - machine->heartbeat.last_message_at > lag_s;
 }
 
@@ -147,7 +148,7 @@
     struct pm_autoscaler *autoscaler = request->autoscaler;
     struct pm_inventory *inventory = &autoscaler->inventory;
     bool is_current = request->term == autoscaler->term;
-    double now = request->sent_at; /* the ages in the answer count from about this time */
+    double now = request->sent_at; /* the ages in the answer were current at about this time */
     bool has_next;
     cbor_item_t *page;
     const cbor_item_t *machines;
@@ -188,9 +189,9 @@
                  PM_PROVIDER_TIMEOUT_S, PAGE_BYTES_MAX, on_page, request);
 }
 
-/* Pages are requested one by one as the request limit allows. The provider would refuse all pages
- * of a long inventory at once, and an inventory that started again after each refusal would never
- * be complete. */
+/* Pages are requested one by one, as the request limit allows. Requests for all pages of a long
+ * inventory at once would be refused, and an inventory that started again after each refusal would
+ * never be complete. */
 void pm_autoscaler_continue_inventory(struct pm_autoscaler *autoscaler, double now)
 {
     struct pm_inventory *inventory = &autoscaler->inventory;
--- a/src/autoscaler/kind_choice.c
+++ b/src/autoscaler/kind_choice.c
@@ -4,9 +4,9 @@
 
 #include <math.h>
 
-/* Typical time for which a machine is rented, in seconds. A kind's price is raised by its boot time
- * as a share of this, since a booting machine is paid for too. The time is shorter for services, so
- * that slow boots weigh more: users of a service wait for them. */
+/* Typical time for which a machine is rented, in seconds. A kind's price is raised by the ratio of
+ * its boot time to this time, since a booting machine is paid for too. The typical time is shorter
+ * for services, so that slow boots weigh more: users of a service wait for them. */
 #define SERVICE_RENTAL_S 60
 #define BATCH_RENTAL_S 300
 
--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -6,8 +6,8 @@
 
 #include <math.h>
 
-/* While the state service accepts no writes, idle time does not count; this is the limit of how
- * long that holds. */
+/* Idle time does not count during the first seconds of an outage of the state service, up to this
+ * many. */
 #define OUTAGE_IDLE_KEEP_S 120
 /* Idle spot machines that the steady demand needs are kept for this long. */
 #define STEADY_DEMAND_KEEP_S 60.0
--- a/src/autoscaler/silent_machines.c
+++ b/src/autoscaler/silent_machines.c
@@ -26,8 +26,9 @@
 struct silence_scan {
     double limit_s; /* a machine may be lost after a silence of this length */
     struct zone_counts zones[PM_ZONES_MAX];
-    bool has_reported[PM_ZONES_MAX]; /* a machine of the zone has sent this leader a heartbeat */
-    GPtrArray *candidates;           /* of struct pm_machine, to terminate if their zone responds */
+    /* By zone: whether a machine of the zone has sent this leader a heartbeat. */
+    bool zone_has_reported[PM_ZONES_MAX];
+    GPtrArray *candidates; /* of struct pm_machine, to terminate if their zone responds */
 };
 
 /* Returns why the machine's lease is not renewed although messages from it arrive, or NULL if there
@@ -60,19 +61,20 @@
 
 /* Whether the machine has placements and, since its last message, a push to it has failed or an
  * outdated message has arrived. */
-static bool has_failed_probe(const struct pm_machine *machine)
+static bool has_sign_of_loss(const struct pm_machine *machine)
 {
     double failed_at = MAX(machine->push.failed_at, machine->heartbeat.last_stale_at);
 
     return machine->placements->len && failed_at > machine->heartbeat.last_message_at;
 }
 
-/* Whether the machine counts as lost after a silence of `silence_s`. */
+/* Whether the machine counts as lost after a silence of `silence_s`. For a machine in a shard the
+ * silence is measured only from its owner's first report, so a shorter silence suffices. */
 static bool is_lost(const struct pm_machine *machine, double silence_s, double limit_s)
 {
     if (machine->shard.assigned_to)
         return silence_s > limit_s * RESPONDING_SHARE;
-    return has_failed_probe(machine) && silence_s > limit_s;
+    return has_sign_of_loss(machine) && silence_s > limit_s;
 }
 
 static void scan_machine(const struct pm_autoscaler *autoscaler, struct silence_scan *scan,
@@ -81,7 +83,7 @@
     struct zone_counts *zone = &scan->zones[machine->zone];
     double silence_s = now - silent_since(machine, now);
 
-    scan->has_reported[machine->zone] |= machine->heartbeat.has_reported;
+    scan->zone_has_reported[machine->zone] |= machine->heartbeat.has_reported;
     if (partition_reason(autoscaler, machine, now)) {
         zone->silent++;
         g_ptr_array_add(scan->candidates, machine);
@@ -128,5 +130,5 @@
     }
     mark_candidates(autoscaler, &scan, now);
     g_ptr_array_free(scan.candidates, TRUE);
-    pm_autoscaler_mark_silent_zones(autoscaler, scan.has_reported, now);
+    pm_autoscaler_mark_silent_zones(autoscaler, scan.zone_has_reported, now);
 }
--- a/src/autoscaler/silent_zones.c
+++ b/src/autoscaler/silent_zones.c
@@ -42,29 +42,30 @@
 
 /* Whether any zone has reported to this leader. If none has, the fault is probably on this
  * controller's side rather than in the zones. */
-static bool has_any_reported(const struct pm_autoscaler *autoscaler, const bool *has_reported)
+static bool has_any_reported(const struct pm_autoscaler *autoscaler, const bool *zone_has_reported)
 {
     for (int zone = 0; zone < autoscaler->tables->settings->zone_count; zone++)
-        if (has_reported[zone])
+        if (zone_has_reported[zone])
             return true;
     return false;
 }
 
-void pm_autoscaler_mark_silent_zones(struct pm_autoscaler *autoscaler, const bool *has_reported,
-                                     double now)
+void pm_autoscaler_mark_silent_zones(struct pm_autoscaler *autoscaler,
+                                     const bool *zone_has_reported, double now)
 {
     GPtrArray *machines = pm_workers_all(autoscaler->workers);
     const struct pm_handover *handover = &autoscaler->handover;
     /* The worker's clock and this one may drift apart in opposite directions. */
     double lease_s = autoscaler->tables->settings->lease_s * (1 + 2 * PM_CLOCK_DRIFT_MAX);
 
-    if (!has_any_reported(autoscaler, has_reported) || now - handover->elected_at < SETTLING_S)
+    if (!has_any_reported(autoscaler, zone_has_reported) || now - handover->elected_at < SETTLING_S)
         return;
     for (guint i = 0; i < machines->len; i++) {
         struct pm_machine *machine = g_ptr_array_index(machines, i);
         double message_at;
         if (!machine || machine->state != PM_MACHINE_UP || machine->zone < 0 ||
-            machine->shard.assigned_to || !machine->placements->len || has_reported[machine->zone])
+            machine->shard.assigned_to || !machine->placements->len ||
+            zone_has_reported[machine->zone])
             continue;
         message_at = handover->zone_last_message_at[machine->zone];
         if (message_at > 0 && now - message_at > lease_s + LEASE_MARGIN_S)
--- a/src/autoscaler/sizing.h
+++ b/src/autoscaler/sizing.h
@@ -81,7 +81,7 @@
 
 /* ---- demand_rate.c ---- */
 
-/* Adds the array jobs that have arrived since the last call to the demand rate. */
+/* Updates the demand rate with the array jobs that have arrived since the last call. */
 void pm_autoscaler_measure_demand(struct pm_autoscaler *autoscaler, double now, double wall_now);
 /* Adds spot machines for the steady demand of array work. */
 void pm_sizing_add_steady_demand(struct pm_sizing *sizing);
--- a/src/autoscaler/termination.c
+++ b/src/autoscaler/termination.c
@@ -45,7 +45,7 @@
 }
 
 /* Sets when the termination of the call's machines is requested again. Used only for calls without
- * a written intent; the machines of a written intent are retried with the intent. */
+ * a written intent; for a written intent, the whole request is repeated with the intent. */
 static void set_retry_at(const struct pm_provider_call *call, double retry_at)
 {
     for (guint i = 0; i < call->machine_names->len; i++) {
--- a/src/autoscaler/tests/test_autoscaler_boots.c
+++ b/src/autoscaler/tests/test_autoscaler_boots.c
@@ -2,8 +2,8 @@
  * and when they are terminated. */
 #include "autoscaler_fixtures.h"
 
-/* When all machines of a kind are late, more of that kind would be up no sooner, so another kind is
- * rented. */
+/* When all booting machines of a kind are late, further ones would be up no sooner, so machines of
+ * another kind are rented. */
 static void late_kind_is_replaced_by_another(void **state)
 {
     int total;
@@ -16,8 +16,8 @@
 }
 
 /* If only the late kind is available, the sizing waits for the late machines and rents a few more
- * as probes. Renting replacements for all of them after each boot time would bring up far too many
- * machines at once in the end. */
+ * as probes. If all late machines were replaced each time a boot time has passed, far too many
+ * machines would come up in the end. */
 static void late_kind_without_alternative_is_probed(void **state)
 {
     int total;
--- a/src/autoscaler/tests/test_autoscaler_provider.c
+++ b/src/autoscaler/tests/test_autoscaler_provider.c
@@ -109,7 +109,7 @@
     pm_cbor_put_end(body);
 }
 
-/* Answers as a provider with many machines that refuses every third request. */
+/* Answers as a provider that has many machines and refuses every third request. */
 static void on_large_provider_request(void *arg, struct pm_http_request *req)
 {
     int *request_count = arg;
--- a/src/autoscaler/tests/test_autoscaler_scale_in.c
+++ b/src/autoscaler/tests/test_autoscaler_scale_in.c
@@ -11,10 +11,10 @@
 
 /* What this leader knows of zone "a", which has the machine under test, and of another zone. */
 struct zone_knowledge {
-    double message_ago_s;    /* time since the previous leader's last message from "a" */
-    double written_ago_s;    /* time since the previous leader's ledger was written */
-    bool has_reported;       /* this leader has received a heartbeat from "a" */
-    bool has_other_reported; /* this leader has received a heartbeat from the other zone */
+    double message_ago_s;         /* time since the previous leader's last message from "a" */
+    double written_ago_s;         /* time since the previous leader's ledger was written */
+    bool zone_a_has_reported;     /* this leader has received a heartbeat from "a" */
+    bool other_zone_has_reported; /* this leader has received a heartbeat from the other zone */
 };
 
 static cbor_item_t *make_ledger(const struct zone_knowledge *knowledge)
@@ -34,7 +34,7 @@
     return ledger;
 }
 
-static struct pm_machine *add_machine_in_zone(const char *name, int zone, bool has_reported,
+static struct pm_machine *add_machine_in_zone(const char *name, int zone, bool machine_has_reported,
                                               double age_s)
 {
     struct pm_machine *machine = pm_workers_find_or_add(workers, name);
@@ -42,7 +42,7 @@
     pm_workers_set_type(workers, machine, SMALL_TYPE);
     machine->zone = zone;
     machine->state = PM_MACHINE_UP;
-    machine->heartbeat.has_reported = has_reported;
+    machine->heartbeat.has_reported = machine_has_reported;
     machine->heartbeat.last_message_at = machine->provider.rented_at = NOW - age_s;
     return machine;
 }
@@ -59,8 +59,8 @@
     settings.lease_s = 44;
     settings.zone_count = 2;
     strcpy(settings.zone_names[1], "b");
-    machine = add_machine_in_zone("i-000001", 0, knowledge->has_reported, 10);
-    add_machine_in_zone("i-000002", 1, knowledge->has_other_reported, 0);
+    machine = add_machine_in_zone("i-000001", 0, knowledge->zone_a_has_reported, 10);
+    add_machine_in_zone("i-000002", 1, knowledge->other_zone_has_reported, 0);
     job = feed_live_job(&tables, jobs, "job-1", &spec, ++revision);
     pm_workers_add_placement(workers, job, 0, machine, 1, 1, PM_PLACEMENT_DURABLE, NOW);
     ledger = make_ledger(knowledge);
--- a/src/autoscaler/tests/test_autoscaler_sizing.c
+++ b/src/autoscaler/tests/test_autoscaler_sizing.c
@@ -18,7 +18,7 @@
     int total;
 
     (void)state;
-    /* The deadline leaves hardly more time than one run takes. */
+    /* The deadline leaves little more time than a boot and one run take, with their margins. */
     add_waiting_job("job-1", PM_WORKLOAD_ARRAY, 8, 4, 60, 120);
     /* Two tasks fit on each machine. */
     assert_int_equal(count_requested(SMALL_TYPE, true, &total), 4);
@@ -94,8 +94,8 @@
 
 /* ---- services ---- */
 
-/* On a cold start no replica runs yet. The headroom for services is rented together with the
- * machines for their replicas, rather than after those are up. */
+/* In a newly started cluster no replica runs yet. The headroom for services is rented together with
+ * the machines for their replicas, rather than after those are up. */
 static void headroom_counts_waiting_replicas(void **state)
 {
     int total;
