--- a/src/shards/exchange.c
+++ b/src/shards/exchange.c
@@ -1,5 +1,6 @@
-/* The leader's exchange with the owners. For each shard in turn, the leader sends the request that
- * is due, and then either revokes the shard or sends the write that is due. */
+/* The leader's exchange with the owners. For each shard in turn, the leader sends the owner a
+ * request if one is due, and then revokes the shard if its owner is lost, or else writes the shard
+ * if a write is due. */
 #include "shards/internal.h"
 
 #define OWNER_TIMEOUT_S 2.4 /* the shard of an owner that is silent for this long is revoked */
--- a/src/shards/internal.h
+++ b/src/shards/internal.h
@@ -1,4 +1,4 @@
-/* Declarations shared by the files of the shards module; no other module includes this header. */
+/* Declarations shared by the files of the shards slice; no other slice includes this header. */
 #ifndef PM_SHARDS_INTERNAL_H
 #define PM_SHARDS_INTERNAL_H
 
@@ -23,7 +23,7 @@
 
 /* A machine of a shard's target. */
 struct pm_shard_machine {
-    int index; /* dense index of the machine in the workers module */
+    int index; /* dense index of the machine in the workers slice */
     enum pm_shard_machine_state state;
     bool preempt;          /* during revocation the owner must preempt the machine's tasks */
     uint64_t write_serial; /* serial of the write that adds or removes it; 0 before that write */
@@ -59,7 +59,7 @@
  * the owner's responses change it. */
 struct pm_shard_target {
     GArray *machines; /* array of struct pm_shard_machine */
-    GPtrArray *jobs;  /* array of struct pm_job, borrowed from the jobs module */
+    GPtrArray *jobs;  /* array of struct pm_job, borrowed from the jobs slice */
     bool needs_write; /* the target has changed since the last write */
 };
 
@@ -79,7 +79,7 @@
 /* What the leader knows of the owner from its responses. Written by owner_request.c. */
 struct pm_shard_owner {
     char incarnation_id[PM_SHARD_INCARNATION_MAX]; /* empty until it is known */
-    bool is_ready;                                 /* it may be assigned machines and jobs */
+    bool is_ready;                                 /* the owner may be assigned machines and jobs */
     bool request_in_flight;
     double requested_at; /* monotonic time of the last request; 0 if one is due at once */
     /* Monotonic time of the last response, other than those in which the owner reports that it
@@ -142,7 +142,8 @@
     return &shards->shard[shards->peer_count];
 }
 
-/* Returns a machine of the target by its position. The pointer is valid until the list changes. */
+/* Returns the machine at that position of the target. The pointer is valid until a machine is added
+ * or removed. */
 static inline struct pm_shard_machine *pm_shard_machine_at(const struct pm_shard *shard,
                                                            guint position)
 {
@@ -249,7 +250,7 @@
 /* ownership.c */
 
 /* On an owner: applies the stored shard, which was just decoded from `value` and must be assigned
- * to the current incarnation of this controller. Adds the shard's machines to the workers module,
+ * to the current incarnation of this controller. Adds the shard's machines to the workers slice,
  * and removes machines that are not listed. */
 void pm_shards_apply_ownership(struct pm_shards *shards, const cbor_item_t *value, double now);
 /* On an owner: lets this controller place the tasks of the shard's jobs, and sets the jobs' stored
--- a/src/shards/job_assignment.c
+++ b/src/shards/job_assignment.c
@@ -9,7 +9,8 @@
  * not available to the team's services until the job is done. */
 #define QUOTA_RESERVE_SHARE 0.25
 
-/* Upper bounds for the sizes, in bytes of JSON, of the parts of a shard's value. */
+/* Upper bounds for the sizes in bytes of the parts of a shard's value in JSON form, by which the
+ * state service limits the value. */
 enum {
     VALUE_BASE_BYTES = 100,
     VALUE_MACHINE_BYTES = 150,
@@ -93,8 +94,8 @@
              job->parallelism);
 }
 
-/* Raises the parallelism of assigned jobs that a team's quota has kept low, as far as the quota now
- * allows. */
+/* Raises the parallelism of assigned jobs whose team's quota did not allow all tasks at once, as
+ * far as the quota allows now. */
 static void raise_all_parallelism(struct pm_shards *shards)
 {
     for (int i = 0; i < shards->peer_count; i++) {
--- a/src/shards/machine_revocation.c
+++ b/src/shards/machine_revocation.c
@@ -3,7 +3,7 @@
 #include "base/log.h"
 #include "shards/internal.h"
 
-#define IDLE_MACHINE_TIMEOUT_S 2.0 /* a machine that has no tasks for this long is revoked */
+#define IDLE_MACHINE_TIMEOUT_S 2.0 /* a machine that is idle for this long is revoked */
 
 bool pm_shards_has_preempting_revocation(const struct pm_shards *shards)
 {
--- a/src/shards/owner_request.c
+++ b/src/shards/owner_request.c
@@ -7,8 +7,8 @@
 #define REQUEST_TIMEOUT_S 0.8         /* a request fails after this; a later response is ignored */
 #define ACTIVE_REQUEST_INTERVAL_S 0.4 /* requests to an owner with machines or jobs */
 #define IDLE_REQUEST_INTERVAL_S 1.0   /* requests to an owner without machines and jobs */
-/* Two reports of a machine as unreachable that are further apart than this do not belong to the
- * same silence: the machine was reachable in between. */
+/* If two reports that a machine is unreachable are further apart than this, the machine was
+ * reachable in between, and the later report begins a new silence. */
 #define SILENCE_REPORT_GAP_S 2.0
 
 enum { RESPONSE_BYTES_MAX = 64 * 1024 };
--- a/src/shards/owner_response.c
+++ b/src/shards/owner_response.c
@@ -4,10 +4,10 @@
 #include "shards/internal.h"
 #include "workers/failures.h"
 
-/* A controller is not ready to own a shard if the state service served no request of it for this
- * long. */
+/* A controller is not ready to own a shard if the state service has served none of its requests for
+ * this long. */
 #define STORE_TIMEOUT_S 7.0
-/* A worker that sent no message for this long counts as unable to reach this controller. */
+/* A worker that has sent no message for this long counts as unable to reach this controller. */
 #define HEARTBEAT_TIMEOUT_S 6.0
 
 static bool is_ready(const struct pm_shards *shards, double now)
@@ -64,8 +64,8 @@
         pm_shard_message_add_name(&response->unreachable, &response->n_unreachable, machine->name);
 }
 
-/* Reports on all machines. If the owner has a single machine and that is silent, the machine may be
- * at fault. If it has several and all are silent, this controller counts as cut off from them. */
+/* Reports on all machines. If this controller has several machines and all are silent, it counts as
+ * cut off from them. If its only machine is silent, the fault may be the machine's own. */
 static void report_machines(const struct pm_shards *shards, double now, Pm__ShardResponse *response)
 {
     const GPtrArray *machines = pm_workers_all(shards->workers);
--- a/src/shards/revocation.c
+++ b/src/shards/revocation.c
@@ -25,7 +25,8 @@
     pm_election_advance_epoch(shards->election, shard->key, pm_shard_revision(shard));
 }
 
-/* Whether no write of the shard has been applied, and none can be applied later. It is not enough
+/* Whether no write of the shard has been applied, and none can be applied later. Advances the epoch
+ * if that is needed to rule out a later one; the result is then false for now. It is not enough
  * that the replica lacks the key: a write of the key may have an unknown outcome. If such a write
  * were applied later, the owner would place jobs that the leader has already begun to place itself.
  * The write compares the epoch's key, so it can't be applied after the epoch has advanced; if it
@@ -77,8 +78,8 @@
     machine->shard.assigned_to = 0;
     machine->heartbeat.has_reported = false;
     machine->heartbeat.last_message_at = pm_clock_monotonic();
-    machine->lease.exclusive_since =
-        0; /* unknown until a majority has acknowledged the new epoch */
+    /* Unknown until a majority has acknowledged the new epoch. */
+    machine->lease.exclusive_since = 0;
     machine->lease.reclaimed_epoch = pm_election_epoch(shards->election);
 }
 
@@ -92,8 +93,8 @@
     }
 }
 
-/* Returns the shard's machines and jobs to the leader. The replica has all writes of the owner by
- * then, so the leader recovers the placements of its jobs from the replica. */
+/* Returns the shard's machines and jobs to the leader. The replica has all of the owner's writes by
+ * now, so the leader recovers the placements of the returned jobs from the replica. */
 static void reclaim_shard(struct pm_shards *shards, struct pm_shard *shard)
 {
     GPtrArray *jobs = shard->target.jobs;
--- a/src/shards/shard_write.c
+++ b/src/shards/shard_write.c
@@ -101,8 +101,8 @@
     g_free(request);
 }
 
-/* Records the write's serial on each machine that this write is the first to add, and on each that
- * it leaves out. */
+/* Records the write's serial on each machine that no earlier write listed, and on each machine that
+ * this write leaves out. */
 static void set_write_serials(struct pm_shard *shard)
 {
     for (guint i = 0; i < shard->target.machines->len; i++) {
--- a/src/shards/shards.c
+++ b/src/shards/shards.c
@@ -99,8 +99,9 @@
     if (shard != pm_shards_own_shard(shards) || shards->is_leader)
         return;
     /* This controller must not use a shard that was assigned to an earlier incarnation of it,
-     * because what that incarnation had in flight is unknown. The leader sees the new incarnation's
-     * id in the next response and revokes the shard. */
+     * because it does not know which tasks that incarnation placed and which of its commands are in
+     * flight. The leader sees the new incarnation's id in the next response and revokes the shard.
+     */
     if (!strcmp(shard->stored.incarnation_id, shards->incarnation_id))
         pm_shards_apply_ownership(shards, value, pm_clock_monotonic());
     else
--- a/src/shards/shards.h
+++ b/src/shards/shards.h
@@ -13,7 +13,7 @@
  * advances the epoch in the same transaction, so that no write or command that the owner still has
  * in flight takes effect (safety invariants 1, 3 and 5).
  *
- * Threads: struct pm_controller.lock guards all state of this module. The planner thread calls
+ * Threads: struct pm_controller.lock guards all state of this slice. The planner thread calls
  * pm_shards_assign_jobs and pm_shards_assign_machines, which do no I/O; the event-loop thread calls
  * all other functions. */
 #ifndef PM_SHARDS_SHARDS_H
@@ -41,8 +41,8 @@
 };
 
 /* Creates the shards: one for each peer in the settings and one for this controller. The caller
- * frees the result with pm_shards_free. The other modules are borrowed and must outlive the result;
- * `hooks` is copied. Never returns NULL. */
+ * frees the result with pm_shards_free. `hooks` is copied; all other arguments are borrowed and
+ * must outlive the result. Never returns NULL. */
 struct pm_shards *pm_shards_new(struct pm_name_tables *tables, struct pm_jobs *jobs,
                                 struct pm_workers *workers, struct pm_scheduler *scheduler,
                                 struct pm_store *store, struct pm_http_client *http,
--- a/src/shards/tests/shard_fixtures.h
+++ b/src/shards/tests/shard_fixtures.h
@@ -16,7 +16,7 @@
 #include <string.h>
 #include <cmocka.h>
 
-/* A controller with the modules that shards need, and a record of what their hooks reported. */
+/* A controller with the slices that shards need, and a record of what their hooks reported. */
 struct controller {
     struct pm_settings settings;
     struct pm_operator_settings operator_settings;
