--- a/src/testing/event_loop.h
+++ b/src/testing/event_loop.h
@@ -1,5 +1,5 @@
-/* What tests need of an event loop and of loopback: running the loop until something has happened,
- * and ports that nobody uses. No state; called in the test's only thread. */
+/* Helpers for tests: run an event loop until a condition holds, and find unused loopback ports. No
+ * state; called only in the test's single thread. */
 #ifndef PM_TESTING_EVENT_LOOP_H
 #define PM_TESTING_EVENT_LOOP_H
 
@@ -7,15 +7,16 @@
 
 struct ev_loop;
 
-/* Whether what the caller waits for has happened. */
+/* Returns whether the event that the caller waits for has happened. */
 typedef bool event_loop_condition(void *arg);
 
-/* A loopback TCP port that was free a moment ago: another process may take it meanwhile. */
+/* Returns a loopback TCP port that is free now; another process may take it before the caller
+ * binds it. */
 int event_loop_free_port(void);
-/* Runs the loop until `is_done` returns true. False: it did not within a minute. */
+/* Runs the loop until `is_done` returns true. Returns false if that takes longer than a minute. */
 bool event_loop_run_until(struct ev_loop *loop, event_loop_condition *is_done, void *arg);
-/* Runs the loop until `is_done` (NULL: never) returns true, asking it every `poll_s` seconds.
- * False: it did not within `timeout_s` seconds. */
+/* Runs the loop until `is_done` returns true, calling it every `poll_s` seconds. Returns false if
+ * that takes longer than `timeout_s` seconds. If `is_done` is NULL, always runs for `timeout_s`. */
 bool event_loop_run_for(struct ev_loop *loop, event_loop_condition *is_done, void *arg,
                         double timeout_s, double poll_s);
 
--- a/src/testing/http_status.h
+++ b/src/testing/http_status.h
@@ -1,4 +1,4 @@
-/* The HTTP statuses that the stand-ins answer with, and look for. */
+/* The HTTP status codes that the fake services and simulated users send or expect. */
 #ifndef PM_TESTING_HTTP_STATUS_H
 #define PM_TESTING_HTTP_STATUS_H
 
--- a/src/testing/relay.c
+++ b/src/testing/relay.c
@@ -25,21 +25,21 @@
     GPtrArray *connections;
 };
 
-/* One direction of a connection. */
+/* One direction of a connection. Holds at most one read's worth of data. */
 struct flow {
     struct connection *connection;
     int from_fd, to_fd;
     ev_io read_io, write_io;
-    size_t buffered, sent; /* bytes of data, and how many of them were sent */
+    size_t buffered, sent; /* the number of bytes in `data`, and how many were sent */
     char data[BUFFER_SIZE];
 };
 
 struct connection {
     struct relay *relay;
-    int controller;       /* or one of enum socket_owner */
-    bool never_completes; /* opened while its packets were lost */
-    struct flow upstream; /* from the controller */
-    struct flow downstream;
+    int controller;      /* index of the controller that opened it, or an enum socket_owner value */
+    bool is_black_holed; /* opened while a fault blocked packets; never connected to the target */
+    struct flow upstream;   /* from the controller to the target */
+    struct flow downstream; /* from the target to the controller */
 };
 
 static void connection_close(struct connection *connection, bool reset)
@@ -122,12 +122,13 @@
     flow->read_io.data = flow->write_io.data = flow;
 }
 
-/* Reads from a side only while nothing blocks its packets, and its last ones were sent on. */
+/* Starts or stops reading in each direction: a direction is read only while the fault does not
+ * block it and all data read so far has been sent. */
 static void apply_fault(struct connection *connection)
 {
     struct flow *flows[] = {&connection->upstream, &connection->downstream};
 
-    if (connection->never_completes)
+    if (connection->is_black_holed)
         return;
     for (int i = 0; i < (int)G_N_ELEMENTS(flows); i++) {
         if (is_blocked(flows[i]))
@@ -144,7 +145,7 @@
     return fault.from_controller || fault.to_controller;
 }
 
-/* Closes the connection if that fails. */
+/* Connects to the target; closes the connection if that fails. */
 static void connect_to_target(struct connection *connection)
 {
     struct relay *relay = connection->relay;
@@ -165,8 +166,8 @@
 
     connection->relay = relay;
     connection->controller = controller;
-    connection->never_completes = is_blocking(fault_of(connection));
-    target_fd = connection->never_completes ? -1 : pm_http_new_socket();
+    connection->is_black_holed = is_blocking(fault_of(connection));
+    target_fd = connection->is_black_holed ? -1 : pm_http_new_socket();
     flow_init(&connection->upstream, connection, fd, target_fd);
     flow_init(&connection->downstream, connection, target_fd, fd);
     g_ptr_array_add(relay->connections, connection);
@@ -190,7 +191,7 @@
     connection = connection_new(relay, fd, controller);
     if (fault_of(connection).reset || controller == SOCKET_OWNER_CLOSED)
         connection_close(connection, true);
-    else if (!connection->never_completes)
+    else if (!connection->is_black_holed)
         connect_to_target(connection);
 }
 
@@ -201,7 +202,7 @@
         struct connection *connection = g_ptr_array_index(relay->connections, i - 1);
         if (connection->controller != controller)
             continue;
-        if (fault.reset || (connection->never_completes && !is_blocking(fault)))
+        if (fault.reset || (connection->is_black_holed && !is_blocking(fault)))
             connection_close(connection, true);
         else
             apply_fault(connection);
@@ -233,7 +234,7 @@
         g_strlcpy(relay->targets[i], targets[i], sizeof relay->targets[i]);
     if (bind(fd, (struct sockaddr *)&addr, sizeof addr) || listen(fd, LISTEN_BACKLOG) ||
         getsockname(fd, (struct sockaddr *)&addr, &size))
-        g_error("a relay can't listen");
+        g_error("relay cannot listen on a loopback port");
     relay->listen_addr = addr;
     snprintf(relay->addr, sizeof relay->addr, "127.0.0.1:%d", ntohs(addr.sin_port));
     ev_io_init(&relay->accept_io, on_accept, fd, EV_READ);
--- a/src/testing/socket_owner.c
+++ b/src/testing/socket_owner.c
@@ -16,8 +16,9 @@
 /* Columns of a line of /proc/net/tcp. */
 enum { COLUMN_LOCAL = 1, COLUMN_REMOTE = 2, COLUMN_INODE = 9 };
 
-/* The socket's inode if its ports are these, 0: they are not, or its process has closed it. One
- * local port may be in use towards several remote ones. */
+/* Parses a line of /proc/net/tcp. Returns the socket's inode if the line has these two ports, or 0
+ * if it has not or the socket has been closed. Both ports are compared, because one local port can
+ * be connected to several remote ports. */
 static unsigned long match_inode(char *line, int local, int remote)
 {
     char *rest = line;
@@ -36,7 +37,8 @@
     return 0;
 }
 
-/* Looks through all sockets: where the kernel does not answer for one. */
+/* Searches /proc/net/tcp for the socket: the fallback if query_inode gets no answer from the
+ * kernel. */
 static unsigned long scan_for_inode(int local, int remote)
 {
     FILE *file = fopen("/proc/net/tcp", "r");
@@ -55,7 +57,8 @@
     struct inet_diag_req_v2 request;
 };
 
-/* Asks the kernel for that one socket: among thousands, looking through all takes too long. */
+/* Asks the kernel for this one socket through netlink socket diagnostics. With thousands of
+ * sockets, searching /proc/net/tcp takes too long. */
 static unsigned long query_inode(const struct sockaddr_in *client, const struct sockaddr_in *server)
 {
     struct diag_query query = {
@@ -117,8 +120,9 @@
     return found;
 }
 
-/* A process's list of files may change while it is read: it is looked at several times before the
- * connection counts as a stranger's. One that its process has closed by now is nobody's. */
+/* A process's list of open files can change while it is read, so all controllers are searched
+ * several times before the socket counts as another process's. Finally checks whether the socket
+ * has been closed in the meantime. */
 int socket_owner_find(const struct sockaddr_in *client, const struct sockaddr_in *server,
                       const struct relay_controllers *controllers)
 {
