--- a/src/cmd/pumicectl/tests/test_pumicectl.c
+++ b/src/cmd/pumicectl/tests/test_pumicectl.c
@@ -195,7 +195,7 @@
     char *text;
 
     (void)arg;
-    cluster_kill(cluster, stopped);
+    cluster_kill_controller(cluster, stopped);
     text = run_tool(stopped, "links", NULL, "text", &status);
     assert_int_equal(status, 1);
     assert_non_null(strstr(text, "2 of 3 controllers answered: what follows is not whole"));
@@ -204,7 +204,7 @@
     snprintf(expected_text, sizeof expected_text, "controller node-%d at", stopped);
     assert_non_null(strstr(text, expected_text));
     g_free(text);
-    cluster_start(cluster, stopped);
+    cluster_start_controller(cluster, stopped);
     wait_for_status("status", 0);
 }
 
@@ -229,7 +229,7 @@
     reason = get_text(json_array_get(reasons, 0), "reason");
     assert_true(!strcmp(reason, "no-room") || !strcmp(reason, "team-limit"));
     json_decref(document);
-    cluster_cancel(cluster, job);
+    cluster_cancel_job(cluster, job);
     cluster_set_load(cluster, 0.5);
     document = run_json(0, "why", "job-999999", 1);
     assert_true(json_is_false(json_object_get(document, "known")));
@@ -517,7 +517,7 @@
 
     (void)arg;
     for (int i = 0; i < 3; i++)
-        cluster_kill(cluster, i);
+        cluster_kill_controller(cluster, i);
     text = run_tool(0, "status", NULL, "text", &status);
     assert_int_equal(status, 3);
     assert_non_null(strstr(text, "0 of 3 controllers answered"));
--- a/src/leadership/tests/test_cancellation_quorum.c
+++ b/src/leadership/tests/test_cancellation_quorum.c
@@ -33,7 +33,7 @@
 static void begin_with_refused_leader(struct controller *cluster)
 {
     begin_cluster(cluster);
-    fake_store_set_second_access(state_service, FAKE_STORE_REFUSES);
+    fake_store_set_second_addr_mode(state_service, FAKE_STORE_ADDR_REFUSES);
     assert_true(event_loop_run_until(loop, is_refused, &cluster[0]));
 }
 
@@ -187,7 +187,7 @@
 
     (void)arg;
     begin_cluster(cluster);
-    fake_store_set_second_access(state_service, FAKE_STORE_REFUSES);
+    fake_store_set_second_addr_mode(state_service, FAKE_STORE_ADDR_REFUSES);
     close_peer_endpoint(&cluster[0]);
     close_peer_endpoint(&cluster[2]);
     revision = commit_cancellation(&cluster[1], "job-1");
@@ -246,7 +246,7 @@
     (void)arg;
     begin_cluster(cluster);
     run_for(0.2);
-    fake_store_set_second_access(state_service, FAKE_STORE_REFUSES);
+    fake_store_set_second_addr_mode(state_service, FAKE_STORE_ADDR_REFUSES);
     assert_true(event_loop_run_until(loop, is_refused, &cluster[0]));
     /* Several cancellations share a revision, as if written by one transaction, and they arrive out
      * of order. */
@@ -284,7 +284,7 @@
     assert_true(event_loop_run_until(loop, has_replica, &cluster[2]));
     assert_true(event_loop_run_until(loop, is_confirmed, &cluster[0]));
     assert_true(event_loop_run_until(loop, has_common_version, &cluster[0]));
-    fake_store_set_second_access(state_service, FAKE_STORE_WATCHES_HANG);
+    fake_store_set_second_addr_mode(state_service, FAKE_STORE_ADDR_HOLDS_WATCHES);
     close_peer_endpoint(&cluster[0]);
     assert_true(confirm_to_user(&cluster[1], "job-1", commit_cancellation(&cluster[1], "job-1")));
     confirmed_at = pm_clock_monotonic();
@@ -295,7 +295,7 @@
                 pm_election_staleness_bound_s(&cluster[0].settings, &cluster[0].operator_settings))
             assert_false(is_confirmed_without_cancellation(&cluster[0]));
     }
-    fake_store_set_second_access(state_service, FAKE_STORE_SERVES);
+    fake_store_set_second_addr_mode(state_service, FAKE_STORE_ADDR_SERVES);
     assert_true(event_loop_run_until(loop, knows_cancellation, &cluster[0]));
     assert_true(event_loop_run_until(loop, is_confirmed, &cluster[0]));
 }
--- a/src/leadership/tests/test_election_versions.c
+++ b/src/leadership/tests/test_election_versions.c
@@ -188,7 +188,7 @@
 
     (void)arg;
     pm_http_server_free(cluster[0].peer_server); /* its peers get no response any more */
-    fake_store_set_second_access(state_service, FAKE_STORE_REFUSES);
+    fake_store_set_second_addr_mode(state_service, FAKE_STORE_ADDR_REFUSES);
     fake_store_revoke_all_leases(state_service);
     assert_true(event_loop_run_until(loop, is_elected, &cluster[1]));
     assert_false(has_common_version(&cluster[1]));
--- a/src/links/tests/test_cuts.c
+++ b/src/links/tests/test_cuts.c
@@ -58,7 +58,7 @@
     cluster_set_load(cluster, 0);
     cluster_clear_link_faults(cluster);
     cluster_run_until(cluster, cluster_is_idle, DEADLINE_S);
-    history_close(cluster_history(cluster));
+    history_report_abandoned_jobs(cluster_history(cluster));
     cluster_free(cluster);
     assert_string_equal(history_violations(cluster_history(cluster)), "");
     assert_true(history_start_count(cluster_history(cluster)) > 10);
@@ -183,7 +183,7 @@
         cluster_set_link_fault(cluster, i, CLUSTER_LINK_PEER, (i + 2) % CONTROLLERS, both_ways);
     job = cluster_submit_array(cluster, 4, 9.9);
     cluster_run(cluster, SHORTER_THAN_LEASES_S);
-    cluster_cancel(cluster, job);
+    cluster_cancel_job(cluster, job);
     cluster_run(cluster, LONGER_THAN_LEASES_S);
     finish_cluster(cluster);
 }
@@ -198,16 +198,16 @@
     (void)arg;
     cluster_set_link_fault(cluster, leader, CLUSTER_LINK_STORE, 0, both_ways);
     cluster_run(cluster, SHORTER_THAN_LEASES_S);
-    cluster_kill(cluster, leader);
-    cluster_start(cluster, leader);
+    cluster_kill_controller(cluster, leader);
+    cluster_start_controller(cluster, leader);
     cluster_clear_link_faults(cluster);
     cluster_run(cluster, SHORTER_THAN_LEASES_S);
     assert_true(cluster_run_until(cluster, has_leader, DEADLINE_S));
     leader = cluster_leader(cluster);
-    cluster_pause(cluster, leader, true);
+    cluster_pause_controller(cluster, leader, true);
     cluster_run(cluster, LONGER_THAN_LEASES_S);
     cluster_set_link_fault(cluster, leader, CLUSTER_LINK_STORE, 0, connection_reset);
-    cluster_pause(cluster, leader, false);
+    cluster_pause_controller(cluster, leader, false);
     cluster_run(cluster, SHORTER_THAN_LEASES_S);
     finish_cluster(cluster);
 }
--- a/src/roles/tests/provider_call_checker.c
+++ b/src/roles/tests/provider_call_checker.c
@@ -156,23 +156,23 @@
 static void check_rental(struct call_checker *checker, const struct fake_provider_call *call)
 {
     guint rental = 0;
-    struct known_intent *known = find_rental(checker, call->booking, &rental);
+    struct known_intent *known = find_rental(checker, call->idempotency_key, &rental);
 
     checker->rented++;
     if (!known) {
         g_string_append_printf(checker->violations,
                                "machine %s is rented as %s, which no intent contains\n",
-                               call->machine, call->booking);
+                               call->machine, call->idempotency_key);
         return;
     }
     if (!known->is_open)
         g_string_append_printf(checker->violations,
                                "machine %s is rented as %s, whose intent is closed\n",
-                               call->machine, call->booking);
+                               call->machine, call->idempotency_key);
     if (++known->rented[rental] >
         g_array_index(known->intent->rentals, struct pm_intent_rental, rental).count)
         g_string_append_printf(checker->violations, "machine %s is one more than the count of %s\n",
-                               call->machine, call->booking);
+                               call->machine, call->idempotency_key);
 }
 
 static void check_termination(struct call_checker *checker, const struct fake_provider_call *call)
@@ -200,7 +200,7 @@
 
 void call_checker_on_call(struct call_checker *checker, const struct fake_provider_call *call)
 {
-    if (call->booking)
+    if (call->idempotency_key)
         check_rental(checker, call);
     else
         check_termination(checker, call);
--- a/src/roles/tests/test_provider_call_checker.c
+++ b/src/roles/tests/test_provider_call_checker.c
@@ -57,8 +57,8 @@
 
 static void report_rental(const char *booking, const char *machine)
 {
-    call_checker_on_call(checker,
-                         &(struct fake_provider_call){.booking = booking, .machine = machine});
+    call_checker_on_call(
+        checker, &(struct fake_provider_call){.idempotency_key = booking, .machine = machine});
 }
 
 static void report_termination(const char *machine, const char *task, double task_began_at,
--- a/src/roles/tests/test_replacements.c
+++ b/src/roles/tests/test_replacements.c
@@ -72,7 +72,8 @@
     scenario->is_armed = false;
     scenario->stopped_controller = leader;
     scenario->stopped_at = pm_clock_monotonic();
-    cluster_pause(scenario->cluster, leader, true); /* from here on it sends nothing more */
+    /* from here on it sends nothing more */
+    cluster_pause_controller(scenario->cluster, leader, true);
 }
 
 static bool is_intent_of_role(const struct scenario *scenario, const char *key)
@@ -107,7 +108,7 @@
 static void on_call(void *arg, const struct fake_provider_call *call)
 {
     struct scenario *scenario = arg;
-    bool rental = call->booking != NULL;
+    bool rental = call->idempotency_key != NULL;
 
     call_checker_on_call(scenario->checker, call);
     if (rental != (scenario->role == PM_ROLE_SCALE_OUT) || !scenario->is_armed)
@@ -140,10 +141,10 @@
 static void resume_stopped(struct scenario *scenario)
 {
     if (scenario->is_kill) {
-        cluster_kill(scenario->cluster, scenario->stopped_controller);
-        cluster_start(scenario->cluster, scenario->stopped_controller);
+        cluster_kill_controller(scenario->cluster, scenario->stopped_controller);
+        cluster_start_controller(scenario->cluster, scenario->stopped_controller);
     } else {
-        cluster_pause(scenario->cluster, scenario->stopped_controller, false);
+        cluster_pause_controller(scenario->cluster, scenario->stopped_controller, false);
     }
     if (fake_store_has_delayed_txn(cluster_store(scenario->cluster)))
         fake_store_execute_delayed_txn(cluster_store(scenario->cluster));
@@ -163,9 +164,9 @@
 static void replace_next_leader(struct scenario *scenario)
 {
     next_leader = cluster_leader(scenario->cluster);
-    cluster_kill(scenario->cluster, next_leader);
+    cluster_kill_controller(scenario->cluster, next_leader);
     assert_true(cluster_run_until(scenario->cluster, third_controller_leads, DEADLINE_S));
-    cluster_start(scenario->cluster, next_leader);
+    cluster_start_controller(scenario->cluster, next_leader);
 }
 
 /* Pauses the holder at the step, waits for its replacement, and resumes or restarts it. With
@@ -238,7 +239,7 @@
     cluster_set_load(scenario->cluster, 0);
     cluster_clear_link_faults(scenario->cluster);
     cluster_run_until(scenario->cluster, has_no_work, DEADLINE_S);
-    history_close(cluster_history(scenario->cluster));
+    history_report_abandoned_jobs(cluster_history(scenario->cluster));
     assert_string_equal(call_checker_violations(scenario->checker), "");
     assert_string_equal(history_violations(cluster_history(scenario->cluster)), "");
     /* The current holders of the roles have completed all open intents. */
@@ -394,10 +395,10 @@
         fake_provider_fail_machine(cluster_provider(scenario.cluster));
         assert_true(cluster_run_until(scenario.cluster, holder_is_paused, DEADLINE_S));
         for (int i = 0; i < CONTROLLERS; i++)
-            cluster_kill(scenario.cluster, i);
+            cluster_kill_controller(scenario.cluster, i);
         cluster_run(scenario.cluster, DOWNTIME_S);
         for (int i = 0; i < CONTROLLERS; i++)
-            cluster_start(scenario.cluster, i);
+            cluster_start_controller(scenario.cluster, i);
         scenario.stopped_controller = -1;
         assert_true(cluster_run_until(scenario.cluster, another_controller_leads, DEADLINE_S));
         cluster_run(scenario.cluster, SUCCESSOR_RUN_S);
@@ -421,9 +422,9 @@
     token = fake_store_revision(state, holder_key);
     scenario.stopped_controller = cluster_leader(scenario.cluster);
     fake_store_put_number(state, drain_key, "token", token);
-    cluster_kill(scenario.cluster, scenario.stopped_controller);
+    cluster_kill_controller(scenario.cluster, scenario.stopped_controller);
     assert_true(cluster_run_until(scenario.cluster, another_controller_leads, DEADLINE_S));
-    cluster_start(scenario.cluster, scenario.stopped_controller);
+    cluster_start_controller(scenario.cluster, scenario.stopped_controller);
     cluster_run(scenario.cluster, SUCCESSOR_RUN_S);
     assert_true(fake_store_revision(state, holder_key) > token);
     assert_int_equal(fake_store_revision(state, drain_key), 0); /* deleted by the next holder */
@@ -456,14 +457,14 @@
     for (int attempt = 0; attempt < CONTROLLERS && !old_version_leads(scenario.cluster);
          attempt++) {
         int leader = cluster_leader(scenario.cluster);
-        cluster_kill(scenario.cluster, leader);
+        cluster_kill_controller(scenario.cluster, leader);
         cluster_run_until(scenario.cluster, old_version_leads, STEP_DEADLINE_S);
-        cluster_start(scenario.cluster, leader);
+        cluster_start_controller(scenario.cluster, leader);
     }
     assert_int_equal(cluster_leader(scenario.cluster), 0);
     cluster_run(scenario.cluster, STEP_DEADLINE_S / 2);
     assert_int_equal(call_checker_acquisitions(scenario.checker), 0);
-    cluster_upgrade(scenario.cluster);
+    cluster_upgrade_controller(scenario.cluster);
     assert_true(cluster_run_until(scenario.cluster, has_acquisition, DEADLINE_S));
     /* Machines that were rented before the upgrade had no intents, and are no violation. */
     call_checker_clear_violations(scenario.checker);
--- a/src/roles/tests/test_roles.c
+++ b/src/roles/tests/test_roles.c
@@ -417,7 +417,7 @@
 static void intent_of_a_stale_holder_is_refused(void **arg)
 {
     (void)arg;
-    fake_store_set_second_access(state_service, FAKE_STORE_WATCHES_HANG);
+    fake_store_set_second_addr_mode(state_service, FAKE_STORE_ADDR_HOLDS_WATCHES);
     make_leader(&second, 2);
     assert_true(event_loop_run_until(loop, second_has_scale_in, NULL));
     first.epoch_revision = put_revision; /* so that only the fencing token conflicts */
@@ -427,7 +427,7 @@
     assert_true(event_loop_run_until(loop, has_write_result, &first));
     assert_int_equal(first.refused_count, 1);
     assert_int_equal(count_open_intents(&second), 0);
-    fake_store_set_second_access(state_service, FAKE_STORE_SERVES);
+    fake_store_set_second_addr_mode(state_service, FAKE_STORE_ADDR_SERVES);
 }
 
 /* The delayed write of an intent is executed after the role has another holder, and conflicts. */
--- a/src/soak/fault_injection.c
+++ b/src/soak/fault_injection.c
@@ -59,13 +59,13 @@
                                     bool begins)
 {
     if (active->fault.kind == FAULT_PAUSE)
-        cluster_pause(soak->cluster, active->controller, begins);
+        cluster_pause_controller(soak->cluster, active->controller, begins);
     else if (active->fault.kind == FAULT_REFUSED_ALONE)
-        cluster_set_refused(soak->cluster, active->controller, begins);
+        cluster_set_store_refusal(soak->cluster, active->controller, begins);
     else if (begins)
-        cluster_kill(soak->cluster, active->controller);
+        cluster_kill_controller(soak->cluster, active->controller);
     else
-        cluster_start(soak->cluster, active->controller);
+        cluster_start_controller(soak->cluster, active->controller);
 }
 
 static void switch_link_fault(struct soak *soak, const struct active_fault *active, bool begins)
@@ -119,9 +119,9 @@
 
     for (unsigned i = 0; i < count; i++) {
         if (fault->kind == FAULT_MACHINE_CUT)
-            fake_provider_cut_machine(provider, fault->choice + i, begins);
+            fake_provider_partition_machine(provider, fault->choice + i, begins);
         else
-            fake_provider_hang_machine(provider, fault->choice + i, begins);
+            fake_provider_suspend_machine(provider, fault->choice + i, begins);
     }
 }
 
@@ -154,7 +154,7 @@
     unsigned count = 1 + fault->choice % CANCELLATIONS_MAX;
 
     for (unsigned i = 0; i < count; i++)
-        cluster_cancel_any(soak->cluster, g_rand_int(soak->random));
+        cluster_cancel_any_job(soak->cluster, g_rand_int(soak->random));
 }
 
 /* ---- any fault ---- */
--- a/src/soak/soak.c
+++ b/src/soak/soak.c
@@ -63,7 +63,7 @@
 {
     if (soak_elapsed_s(soak) < soak->settings->seconds / 2 || fault_injection_has_process(soak, 0))
         return false;
-    cluster_upgrade(soak->cluster);
+    cluster_upgrade_controller(soak->cluster);
     return true;
 }
 
@@ -110,7 +110,7 @@
         cluster_cancel_services(soak->cluster);
         step(soak);
     }
-    history_close(cluster_history(soak->cluster));
+    history_report_abandoned_jobs(cluster_history(soak->cluster));
     violations_collect(soak);
 }
 
--- a/src/store/tests/test_store.c
+++ b/src/store/tests/test_store.c
@@ -273,13 +273,13 @@
 {
     (void)arg;
     connect_store(fake_store_second_addr(service));
-    fake_store_set_second_access(service, FAKE_STORE_WATCHES_HANG);
+    fake_store_set_second_addr_mode(service, FAKE_STORE_ADDR_HOLDS_WATCHES);
     fake_store_put_number(service, "p/test", "n", 1);
     pm_store_linearizable_read(store, on_wait_done, NULL);
     run_for(0.2);
     assert_false(outcome.is_done); /* the service is newer than the replica */
     assert_int_equal(put_count, 0);
-    fake_store_set_second_access(service, FAKE_STORE_SERVES);
+    fake_store_set_second_addr_mode(service, FAKE_STORE_ADDR_SERVES);
     run_until_done();
     assert_true(outcome.ok);
     assert_int_equal(put_count, 1);
@@ -290,7 +290,7 @@
 {
     (void)arg;
     connect_store(fake_store_second_addr(service));
-    fake_store_set_second_access(service, FAKE_STORE_WATCHES_HANG);
+    fake_store_set_second_addr_mode(service, FAKE_STORE_ADDR_HOLDS_WATCHES);
     fake_store_put_number(service, "p/test", "n", 1);
     pm_store_linearizable_read(store, on_wait_done, NULL);
     run_until_done();
--- a/src/testing/cluster.c
+++ b/src/testing/cluster.c
@@ -1,4 +1,4 @@
-/* The cluster's life, and what is seen of it from outside. */
+/* Starting, running and stopping a cluster, and observing it through the state service. */
 #include "testing/cluster_internal.h"
 #include "testing/event_loop.h"
 
@@ -6,15 +6,15 @@
 #include <string.h>
 #include <unistd.h>
 
-#define POLL_S 0.02
+#define CONDITION_POLL_S 0.02
 #define LEADER_KEY "p/lead"
 #define EPOCH_KEY "p/epoch"
 #define SHARD_PREFIX "p/b/"
 
 enum { DEFAULT_MAX_MACHINES = 8, ADDR_OCTET_VALUES = 250 };
 
-/* All clusters so far. They last as long as the test's process: calls in flight outlive a
- * cluster. */
+/* All clusters of this process. They are never freed, because the callbacks of HTTP calls in flight
+ * still read a cluster after cluster_free. */
 static GPtrArray *all_clusters;
 
 double cluster_cancel_limit_s(const struct cluster *cluster)
@@ -99,7 +99,7 @@
     }
 }
 
-/* A relay in front of one address, for all controllers. */
+/* A relay that forwards the connections of all controllers to one address. */
 static struct relay *start_relay(const struct cluster *cluster, const char *addr)
 {
     const char *targets[RELAY_CONTROLLERS_MAX];
@@ -117,8 +117,8 @@
     cluster->store_relay = start_relay(cluster, fake_store_addr(cluster->store));
 }
 
-/* An address that no other cluster's workers or users have ever called: ports are soon used again,
- * so each cluster has loopback addresses of its own. */
+/* Writes an address that no workers or users of another cluster have called. The kernel reuses a
+ * port soon after it is closed, so each cluster gets a loopback IP address of its own. */
 static void choose_address(char *out)
 {
     unsigned process = (unsigned)getpid();
@@ -137,7 +137,7 @@
         choose_address(node->peer_addr);
         node->peer_relay = start_relay(cluster, node->peer_addr);
         cluster->worker_addrs[i] = node->worker_addr;
-        cluster->names[i] = node->name;
+        cluster->node_names[i] = node->name;
     }
 }
 
@@ -152,7 +152,7 @@
                                                     .gang_wait_s = CLUSTER_GANG_WAIT_S,
                                                     .gang_peer_s = CLUSTER_GANG_PEER_S,
                                                     .worker_addrs = cluster->worker_addrs,
-                                                    .controller_names = cluster->names,
+                                                    .controller_names = cluster->node_names,
                                                     .controllers = &cluster->controllers,
                                                     .random = cluster->settings.random};
 
@@ -176,7 +176,7 @@
     start_provider(cluster);
     cluster_write_files(cluster);
     for (int i = 0; i < settings->controller_count; i++)
-        cluster_start(cluster, i);
+        cluster_start_controller(cluster, i);
     cluster_users_start(cluster);
     return cluster;
 }
@@ -184,7 +184,7 @@
 void cluster_free(struct cluster *cluster)
 {
     for (int i = 0; i < cluster->settings.controller_count; i++)
-        cluster_kill(cluster, i);
+        cluster_kill_controller(cluster, i);
     cluster_remove_files(cluster);
     cluster_users_stop(cluster);
     fake_provider_free(cluster->provider);
@@ -193,7 +193,7 @@
     relay_free(cluster->store_relay);
 }
 
-/* ---- parts ---- */
+/* ---- accessors ---- */
 
 struct history *cluster_history(struct cluster *cluster)
 {
@@ -220,7 +220,7 @@
     return cluster->nodes[controller].settings_path;
 }
 
-/* ---- time ---- */
+/* ---- running the event loop ---- */
 
 struct wait {
     struct cluster *cluster;
@@ -238,10 +238,10 @@
 {
     struct wait wait = {cluster, is_done};
 
-    return event_loop_run_for(cluster->loop, is_wait_over, &wait, seconds, POLL_S);
+    return event_loop_run_for(cluster->loop, is_wait_over, &wait, seconds, CONDITION_POLL_S);
 }
 
 void cluster_run(struct cluster *cluster, double seconds)
 {
-    event_loop_run_for(cluster->loop, NULL, NULL, seconds, POLL_S);
+    event_loop_run_for(cluster->loop, NULL, NULL, seconds, CONDITION_POLL_S);
 }
--- a/src/testing/cluster.h
+++ b/src/testing/cluster.h
@@ -1,9 +1,10 @@
-/* Real controller processes over loopback, with the stand-ins, with users who submit and cancel
- * jobs, and with a history of all that is checked.
+/* A test cluster: real controller processes that communicate over loopback with a fake state
+ * service, a fake machine provider and fake workers. Simulated users submit and cancel jobs. A
+ * history records what happens and checks it against the safety rules.
  *
- * For tests and measurements that inject faults. All functions are called in the thread that runs
- * the cluster's event loop, and only there; there is no lock. Memory of a cluster is kept until the
- * test's process ends, because calls in flight outlive it. */
+ * For tests and measurements that inject faults. All functions are called only in the thread that
+ * runs the cluster's event loop; there is no lock. A cluster's memory is kept until the test's
+ * process ends, because HTTP calls in flight outlive the cluster. */
 #ifndef PM_TESTING_CLUSTER_H
 #define PM_TESTING_CLUSTER_H
 
@@ -21,40 +22,41 @@
 /* A team and its quota. */
 struct cluster_team {
     const char *name;
-    double cpus, cpus_max;   /* its guarantee, and its limit */
+    double cpus, cpus_max;   /* the guaranteed share, and the limit */
     double accelerators_max; /* 0: no limit */
 };
 
 /* All pointers are borrowed and outlive the cluster. */
 struct cluster_settings {
     int controller_count;
-    const char *daemon;               /* the program that each controller runs */
-    const char *operator_yaml;        /* the operators' settings; NULL: none */
-    const char *old_daemon;           /* what controller 0 runs in its place; NULL: the same */
-    bool quiet;                       /* the processes' logs are thrown away */
-    const char *log_file;             /* where else they go; NULL: to standard error */
-    int max_machines;                 /* 0: a few */
-    double lease_s;                   /* of the workers; 0: a short one */
-    const struct cluster_team *teams; /* NULL: one, with all that there is */
+    const char *daemon;               /* path of the program that each controller runs */
+    const char *operator_yaml;        /* content of the operators' settings file; NULL: no file */
+    const char *old_daemon;           /* an older program for controller 0; NULL: `daemon` */
+    bool quiet;                       /* discard the controllers' logs, unless log_file is set */
+    const char *log_file;             /* the logs are appended to this file; NULL: no file */
+    int max_machines;                 /* 0: a small default */
+    double lease_s;                   /* duration of the workers' leases; 0: a short default */
+    const struct cluster_team *teams; /* NULL: one team, whose quota is the whole cluster */
     int team_count;
-    /* Users ask another controller each time, repeat submissions and ask for jobs that nobody
-     * submitted; messages to workers are delayed. NULL: none of that. */
+    /* If set, each request of a user goes to a random controller, some submissions are repeated,
+     * users ask for a job that nobody submitted, and messages to and from workers can be delayed.
+     * NULL: none of these. */
     GRand *random;
 };
 
-/* A job as its user describes it. */
+/* A job as its user submits it. */
 struct cluster_job {
     const char *team;
     const char *kind;     /* "array", "group" or "standing" */
-    const char *priority; /* "normal" and so on */
+    const char *priority; /* a priority of the API, such as "normal" */
     unsigned task_count;
-    double cpus, run_s;     /* of each task; run_s 0: until the job is cancelled */
+    double cpus, run_s;     /* of each task; run_s 0: it runs until the job is cancelled */
     double accelerators;    /* of each task */
-    int zone;               /* the only allowed one; -1: any */
-    const char *dependency; /* a job that has to be done before; NULL: none */
+    int zone;               /* the only zone it may run in; -1: any zone */
+    const char *dependency; /* id of a job that must be done first; NULL: none */
 };
 
-/* The links of a controller. */
+/* The network links of a controller, in which faults can be injected. */
 enum cluster_link {
     CLUSTER_LINK_STORE,
     CLUSTER_LINK_PEER,
@@ -64,79 +66,85 @@
 
 /* Starts a cluster; the caller owns it. `settings` is copied, what it points to is borrowed. */
 struct cluster *cluster_new(const struct cluster_settings *settings);
-/* Ends all processes and stops the stand-ins. The history can still be read. */
+/* Kills all controllers and stops the fake services. The history can still be read. */
 void cluster_free(struct cluster *cluster);
-/* What happened so far; borrowed from the cluster. */
+/* The record of what has happened in the cluster; borrowed from the cluster. */
 struct history *cluster_history(struct cluster *cluster);
-/* The stand-in for the state service; borrowed from the cluster. */
+/* The fake state service; borrowed from the cluster. */
 struct fake_store *cluster_store(struct cluster *cluster);
-/* The stand-in for the provider and its workers; borrowed from the cluster. */
+/* The fake machine provider, which also runs the fake workers; borrowed from the cluster. */
 struct fake_provider *cluster_provider(struct cluster *cluster);
-/* The loop that all stand-ins run in; borrowed from the cluster. */
+/* The event loop that runs the fake services; borrowed from the cluster. */
 struct ev_loop *cluster_loop(struct cluster *cluster);
 /* The path of a controller's settings file; borrowed from the cluster. */
 const char *cluster_settings_path(const struct cluster *cluster, int controller);
-/* Calls `observer` for every key that is written or deleted in the state service, before that is
- * answered. */
+/* From now on calls `observer` for every key that is written or deleted in the state service,
+ * before the transaction is answered. Replaces an earlier observer. */
 void cluster_observe(struct cluster *cluster, fake_store_observer *observer, void *arg);
 
-/* ---- time ---- */
+/* ---- running the event loop ---- */
 
-/* Runs the loop for that long. */
+/* Runs the event loop for that many seconds. */
 void cluster_run(struct cluster *cluster, double seconds);
-/* Runs the loop until `is_done` returns true. False: it did not within `seconds`. */
+/* Runs the event loop until `is_done` returns true. Returns false if that takes longer than
+ * `seconds`. */
 bool cluster_run_until(struct cluster *cluster, bool (*is_done)(struct cluster *cluster),
                        double seconds);
-/* The controller that wrote the epoch in force, while there is a leader's key; -1: none. */
+/* Returns the index of the leader: the controller that wrote the current epoch. Returns -1 if the
+ * state service has no leader key. */
 int cluster_leader(const struct cluster *cluster);
-/* A controller that owns a shard; -1: none does. */
+/* Returns the lowest index of a controller that owns a shard, or -1 if none does. */
 int cluster_shard_owner(const struct cluster *cluster);
-/* Whether users wait for no job, and there is a leader. */
+/* Whether every submitted job has ended as far as users know, and there is a leader. */
 bool cluster_is_idle(struct cluster *cluster);
 
 /* ---- processes ---- */
 
-/* Kills a controller's process; does nothing if it does not run. */
-void cluster_kill(struct cluster *cluster, int controller);
-/* Starts a controller's process; it does not run. */
-void cluster_start(struct cluster *cluster, int controller);
-/* Ends controller 0, which ran the old program, and starts it with the new one. */
-void cluster_upgrade(struct cluster *cluster);
-/* Suspends or resumes a controller's process; does nothing if it does not run. */
-void cluster_pause(struct cluster *cluster, int controller, bool paused);
-/* Runs a program with these arguments (the first is its path), and the loop meanwhile. Returns what
- * it prints, owned by the caller. `exit_status` is -1 if it was ended by a signal. */
+/* Kills a controller's process with SIGKILL; does nothing if it is not running. */
+void cluster_kill_controller(struct cluster *cluster, int controller);
+/* Starts a controller's process, which must not be running. */
+void cluster_start_controller(struct cluster *cluster, int controller);
+/* Kills controller 0, which runs `old_daemon`, and restarts it with `daemon`. */
+void cluster_upgrade_controller(struct cluster *cluster);
+/* Suspends or resumes a controller's process; does nothing if it is not running. */
+void cluster_pause_controller(struct cluster *cluster, int controller, bool paused);
+/* Runs a program with the arguments `argv` (the first is its path), and runs the event loop until
+ * the program exits. Returns its standard output and standard error, owned by the caller. Sets
+ * `exit_status` to -1 if a signal ended the program. */
 char *cluster_run_tool(struct cluster *cluster, const char *const *argv, int *exit_status);
 
 /* ---- faults ---- */
 
-/* Sets the fault of one link of a controller; `target` is the peer or the zone. */
+/* Sets the fault of one link of a controller. `target` is the index of the peer or of the zone, and
+ * is ignored for other links. */
 void cluster_set_link_fault(struct cluster *cluster, int controller, enum cluster_link link,
                             int target, struct relay_fault fault);
-/* Ends all faults of links. */
+/* Clears the faults of all links. */
 void cluster_clear_link_faults(struct cluster *cluster);
-/* Begins or ends that the state service answers that controller alone with 503. */
-void cluster_set_refused(struct cluster *cluster, int controller, bool refused);
+/* If `refused`, the state service answers every request of this controller, and of no other, with
+ * 503. */
+void cluster_set_store_refusal(struct cluster *cluster, int controller, bool refused);
 
 /* ---- users ---- */
 
-/* Users submit an array job of the default team, each of whose tasks runs for that long. Returns
- * its id, borrowed from the cluster. */
+/* Submits an array job of the default team, whose tasks run for `run_s` seconds each. Returns the
+ * job's id, borrowed from the cluster. */
 const char *cluster_submit_array(struct cluster *cluster, unsigned tasks, double run_s);
-/* Users submit that job; its kind and priority are borrowed for as long as the process lives, the
- * rest is copied. Returns its id, borrowed from the cluster. */
+/* Submits a job. `kind` and `priority` are borrowed and must stay valid until the process ends; the
+ * rest is copied. Returns the job's id, borrowed from the cluster. */
 const char *cluster_submit_job(struct cluster *cluster, const struct cluster_job *wanted);
-/* Users submit a small job every so often from now on; 0: no more. */
+/* From now on submits a small job every `every_s` seconds; 0 stops this. */
 void cluster_set_load(struct cluster *cluster, double every_s);
-/* Users cancel the job, and repeat that until its end is confirmed. */
-void cluster_cancel(struct cluster *cluster, const char *id);
-/* Users cancel one of the jobs that they wait for, chosen by number. */
-void cluster_cancel_any(struct cluster *cluster, unsigned choice);
-/* Users cancel every job that runs until it is stopped. */
+/* Cancels a job. The user repeats the request until a controller confirms the job's end. */
+void cluster_cancel_job(struct cluster *cluster, const char *id);
+/* Cancels the open job at index `choice`, modulo the number of open jobs. Does nothing if there is
+ * none. */
+void cluster_cancel_any_job(struct cluster *cluster, unsigned choice);
+/* Cancels every job whose tasks run until they are stopped. */
 void cluster_cancel_services(struct cluster *cluster);
-/* How many jobs were submitted. */
+/* The number of jobs submitted so far. */
 unsigned cluster_job_count(const struct cluster *cluster);
-/* How many of them users still wait for. */
+/* The number of submitted jobs that users have not yet been told are done or cancelled. */
 unsigned cluster_open_job_count(const struct cluster *cluster);
 
 #endif
--- a/src/testing/cluster_faults.c
+++ b/src/testing/cluster_faults.c
@@ -1,7 +1,8 @@
-/* Faults of the network between controllers, and between them and the stand-ins. */
+/* Faults of the network between controllers, and between controllers and the fake services. */
 #include "testing/cluster_internal.h"
 
-/* A peer's own connections to the controller carry its packets the other way round. */
+/* The same fault for connections that the peer opened: there the relay's `from_controller` concerns
+ * the peer's packets, so the two directions are swapped. */
 static struct relay_fault mirror(struct relay_fault fault)
 {
     return (struct relay_fault){.from_controller = fault.to_controller,
@@ -47,9 +48,9 @@
         clear_faults_of(cluster, i);
 }
 
-void cluster_set_refused(struct cluster *cluster, int controller, bool refused)
+void cluster_set_store_refusal(struct cluster *cluster, int controller, bool refused)
 {
-    fake_store_set_second_access(cluster->store, FAKE_STORE_REFUSES);
+    fake_store_set_second_addr_mode(cluster->store, FAKE_STORE_ADDR_REFUSES);
     relay_set_target(cluster->store_relay, controller,
                      refused ? fake_store_second_addr(cluster->store)
                              : fake_store_addr(cluster->store));
--- a/src/testing/cluster_files.c
+++ b/src/testing/cluster_files.c
@@ -1,4 +1,4 @@
-/* The controllers' settings files, in a directory that goes with the cluster. */
+/* The controllers' settings files, in a temporary directory that is removed with the cluster. */
 #include "testing/cluster_internal.h"
 
 #include <glib/gstdio.h>
@@ -76,7 +76,7 @@
 {
     g_strlcpy(cluster->directory, "/tmp/pumicemount-cluster-XXXXXX", sizeof cluster->directory);
     if (!g_mkdtemp(cluster->directory))
-        g_error("no directory for the settings");
+        g_error("cannot create a directory for the controllers' settings files");
     snprintf(cluster->operator_path, sizeof cluster->operator_path, "%s/operators.yaml",
              cluster->directory);
     if (cluster->settings.operator_yaml)
--- a/src/testing/cluster_internal.h
+++ b/src/testing/cluster_internal.h
@@ -1,4 +1,4 @@
-/* What the files of the cluster share; nobody else includes it. */
+/* Types and functions shared by the cluster's source files; not included elsewhere. */
 #ifndef PM_TESTING_CLUSTER_INTERNAL_H
 #define PM_TESTING_CLUSTER_INTERNAL_H
 
@@ -8,31 +8,33 @@
 #include <ev.h>
 #include <glib.h>
 
-/* Of all clusters; workers' intervals and the users' expectations follow from these. */
+/* The default duration of workers' leases, and intervals of the workers in every cluster. */
 #define CLUSTER_LEASE_S 4.0
 #define CLUSTER_HEARTBEAT_S 0.5
 #define CLUSTER_GANG_WAIT_S 10.0
 #define CLUSTER_GANG_PEER_S 1.0
-#define CLUSTER_CANCEL_LEASES 3.0 /* within so many leases a cancelled job has ended */
+/* A cancelled job must have ended on all machines within this many lease durations. */
+#define CLUSTER_CANCEL_LEASES 3.0
 
 enum { CLUSTER_ADDR_SIZE = 64, CLUSTER_NAME_SIZE = 16, CLUSTER_PATH_SIZE = 128 };
 
-/* One controller's place in the network. Its process is in cluster.controllers. */
+/* One controller's name, addresses and settings file. Its process id is in cluster.controllers. */
 struct cluster_node {
     char name[CLUSTER_NAME_SIZE];
-    char worker_addr[CLUSTER_ADDR_SIZE]; /* where it serves workers and users */
-    char peer_addr[CLUSTER_ADDR_SIZE];   /* where it serves peers, behind the relay */
+    char worker_addr[CLUSTER_ADDR_SIZE]; /* where the controller serves workers and users */
+    char peer_addr[CLUSTER_ADDR_SIZE];   /* where it serves peers, who connect through peer_relay */
     struct relay *peer_relay;
     char settings_path[CLUSTER_PATH_SIZE];
 };
 
-/* The users and their jobs. Written by cluster_users.c. */
+/* The simulated users and their jobs. Written by cluster_users.c. */
 struct cluster_users {
     struct pm_http_client *client;
     GPtrArray *jobs; /* of struct user_job */
     ev_timer tick;
-    double submit_every_s, next_submission_at; /* 0: no load */
-    double unknown_job_requested_at;           /* a job that nobody submitted */
+    /* The interval between the jobs of cluster_set_load (0: none), and when the next one is due. */
+    double submit_every_s, next_submission_at;
+    double unknown_job_requested_at; /* when users last asked for a job that nobody submitted */
 };
 
 struct cluster {
@@ -44,10 +46,10 @@
     struct relay *store_relay;
     struct relay_controllers controllers; /* the processes (cluster_processes.c) */
     struct cluster_node nodes[CLUSTER_CONTROLLERS_MAX];
-    /* The nodes' texts by index, as the provider needs them. */
-    const char *worker_addrs[CLUSTER_CONTROLLERS_MAX], *names[CLUSTER_CONTROLLERS_MAX];
+    /* Each node's worker_addr and name, in the form that fake_provider_settings needs. */
+    const char *worker_addrs[CLUSTER_CONTROLLERS_MAX], *node_names[CLUSTER_CONTROLLERS_MAX];
     char directory[64], operator_path[CLUSTER_PATH_SIZE];
-    char leader_name[64]; /* who wrote the last epoch */
+    char leader_name[64]; /* the controller that wrote the current epoch */
     struct cluster_users users;
     fake_store_observer *observer;
     void *observer_arg;
@@ -55,23 +57,24 @@
 
 /* ---- cluster.c ---- */
 
-/* Within how many seconds a cancelled job has ended everywhere. */
+/* The number of seconds within which a cancelled job must have ended on all machines. */
 double cluster_cancel_limit_s(const struct cluster *cluster);
 
 /* ---- cluster_files.c ---- */
 
-/* Makes the directory of settings files, and writes them. */
+/* Creates a temporary directory and writes the settings files to it. */
 void cluster_write_files(struct cluster *cluster);
-/* Removes them. */
+/* Removes the settings files and their directory. */
 void cluster_remove_files(struct cluster *cluster);
 
 /* ---- cluster_users.c ---- */
 
-/* The team of jobs that name no other; borrowed for ever. */
+/* The team of clusters whose settings have no teams, and of cluster_submit_array; it is never
+ * freed. */
 const struct cluster_team *cluster_default_team(void);
-/* Starts the users. */
+/* Starts the simulated users. */
 void cluster_users_start(struct cluster *cluster);
-/* Stops the users; answers to them may still arrive. */
+/* Stops the simulated users; answers to their requests may still arrive. */
 void cluster_users_stop(struct cluster *cluster);
 
 #endif
--- a/src/testing/cluster_processes.c
+++ b/src/testing/cluster_processes.c
@@ -1,4 +1,4 @@
-/* The controllers' processes, and programs that are run beside them. */
+/* Starts and stops the processes of controllers and of command-line tools. */
 #include "testing/cluster_internal.h"
 
 #include <fcntl.h>
@@ -26,7 +26,7 @@
         dup2(open(path, O_WRONLY | O_CREAT | O_APPEND, LOG_MODE), STDERR_FILENO);
 }
 
-void cluster_start(struct cluster *cluster, int controller)
+void cluster_start_controller(struct cluster *cluster, int controller)
 {
     const struct cluster_settings *settings = &cluster->settings;
     const char *program = program_of(cluster, controller);
@@ -34,14 +34,14 @@
         (char *)program, "--config", cluster->nodes[controller].settings_path, NULL, NULL, NULL};
     pid_t pid;
 
-    /* An old program may not know the operators' settings. */
+    /* The old program may not support --operator. */
     if (settings->operator_yaml && program == settings->daemon) {
         argv[3] = "--operator";
         argv[4] = cluster->operator_path;
     }
     pid = fork();
     if (pid == 0) {
-        prctl(PR_SET_PDEATHSIG, SIGKILL); /* none outlives a test that fails */
+        prctl(PR_SET_PDEATHSIG, SIGKILL); /* so that no controller outlives a failed test */
         redirect_log(settings);
         execv(program, argv);
         _exit(EXIT_NOT_STARTED);
@@ -49,7 +49,7 @@
     cluster->controllers.pid[controller] = pid;
 }
 
-void cluster_kill(struct cluster *cluster, int controller)
+void cluster_kill_controller(struct cluster *cluster, int controller)
 {
     pid_t pid = cluster->controllers.pid[controller];
 
@@ -60,22 +60,22 @@
     cluster->controllers.pid[controller] = 0;
 }
 
-void cluster_upgrade(struct cluster *cluster)
+void cluster_upgrade_controller(struct cluster *cluster)
 {
     cluster->settings.old_daemon = NULL;
-    cluster_kill(cluster, 0);
-    cluster_start(cluster, 0);
+    cluster_kill_controller(cluster, 0);
+    cluster_start_controller(cluster, 0);
 }
 
-void cluster_pause(struct cluster *cluster, int controller, bool paused)
+void cluster_pause_controller(struct cluster *cluster, int controller, bool paused)
 {
     pid_t pid = cluster->controllers.pid[controller];
 
-    if (pid) /* 0 would mean this process's own group */
+    if (pid) /* kill(0) would signal this process's own group */
         kill(pid, paused ? SIGSTOP : SIGCONT);
 }
 
-/* ---- programs beside the controllers ---- */
+/* ---- command-line tools ---- */
 
 static pid_t start_tool(const char *const *argv, int output)
 {
@@ -108,7 +108,7 @@
     pid_t pid;
 
     if (pipe2(ends, O_CLOEXEC))
-        g_error("no pipe");
+        g_error("cannot create a pipe for the output of a command-line tool");
     fcntl(ends[0], F_SETFL, O_NONBLOCK);
     pid = start_tool(argv, ends[1]);
     close(ends[1]);
--- a/src/testing/cluster_users.c
+++ b/src/testing/cluster_users.c
@@ -1,5 +1,5 @@
-/* The users: they submit and cancel jobs, ask for their status until they are over, and record each
- * answer in the history. */
+/* The simulated users: they submit and cancel jobs, poll the status of each job until it has ended,
+ * and record each answer in the history. */
 #include "testing/cluster_internal.h"
 #include "base/clock.h"
 #include "testing/http_status.h"
@@ -8,36 +8,38 @@
 #include <string.h>
 
 #define TICK_S 0.1
-#define POLL_S 0.5
+#define STATUS_POLL_S 0.5
 #define RETRY_S 0.5
 #define REQUEST_TIMEOUT_S 2.0
-#define RESUBMIT_SHARE 0.1 /* of a randomized user's requests that repeat the submission */
+/* The probability that a randomized user's next request repeats an accepted submission. */
+#define RESUBMIT_PROBABILITY 0.1
 #define UNKNOWN_JOB "job-999999"
 #define UNKNOWN_JOB_EVERY_S 1.0
-#define LOAD_RUN_S 1
+#define LOAD_TASK_RUN_S 1
 
 enum { LOAD_TASKS = 2, ANSWER_MAX = 64 * 1024, CLIENT_CONNECTIONS_MAX = 64 };
 
-/* Submitted values that no test varies. */
+/* Properties of submitted tasks that are the same in all tests. */
 #define TASK_RAM_GB 4
 #define TASK_IMAGE_GB 0.1
 #define ARRAY_TASK_CPUS 2
 
-/* A job that users wait for. */
+/* A submitted job. */
 struct user_job {
     struct cluster *cluster;
     char id[32];
-    struct cluster_job wanted; /* team and dependency are in the copies below */
-    char team[32], dependency[32];
+    struct cluster_job wanted;     /* as the caller described it, except for `team`, `dependency` */
+    char team[32], dependency[32]; /* copies, as the caller's strings may be freed */
     bool is_accepted, has_ended;
-    bool is_cancelled; /* the users want it to be */
-    bool in_flight;    /* a request */
-    bool resubmit;     /* the next request repeats the submission, though it was accepted */
-    int controller;    /* the next request goes to this one */
-    double next_at;
+    bool is_cancelled; /* the user wants the job cancelled */
+    bool in_flight;    /* a request for the job awaits its answer */
+    bool resubmit;     /* the next request repeats the submission, although it was accepted */
+    int controller;    /* the controller that the next request goes to */
+    double next_at;    /* when the next request is sent */
 };
 
-static const struct cluster_team default_team = {"team", 64, 64, 0}; /* all of the machines' cpus */
+/* Its quota is the cpus of the default number of machines. */
+static const struct cluster_team default_team = {"team", 64, 64, 0};
 
 const struct cluster_team *cluster_default_team(void)
 {
@@ -81,7 +83,8 @@
     pm_cbor_put_end(out);
 }
 
-/* A randomized user asks another controller each time, and now and then repeats the submission. */
+/* A randomized user sends each request to a random controller, and sometimes repeats the
+ * submission. */
 static void randomize_next_request(struct user_job *job)
 {
     const struct cluster_settings *settings = &job->cluster->settings;
@@ -89,8 +92,8 @@
     if (!settings->random)
         return;
     job->controller = g_rand_int_range(settings->random, 0, settings->controller_count);
-    job->resubmit = job->is_accepted && g_rand_double(settings->random) < RESUBMIT_SHARE;
-    job->next_at -= g_rand_double(settings->random) * POLL_S;
+    job->resubmit = job->is_accepted && g_rand_double(settings->random) < RESUBMIT_PROBABILITY;
+    job->next_at -= g_rand_double(settings->random) * STATUS_POLL_S;
 }
 
 static void record_status(struct user_job *job, const char *status, double now)
@@ -105,7 +108,7 @@
     char status[16] = "";
 
     job->in_flight = false;
-    job->next_at = now + POLL_S;
+    job->next_at = now + STATUS_POLL_S;
     if (is_success && pm_cbor_read_text(pm_cbor_get(answer, "status"), status, sizeof status)) {
         record_status(job, status, now);
         job->is_accepted = true;
@@ -169,7 +172,7 @@
                  on_unknown_job_answer, cluster);
 }
 
-/* ---- time ---- */
+/* ---- timer ---- */
 
 static void on_tick(struct ev_loop *loop, ev_timer *timer, int events)
 {
@@ -180,7 +183,7 @@
     (void)loop;
     (void)events;
     if (users->submit_every_s > 0 && now >= users->next_submission_at) {
-        cluster_submit_array(cluster, LOAD_TASKS, LOAD_RUN_S);
+        cluster_submit_array(cluster, LOAD_TASKS, LOAD_TASK_RUN_S);
         users->next_submission_at = now + users->submit_every_s;
     }
     if (cluster->settings.random && now - users->unknown_job_requested_at > UNKNOWN_JOB_EVERY_S)
@@ -242,7 +245,7 @@
     if (wanted->dependency)
         g_strlcpy(job->dependency, wanted->dependency, sizeof job->dependency);
     job->controller = (int)jobs->len % cluster->settings.controller_count;
-    /* The workers read the run time from the id: fake_provider_task_run_s. */
+    /* Workers read the run time from the end of the id: see fake_provider_task_run_s. */
     snprintf(job->id, sizeof job->id, "job-%04u%02d", jobs->len + 1, (int)(wanted->run_s * 10));
     describe_to_checkers(cluster, job);
     g_ptr_array_add(jobs, job);
@@ -262,7 +265,7 @@
                                                              .zone = zone});
 }
 
-void cluster_cancel(struct cluster *cluster, const char *id)
+void cluster_cancel_job(struct cluster *cluster, const char *id)
 {
     for (guint i = 0; i < cluster->users.jobs->len; i++) {
         struct user_job *job = g_ptr_array_index(cluster->users.jobs, i);
@@ -270,7 +273,7 @@
     }
 }
 
-void cluster_cancel_any(struct cluster *cluster, unsigned choice)
+void cluster_cancel_any_job(struct cluster *cluster, unsigned choice)
 {
     unsigned open = cluster_open_job_count(cluster);
     unsigned skip = open ? choice % open : 0;
--- a/src/testing/fake_machine.c
+++ b/src/testing/fake_machine.c
@@ -1,10 +1,10 @@
-/* One machine: its place in the network and in the provider's lists. */
+/* A machine: its network endpoints, whether it is up, and its description in messages. */
 #include "testing/fake_provider_internal.h"
 #include "base/clock.h"
 
 #include <stdio.h>
 
-/* Each controller gets an endpoint of its own, so that the worker knows who sent a command. */
+/* Gives each controller its own endpoint: it tells the worker which controller sent a command. */
 static void start_endpoints(struct fake_machine *machine)
 {
     struct fake_provider *provider = machine->provider;
--- a/src/testing/fake_provider.c
+++ b/src/testing/fake_provider.c
@@ -1,4 +1,4 @@
-/* The provider's life, its clock, and what its users ask of it. */
+/* Starting and stopping the fake provider, its timer, and queries about its state. */
 #include "testing/fake_provider_internal.h"
 #include "base/clock.h"
 #include "testing/event_loop.h"
@@ -81,7 +81,7 @@
             fake_machine_terminate(machine);
     }
     fake_provider_api_stop(provider);
-    /* The callbacks of calls in flight still read the rest: it stays. */
+    /* The rest is not freed, because callbacks of HTTP calls in flight still read it. */
 }
 
 const char *fake_provider_addr(const struct fake_provider *provider)
--- a/src/testing/fake_provider.h
+++ b/src/testing/fake_provider.h
@@ -1,9 +1,9 @@
-/* A stand-in for the machine provider, and for the workers on its machines: machines boot at once,
- * leases expire by the monotonic clock, tasks run for as long as their job's id says.
+/* A fake machine provider that also simulates the workers on its machines. Machines boot at once,
+ * leases expire by the monotonic clock, and a task runs for the time that its job's id states.
  *
- * It owns all machines, their workers and tasks, and reports what happens on them to a history
- * (history.h). Used by the cluster of real processes (cluster.h), and by tests through that. All
- * functions are called in the thread that runs the event loop, and only there; there is no lock. */
+ * The provider owns all machines with their workers and tasks, and reports what happens on them to
+ * a history (history.h). Used by the test cluster (cluster.h), and by tests through it. All
+ * functions are called only in the thread that runs the event loop; there is no lock. */
 #ifndef PM_TESTING_FAKE_PROVIDER_H
 #define PM_TESTING_FAKE_PROVIDER_H
 
@@ -17,79 +17,83 @@
 /* All pointers are borrowed and outlive the provider. */
 struct fake_provider_settings {
     int controller_count, zone_count;
-    int max_machines; /* a request to rent more is refused */
+    int max_machines; /* a rental that exceeds this gets fewer machines; if none, 503 */
     double heartbeat_s, lease_s;
-    double gang_wait_s;              /* a gang that is not complete within this ends */
-    double gang_peer_s;              /* a gang whose tasks miss one of them for this long ends */
-    const char *const *worker_addrs; /* controllers' addresses for workers, by index */
-    const char *const *controller_names; /* by index */
+    double gang_wait_s;              /* a gang that has not all its tasks after this time ends */
+    double gang_peer_s;              /* a running gang ends if a task is missing for this long */
+    const char *const *worker_addrs; /* by controller index: where it serves workers */
+    const char *const *controller_names; /* by controller index */
     const struct relay_controllers *controllers;
-    GRand *random; /* draws which messages are delayed; NULL: none is */
+    /* Selects the messages that are delayed, and for how long. NULL: no message is delayed. */
+    GRand *random;
 };
 
-/* A provider without machines; the caller owns it. `settings` is copied, what it points to and
- * `history` are borrowed. */
+/* Creates a provider without machines, owned by the caller. `settings` is copied; what it points to
+ * and `history` are borrowed. */
 struct fake_provider *fake_provider_new(struct ev_loop *loop,
                                         const struct fake_provider_settings *settings,
                                         struct history *history);
-/* Stops all machines and the provider: nobody is called any more. The memory stays, for calls that
- * are in flight. */
+/* Terminates all machines and stops the provider, which then sends no more requests. The memory is
+ * not freed, because HTTP calls may still be in flight. */
 void fake_provider_free(struct fake_provider *provider);
-/* The address of the provider's API as "IP:PORT", borrowed: a relay, whose faults are set by
- * fake_provider_set_api_fault. */
+/* The address of the provider's API as "IP:PORT", borrowed from the provider. It belongs to a relay
+ * in front of the API, in which fake_provider_set_api_fault injects faults. */
 const char *fake_provider_addr(const struct fake_provider *provider);
-/* How many machines are rented. */
+/* The number of machines rented and not terminated. */
 int fake_provider_machine_count(const struct fake_provider *provider);
-/* How many heartbeats that controller has answered with 200 so far. */
+/* The number of heartbeats that this controller has answered with 200 so far. */
 unsigned fake_provider_answered_heartbeats(const struct fake_provider *provider, int controller);
 
 /* ---- jobs ---- */
 
-/* What a worker has to know of a job. */
+/* What workers need to know about a job. */
 struct fake_provider_job {
     unsigned tasks;
     double cpus; /* of each task */
-    bool gang;
+    bool gang;   /* its tasks start, complete and end together */
 };
-/* Describes a job to the workers. Of one that was not described, each task runs by itself and uses
+/* Describes a job to the workers. Tasks of a job that was not described run independently and use
  * no capacity. */
 void fake_provider_describe_job(struct fake_provider *provider, const char *id,
                                 struct fake_provider_job job);
-/* How long the tasks of a job run, in seconds; 0: until they are stopped. A job's id ends in it, in
- * tenths of a second; `task` is the job's id or the name of a task. */
+/* How long the tasks of a job run, in seconds; 0: until they are stopped. The last two digits of a
+ * job's id state this time in tenths of a second. `task` is the job's id or the name of a task. */
 double fake_provider_task_run_s(const char *task);
 
-/* ---- calls ---- */
+/* ---- observing rentals and terminations ---- */
 
-/* A machine that is rented or terminated at a controller's request. */
+/* A controller's request that rents or terminates a machine. */
 struct fake_provider_call {
-    const char *booking; /* of a rental; NULL: a termination */
+    const char *idempotency_key; /* of the rental; NULL: this is a termination */
     const char *machine;
-    const char *task;       /* the last started that runs on a terminated machine; NULL: none */
+    /* Only in a termination: */
+    const char *task;       /* the most recently started task still on the machine; NULL: none */
     double task_started_at; /* monotonic seconds */
-    double unanswered_s;    /* since a controller last answered a heartbeat of that machine */
+    double unanswered_s;    /* since the last answered heartbeat was sent, or the lease expired */
 };
 /* Called for each machine that is rented or terminated, before the request is answered. `call` is
- * borrowed for the call. */
+ * valid only during the callback. */
 typedef void fake_provider_observer(void *arg, const struct fake_provider_call *call);
-/* Calls `observer` from now on, in place of an earlier one. */
+/* Calls `observer` from now on. Replaces an earlier observer. */
 void fake_provider_observe(struct fake_provider *provider, fake_provider_observer *observer,
                            void *arg);
 
 /* ---- faults of machines and workers ---- */
 
-/* Begins or ends a partition of one machine, chosen by number, from all controllers. False: that
- * machine is not there. */
-bool fake_provider_cut_machine(struct fake_provider *provider, unsigned choice, bool cut);
-/* Suspends or resumes one machine, chosen by number. False: that machine is not there. */
-bool fake_provider_hang_machine(struct fake_provider *provider, unsigned choice, bool hung);
-/* Ends partitions and suspensions of all machines, and delays no new messages. */
+/* Begins or ends a network partition between a machine and all controllers. The machine is the one
+ * at index `choice`, modulo the number of machines ever rented. Returns false if it is not up. */
+bool fake_provider_partition_machine(struct fake_provider *provider, unsigned choice,
+                                     bool partitioned);
+/* Suspends or resumes a machine, which `choice` selects as above. Returns false if it is not up. */
+bool fake_provider_suspend_machine(struct fake_provider *provider, unsigned choice, bool suspended);
+/* Ends the partitions and suspensions of all machines, and stops delaying messages. */
 void fake_provider_restore_machines(struct fake_provider *provider);
-/* Of that share of heartbeats a copy arrives later, at any controller; that share of pushed
- * commands is executed later, and never answered. */
+/* Delays randomly selected messages, with these probabilities from 0 to 1. A copy of a selected
+ * heartbeat arrives later at a random controller. A selected pushed command is executed later and
+ * never answered. */
 void fake_provider_delay_messages(struct fake_provider *provider, double heartbeat_share,
                                   double command_share);
-/* One machine fails: the provider lists it as failed. False: there is none. */
+/* Makes one machine fail: the provider lists it as failed. Returns false if no machine is up. */
 bool fake_provider_fail_machine(struct fake_provider *provider);
 /* Sets the fault of the network between a controller and the machines of a zone. */
 void fake_provider_set_zone_fault(struct fake_provider *provider, int controller, int zone,
@@ -100,11 +104,12 @@
 /* Sets the fault of the network between a controller and the provider's API. */
 void fake_provider_set_api_fault(struct fake_provider *provider, int controller,
                                  struct relay_fault fault);
-/* The next request to rent (`rental`), or to terminate, is executed and never answered. */
+/* The next request to rent (if `rental`) or to terminate (otherwise) is executed but never
+ * answered. */
 void fake_provider_lose_next_answer(struct fake_provider *provider, bool rental);
-/* That many requests to rent or terminate are answered with `status` and not executed. */
+/* The next `requests` requests to rent or terminate are answered with `status` and not executed. */
 void fake_provider_refuse_requests(struct fake_provider *provider, int status, int requests);
-/* The next request to terminate is executed that many seconds later, and never answered. */
+/* The next request to terminate is executed after `seconds` and never answered. */
 void fake_provider_delay_next_termination(struct fake_provider *provider, double seconds);
 
 #endif
--- a/src/testing/fake_provider_api.c
+++ b/src/testing/fake_provider_api.c
@@ -1,4 +1,4 @@
-/* The provider's API: machine types, renting, terminating, listing. */
+/* The provider's API: lists machine types and machines, rents and terminates machines. */
 #include "testing/fake_provider_internal.h"
 #include "base/clock.h"
 
@@ -13,7 +13,7 @@
 #define TYPE_SPOT_PRICE 0.4
 #define TYPE_BOOT_S 1
 
-enum { BOOKING_SIZE = 256, ZONE_NAME_SIZE = 32, MACHINE_NAME_SIZE = 32 };
+enum { IDEMPOTENCY_KEY_SIZE = 256, ZONE_NAME_SIZE = 32, MACHINE_NAME_SIZE = 32 };
 
 static void reply(struct pm_http_request *request, struct pm_buffer *body)
 {
@@ -23,16 +23,19 @@
 
 /* ---- renting ---- */
 
-static void observe_rental(const struct fake_provider *provider, const char *booking, guint first)
+static void notify_observer_of_rental(const struct fake_provider *provider,
+                                      const char *idempotency_key, guint first)
 {
     for (guint i = first; provider->api.observer && i < provider->machines->len; i++) {
         const struct fake_machine *machine = g_ptr_array_index(provider->machines, i);
-        struct fake_provider_call call = {.booking = booking, .machine = machine->name};
+        struct fake_provider_call call = {.idempotency_key = idempotency_key,
+                                          .machine = machine->name};
         provider->api.observer(provider->api.observer_arg, &call);
     }
 }
 
-/* The machines from `first` on, as the answer to their rental; owned by the caller. */
+/* Encodes the answer to a rental: the names of the machines from index `first` on. Owned by the
+ * caller. */
 static struct pm_buffer *encode_rental(const struct fake_provider *provider, guint first)
 {
     struct pm_buffer *out = g_new0(struct pm_buffer, 1);
@@ -49,7 +52,7 @@
     return out;
 }
 
-/* Adds machines while there are less than the most. */
+/* Adds `count` machines, or fewer if max_machines is reached. */
 static void add_machines(struct fake_provider *provider, const char *zone, uint64_t count)
 {
     int zone_index = (int)strtol(zone + strlen("zone-"), NULL, 10);
@@ -59,20 +62,20 @@
         fake_machine_new(provider, zone_index);
 }
 
-/* A booking that was served before gets the same answer again. */
+/* A request that repeats an earlier idempotency key gets the same answer and rents no machine. */
 static void serve_rental(struct fake_provider *provider, const cbor_item_t *body,
                          struct pm_http_request *request)
 {
     struct pm_buffer *answer;
-    char booking[BOOKING_SIZE];
+    char idempotency_key[IDEMPOTENCY_KEY_SIZE];
     char zone[ZONE_NAME_SIZE] = "";
     uint64_t count = 0;
     guint first = provider->machines->len;
 
-    pm_cbor_read_text(pm_cbor_get(body, "booking"), booking, sizeof booking);
+    pm_cbor_read_text(pm_cbor_get(body, "booking"), idempotency_key, sizeof idempotency_key);
     pm_cbor_read_text(pm_cbor_get(body, "room"), zone, sizeof zone);
     pm_cbor_read_count(pm_cbor_get(body, "how_many"), &count);
-    answer = g_hash_table_lookup(provider->api.bookings, booking);
+    answer = g_hash_table_lookup(provider->api.rental_answers, idempotency_key);
     if (answer) {
         pm_http_reply(request, HTTP_OK, answer->data, answer->size, 0);
         return;
@@ -82,20 +85,20 @@
         pm_http_reply(request, HTTP_UNAVAILABLE, NULL, 0, 0);
         return;
     }
-    observe_rental(provider, booking, first);
+    notify_observer_of_rental(provider, idempotency_key, first);
     answer = encode_rental(provider, first);
     if (provider->faults.lose_next_rental)
         g_ptr_array_add(provider->unanswered, request);
     else
         pm_http_reply(request, HTTP_OK, answer->data, answer->size, 0);
     provider->faults.lose_next_rental = false;
-    g_hash_table_insert(provider->api.bookings, g_strdup(booking), answer);
+    g_hash_table_insert(provider->api.rental_answers, g_strdup(idempotency_key), answer);
 }
 
 /* ---- terminating ---- */
 
-static void observe_termination(const struct fake_provider *provider,
-                                const struct fake_machine *machine)
+static void notify_observer_of_termination(const struct fake_provider *provider,
+                                           const struct fake_machine *machine)
 {
     const struct fake_worker *worker = &machine->worker;
     struct fake_provider_call call = {
@@ -118,7 +121,7 @@
         struct fake_machine *machine = g_ptr_array_index(provider->machines, i);
         if (machine->is_terminated || strcmp(machine->name, name) != 0)
             continue;
-        observe_termination(provider, machine);
+        notify_observer_of_termination(provider, machine);
         fake_worker_stop_all(machine);
         fake_machine_terminate(machine);
     }
@@ -244,7 +247,7 @@
     reply(request, &out);
 }
 
-/* ---- requests ---- */
+/* ---- routing of requests ---- */
 
 static void on_request(void *arg, struct pm_http_request *request)
 {
@@ -271,7 +274,7 @@
     const char *targets[RELAY_CONTROLLERS_MAX];
     char addr[FAKE_PROVIDER_ADDR_SIZE];
 
-    provider->api.bookings = g_hash_table_new(g_str_hash, g_str_equal);
+    provider->api.rental_answers = g_hash_table_new(g_str_hash, g_str_equal);
     provider->api.server = fake_provider_listen(provider, addr, on_request, provider);
     for (int i = 0; i < RELAY_CONTROLLERS_MAX; i++)
         targets[i] = addr;
--- a/src/testing/fake_provider_faults.c
+++ b/src/testing/fake_provider_faults.c
@@ -1,9 +1,9 @@
-/* Faults of machines, of the network and of the API that a test asks for. */
+/* Fault injection: faults of machines, of the network, and of the provider's API. */
 #include "testing/fake_provider_internal.h"
 
 static const struct relay_fault partition = {.from_controller = true, .to_controller = true};
 
-/* NULL: that machine is not up. */
+/* The machine at index `choice`, modulo the number of machines; NULL if it is not up. */
 static struct fake_machine *choose_machine(const struct fake_provider *provider, unsigned choice)
 {
     struct fake_machine *machine;
@@ -14,34 +14,35 @@
     return fake_machine_is_up(machine) ? machine : NULL;
 }
 
-bool fake_provider_cut_machine(struct fake_provider *provider, unsigned choice, bool cut)
+bool fake_provider_partition_machine(struct fake_provider *provider, unsigned choice,
+                                     bool partitioned)
 {
     struct fake_machine *machine = choose_machine(provider, choice);
 
     if (!machine)
         return false;
-    machine->faults.is_partitioned = cut;
+    machine->faults.is_partitioned = partitioned;
     for (int i = 0; i < provider->settings.controller_count; i++)
         relay_set_fault(machine->relay, i,
-                        cut ? partition : provider->faults.zones[i][machine->zone]);
+                        partitioned ? partition : provider->faults.zones[i][machine->zone]);
     return true;
 }
 
-bool fake_provider_hang_machine(struct fake_provider *provider, unsigned choice, bool hung)
+bool fake_provider_suspend_machine(struct fake_provider *provider, unsigned choice, bool suspended)
 {
     struct fake_machine *machine = choose_machine(provider, choice);
 
     if (!machine)
         return false;
-    machine->faults.is_hung = hung;
+    machine->faults.is_suspended = suspended;
     return true;
 }
 
 void fake_provider_restore_machines(struct fake_provider *provider)
 {
     for (guint i = 0; i < provider->machines->len; i++) {
-        fake_provider_cut_machine(provider, i, false);
-        fake_provider_hang_machine(provider, i, false);
+        fake_provider_partition_machine(provider, i, false);
+        fake_provider_suspend_machine(provider, i, false);
     }
     fake_provider_delay_messages(provider, 0, 0);
 }
--- a/src/testing/fake_provider_internal.h
+++ b/src/testing/fake_provider_internal.h
@@ -1,4 +1,5 @@
-/* What the files of the fake provider and its workers share; nobody else includes it. */
+/* Types and functions shared by the source files of the fake provider and its workers; not included
+ * elsewhere. */
 #ifndef PM_TESTING_FAKE_PROVIDER_INTERNAL_H
 #define PM_TESTING_FAKE_PROVIDER_INTERNAL_H
 
@@ -14,7 +15,7 @@
 
 enum { FAKE_PROVIDER_ZONES_MAX = 4, FAKE_PROVIDER_ADDR_SIZE = 64 };
 
-/* The only machine type. */
+/* Capacity of a machine; there is one machine type. */
 enum { FAKE_MACHINE_CPUS = 8, FAKE_MACHINE_ACCELERATORS = 4 };
 
 struct fake_machine;
@@ -24,23 +25,23 @@
     char name[64];
     unsigned attempt;
     bool has_ended;
-    bool is_waiting;   /* for the other tasks of its gang */
-    const char *cause; /* of its end, as the protocol names it */
+    bool is_waiting;   /* until all tasks of its gang are present */
+    const char *cause; /* why the task ended, as a `cause` value of the protocol */
     double started_at;
-    double ends_at;            /* 0: when it is stopped */
-    double gang_incomplete_at; /* a running gang misses tasks since; 0: it is complete */
+    double ends_at;            /* when the task completes; 0: it runs until it is stopped */
+    double gang_incomplete_at; /* since when tasks of the running gang are missing; 0: none is */
 };
 
-/* A machine's worker. Written by fake_worker.c, but for what names another file. */
+/* A machine's worker. Written by fake_worker.c, except for the fields that name another file. */
 struct fake_worker {
     uint64_t incarnation;
     uint64_t heartbeat_sequence;
-    uint64_t fencing_token; /* the highest known */
+    uint64_t fencing_token; /* the highest token received */
     double lease_renewed_at;
     GArray *tasks;    /* of struct fake_task (fake_worker_tasks.c) */
-    bool has_changes; /* that are to be reported at once */
+    bool has_changes; /* there are changes to report before the next regular heartbeat */
     struct {
-        int controller; /* the next heartbeat goes to this one */
+        int controller; /* the controller that the next heartbeat goes to */
         bool in_flight;
         double sent_at, next_at;
     } heartbeat;
@@ -48,21 +49,21 @@
 
 /* Faults of one machine. Written by fake_provider_faults.c. */
 struct fake_machine_faults {
-    bool has_failed, is_partitioned, is_hung;
+    bool has_failed, is_partitioned, is_suspended;
 };
 
-/* Where one controller reaches the machine's worker. */
+/* The HTTP server at which one controller reaches the machine's worker. */
 struct fake_machine_endpoint {
     struct fake_machine *machine;
     int controller;
     struct pm_http_server *server;
 };
 
-/* A machine. Written by fake_machine.c, but for the embedded parts. */
+/* A machine. Written by fake_machine.c, except for `faults` and `worker`. */
 struct fake_machine {
     struct fake_provider *provider;
     char name[32];
-    char addr[FAKE_PROVIDER_ADDR_SIZE]; /* of its relay */
+    char addr[FAKE_PROVIDER_ADDR_SIZE]; /* the address of the machine's relay */
     int zone;
     double rented_at;
     bool is_terminated;
@@ -76,20 +77,20 @@
 struct fake_provider_api {
     struct pm_http_server *server;
     struct relay *relay;
-    GHashTable *bookings; /* name to the answer, as struct pm_buffer */
+    GHashTable *rental_answers; /* idempotency key to the answer, a struct pm_buffer */
     fake_provider_observer *observer;
     void *observer_arg;
-    cbor_item_t *delayed_termination; /* the request's body; NULL: none */
+    cbor_item_t *delayed_termination; /* body of the delayed request; NULL: there is none */
     double delayed_termination_at;
 };
 
-/* Set by fake_provider_faults.c; what concerns the next requests is cleared where they are
- * served. */
+/* Set by fake_provider_faults.c. Faults of the next request are cleared by the code that serves
+ * that request. */
 struct fake_provider_faults {
     struct relay_fault zones[RELAY_CONTROLLERS_MAX][FAKE_PROVIDER_ZONES_MAX];
-    bool lose_next_rental, lose_next_termination; /* the answer to it */
-    int refusal_status, refusals;                 /* of the next requests */
-    double termination_delay_s;                   /* of the next; 0: none */
+    bool lose_next_rental, lose_next_termination; /* do not answer the next such request */
+    int refusal_status, refusals; /* HTTP status of refusals, and how many requests to refuse */
+    double termination_delay_s;   /* delay of the next termination; 0: none */
     double delayed_heartbeat_share, delayed_command_share;
 };
 
@@ -99,7 +100,7 @@
     struct history *history;
     struct pm_http_client *client;
     ev_timer tick;
-    GPtrArray *machines;   /* of struct fake_machine, terminated ones too */
+    GPtrArray *machines;   /* of struct fake_machine, including terminated machines */
     GHashTable *jobs;      /* id to struct fake_provider_job */
     GPtrArray *unanswered; /* requests that never get an answer */
     unsigned answered_heartbeats[RELAY_CONTROLLERS_MAX];
@@ -113,71 +114,76 @@
 
 /* Adds a machine to the provider, which owns it. */
 void fake_machine_new(struct fake_provider *provider, int zone);
-/* Stops its worker's endpoints; what runs there is stopped by fake_worker_stop_all. */
+/* Marks the machine as terminated and closes its relay and endpoints. Does not end its tasks:
+ * fake_worker_stop_all does. */
 void fake_machine_terminate(struct fake_machine *machine);
-/* Whether it is neither terminated nor failed. */
+/* Whether the machine is neither terminated nor failed. */
 bool fake_machine_is_up(const struct fake_machine *machine);
-/* Appends what both a worker and the provider report of a machine to a map. */
+/* Appends to a CBOR map the properties of a machine that both worker and provider report. */
 void fake_machine_put_description(const struct fake_machine *machine, struct pm_buffer *out);
 
 /* ---- fake_provider.c ---- */
 
-/* Listens at a free loopback port, which is written to `addr` of FAKE_PROVIDER_ADDR_SIZE bytes. */
+/* Starts an HTTP server on a free loopback port. Writes its "IP:PORT" to `addr`, a buffer of
+ * FAKE_PROVIDER_ADDR_SIZE bytes. */
 struct pm_http_server *fake_provider_listen(struct fake_provider *provider, char *addr,
                                             pm_http_handler *handler, void *arg);
 
 /* ---- fake_provider_api.c ---- */
 
-/* Starts the API with its relay. */
+/* Starts the API's server and the relay in front of it. */
 void fake_provider_api_start(struct fake_provider *provider);
-/* Stops it. */
+/* Stops the API's server and its relay. */
 void fake_provider_api_stop(struct fake_provider *provider);
-/* Executes the delayed termination once it is due. */
+/* Executes the delayed termination when it is due. */
 void fake_provider_api_tick(struct fake_provider *provider, double now);
 
 /* ---- fake_worker.c ---- */
 
-/* Ends tasks, checks the lease, and sends a heartbeat when one is due. */
+/* Checks the lease, updates the tasks, and sends a heartbeat if one is due. */
 void fake_worker_tick(struct fake_machine *machine, double now);
-/* Sends `body` as a heartbeat to a controller. */
+/* Sends a heartbeat with this body to a controller; `done` is called with the answer. */
 void fake_worker_post_heartbeat(struct fake_provider *provider, int controller,
                                 const struct pm_buffer *body, pm_http_done *done, void *arg);
-/* Executes pushed commands if their fencing token and incarnation match. Returns the HTTP status of
- * the answer. */
-int fake_worker_execute_push(struct fake_machine *machine, int controller, const cbor_item_t *body);
-/* Serves requests to the worker; `arg` is a struct fake_machine_endpoint. A pm_http_handler. */
+/* Executes pushed commands unless their fencing token is older than the worker's or their
+ * incarnation differs. Returns the HTTP status of the answer. */
+int fake_worker_execute_pushed_commands(struct fake_machine *machine, int controller,
+                                        const cbor_item_t *body);
+/* Serves requests to the worker. A pm_http_handler; `arg` is a struct fake_machine_endpoint. */
 void fake_worker_on_request(void *arg, struct pm_http_request *request);
 
 /* ---- fake_worker_tasks.c ---- */
 
-/* Executes commands, a CBOR list, that a controller sent. */
+/* Executes a controller's commands, which are a CBOR list. */
 void fake_worker_execute_commands(struct fake_machine *machine, const cbor_item_t *commands,
                                   int controller);
-/* Ends the task; does nothing if it has ended. `cause` outlives the task. */
+/* Ends the task; does nothing if it has already ended. `cause` is borrowed and must outlive the
+ * task. */
 void fake_worker_end_task(struct fake_machine *machine, struct fake_task *task, const char *cause);
-/* Stops and forgets all tasks. */
+/* Ends all tasks and removes them from the worker. */
 void fake_worker_stop_all(struct fake_machine *machine);
-/* Ends tasks that have run for long enough, and lets gangs make progress. */
+/* Completes tasks whose run time is over, and starts, completes or ends gangs. */
 void fake_worker_run_tasks(struct fake_machine *machine, double now);
-/* Appends the list of the worker's tasks. */
+/* Appends the CBOR list of the worker's tasks, as heartbeats report it. */
 void fake_worker_put_tasks(const struct fake_worker *worker, struct pm_buffer *out);
 
 /* ---- fake_worker_gangs.c ---- */
 
-/* Starts, completes or ends a gang, of which `task` is one of `gang_size` tasks. */
+/* Updates the gang that `task` belongs to: starts or completes all its tasks, or ends `task` if
+ * other tasks of the gang are missing for too long. `gang_size` is the gang's number of tasks. */
 void fake_worker_run_gang(struct fake_machine *machine, struct fake_task *task, unsigned gang_size,
                           double now);
 
 /* ---- fake_worker_delays.c ---- */
 
-/* Sends a copy of the heartbeat later, if it is drawn. */
+/* If this heartbeat is randomly selected, schedules a copy for later delivery. */
 void fake_worker_maybe_copy_heartbeat(struct fake_machine *machine, int controller,
                                       const struct pm_buffer *body, double now);
-/* Keeps a pushed command for later if it is drawn, or the machine is suspended. False: it is to be
- * executed now. */
+/* Delays a pushed command if it is randomly selected or the machine is suspended. Returns false if
+ * the caller must execute the command now. */
 bool fake_worker_maybe_delay_command(struct fake_machine *machine, int controller,
                                      const struct pm_http_request *request);
-/* Delivers the messages that are due. */
+/* Delivers the delayed messages that are due. */
 void fake_worker_deliver_delayed(struct fake_provider *provider, double now);
 
 #endif
--- a/src/testing/fake_store.c
+++ b/src/testing/fake_store.c
@@ -1,10 +1,10 @@
-/* The service's life, and which request is served by which file. */
+/* Starting and stopping the fake state service, and routing its requests. */
 #include "testing/fake_store_internal.h"
 
 #include <stdio.h>
 #include <string.h>
 
-enum { CONNECTIONS_MAX = 256, SECOND_CONNECTIONS_MAX = 64 };
+enum { CONNECTIONS_MAX = 256, SECOND_ADDR_CONNECTIONS_MAX = 64 };
 
 void fake_store_reply(struct pm_http_request *request, int status, struct pm_buffer *body)
 {
@@ -25,7 +25,7 @@
         fake_store_execute_txn(store, request, request->body, request->body_size);
 }
 
-/* What is neither a watch nor refused. */
+/* Serves a request that is neither a watch nor refused. */
 static void serve_data(struct fake_store *store, struct pm_http_request *request)
 {
     if (!strcmp(request->path, "/txn"))
@@ -70,7 +70,8 @@
     serve(arg, request, true);
 }
 
-/* Listens on a free port; another process may have taken the first that was found. */
+/* Listens on a free port. Retries, because another process may take a free port before the server
+ * binds it. */
 static struct pm_http_server *listen_on_free_port(struct fake_store *store, char *addr,
                                                   int connections_max, pm_http_handler *handler)
 {
@@ -94,8 +95,8 @@
     store->watches.open = g_array_new(FALSE, FALSE, sizeof(struct fake_store_watch));
     store->unanswered = g_ptr_array_new();
     store->server = listen_on_free_port(store, store->addr, CONNECTIONS_MAX, on_request);
-    store->second_server =
-        listen_on_free_port(store, store->second_addr, SECOND_CONNECTIONS_MAX, on_second_request);
+    store->second_server = listen_on_free_port(store, store->second_addr,
+                                               SECOND_ADDR_CONNECTIONS_MAX, on_second_request);
     return store;
 }
 
--- a/src/testing/fake_store.h
+++ b/src/testing/fake_store.h
@@ -1,9 +1,10 @@
-/* A stand-in for the state service, on loopback ports of its own choice: keys with revisions,
- * transactions, lists, watches, leases, and the faults of a real service.
+/* A fake state service on free loopback ports: keys with revisions, transactions, lists, watches,
+ * leases, and injected faults.
  *
- * It owns all keys and every open request. Used by tests, and by the cluster of real processes
- * (cluster.h). All functions are called in the thread that runs `loop`, and only there; there is no
- * lock. Nothing depends on time or chance, unless leases are made to expire by the clock. */
+ * The store owns all keys and every open request. Used by tests, and by the test cluster
+ * (cluster.h). All functions are called only in the thread that runs `loop`; there is no lock.
+ * Behavior is deterministic and does not depend on time, unless fake_store_expire_leases or
+ * fake_store_delay_next_grant was called. */
 #ifndef PM_TESTING_FAKE_STORE_H
 #define PM_TESTING_FAKE_STORE_H
 
@@ -16,70 +17,74 @@
 struct ev_loop;
 struct fake_store;
 
-/* An empty store that serves requests while `loop` (borrowed) runs. The caller owns it. */
+/* Creates an empty store, owned by the caller. It serves requests while `loop` (borrowed) runs. */
 struct fake_store *fake_store_new(struct ev_loop *loop);
 /* Answers open watches with 503 and frees the store. */
 void fake_store_free(struct fake_store *store);
-/* Its address as "IP:PORT", borrowed from the store. */
+/* The service's address as "IP:PORT", borrowed from the store. */
 const char *fake_store_addr(const struct fake_store *store);
 
 /* ---- keys ---- */
 
-/* The revision of the key's last write; 0: there is no such key. */
+/* The revision at which the key was last written, or 0 if the key does not exist. */
 uint64_t fake_store_revision(const struct fake_store *store, const char *key);
-/* The value of a key in hexadecimal digits, "" if there is no such key; owned by the caller. */
+/* The key's CBOR value as hexadecimal digits, "" if the key does not exist. Owned by the caller. */
 char *fake_store_value_hex(const struct fake_store *store, const char *key);
-/* How many transactions were executed, or refused because of their conditions or leases. */
+/* The number of transactions executed, or refused because of their conditions or leases. */
 int fake_store_txn_count(const struct fake_store *store);
-/* Writes a map of one number under the key, as another client would. Observers are not called. */
+/* Writes a map with the single field `name` = `number` to the key, as if another client had written
+ * it. The observer is not called. */
 void fake_store_put_number(struct fake_store *store, const char *key, const char *name,
                            uint64_t number);
 
 /* Called for every key that is written or deleted, before the transaction is answered. `data` is
- * borrowed for the call; NULL: the key was deleted. */
+ * the new value, valid only during the callback; NULL if the key was deleted. */
 typedef void fake_store_observer(void *arg, const char *key, const cbor_item_t *data,
                                  uint64_t revision);
-/* Calls `observer` from now on, in place of an earlier one. */
+/* Calls `observer` from now on. Replaces an earlier observer. */
 void fake_store_observe(struct fake_store *store, fake_store_observer *observer, void *arg);
 
 /* ---- leases ---- */
 
-/* Makes leases expire from now on when they are not kept alive in time. Called once at most. */
+/* From now on a new lease expires unless it is kept alive within its TTL. Called at most once. */
 void fake_store_expire_leases(struct fake_store *store);
-/* Revokes all leases: deletes the keys that are attached to any. */
+/* Deletes all keys that are attached to a lease, as if every lease had been revoked. */
 void fake_store_revoke_all_leases(struct fake_store *store);
-/* The next request to grant a lease is answered only once the leader's key was written and the
- * watches have reported it. */
+/* Holds back the answer to the next lease grant until the leader key has been written and watches
+ * have had time to report it. */
 void fake_store_delay_next_grant(struct fake_store *store);
 
 /* ---- faults ---- */
 
-/* Begins or ends an outage: every request is answered with 503, open watches stay open. */
+/* Begins or ends an outage, in which every request is answered with 503. Open watches stay open. */
 void fake_store_set_outage(struct fake_store *store, bool outage);
-/* While true, no request is answered: the service cannot be reached. Requests of that time are
- * never answered. */
+/* While true, the service accepts requests but answers none, as if it were unreachable. Requests
+ * that arrive in this time are never answered, even after the fault has ended. */
 void fake_store_set_hanging(struct fake_store *store, bool hanging);
-/* The next watch is refused because its revision is too old. */
+/* Refuses the next watch with 410: its revision is too old. */
 void fake_store_reject_next_watch(struct fake_store *store);
-/* Executes the next transaction, and answers it with something that is no answer. */
+/* The next transaction is executed but gets a malformed answer, so the client does not learn the
+ * result. */
 void fake_store_lose_next_answer(struct fake_store *store);
-/* The next transaction whose body contains `text`, such as a key, is not executed until
- * fake_store_execute_delayed_txn, and is answered with something that is no answer. */
+/* Delays the next transaction whose body contains `text`, such as a key: it gets a malformed answer
+ * at once and is executed only by fake_store_execute_delayed_txn. */
 void fake_store_delay_next_txn(struct fake_store *store, const char *text);
-/* Whether a transaction was delayed and not executed yet. */
+/* Whether there is a delayed transaction that has not been executed. */
 bool fake_store_has_delayed_txn(const struct fake_store *store);
 /* Executes the delayed transaction. */
 void fake_store_execute_delayed_txn(struct fake_store *store);
 
-/* How requests to the second address are served. */
-enum fake_store_access {
-    FAKE_STORE_SERVES,       /* as at the first address */
-    FAKE_STORE_REFUSES,      /* with 503; watches that are open stay open */
-    FAKE_STORE_WATCHES_HANG, /* watches stay open without an answer, the others are served */
+/* How the store serves requests to its second address. */
+enum fake_store_addr_mode {
+    FAKE_STORE_ADDR_SERVES,        /* like requests to the first address */
+    FAKE_STORE_ADDR_REFUSES,       /* refused with 503; open watches stay open */
+    FAKE_STORE_ADDR_HOLDS_WATCHES, /* watches are never answered; other requests are served */
 };
-/* A second address of the same service as "IP:PORT", borrowed from the store. */
+/* A second address of the service as "IP:PORT", for clients that are to be treated differently.
+ * Borrowed from the store. */
 const char *fake_store_second_addr(const struct fake_store *store);
-/* Sets how requests to the second address are served from now on. */
-void fake_store_set_second_access(struct fake_store *store, enum fake_store_access access);
+/* Sets how requests to the second address are served from now on; at first they are served
+ * normally. */
+void fake_store_set_second_addr_mode(struct fake_store *store, enum fake_store_addr_mode mode);
 
 #endif
--- a/src/testing/fake_store_faults.c
+++ b/src/testing/fake_store_faults.c
@@ -1,4 +1,4 @@
-/* Faults of the service that a test asks for. */
+/* Fault injection in the fake state service. */
 #include "testing/fake_store_internal.h"
 
 #include <string.h>
@@ -19,22 +19,22 @@
     return store->second_addr;
 }
 
-void fake_store_set_second_access(struct fake_store *store, enum fake_store_access access)
+void fake_store_set_second_addr_mode(struct fake_store *store, enum fake_store_addr_mode mode)
 {
-    store->faults.second_access = access;
+    store->faults.second_addr_mode = mode;
     fake_store_notify_watches(store);
 }
 
 bool fake_store_is_refusing(const struct fake_store *store, bool at_second_addr)
 {
     return store->faults.outage ||
-           (at_second_addr && store->faults.second_access == FAKE_STORE_REFUSES);
+           (at_second_addr && store->faults.second_addr_mode == FAKE_STORE_ADDR_REFUSES);
 }
 
-bool fake_store_are_watches_silent(const struct fake_store *store, bool at_second_addr)
+bool fake_store_are_watches_held_open(const struct fake_store *store, bool at_second_addr)
 {
     return store->faults.outage ||
-           (at_second_addr && store->faults.second_access != FAKE_STORE_SERVES);
+           (at_second_addr && store->faults.second_addr_mode != FAKE_STORE_ADDR_SERVES);
 }
 
 void fake_store_reject_next_watch(struct fake_store *store)
--- a/src/testing/fake_store_keys.c
+++ b/src/testing/fake_store_keys.c
@@ -1,4 +1,4 @@
-/* Keys: transactions, reads and lists. */
+/* The keyspace: transactions, reads and lists. */
 #include "testing/fake_store_internal.h"
 
 #include <stdlib.h>
@@ -70,8 +70,8 @@
 
 /* ---- transactions ---- */
 
-/* A write under a lease that has expired is refused, whatever the conditions: its key would stay
- * for ever. */
+/* Whether a write names a lease that has expired. Such a transaction is refused whatever its
+ * conditions are, because no expiry would ever delete the written key. */
 static bool has_expired_lease(struct fake_store *store, const cbor_item_t *writes)
 {
     for (size_t i = 0; i < pm_cbor_length(writes); i++) {
@@ -139,7 +139,7 @@
     }
 }
 
-/* Consumes `body`. */
+/* Answers the transaction, if a client waits for the answer, and frees the content of `body`. */
 static void reply_to_txn(struct fake_store *store, struct pm_http_request *request, int status,
                          struct pm_buffer *body)
 {
@@ -154,7 +154,7 @@
     }
 }
 
-/* Checks the conditions, applies the writes if they all hold, and answers. */
+/* Applies the writes if all conditions hold (compare-and-swap), and answers the request. */
 static void compare_and_write(struct fake_store *store, struct pm_http_request *request,
                               const cbor_item_t *conditions, const cbor_item_t *writes)
 {
@@ -196,10 +196,10 @@
     fake_store_resume_delayed_grant(store);
 }
 
-/* ---- keys of a lease ---- */
+/* ---- deleting a lease's keys ---- */
 
 struct leased_keys {
-    uint64_t lease_id; /* 0: any */
+    uint64_t lease_id; /* 0: any lease */
     GPtrArray *keys;
 };
 
@@ -247,10 +247,10 @@
     fake_store_reply(request, value ? HTTP_OK : HTTP_NOT_FOUND, &out);
 }
 
-/* A page of keys that is being written. */
+/* A page of keys and values, while it is being encoded. */
 struct page {
     struct pm_buffer *out;
-    char after[FAKE_STORE_KEY_SIZE]; /* the page begins behind this key */
+    char after[FAKE_STORE_KEY_SIZE]; /* the page has only keys that sort after this one */
     int remaining;
     bool has_next;
 };
--- a/src/testing/fake_store_leases.c
+++ b/src/testing/fake_store_leases.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #define EXPIRY_CHECK_S 0.05
-#define GRANT_DELAY_S 0.1 /* by then the watches have reported the leader's key */
+#define GRANT_DELAY_S 0.1 /* long enough for watches to report the leader key first */
 #define LEADER_KEY "p/lead"
 
 static struct fake_store_lease *find_lease(const struct fake_store *store, uint64_t lease_id)
@@ -50,7 +50,7 @@
     for (guint i = store->leases.live->len; i > 0; i--) {
         struct fake_store_lease *lease =
             &g_array_index(store->leases.live, struct fake_store_lease, i - 1);
-        if (store->faults.outage) /* after an outage every lease has its full time again */
+        if (store->faults.outage) /* no lease expires; after the outage each has its full TTL */
             lease->expires_at = now + lease->ttl_s;
         else if (now > lease->expires_at)
             revoke_lease(store, lease);
--- a/src/testing/fake_store_watches.c
+++ b/src/testing/fake_store_watches.c
@@ -1,4 +1,4 @@
-/* Watches: long polls for what was written after a revision. */
+/* Watches: long polls for the changes after a revision. */
 #include "testing/fake_store_internal.h"
 
 #include <stdlib.h>
@@ -12,7 +12,7 @@
     g_array_append_val(store->watches.changes, change);
 }
 
-/* A put that a later write has replaced is left out: the later change reports the key. */
+/* Omits a write that a later write or deletion has replaced: the later change reports the key. */
 static void append_event(struct fake_store *store, const struct fake_store_change *change,
                          struct pm_buffer *out)
 {
@@ -29,13 +29,14 @@
     pm_cbor_put_end(out);
 }
 
-/* False: there is nothing to report yet, or watches are not answered now. */
+/* Answers the watch if there are changes to report. Returns false if there are none, or if watches
+ * are held open now. */
 static bool try_to_answer(struct fake_store *store, const struct fake_store_watch *watch)
 {
     struct pm_buffer out = {0};
 
     if (watch->since >= store->keys.revision ||
-        fake_store_are_watches_silent(store, watch->at_second_addr))
+        fake_store_are_watches_held_open(store, watch->at_second_addr))
         return false;
     pm_cbor_put_map(&out);
     pm_cbor_put_pair_count(&out, "edition", store->keys.revision);
--- a/src/testing/fake_worker.c
+++ b/src/testing/fake_worker.c
@@ -1,11 +1,11 @@
-/* A worker's lease, heartbeats and answers: see the protocol of workers. */
+/* A fake worker's lease, its heartbeats, and how it serves pushed commands. */
 #include "testing/fake_provider_internal.h"
 #include "base/clock.h"
 
 #include <string.h>
 
-#define ANSWER_TIMEOUT_S 4.0 /* an answer to a heartbeat counts only within this */
-#define RETRY_S 0.5          /* before the next controller is tried */
+#define ANSWER_TIMEOUT_S 4.0 /* how long a worker waits for the answer to a heartbeat */
+#define RETRY_S 0.5          /* delay before the next controller is tried */
 
 enum { ANSWER_MAX = 64 * 1024 };
 
@@ -15,7 +15,7 @@
     uint64_t incarnation;
     int controller;
     double sent_at;
-    bool answer_is_lost;
+    bool answer_is_lost; /* a fault blocks packets from the controller */
 };
 
 static int next_controller(const struct fake_machine *machine, int controller)
@@ -52,7 +52,9 @@
     worker->fencing_token = token;
 }
 
-/* The answer renews the lease, from when the heartbeat was sent. */
+/* Applies a controller's answer: renews the lease, counted from the time at which the heartbeat was
+ * sent, and executes the commands. Ignores an answer with an older fencing token, or to a heartbeat
+ * of an earlier incarnation. */
 static void apply_answer(const struct heartbeat_call *call, const cbor_item_t *answer)
 {
     struct fake_machine *machine = call->machine;
@@ -68,7 +70,8 @@
     fake_worker_execute_commands(machine, pm_cbor_get(answer, "orders"), call->controller);
 }
 
-/* The controller that another one names as responsible; -1: none, or that one itself. */
+/* The controller that the answer names as responsible for this worker. Returns -1 if it names none,
+ * an unknown one, or the controller that answered. */
 static int find_redirect(const struct heartbeat_call *call, const cbor_item_t *answer)
 {
     const struct fake_provider_settings *settings = &call->machine->provider->settings;
@@ -103,7 +106,7 @@
 {
     struct heartbeat_call *call = arg;
     struct fake_machine *machine = call->machine;
-    bool is_reachable = fake_machine_is_up(machine) && !machine->faults.is_hung &&
+    bool is_reachable = fake_machine_is_up(machine) && !machine->faults.is_suspended &&
                         !machine->faults.is_partitioned && !call->answer_is_lost;
     cbor_item_t *answer = body && size ? pm_cbor_parse(body, size) : NULL;
 
@@ -146,7 +149,7 @@
     }
     worker->heartbeat.in_flight = true;
     if (fault.to_controller)
-        return; /* it times out */
+        return; /* nothing is sent, so the heartbeat times out */
     call = g_new0(struct heartbeat_call, 1);
     *call = (struct heartbeat_call){machine, worker->incarnation, controller, now,
                                     fault.from_controller};
@@ -158,7 +161,8 @@
 
 /* ---- pushed commands ---- */
 
-int fake_worker_execute_push(struct fake_machine *machine, int controller, const cbor_item_t *body)
+int fake_worker_execute_pushed_commands(struct fake_machine *machine, int controller,
+                                        const cbor_item_t *body)
 {
     struct fake_worker *worker = &machine->worker;
     uint64_t token = 0;
@@ -184,7 +188,7 @@
     if (strcmp(request->path, "/do") != 0)
         return HTTP_OK;
     body = pm_cbor_parse(request->body, request->body_size);
-    status = fake_worker_execute_push(machine, controller, body);
+    status = fake_worker_execute_pushed_commands(machine, controller, body);
     pm_cbor_free(body);
     return status;
 }
@@ -207,9 +211,9 @@
     pm_buffer_free(&out);
 }
 
-/* ---- time ---- */
+/* ---- timer ---- */
 
-/* A worker whose lease expired stops all tasks, and begins a new incarnation. */
+/* If the worker's lease has expired, stops all its tasks and starts a new incarnation. */
 static void check_lease(struct fake_machine *machine, double now)
 {
     struct fake_worker *worker = &machine->worker;
@@ -235,7 +239,7 @@
     struct fake_worker *worker = &machine->worker;
 
     check_lease(machine, now);
-    if (machine->faults.is_hung)
+    if (machine->faults.is_suspended)
         return;
     fake_worker_run_tasks(machine, now);
     if (worker->heartbeat.in_flight && now - worker->heartbeat.sent_at > ANSWER_TIMEOUT_S) {
--- a/src/testing/fake_worker_delays.c
+++ b/src/testing/fake_worker_delays.c
@@ -1,4 +1,5 @@
-/* Messages that arrive late: copies of heartbeats, and pushed commands. */
+/* Delayed messages: copies of heartbeats that arrive late, and pushed commands that are executed
+ * late. */
 #include "testing/fake_provider_internal.h"
 #include "base/clock.h"
 
@@ -6,10 +7,11 @@
 #define MAX_HEARTBEAT_DELAY_LEASES 2
 #define MAX_COMMAND_DELAY_S 8
 
-/* A message that arrives later than it was sent. */
+/* A message that is delivered once `due_at` has passed. A command also waits until its machine is
+ * not suspended. */
 struct delayed_message {
     struct fake_machine *machine;
-    int controller; /* that sent it, or that it was sent to */
+    int controller; /* the sender of a command, or the original receiver of a heartbeat */
     struct pm_buffer body;
     double due_at;
 };
@@ -32,11 +34,11 @@
     g_free(message);
 }
 
-static bool is_drawn(const struct fake_provider *provider, double share)
+static bool is_randomly_selected(const struct fake_provider *provider, double probability)
 {
     GRand *random = provider->settings.random;
 
-    return random && g_rand_double(random) < share;
+    return random && g_rand_double(random) < probability;
 }
 
 void fake_worker_maybe_copy_heartbeat(struct fake_machine *machine, int controller,
@@ -45,7 +47,7 @@
     struct fake_provider *provider = machine->provider;
     double delay_s;
 
-    if (!is_drawn(provider, provider->faults.delayed_heartbeat_share))
+    if (!is_randomly_selected(provider, provider->faults.delayed_heartbeat_share))
         return;
     delay_s = g_rand_double_range(provider->settings.random, MIN_DELAY_S,
                                   MAX_HEARTBEAT_DELAY_LEASES * provider->settings.lease_s);
@@ -57,12 +59,12 @@
                                      const struct pm_http_request *request)
 {
     struct fake_provider *provider = machine->provider;
-    bool drawn = is_drawn(provider, provider->faults.delayed_command_share);
+    bool selected = is_randomly_selected(provider, provider->faults.delayed_command_share);
     double delay_s = 0;
 
-    if (!drawn && !machine->faults.is_hung)
+    if (!selected && !machine->faults.is_suspended)
         return false;
-    if (drawn)
+    if (selected)
         delay_s = g_rand_double_range(provider->settings.random, MIN_DELAY_S, MAX_COMMAND_DELAY_S);
     delay_message(provider->delayed_commands, machine, controller, request->body,
                   request->body_size, pm_clock_monotonic() + delay_s);
@@ -71,7 +73,7 @@
 
 /* ---- delivery ---- */
 
-/* Nobody waits for the answer to a copy. */
+/* Ignores the answer: no worker waits for it. */
 static void on_copy_answer(void *arg, int status, const unsigned char *body, size_t size)
 {
     (void)arg;
@@ -95,7 +97,7 @@
 
     (void)provider;
     if (fake_machine_is_up(machine))
-        fake_worker_execute_push(machine, message->controller, body);
+        fake_worker_execute_pushed_commands(machine, message->controller, body);
     pm_cbor_free(body);
 }
 
@@ -106,7 +108,7 @@
 
 static bool is_command_deliverable(const struct delayed_message *message, double now)
 {
-    return message->due_at <= now && !message->machine->faults.is_hung;
+    return message->due_at <= now && !message->machine->faults.is_suspended;
 }
 
 static void deliver(struct fake_provider *provider, GPtrArray *messages,
--- a/src/testing/fake_worker_gangs.c
+++ b/src/testing/fake_worker_gangs.c
@@ -1,17 +1,19 @@
-/* Gangs: all tasks of an attempt start together, complete together, and end when one is missing. */
+/* Gangs: all tasks of an attempt start together and complete together. A task ends early if another
+ * task of its gang is missing for too long. */
 #include "testing/fake_provider_internal.h"
 
 #include <string.h>
 
 typedef void gang_visitor(struct fake_machine *machine, struct fake_task *task, void *arg);
 
-/* Machines that take no part in a gang now. */
+/* Whether the machine's tasks count as present in their gangs. */
 static bool is_responsive(const struct fake_machine *machine)
 {
-    return fake_machine_is_up(machine) && !machine->faults.is_hung;
+    return fake_machine_is_up(machine) && !machine->faults.is_suspended;
 }
 
-/* Visits each task of the gang, and of the same attempt, on a responsive machine. */
+/* Calls `visit` for each task of the member's gang and attempt that has not ended and is on a
+ * responsive machine. */
 static void visit_gang(struct fake_provider *provider, const struct fake_task *member,
                        gang_visitor *visit, void *arg)
 {
@@ -36,7 +38,7 @@
     ++*(unsigned *)arg;
 }
 
-/* `arg` is the monotonic time at which the gang completes. */
+/* Starts a task that waits for its gang. `arg` is the monotonic time when the gang completes. */
 static void start_waiting_task(struct fake_machine *machine, struct fake_task *task, void *arg)
 {
     if (!task->is_waiting)
--- a/src/testing/fake_worker_tasks.c
+++ b/src/testing/fake_worker_tasks.c
@@ -1,4 +1,4 @@
-/* A worker's tasks, and the commands that start, stop and forget them. */
+/* A fake worker's tasks, and the commands that launch, stop and forget them. */
 #include "testing/fake_provider_internal.h"
 #include "base/clock.h"
 
@@ -17,7 +17,7 @@
     return NULL;
 }
 
-/* Whether another attempt of the task runs here. */
+/* Whether some attempt of the task runs on this worker. */
 static bool has_running_attempt(const struct fake_worker *worker, const char *name)
 {
     for (guint i = 0; i < worker->tasks->len; i++) {
@@ -28,7 +28,7 @@
     return false;
 }
 
-/* NULL: the job was not described. */
+/* The job of a task; NULL if the job was not described to the provider. */
 static const struct fake_provider_job *find_job(const struct fake_provider *provider,
                                                 const char *task)
 {
@@ -76,7 +76,8 @@
     g_array_set_size(tasks, 0);
 }
 
-/* The task is reported as ended, but it never started: the history does not learn of it. */
+/* Marks the task as ended without starting it. The history is not told, because the task never
+ * ran. */
 static void reject(struct fake_task *task, const char *cause)
 {
     task->has_ended = true;
@@ -95,7 +96,7 @@
     history_task_started(machine->provider->history, machine->name, task->name, task->attempt, now);
 }
 
-/* A repeated command does nothing. */
+/* Executes a launch command. A repeated command for the same attempt does nothing. */
 static void launch(struct fake_machine *machine, const char *name, unsigned attempt, int controller)
 {
     const struct fake_provider *provider = machine->provider;
@@ -155,7 +156,7 @@
         execute_command(machine, pm_cbor_at(commands, i), controller);
 }
 
-/* ---- time ---- */
+/* ---- timer ---- */
 
 static void run_task(struct fake_machine *machine, struct fake_task *task, double now)
 {
--- a/src/testing/history.c
+++ b/src/testing/history.c
@@ -7,39 +7,39 @@
 
 enum { STATUS_SIZE = 16 };
 
-/* A job as users were answered about it. */
+/* A job as controllers have reported it to users. */
 struct reported_job {
-    char status[STATUS_SIZE];
+    char status[STATUS_SIZE]; /* the last one reported */
     unsigned tasks;
-    double cancelled_at;
+    double cancelled_at; /* when "cancelled" was first reported; 0: never */
 };
 
-/* A team with its current usage. */
+/* A team's quota and its current usage. */
 struct team {
     double cpus, cpus_max;
-    double accelerators, accelerators_max; /* limit 0: none */
-    bool is_over_quota;                    /* reported once each time */
+    double accelerators, accelerators_max; /* accelerators_max 0: no limit */
+    bool is_over_quota;                    /* each period over quota is reported once */
 };
 
-/* A job as it was submitted. */
+/* What a submitted job may use. */
 struct submitted_job {
-    struct team *team;
+    struct team *team; /* NULL: an unknown team */
     double cpus, accelerators;
     int zone;
 };
 
 struct history {
     double cancel_limit_s;
-    GHashTable *epoch_writers;    /* epoch, as text, to the controller that wrote it */
+    GHashTable *epoch_writers;    /* epoch as decimal text to the controller that wrote it */
     GHashTable *shard_owners;     /* controllers that were ever assigned a shard */
-    GHashTable *attempts;         /* "task attempt": started */
-    GHashTable *machines_by_task; /* task to the machine that it is on */
-    GHashTable *completed_counts; /* job to how many of its tasks completed */
-    GHashTable *completed;        /* tasks that completed */
-    GHashTable *reported_jobs;    /* id to struct reported_job */
-    GHashTable *teams;            /* name to struct team */
-    GHashTable *submitted_jobs;   /* id to struct submitted_job */
-    GHashTable *zones;            /* machine to its zone and one */
+    GHashTable *attempts;         /* "TASK ATTEMPT" for each started attempt */
+    GHashTable *machines_by_task; /* task that has not ended to its machine */
+    GHashTable *completed_counts; /* job id to the number of its tasks that completed */
+    GHashTable *completed;        /* names of tasks that completed */
+    GHashTable *reported_jobs;    /* job id to struct reported_job */
+    GHashTable *teams;            /* team name to struct team */
+    GHashTable *submitted_jobs;   /* job id to struct submitted_job */
+    GHashTable *zones;            /* machine to its zone number plus 1 */
     unsigned start_count;
     GString *violations;
 };
@@ -98,7 +98,7 @@
     const char *before = g_hash_table_lookup(history->epoch_writers, key);
 
     if (before && strcmp(before, controller) != 0)
-        g_string_append_printf(history->violations, "epoch %s was raised by %s and by %s\n", key,
+        g_string_append_printf(history->violations, "epoch %s was written by both %s and %s\n", key,
                                before, controller);
     g_hash_table_replace(history->epoch_writers, key, g_strdup(controller)); /* owns the key */
 }
@@ -115,7 +115,8 @@
 
     if ((!leader || strcmp(leader, controller) != 0) &&
         !g_hash_table_contains(history->shard_owners, controller))
-        g_string_append_printf(history->violations, "%s launches under token %s, which is %s's\n",
+        g_string_append_printf(history->violations,
+                               "%s sent a launch with fencing token %s, which belongs to %s\n",
                                controller, key, leader ? leader : "nobody");
     g_free(key);
 }
@@ -148,10 +149,12 @@
 
 void history_unknown_job_reported(struct history *history, const char *id)
 {
-    g_string_append_printf(history->violations, "%s was never submitted and is known\n", id);
+    g_string_append_printf(history->violations,
+                           "%s was never submitted, but a controller reports it\n", id);
 }
 
-/* The team's use after a task started, or ended (`tasks` -1). */
+/* Updates the usage of the job's team when a task starts (`tasks` 1) or ends (`tasks` -1). Reports
+ * a violation when the usage rises above the quota. */
 static void change_usage(struct history *history, const char *id, const char *task, int tasks)
 {
     const struct submitted_job *job = g_hash_table_lookup(history->submitted_jobs, id);
@@ -168,8 +171,8 @@
     if (is_over && !team->is_over_quota)
         g_string_append_printf(
             history->violations,
-            "quota: with %s its team uses %g of %g cpus, %g of %g accelerators\n", task, team->cpus,
-            team->cpus_max, team->accelerators, team->accelerators_max);
+            "quota: after %s started, its team uses %g of %g cpus, %g of %g accelerators\n", task,
+            team->cpus, team->cpus_max, team->accelerators, team->accelerators_max);
     team->is_over_quota = is_over;
 }
 
@@ -180,8 +183,9 @@
     int zone = GPOINTER_TO_INT(g_hash_table_lookup(history->zones, machine)) - 1;
 
     if (job && job->zone >= 0 && zone >= 0 && job->zone != zone)
-        g_string_append_printf(history->violations, "%s starts in zone %d, its job is for %d\n",
-                               task, zone, job->zone);
+        g_string_append_printf(history->violations,
+                               "%s started in zone %d, but its job allows only zone %d\n", task,
+                               zone, job->zone);
 }
 
 void history_task_started(struct history *history, const char *machine, const char *task,
@@ -195,10 +199,11 @@
     if (!g_hash_table_add(history->attempts, g_strdup(key)))
         g_string_append_printf(history->violations, "attempt %s started twice\n", key);
     if (other && strcmp(other, machine) != 0)
-        g_string_append_printf(history->violations, "%s starts on %s while it is on %s\n", task,
-                               machine, other);
+        g_string_append_printf(history->violations, "%s started on %s while it was still on %s\n",
+                               task, machine, other);
     if (job && job->cancelled_at > 0 && now > job->cancelled_at + history->cancel_limit_s)
-        g_string_append_printf(history->violations, "%s starts after its cancellation\n", task);
+        g_string_append_printf(history->violations, "%s started after its job's cancel limit\n",
+                               task);
     g_hash_table_replace(history->machines_by_task, g_strdup(task), g_strdup(machine));
     change_usage(history, id, task, 1);
     check_zone(history, id, task, machine);
@@ -207,8 +212,8 @@
     g_free(key);
 }
 
-/* Not counted in struct reported_job: a job may be over before its user is answered that it was
- * accepted. */
+/* The number of the job's tasks that completed. It is not kept in struct reported_job, because a
+ * job can end before its user gets the answer that it was accepted. */
 static unsigned count_done(const struct history *history, const char *id)
 {
     return GPOINTER_TO_UINT(g_hash_table_lookup(history->completed_counts, id));
@@ -244,10 +249,11 @@
         g_hash_table_insert(history->reported_jobs, g_strdup(id), job);
     }
     if (is_final(job->status) && strcmp(job->status, status) != 0)
-        g_string_append_printf(history->violations, "%s was %s and is called %s\n", id, job->status,
-                               status);
+        g_string_append_printf(history->violations, "%s was reported as %s and later as %s\n", id,
+                               job->status, status);
     if (!strcmp(status, "done") && count_done(history, id) < job->tasks)
-        g_string_append_printf(history->violations, "%s is called done after %u of %u tasks\n", id,
+        g_string_append_printf(history->violations,
+                               "%s was reported as done after %u of %u tasks\n", id,
                                count_done(history, id), job->tasks);
     if (!strcmp(status, "cancelled") && job->cancelled_at <= 0)
         job->cancelled_at = now;
@@ -265,9 +271,10 @@
         char *id = g_strndup(task, strcspn(task, "/"));
         struct reported_job *job = g_hash_table_lookup(history->reported_jobs, id);
         if (job && job->cancelled_at > 0 && now > job->cancelled_at + history->cancel_limit_s) {
-            g_string_append_printf(history->violations, "%s is on %s after its cancellation\n",
+            g_string_append_printf(history->violations,
+                                   "%s is still on %s after its job's cancel limit\n",
                                    (const char *)task, (const char *)machine);
-            g_hash_table_iter_remove(&iter); /* reported once */
+            g_hash_table_iter_remove(&iter); /* so that it is reported only once */
         }
         g_free(id);
     }
@@ -285,7 +292,7 @@
     return open;
 }
 
-void history_close(struct history *history)
+void history_report_abandoned_jobs(struct history *history)
 {
     unsigned open = history_open_job_count(history);
 
--- a/src/testing/history.h
+++ b/src/testing/history.h
@@ -1,15 +1,20 @@
-/* The history of a run: what workers were commanded and did, and what users were answered, checked
- * against the safety rules as it is recorded.
+/* The history of a test run: the commands that workers received, what the workers did, and the
+ * answers that users got. Each event is checked against the safety rules when it is recorded.
  *
- * Rules: no attempt starts twice, and no task while it is on another machine; no accepted job is
- * abandoned, none is called done early, no answer contradicts an earlier final one; no task of a
- * job runs on once its cancellation was confirmed and the limit has passed; nobody launches under a
- * fencing token but the controller that wrote that epoch, or one that owns a shard; no team uses
- * more than its quota, no task starts in a zone that its job does not allow, and no user is
- * answered about a job that was never submitted.
+ * The rules:
+ * - No attempt starts twice. No task starts while it is still on another machine.
+ * - Every accepted job ends as done or cancelled, and is not reported as done before all its tasks
+ *   have completed. No answer contradicts an earlier final status.
+ * - When a job's cancellation has been confirmed and the cancel limit has passed, none of its tasks
+ *   starts or is still on a machine.
+ * - A launch carries a fencing token whose epoch the sending controller wrote, or its sender has
+ *   been assigned a shard.
+ * - No team uses more than its quota. No task starts in a zone that its job does not allow.
+ * - No controller reports a job that was never submitted.
  *
- * Written by the stand-ins and the users (fake_provider.h, cluster.h), in the thread that runs the
- * event loop; there is no lock. All texts are copied. Times are monotonic seconds. */
+ * The fake provider and the simulated users (fake_provider.h, cluster.h) record the events in the
+ * thread that runs the event loop; there is no lock. All strings are copied. Times are monotonic
+ * seconds. */
 #ifndef PM_TESTING_HISTORY_H
 #define PM_TESTING_HISTORY_H
 
@@ -22,61 +27,67 @@
 struct history_job {
     const char *team;
     double cpus, accelerators; /* of each task */
-    int zone;                  /* the only allowed one; -1: any */
+    int zone;                  /* the only allowed zone; -1: any zone */
 };
 
-/* An empty history; the caller owns it. A cancelled job's tasks have ended everywhere within
- * `cancel_limit_s`. */
+/* Creates an empty history, owned by the caller. `cancel_limit_s` is the time within which all
+ * tasks of a job must have ended after its cancellation is confirmed. */
 struct history *history_new(double cancel_limit_s);
 /* Frees the history. */
 void history_free(struct history *history);
 
-/* ---- what is known beforehand ---- */
+/* ---- teams, machines and jobs ---- */
 
-/* A team's tasks may use that many processors, and accelerators (0: any number), at once. */
+/* Records a team's quota: the CPUs and accelerators that its tasks may use at the same time. With
+ * `accelerators_max` 0, accelerators are not limited. */
 void history_add_team(struct history *history, const char *name, double cpus_max,
                       double accelerators_max);
-/* Records the zone of a machine. */
+/* Records a machine's zone. */
 void history_add_machine(struct history *history, const char *machine, int zone);
-/* Records what a job may use. One without this counts for no team, and may run in any zone. */
+/* Records a submitted job. A job that was not recorded counts towards no quota and may run in any
+ * zone. */
 void history_job_submitted(struct history *history, const char *id, struct history_job job);
 
-/* ---- what the controllers do ---- */
+/* ---- events of controllers ---- */
 
-/* A controller wrote this epoch. */
+/* Records that a controller wrote this epoch. */
 void history_epoch_advanced(struct history *history, uint64_t epoch, const char *controller);
-/* A controller was assigned a shard. */
+/* Records that a controller was assigned a shard. */
 void history_shard_assigned(struct history *history, const char *controller);
-/* A worker received the command to launch a task, under this fencing token. */
+/* Records that a worker received a launch command from a controller, with this fencing token. */
 void history_launch_received(struct history *history, uint64_t token, const char *controller);
 
-/* ---- what the workers do ---- */
+/* ---- events of workers ---- */
 
-/* A worker started an attempt of a task. */
+/* Records that a worker started an attempt of a task. */
 void history_task_started(struct history *history, const char *machine, const char *task,
                           unsigned attempt, double now);
-/* The task is on the machine no more; `done`: it completed. */
+/* Records that a task ended on a machine; `done` if it completed. */
 void history_task_ended(struct history *history, const char *machine, const char *task, bool done);
 
-/* ---- what the users are answered ---- */
+/* ---- answers to users ---- */
 
-/* A user was answered about a job: a status of the protocol, "queued" to "cancelled". */
+/* Records the status that a controller reported to a user for a job with `tasks` tasks. `status` is
+ * a status of the API, such as "queued" or "cancelled", or "unknown" if the controller answered
+ * 404. */
 void history_status_reported(struct history *history, const char *id, unsigned tasks,
                              const char *status, double now);
-/* A user asked for a job that nobody submitted, and was answered with one. */
+/* Records that a controller answered a request for a job that nobody submitted as if it existed. */
 void history_unknown_job_reported(struct history *history, const char *id);
 
 /* ---- checks ---- */
 
-/* Checks which tasks may not be on a machine any more; called at short intervals. */
+/* Checks for tasks that are still on a machine although the cancel limit has passed. Called at
+ * short intervals. */
 void history_check_cancellations(struct history *history, double now);
-/* Records the open jobs as abandoned; called at the end of a run. */
-void history_close(struct history *history);
-/* How many accepted jobs are neither done nor cancelled, as far as users were answered. */
+/* Reports a violation if there are open jobs. Called once, at the end of a run. */
+void history_report_abandoned_jobs(struct history *history);
+/* The number of accepted jobs that no answer has reported as done or cancelled. */
 unsigned history_open_job_count(const struct history *history);
-/* How many attempts were started. */
+/* The number of attempts that workers have started. */
 unsigned history_start_count(const struct history *history);
-/* One line for each broken rule, "" if there is none; borrowed until the next call. */
+/* One line for each violation, "" if there is none. Valid until the next call that records an event
+ * or checks. */
 const char *history_violations(const struct history *history);
 
 #endif
--- a/src/testing/tests/test_history.c
+++ b/src/testing/tests/test_history.c
@@ -1,4 +1,4 @@
-/* The checker of histories finds each kind of violation, and nothing where there is none. */
+/* Tests that the history reports each kind of violation, and none in a correct run. */
 #include "testing/history.h"
 
 #include <setjmp.h>
@@ -11,7 +11,8 @@
 
 static struct history *history;
 
-/* Two attempts of a job's only task, one after the other, each by the leader of that time. */
+/* Creates a correct history: the leader of epoch 1 launches the only task of job-1. When that
+ * attempt has ended, the leader of epoch 2 launches the task again, and that attempt still runs. */
 static int set_up(void **arg)
 {
     (void)arg;
@@ -45,7 +46,7 @@
     history_task_ended(history, "i-2", "job-1/0", true);
     history_status_reported(history, "job-1", 1, "done", 8);
     history_check_cancellations(history, 100);
-    history_close(history);
+    history_report_abandoned_jobs(history);
     assert_string_equal(history_violations(history), "");
 }
 
@@ -53,7 +54,7 @@
 {
     (void)arg;
     history_task_started(history, "i-3", "job-1/0", 3, 6);
-    assert_violation("job-1/0 starts on i-3 while it is on i-2");
+    assert_violation("job-1/0 started on i-3 while it was still on i-2");
 }
 
 static void cpus_over_quota_are_found(void **arg)
@@ -66,7 +67,7 @@
     history_task_started(history, "i-3", "job-2/0", 2, 6);
     assert_string_equal(history_violations(history), "");
     history_task_started(history, "i-4", "job-2/1", 3, 6);
-    assert_violation("quota: with job-2/1 its team uses 4 of 3 cpus");
+    assert_violation("quota: after job-2/1 started, its team uses 4 of 3 cpus");
 }
 
 static void accelerators_over_quota_are_found(void **arg)
@@ -86,9 +87,9 @@
     history_add_machine(history, "i-3", 1);
     history_job_submitted(history, "job-2", (struct history_job){"team-a", 2, 0, 0});
     history_task_started(history, "i-3", "job-2/0", 1, 6);
-    assert_violation("job-2/0 starts in zone 1, its job is for 0");
+    assert_violation("job-2/0 started in zone 1, but its job allows only zone 0");
     history_unknown_job_reported(history, "job-9");
-    assert_violation("job-9 was never submitted and is known");
+    assert_violation("job-9 was never submitted, but a controller reports it");
 }
 
 static void repeated_attempt_is_found(void **arg)
@@ -102,9 +103,9 @@
 {
     (void)arg;
     history_status_reported(history, "job-1", 1, "done", 6);
-    assert_violation("done after 0 of 1 tasks");
+    assert_violation("job-1 was reported as done after 0 of 1 tasks");
     history_status_reported(history, "job-1", 1, "running", 7);
-    assert_violation("was done and is called running");
+    assert_violation("job-1 was reported as done and later as running");
 }
 
 static void task_after_its_cancellation_is_found(void **arg)
@@ -114,27 +115,27 @@
     history_check_cancellations(history, 15);
     assert_string_equal(history_violations(history), "");
     history_check_cancellations(history, 17);
-    assert_violation("on i-2 after its cancellation");
+    assert_violation("job-1/0 is still on i-2 after its job's cancel limit");
 }
 
 static void launch_under_a_foreign_token_is_found(void **arg)
 {
     (void)arg;
     history_launch_received(history, 2, "node-0");
-    assert_violation("node-0 launches under token 2, which is node-1's");
+    assert_violation("node-0 sent a launch with fencing token 2, which belongs to node-1");
 }
 
 static void epoch_of_two_writers_is_found(void **arg)
 {
     (void)arg;
     history_epoch_advanced(history, 2, "node-2");
-    assert_violation("epoch 2 was raised by node-1 and by node-2");
+    assert_violation("epoch 2 was written by both node-1 and node-2");
 }
 
 static void abandoned_job_is_found(void **arg)
 {
     (void)arg;
-    history_close(history);
+    history_report_abandoned_jobs(history);
     assert_violation("1 accepted jobs were abandoned");
 }
 
