--- a/src/soak/fault_injection.c
+++ b/src/soak/fault_injection.c
@@ -1,18 +1,21 @@
-/* Begins and ends the faults of a schedule: sets them at the cluster and its fake services. */
+/* Begins and ends the faults of a schedule by applying them to the cluster and its fake services.
+ *
+ * Each begin_or_end function begins the fault if `begins` is true, and ends it otherwise. */
 #include "soak/soak_internal.h"
 
 #include <math.h>
 
-#define DELAYED_MESSAGE_SHARE 0.3 /* of heartbeats and of commands */
+#define DELAYED_MESSAGE_SHARE 0.3 /* of heartbeats, and of commands */
 
 enum {
-    MACHINES_AT_ONCE_MAX = 4, /* that one fault partitions or suspends */
-    CANCELLATIONS_MAX = 6     /* jobs that one fault cancels */
+    MACHINES_PER_FAULT_MAX = 4,     /* machines that one fault partitions or suspends */
+    CANCELLATIONS_PER_FAULT_MAX = 6 /* jobs that one fault cancels */
 };
 
-/* A fault's random number `choice` is divided by these before a link fault or a number of machines
- * is selected with it. The low bits, which select the controller or the first machine, then have
- * little influence on that selection. */
+/* The controller and the first machine are selected by a fault's random number modulo their count,
+ * which depends mostly on the low bits. The link fault and the number of machines are selected
+ * after a division by these numbers, that is, by higher bits, so that both selections are nearly
+ * independent. */
 enum { LINK_FAULT_DIVISOR = 16, MACHINE_COUNT_DIVISOR = 64 };
 
 void fault_injection_init(struct fault_injection *injection)
@@ -20,7 +23,8 @@
     injection->active = g_array_new(FALSE, FALSE, sizeof(struct active_fault));
 }
 
-/* Writes to the controllers' log that a fault begins or ends. */
+/* Writes to the controllers' log that a fault begins or ends, with controller -1 for a fault that
+ * targets no controller. */
 static void log_change(const struct soak *soak, const char *change,
                        const struct active_fault *active)
 {
@@ -33,8 +37,8 @@
 
 /* ---- links ---- */
 
-/* Returns one of four link faults: packets are blocked in both directions, only from the controller
- * or only to it, or connections are reset. */
+/* Returns one of four link faults. Three block the packets in both directions, only from the
+ * controller, or only to the controller; the fourth resets connections. */
 static struct relay_fault choose_link_fault(const struct fault *fault)
 {
     static const struct relay_fault link_faults[] = {
@@ -43,11 +47,12 @@
         {.to_controller = true},
         {.reset = true}};
 
-    return link_faults[fault->choice / LINK_FAULT_DIVISOR % G_N_ELEMENTS(link_faults)];
+    return link_faults[fault->random_number / LINK_FAULT_DIVISOR % G_N_ELEMENTS(link_faults)];
 }
 
-/* Sets or clears the fault of all links of that type at the controller. `targets` is the number of
- * peers or zones that such links lead to; 1 for other types. */
+/* Sets or clears a fault on all of the controller's links of type `link`. `targets` is the number
+ * of controllers or zones for links to peers or zones (the controller has no link to itself), and 1
+ * for the links to the state service and the provider. */
 static void set_link_faults(struct soak *soak, const struct active_fault *active,
                             enum cluster_link link, int targets, bool begins)
 {
@@ -62,13 +67,12 @@
 
 /* ---- controllers ---- */
 
-/* This and the other switch_ functions begin the fault if `begins`, otherwise they end it. */
-static void switch_controller_fault(struct soak *soak, const struct active_fault *active,
-                                    bool begins)
+static void begin_or_end_controller_fault(struct soak *soak, const struct active_fault *active,
+                                          bool begins)
 {
     if (active->fault.kind == FAULT_PAUSE)
         cluster_pause(soak->cluster, active->controller, begins);
-    else if (active->fault.kind == FAULT_REFUSED_ALONE)
+    else if (active->fault.kind == FAULT_STORE_REFUSES_CONTROLLER)
         cluster_set_refused(soak->cluster, active->controller, begins);
     else if (begins)
         cluster_kill(soak->cluster, active->controller);
@@ -76,7 +80,8 @@
         cluster_start(soak->cluster, active->controller);
 }
 
-static void switch_link_fault(struct soak *soak, const struct active_fault *active, bool begins)
+static void begin_or_end_link_fault(struct soak *soak, const struct active_fault *active,
+                                    bool begins)
 {
     if (active->fault.kind == FAULT_CUT_STORE)
         set_link_faults(soak, active, CLUSTER_LINK_STORE, 1, begins);
@@ -90,19 +95,23 @@
 
 /* ---- the state service ---- */
 
-static void switch_delayed_write(struct soak *soak, const struct fault *fault, bool begins)
+/* Delays the next transaction that contains a key with the selected prefix, or executes the delayed
+ * transaction if there is one. */
+static void begin_or_end_delayed_write(struct soak *soak, const struct fault *fault, bool begins)
 {
-    static const char *const keys[] = {"p/t/", "p/b/", "p/j/", "p/epoch"};
+    static const char *const key_prefixes[] = {"p/t/", "p/b/", "p/j/", "p/epoch"};
     struct fake_store *store = cluster_store(soak->cluster);
 
     if (begins)
-        fake_store_delay_next_txn(store, keys[fault->choice % G_N_ELEMENTS(keys)]);
+        fake_store_delay_next_txn(store,
+                                  key_prefixes[fault->random_number % G_N_ELEMENTS(key_prefixes)]);
     else if (fake_store_has_delayed_txn(store))
         fake_store_execute_delayed_txn(store);
 }
 
-/* A lost answer and a refused watch affect only the next request, so their end changes nothing. */
-static void switch_store_fault(struct soak *soak, const struct fault *fault, bool begins)
+/* A lost answer and a rejected watch affect only the next request, so nothing is done when these
+ * faults end. */
+static void begin_or_end_store_fault(struct soak *soak, const struct fault *fault, bool begins)
 {
     struct fake_store *store = cluster_store(soak->cluster);
 
@@ -111,7 +120,7 @@
     else if (fault->kind == FAULT_STORE_HANGS)
         fake_store_set_hanging(store, begins);
     else if (fault->kind == FAULT_LATE_WRITE)
-        switch_delayed_write(soak, fault, begins);
+        begin_or_end_delayed_write(soak, fault, begins);
     else if (fault->kind == FAULT_LOST_ANSWER && begins)
         fake_store_lose_next_answer(store);
     else if (fault->kind == FAULT_WATCH_TOO_OLD && begins)
@@ -120,26 +129,30 @@
 
 /* ---- machines and users ---- */
 
-static void switch_machines(struct soak *soak, const struct fault *fault, bool begins)
+/* Partitions or suspends 1 to MACHINES_PER_FAULT_MAX machines, or ends the partition or
+ * suspension. */
+static void set_machines_unreachable(struct soak *soak, const struct fault *fault,
+                                     bool is_unreachable)
 {
     struct fake_provider *provider = cluster_provider(soak->cluster);
-    unsigned count = 1 + fault->choice / MACHINE_COUNT_DIVISOR % MACHINES_AT_ONCE_MAX;
+    unsigned count = 1 + fault->random_number / MACHINE_COUNT_DIVISOR % MACHINES_PER_FAULT_MAX;
 
     for (unsigned i = 0; i < count; i++) {
         if (fault->kind == FAULT_MACHINE_CUT)
-            fake_provider_cut_machine(provider, fault->choice + i, begins);
+            fake_provider_cut_machine(provider, fault->random_number + i, is_unreachable);
         else
-            fake_provider_hang_machine(provider, fault->choice + i, begins);
+            fake_provider_hang_machine(provider, fault->random_number + i, is_unreachable);
     }
 }
 
-/* Records that commands are delayed until `until_s`, or longer if that was recorded before. */
+/* Records that commands are delayed until `until_s`, unless a later time is already recorded. */
 static void extend_command_delays(struct soak *soak, double until_s)
 {
     soak->injection.delayed_until_s = MAX(soak->injection.delayed_until_s, until_s);
 }
 
-static void switch_machine_fault(struct soak *soak, const struct active_fault *active, bool begins)
+static void begin_or_end_machine_fault(struct soak *soak, const struct active_fault *active,
+                                       bool begins)
 {
     struct fake_provider *provider = cluster_provider(soak->cluster);
     double share = begins ? DELAYED_MESSAGE_SHARE : 0;
@@ -148,11 +161,13 @@
         extend_command_delays(soak, active->end_s);
         fake_provider_delay_messages(provider, share, share);
     } else if (active->fault.kind == FAULT_MACHINE_HANGS) {
-        /* Commands sent to a suspended machine are executed when it resumes, and never answered. */
+        /* Commands sent to a suspended machine are executed when the machine resumes, and never
+         * answered, so they count as delayed until then. The machine may resume a little later
+         * than `end_s`, so the time is recorded again when the fault ends. */
         extend_command_delays(soak, begins ? active->end_s : soak_elapsed_s(soak));
-        switch_machines(soak, &active->fault, begins);
+        set_machines_unreachable(soak, &active->fault, begins);
     } else if (active->fault.kind == FAULT_MACHINE_CUT) {
-        switch_machines(soak, &active->fault, begins);
+        set_machines_unreachable(soak, &active->fault, begins);
     } else if (begins) {
         fake_provider_fail_machine(provider);
     }
@@ -160,7 +175,7 @@
 
 static void cancel_jobs(struct soak *soak, const struct fault *fault)
 {
-    unsigned count = 1 + fault->choice % CANCELLATIONS_MAX;
+    unsigned count = 1 + fault->random_number % CANCELLATIONS_PER_FAULT_MAX;
 
     for (unsigned i = 0; i < count; i++)
         cluster_cancel_any(soak->cluster, g_rand_int(soak->random));
@@ -168,34 +183,34 @@
 
 /* ---- faults of all kinds ---- */
 
-/* Logs the change, and calls the function for the fault's kind. */
-static void switch_fault(struct soak *soak, const struct active_fault *active, bool begins)
+/* Logs that the fault begins or ends, and calls the function for the fault's kind. */
+static void begin_or_end_fault(struct soak *soak, const struct active_fault *active, bool begins)
 {
     log_change(soak, begins ? "begin" : "end", active);
     switch (active->fault.kind) {
     case FAULT_KILL:
     case FAULT_PAUSE:
-    case FAULT_REFUSED_ALONE:
-        switch_controller_fault(soak, active, begins);
+    case FAULT_STORE_REFUSES_CONTROLLER:
+        begin_or_end_controller_fault(soak, active, begins);
         break;
     case FAULT_CUT_STORE:
     case FAULT_CUT_PEERS:
     case FAULT_CUT_WORKERS:
     case FAULT_CUT_PROVIDER:
-        switch_link_fault(soak, active, begins);
+        begin_or_end_link_fault(soak, active, begins);
         break;
     case FAULT_OUTAGE:
     case FAULT_STORE_HANGS:
     case FAULT_LATE_WRITE:
     case FAULT_LOST_ANSWER:
     case FAULT_WATCH_TOO_OLD:
-        switch_store_fault(soak, &active->fault, begins);
+        begin_or_end_store_fault(soak, &active->fault, begins);
         break;
     case FAULT_LATE_MESSAGES:
     case FAULT_MACHINE_CUT:
     case FAULT_MACHINE_HANGS:
     case FAULT_MACHINE_FAILS:
-        switch_machine_fault(soak, active, begins);
+        begin_or_end_machine_fault(soak, active, begins);
         break;
     case FAULT_CANCELLATIONS:
         if (begins)
@@ -206,18 +221,20 @@
     }
 }
 
-static bool affects_controller(enum fault_kind kind)
+/* This function and the next rely on the order of enum fault_kind. */
+static bool targets_controller(enum fault_kind kind)
 {
-    return kind <= FAULT_REFUSED_ALONE;
+    return kind <= FAULT_STORE_REFUSES_CONTROLLER;
 }
 
-static bool affects_process(enum fault_kind kind)
+static bool stops_process(enum fault_kind kind)
 {
     return kind <= FAULT_PAUSE;
 }
 
-/* Returns whether a fault of the same kind is in progress at that controller. Two of them must not
- * overlap: the end of the first would end both. Kill and pause count as the same kind. */
+/* Returns whether a fault of the same kind is in progress on the same controller; `controller` is
+ * -1 for a fault that targets no controller. Two such faults must not overlap, because the end of
+ * the first would end both. Kill and pause count as the same kind. */
 static bool is_fault_active(const struct soak *soak, enum fault_kind kind, int controller)
 {
     const GArray *active_faults = soak->injection.active;
@@ -225,20 +242,21 @@
     for (guint i = 0; i < active_faults->len; i++) {
         const struct active_fault *active = &g_array_index(active_faults, struct active_fault, i);
         bool is_same = active->fault.kind == kind ||
-                       (affects_process(active->fault.kind) && affects_process(kind));
+                       (stops_process(active->fault.kind) && stops_process(kind));
         if (is_same && active->controller == controller)
             return true;
     }
     return false;
 }
 
-bool fault_injection_affects_process(const struct soak *soak, int controller)
+bool fault_injection_has_stopped_process(const struct soak *soak, int controller)
 {
+    /* Also finds FAULT_PAUSE, which counts as the same kind. */
     return is_fault_active(soak, FAULT_KILL, controller);
 }
 
-/* Returns the leader or a shard owner, as the fault's target says. If there is none, or the target
- * is any controller, the fault's random number selects one. */
+/* Returns the leader or a shard owner, according to the fault's target. If there is no leader or
+ * shard owner, or the target is any controller, the fault's random number selects a controller. */
 static int choose_controller(const struct soak *soak, const struct fault *fault)
 {
     int controller = -1;
@@ -249,18 +267,18 @@
         controller = cluster_shard_owner(soak->cluster);
     if (controller >= 0)
         return controller;
-    return (int)(fault->choice % (unsigned)soak->settings->controller_count);
+    return (int)(fault->random_number % (unsigned)soak->settings->controller_count);
 }
 
 void fault_injection_begin(struct soak *soak, const struct fault *fault)
 {
     struct active_fault active = {*fault, -1, soak_elapsed_s(soak) + fault->duration_s};
 
-    if (affects_controller(fault->kind))
+    if (targets_controller(fault->kind))
         active.controller = choose_controller(soak, fault);
     if (is_fault_active(soak, fault->kind, active.controller))
         return;
-    switch_fault(soak, &active, true);
+    begin_or_end_fault(soak, &active, true);
     g_array_append_val(soak->injection.active, active);
 }
 
@@ -275,7 +293,7 @@
             continue;
         }
         g_array_remove_index(active_faults, i);
-        switch_fault(soak, &active, false);
+        begin_or_end_fault(soak, &active, false);
     }
 }
 
--- a/src/soak/fault_schedule.c
+++ b/src/soak/fault_schedule.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 #define MAX_GAP_S 4.0 /* longest time between the starts of two consecutive faults */
-/* This share of faults starts within MAX_OVERLAP_GAP_S of the fault before, so that faults often
- * overlap. */
+/* This share of faults starts within MAX_OVERLAP_GAP_S of the start of the previous fault, so that
+ * faults often overlap. */
 #define OVERLAP_SHARE 0.5
 #define MAX_OVERLAP_GAP_S 1.0
 #define MIN_DURATION_S 0.05
@@ -28,7 +28,7 @@
 
 /* ---- kinds ---- */
 
-/* Returns FAULT_KIND_COUNT if there is no such name. */
+/* Returns the kind with that name, or FAULT_KIND_COUNT if there is none. */
 static enum fault_kind find_kind(const char *name)
 {
     for (int kind = 0; kind < FAULT_KIND_COUNT; kind++)
@@ -68,7 +68,7 @@
     }
 }
 
-/* Short durations are as likely as long ones. */
+/* Durations up to SHORT_DURATION_S are as likely as longer ones. */
 static double draw_duration(GRand *random)
 {
     if (g_rand_boolean(random))
@@ -96,7 +96,7 @@
         fault.start_s = start_s;
         fault.kind = draw_kind(random, kinds);
         fault.target = (enum fault_target)g_rand_int_range(random, 0, FAULT_TARGET_COUNT);
-        fault.choice = g_rand_int(random);
+        fault.random_number = g_rand_int(random);
         fault.duration_s = draw_duration(random);
         g_array_append_val(schedule, fault);
     }
@@ -138,8 +138,8 @@
 {
     for (guint i = 0; i < schedule->len; i++) {
         const struct fault *fault = &g_array_index(schedule, struct fault, i);
-        printf("  fault %3u at %6.2f s for %5.2f s: %s, target %s, choice %u\n", i + 1,
+        printf("  fault %3u at %6.2f s for %5.2f s: %s, target %s, random number %u\n", i + 1,
                fault->start_s, fault->duration_s, kind_names[fault->kind],
-               target_names[fault->target], fault->choice);
+               target_names[fault->target], fault->random_number);
     }
 }
--- a/src/soak/main.c
+++ b/src/soak/main.c
@@ -1,13 +1,13 @@
-/* Runs the randomized fault test: real controller processes over loopback, with fake services. Exit
- * codes: 0 if no violation was found, 1 if one was, 2 on bad input or if the cluster fails to
- * start. */
+/* Runs the randomized fault test: real controller processes over loopback, with fake services. The
+ * exit code is 0 if no violation was found, 1 if at least one was found, and 2 if the input is bad
+ * or the cluster did not start in time. */
 #include "soak/soak.h"
 
 #include <glib.h>
 #include <stdio.h>
 #include <unistd.h>
 
-enum { EXIT_CLEAN, EXIT_VIOLATION, EXIT_INPUT };
+enum { EXIT_CLEAN, EXIT_VIOLATION, EXIT_BAD_INPUT };
 
 enum { SEEDS_MAX = 100000, CONTROLLERS_MIN = 3, CONTROLLERS_MAX = 8, MACHINES_MAX = 400 };
 #define SECONDS_MAX 3600
@@ -85,14 +85,14 @@
 
     printf("seed %u: %u faults scheduled, %.0f s, %u jobs, %u task starts, "
            "fake services stalled for at most %.2f s: %s\n",
-           seed, result->faults, result->seconds, result->jobs, result->starts, result->max_stall_s,
-           is_clean ? "clean" : "violated");
+           seed, result->fault_count, result->seconds, result->job_count, result->task_start_count,
+           result->max_stall_s, is_clean ? "clean" : "violated");
     if (!is_clean)
         printf("%slog: %s\n", result->violations, log ? log : "not kept (use --logs DIR)");
     fflush(stdout);
 }
 
-/* Runs the soak with one seed. Returns the exit code for it. */
+/* Runs the soak with one seed and returns its exit code. */
 static int run_seed(const struct options *options, const char *operator_yaml, guint32 seed)
 {
     char *log = options->log_directory
@@ -119,7 +119,7 @@
         print_result(seed, &result, log);
         g_free(result.violations);
     } else {
-        code = EXIT_INPUT;
+        code = EXIT_BAD_INPUT;
         fprintf(stderr,
                 "soak: seed %u: --only does not list faults of the schedule, "
                 "or the cluster failed to start\n",
@@ -144,7 +144,7 @@
          !g_file_get_contents(options.operator_file, &operator_yaml, NULL, &error))) {
         fprintf(stderr, "soak: %s\n",
                 error ? error->message : (bad_option ? bad_option : "unexpected argument"));
-        return EXIT_INPUT;
+        return EXIT_BAD_INPUT;
     }
     for (int i = 0; i < options.count; i++) {
         int code = run_seed(&options, operator_yaml, (guint32)(options.seed + i));
--- a/src/soak/soak.c
+++ b/src/soak/soak.c
@@ -7,26 +7,28 @@
 #include <glib/gstdio.h>
 #include <unistd.h>
 
-#define START_TIMEOUT_S 30.0  /* within which has_started must become true */
-#define SETTLE_TIMEOUT_S 90.0 /* within which all jobs must end after the last fault */
+#define START_TIMEOUT_S 30.0  /* has_started must become true within this time */
+#define SETTLE_TIMEOUT_S 90.0 /* all jobs must end within this time after the last fault */
 #define STEP_S 0.05           /* the event loop runs this long between two checks */
-#define SUBMIT_GAP_MAX_S 0.8  /* longest time between two submissions */
+#define SUBMIT_GAP_MAX_S 0.8  /* upper bound of the random time between two submissions */
 
 enum {
-    OPEN_JOBS_MAX = 40, /* users submit no job while they wait for this many */
+    OPEN_JOBS_MAX = 40, /* no job is submitted while this many have not ended */
     MACHINE_CPUS = 8,
-    MACHINES_PER_SCALE_STEP = 10 /* the workload's scale grows by 1 with this many machines */
+    MACHINES_PER_ARRAY_TASK_FACTOR = 10 /* see array_task_factor */
 };
 
-/* The leases are short, so that many of them expire in a run of a minute. */
+/* The leases of the leader and of the roles are short, so that many of them expire in a run of a
+ * minute. */
 #define DEFAULT_OPERATOR_YAML "leader_ttl_s: 1.5\nconfirm_s: 0.8\nidle_return_s: 3\n"
 #define ROLES_OPERATOR_YAML                                                                        \
     DEFAULT_OPERATOR_YAML                                                                          \
     "links:\n  observe: true\n  decide: true\n  probe_s: 0.5\n"                                    \
     "  down_s: 1\n  expire_s: 4\nduties:\n  fence: true\n  ttl_s: 2\n"
 
-/* The workers' lease is one of these. With the short one, many leases expire in a minute. Within
- * the long one, a command may be delayed for longer than its sender waits for the answer. */
+/* The possible lengths of the workers' leases; a run draws one unless its settings give a length.
+ * With 4 s, many leases expire in a minute. With 15 s, a command may arrive while the worker's
+ * lease is still valid, but after its sender has stopped waiting for the answer. */
 static const double worker_leases_s[] = {4, 15};
 
 double soak_elapsed_s(const struct soak *soak)
@@ -41,14 +43,16 @@
     return settings->with_roles ? ROLES_OPERATOR_YAML : DEFAULT_OPERATOR_YAML;
 }
 
-/* The workload grows with the number of machines. */
-static unsigned workload_scale(const struct soak_settings *settings)
+/* Returns the factor by which the task counts of array jobs are multiplied: 1 for each
+ * MACHINES_PER_ARRAY_TASK_FACTOR machines, and at least 1. */
+static unsigned array_task_factor(const struct soak_settings *settings)
 {
-    return (unsigned)MAX(1, settings->max_machines / MACHINES_PER_SCALE_STEP);
+    return (unsigned)MAX(1, settings->max_machines / MACHINES_PER_ARRAY_TASK_FACTOR);
 }
 
 /* ---- the run ---- */
 
+/* Runs the event loop for STEP_S, then collects new violations and ends the faults that are due. */
 static void step(struct soak *soak)
 {
     double started_s = soak_elapsed_s(soak);
@@ -64,14 +68,14 @@
 static bool try_upgrade(struct soak *soak)
 {
     if (soak_elapsed_s(soak) < soak->settings->seconds / 2 ||
-        fault_injection_affects_process(soak, 0))
+        fault_injection_has_stopped_process(soak, 0))
         return false;
     cluster_upgrade(soak->cluster);
     return true;
 }
 
-/* Begins the faults that are due, from index `next` on. Returns the index of the first that is not
- * due yet. */
+/* Begins the faults that are due, from index `next` on. Returns the index of the first fault that
+ * is not due yet. */
 static guint begin_due_faults(struct soak *soak, guint next)
 {
     for (; next < soak->schedule->len; next++) {
@@ -85,7 +89,7 @@
 
 static void run_schedule(struct soak *soak)
 {
-    bool is_upgraded = !soak->settings->old_daemon;
+    bool is_upgrade_done = !soak->settings->old_daemon; /* also true if no upgrade is planned */
     double submit_at_s = 0;
     guint next = 0;
 
@@ -93,16 +97,16 @@
         next = begin_due_faults(soak, next);
         if (soak_elapsed_s(soak) >= submit_at_s &&
             cluster_open_job_count(soak->cluster) < OPEN_JOBS_MAX) {
-            workload_submit(soak->cluster, soak->random, workload_scale(soak->settings));
+            workload_submit_job(soak->cluster, soak->random, array_task_factor(soak->settings));
             submit_at_s = soak_elapsed_s(soak) + g_rand_double(soak->random) * SUBMIT_GAP_MAX_S;
         }
-        is_upgraded = is_upgraded || try_upgrade(soak);
+        is_upgrade_done = is_upgrade_done || try_upgrade(soak);
         step(soak);
     }
 }
 
-/* Ends all faults, cancels the services, and waits until every job has ended. Jobs that are still
- * open after SETTLE_TIMEOUT_S are recorded as violations. */
+/* Ends all faults, cancels the services, and waits until every job has ended and a controller
+ * leads. Jobs that have not ended after SETTLE_TIMEOUT_S are recorded as violations. */
 static void settle(struct soak *soak)
 {
     double deadline_s;
@@ -138,8 +142,8 @@
     return worker_leases_s[g_rand_int_range(random, 0, G_N_ELEMENTS(worker_leases_s))];
 }
 
-/* Draws everything that depends on the seed, and opens the log. Returns false if the list of
- * selected faults is invalid. */
+/* Draws the schedule, the workers' lease and the seed of `random` from the run's seed, and opens
+ * the log. Returns false if the list of selected faults is invalid. */
 static bool prepare(struct soak *soak)
 {
     const struct soak_settings *settings = soak->settings;
@@ -182,7 +186,8 @@
 static struct soak *current_soak;
 
 /* Returns whether a task was started and, if roles are enabled, the scale-out role was acquired. A
- * role is acquired only once all controllers support roles. */
+ * role is acquired only once all controllers support roles. The call checker exists only if roles
+ * are enabled; its acquisitions are those of the scale-out role. */
 static bool has_started(struct cluster *cluster)
 {
     const struct call_checker *checker = current_soak->violations.checker;
@@ -198,14 +203,16 @@
     current_soak = soak;
     is_started = cluster_run_until(soak->cluster, has_started, START_TIMEOUT_S);
     soak->started_at = pm_clock_monotonic();
-    /* Machines rented before all controllers supported roles have no intents. */
+    /* Machines rented before all controllers supported roles have no intents. The checker reported
+     * these rentals, but they are no violations. */
     if (soak->violations.checker)
         call_checker_clear_violations(soak->violations.checker);
     return is_started;
 }
 
-/* Ends the processes, and frees everything that the run owns except the text of its violations,
- * which the result owns. */
+/* Ends the processes and frees what the run owns, with two exceptions. The text of the violations
+ * belongs to the result. `random` is used by the cluster, whose memory is kept until the process
+ * ends. */
 static void clean_up(struct soak *soak)
 {
     cluster_free(soak->cluster);
@@ -229,20 +236,21 @@
         return false;
     soak.cluster = start_cluster(&soak);
     if (settings->with_roles)
-        violations_check_provider_calls(&soak);
-    workload_submit(soak.cluster, soak.random, workload_scale(settings));
+        violations_observe_provider_calls(&soak);
+    workload_submit_job(soak.cluster, soak.random, array_task_factor(settings));
     is_started = wait_for_start(&soak);
     if (is_started) {
         run_schedule(&soak);
         settle(&soak);
     }
     violations_collect_logged(&soak);
-    *result = (struct soak_result){.faults = soak.schedule->len,
-                                   .starts = history_start_count(cluster_history(soak.cluster)),
-                                   .jobs = cluster_job_count(soak.cluster),
-                                   .seconds = soak_elapsed_s(&soak),
-                                   .max_stall_s = soak.max_stall_s,
-                                   .violations = g_string_free(soak.violations.text, FALSE)};
+    *result =
+        (struct soak_result){.fault_count = soak.schedule->len,
+                             .task_start_count = history_start_count(cluster_history(soak.cluster)),
+                             .job_count = cluster_job_count(soak.cluster),
+                             .seconds = soak_elapsed_s(&soak),
+                             .max_stall_s = soak.max_stall_s,
+                             .violations = g_string_free(soak.violations.text, FALSE)};
     clean_up(&soak);
     return is_started;
 }
--- a/src/soak/tests/test_soak.c
+++ b/src/soak/tests/test_soak.c
@@ -10,7 +10,7 @@
 #include <unistd.h>
 #include <cmocka.h>
 
-enum { SEED = 7, EXIT_INPUT = 2 };
+enum { SEED = 7, EXIT_BAD_INPUT = 2 };
 
 static const struct soak_settings default_settings = {.seed = SEED,
                                                       .seconds = 25,
@@ -25,7 +25,7 @@
 
     settings.kinds = fault_schedule_parse_kinds(kinds);
     assert_true(soak_run(&settings, &result));
-    assert_true(result.starts > 20);
+    assert_true(result.task_start_count > 20);
     return result.violations;
 }
 
@@ -46,8 +46,8 @@
 
     (void)arg;
     /* Whether a controller logs the exceeded quota depends on when its workers report. To test that
-     * logged violations are found, the log begins with two such lines: the current name of the
-     * event, and the name in earlier versions. */
+     * logged violations are found, the log begins with two such lines: one with the current name of
+     * the event, and one with its name in earlier versions. */
     assert_true(g_file_set_contents(
         log, "error node-9 quota.exceeded planted\nerror node-8 quota.over planted\n", -1, NULL));
     settings.log_file = log;
@@ -62,17 +62,17 @@
     g_free(violations);
 }
 
-/* Runs the program and returns its exit code. Sets `is_explained` to whether standard error is one
- * line that begins with "soak: ". */
-static int run_program(const char *const *argv, bool *is_explained)
+/* Runs the program and returns its exit code. Sets `is_one_line_error` to whether standard error is
+ * one line that begins with "soak: ". */
+static int run_program(const char *const *argv, bool *is_one_line_error)
 {
     char *message = NULL;
     int status = 0;
 
     assert_true(g_spawn_sync(NULL, (char **)argv, NULL, G_SPAWN_STDOUT_TO_DEV_NULL, NULL, NULL,
                              NULL, &message, &status, NULL));
-    *is_explained = g_str_has_prefix(message, "soak: ") &&
-                    strchr(message, '\n') == message + strlen(message) - 1;
+    *is_one_line_error = g_str_has_prefix(message, "soak: ") &&
+                         strchr(message, '\n') == message + strlen(message) - 1;
     g_free(message);
     return WEXITSTATUS(status);
 }
@@ -91,13 +91,14 @@
 
     (void)arg;
     for (size_t i = 0; i < G_N_ELEMENTS(inputs); i++) {
-        bool is_explained;
-        assert_int_equal(run_program(inputs[i], &is_explained), EXIT_INPUT);
-        assert_true(is_explained);
+        bool is_one_line_error;
+        assert_int_equal(run_program(inputs[i], &is_one_line_error), EXIT_BAD_INPUT);
+        assert_true(is_one_line_error);
     }
 }
 
-/* The same seed gives the same faults, and selected faults stay unchanged. */
+/* The same seed gives the same faults, and the selection of some faults does not change them.
+ * Faults are numbered from 1. */
 static void schedule_is_reproducible_and_selectable(void **arg)
 {
     GRand *first = g_rand_new_with_seed(SEED);
--- a/src/soak/violations.c
+++ b/src/soak/violations.c
@@ -1,5 +1,5 @@
-/* Collects the violations that the checkers find, with the second of the run, and those that the
- * controllers log. */
+/* Collects the violations that the checkers find, each with its time since the start of the run,
+ * and the violations that the controllers log. */
 #include "soak/soak_internal.h"
 #include "base/clock.h"
 
@@ -7,10 +7,10 @@
 #include <string.h>
 
 /* A machine that runs tasks may be terminated only if no controller has answered its heartbeats for
- * this long. */
-#define UNANSWERED_S 2.0
-/* Controllers may consider machines unreachable while commands are delayed, and until this long
- * after the last delay has ended. */
+ * at least this time. */
+#define MIN_UNANSWERED_S 2.0
+/* Commands that were delayed are never answered, so a controller may still consider a machine
+ * unreachable for this time after the delays have ended. */
 #define UNREACHABLE_AFTER_DELAY_S 5.0
 
 void violations_init(struct violations *violations)
@@ -27,8 +27,8 @@
     fflush(soak->log);
 }
 
-/* Appends the lines of `all` after its first `*copied_bytes`, which were appended before. Updates
- * `*copied_bytes`. */
+/* Appends the lines of `all` that follow its first `*copied_bytes` bytes, which were appended
+ * before. Sets `*copied_bytes` to the length of `all`. */
 static void append_new_lines(struct soak *soak, const char *all, size_t *copied_bytes)
 {
     char **lines;
@@ -66,8 +66,8 @@
 
 /* While commands are delayed, and for UNREACHABLE_AFTER_DELAY_S after that, some commands get no
  * answer. A controller may then rightly consider a machine unreachable and terminate it together
- * with its tasks, although the machine's heartbeats are answered. So the call is passed to the
- * checker as if no heartbeat had ever been answered. */
+ * with its tasks, although the machine's heartbeats are answered. During this time, the call is
+ * therefore passed to the checker as if no heartbeat had ever been answered. */
 static void on_provider_call(void *arg, const struct fake_provider_call *call)
 {
     const struct soak *soak = arg;
@@ -78,17 +78,18 @@
     call_checker_on_call(soak->violations.checker, &adjusted);
 }
 
-void violations_check_provider_calls(struct soak *soak)
+void violations_observe_provider_calls(struct soak *soak)
 {
-    soak->violations.checker = call_checker_new(UNANSWERED_S);
+    soak->violations.checker = call_checker_new(MIN_UNANSWERED_S);
     cluster_observe(soak->cluster, on_store_change, soak);
     fake_provider_observe(cluster_provider(soak->cluster), on_provider_call, soak);
 }
 
 /* ---- logs ---- */
 
-/* Returns whether a log line reports a violation. The last two events are the names that earlier
- * versions of the daemon log; a run with an upgrade contains both. */
+/* Returns whether a log line reports a violation. The last two events are the first two under the
+ * names that they had in earlier versions of the daemon; a run with an upgrade may log the old and
+ * the new names. */
 static bool is_logged_violation(const char *line)
 {
     static const char *const events[] = {" quota.exceeded ", " quota.start_rejected ",
@@ -101,7 +102,7 @@
 }
 
 /* The controllers compare the usage that workers report with the quotas, and check the quota again
- * when they write the start of a task. A failure of either check is logged and counts as a
+ * when they write the start of a task. They log a failure of either check, which counts as a
  * violation, too. */
 void violations_collect_logged(struct soak *soak)
 {
--- a/src/soak/workload.h
+++ b/src/soak/workload.h
@@ -7,12 +7,12 @@
 
 enum { WORKLOAD_TEAMS = 3 };
 
-/* Returns WORKLOAD_TEAMS teams whose quotas are shares of `machine_cpus`, the processors of all
- * machines together. Two teams reach their limits of processors, the third first reaches its limit
- * of accelerators. Borrowed, valid until the next call. */
-const struct cluster_team *workload_teams(double machine_cpus);
-/* Draws a job with `random` and submits it to the cluster. Array jobs get `scale` times the drawn
- * number of tasks. */
-void workload_submit(struct cluster *cluster, GRand *random, unsigned scale);
+/* Returns WORKLOAD_TEAMS teams whose quotas are shares of `total_cpus`, the number of processors of
+ * all machines together. Two teams reach their limits of processors; the third team reaches its
+ * limit of accelerators first. The array is borrowed and valid until the next call. */
+const struct cluster_team *workload_teams(double total_cpus);
+/* Draws a job with `random` and submits it to the cluster. An array job gets `array_task_factor`
+ * times the drawn number of tasks. */
+void workload_submit_job(struct cluster *cluster, GRand *random, unsigned array_task_factor);
 
 #endif
