--- a/src/roles/acquisition.c
+++ b/src/roles/acquisition.c
@@ -1,5 +1,5 @@
-/* Acquires roles, by a transaction that compares the revisions of their keys in the replica, and
- * marks roles as acquired or lost. */
+/* Acquires roles, and marks roles as acquired or lost. The transaction that acquires roles fails if
+ * one of their keys has changed since the replica received it. */
 #include "base/keys.h"
 #include "base/clock.h"
 #include "roles/internal.h"
@@ -9,15 +9,17 @@
 /* A controller acquires a role that is not bound to the leader after the role has been vacant for
  * this long. */
 #define ACQUIRE_DELAY_S 0.6
-/* The leader has other work, so it waits longer and leaves the role to another controller. */
+/* The leader has other work, so it waits longer, and another controller usually acquires the role
+ * first. */
 #define LEADER_ACQUIRE_DELAY_S 4.0
 
 /* A transaction in flight that acquires roles. */
 struct acquire_request {
     struct pm_roles *roles;
     bool wanted[PM_ROLE_COUNT]; /* the roles that the transaction acquires */
-    uint64_t lease_id;          /* the lease to which it attaches their keys */
-    bool as_leader;             /* it compares the epoch, and is valid only while leading */
+    uint64_t lease_id;          /* the lease to which the transaction attaches their keys */
+    /* The transaction compares the epoch, and its result counts only while the controller leads. */
+    bool as_leader;
 };
 
 /* ---- roles held by this controller ---- */
@@ -56,9 +58,8 @@
 
 /* ---- the transaction ---- */
 
-/* Whether the roles that the transaction acquired may be used. They may not if this controller got
- * another lease since it sent the transaction, or lost the leadership on which the transaction
- * relied. */
+/* Whether this controller may use the roles that the transaction acquired. It may not if it got
+ * another lease after it sent the transaction, or acquired them as leader and no longer leads. */
 static bool is_request_current(const struct acquire_request *request)
 {
     const struct pm_roles *roles = request->roles;
@@ -180,12 +181,12 @@
     bool wanted[PM_ROLE_COUNT] = {false};
 
     if (claim->token || claim->acquire_in_flight || !is_vacant(roles, &state->holder)) {
-        claim->vacant_since_at = 0;
+        claim->vacant_since = 0;
         return;
     }
-    if (!claim->vacant_since_at)
-        claim->vacant_since_at = now;
-    if (now < claim->backoff_until_at || now - claim->vacant_since_at < delay_s)
+    if (!claim->vacant_since)
+        claim->vacant_since = now;
+    if (now < claim->backoff_until || now - claim->vacant_since < delay_s)
         return;
     wanted[role] = true;
     send_acquire(roles, wanted, false);
--- a/src/roles/audit_log.c
+++ b/src/roles/audit_log.c
@@ -16,8 +16,10 @@
 #include <unistd.h>
 
 enum {
-    QUEUE_MAX = 8192,   /* limit of entries that wait for the writer's thread */
-    FILES_KEPT_MIN = 8, /* a file is closed beyond `max_bytes` divided by this */
+    QUEUE_MAX = 8192, /* limit of entries that wait for the writer's thread */
+    /* A file is closed once it is larger than `max_bytes` divided by this, so that about
+     * this many files are kept, or more. */
+    FILES_KEPT_MIN = 8,
     FILE_MODE = 0640,
     DIR_MODE = 0750,
     DIR_SIZE = 256,
@@ -42,8 +44,8 @@
 struct pm_audit_log {
     /* Set by pm_audit_log_new and never changed. */
     char dir[DIR_SIZE], controller[CONTROLLER_SIZE];
-    double period_s;
-    uint64_t max_bytes; /* bytes allowed for all files of this controller together */
+    double max_file_age_s; /* a file is closed when it was opened this long ago */
+    uint64_t max_bytes;    /* bytes allowed for all files of this controller together */
     struct pm_writer *writer;
     /* Used only in the writer's thread. */
     struct audit_file file;
@@ -113,8 +115,8 @@
     const char *archive_error = archive ? archive_error_string(archive) : NULL;
 
     if (!log->error_reported)
-        pm_error("audit_log.error", "audit log file %s: %s; entries are lost", log->file.path,
-                 archive_error ? archive_error : fallback);
+        pm_error("audit_log.error", "writing audit log file %s failed: %s; entries are lost",
+                 log->file.path, archive_error ? archive_error : fallback);
     log->error_reported = true;
 }
 
@@ -164,8 +166,8 @@
     snprintf(out, size, "%s" PART_SUFFIX, file->path);
 }
 
-/* Seals and closes the file, then renames it to its final path. If it can't be completed, it keeps
- * PART_SUFFIX. */
+/* Writes the seal, which is the last entry of a complete file, closes the file and renames it to
+ * its final path. A file that can't be completed keeps PART_SUFFIX. */
 static void close_file(struct pm_audit_log *log)
 {
     struct audit_file *file = &log->file;
@@ -190,8 +192,7 @@
 }
 
 /* Opens file->archive for writing to file->fd. Uses the smallest block size of the format, so that
- * the library writes each entry to the file as soon as the entry ends, and buffers
- * none. */
+ * the library buffers no entries: it writes each one to the file as soon as the entry ends. */
 static bool open_archive(struct audit_file *file)
 {
     file->archive = archive_write_new();
@@ -227,13 +228,13 @@
     return false;
 }
 
-/* Whether the file is to be closed because of its age or size. The wall clock may jump forward or
- * back; a jump by a period in either direction closes the file too. */
+/* Whether the file is to be closed because of its age or size. A jump of the wall clock by at least
+ * `max_file_age_s`, forward or back, closes it too. */
 static bool should_close_file(const struct pm_audit_log *log, double wall)
 {
     const struct audit_file *file = &log->file;
 
-    return fabs(wall - file->opened_wall) >= log->period_s ||
+    return fabs(wall - file->opened_wall) >= log->max_file_age_s ||
            file->bytes > log->max_bytes / FILES_KEPT_MIN;
 }
 
@@ -269,19 +270,21 @@
     pm_writer_push(log->writer, entry);
 }
 
-struct pm_audit_log *pm_audit_log_new(const char *dir, const char *controller, double period_s,
-                                      unsigned megabytes, char *err, size_t err_size)
+struct pm_audit_log *pm_audit_log_new(const char *dir, const char *controller,
+                                      double max_file_age_s, unsigned megabytes, char *err,
+                                      size_t err_size)
 {
     struct pm_audit_log *log;
 
     if (g_mkdir_with_parents(dir, DIR_MODE) || g_access(dir, W_OK | X_OK)) {
-        snprintf(err, err_size, "%s: %s", dir, g_strerror(errno));
+        snprintf(err, err_size, "the directory %s can't be created or written: %s", dir,
+                 g_strerror(errno));
         return NULL;
     }
     log = g_new0(struct pm_audit_log, 1);
     g_strlcpy(log->dir, dir, sizeof log->dir);
     g_strlcpy(log->controller, controller, sizeof log->controller);
-    log->period_s = period_s;
+    log->max_file_age_s = max_file_age_s;
     log->max_bytes = (uint64_t)megabytes * BYTES_PER_MEGABYTE;
     log->writer = pm_writer_new("record", QUEUE_MAX,
                                 &(struct pm_writer_hooks){.write = write_entry, .arg = log});
--- a/src/roles/drain.c
+++ b/src/roles/drain.c
@@ -14,7 +14,7 @@
 
 void pm_roles_mark_drained(struct pm_roles *roles, enum pm_role role)
 {
-    roles->states[role].claim.backoff_until_at = pm_clock_monotonic() + DRAIN_BACKOFF_S;
+    roles->states[role].claim.backoff_until = pm_clock_monotonic() + DRAIN_BACKOFF_S;
     pm_roles_mark_lost(roles, role, "drained");
     roles->hooks.drained(roles->hooks.arg, role);
 }
@@ -28,7 +28,8 @@
     (void)store_revision;
     (void)conflicting_keys;
     claim->drain_in_flight = false;
-    /* If the replica's feed showed the deletes before this answer, the role is already marked. */
+    /* If the replica showed the deletes before this answer arrived, the role is already marked as
+     * drained. */
     if (result == PM_STORE_OK && claim->token == drain->token)
         pm_roles_mark_drained(drain->roles, drain->role);
     g_free(drain);
--- a/src/roles/garbage_collector.c
+++ b/src/roles/garbage_collector.c
@@ -5,13 +5,16 @@
 #include <glib.h>
 #include <string.h>
 
-/* An obsolete key, or a drain request, which becomes obsolete once the role's holder changes. */
+/* A candidate for deletion: a key that is obsolete, or a drain request. A drain request is a
+ * candidate from the start, because it becomes obsolete once the role's holder changes. */
 struct candidate {
     uint64_t revision;
-    double unchanged_since_at; /* monotonic time since which it is unchanged and obsolete */
-    uint64_t drain_token;      /* the fencing token that a drain request names, otherwise 0 */
-    const char *reason;        /* why it is obsolete, or NULL if it is a request still in use */
-    bool is_in_snapshot;       /* it was put since the last snapshot began */
+    /* Monotonic time since which the key is obsolete and unchanged. Not used for a drain request
+     * that is still in use. */
+    double obsolete_since;
+    uint64_t drain_token;        /* the fencing token that a drain request names, otherwise 0 */
+    const char *obsolete_reason; /* why the key is obsolete, NULL if it is a request still in use */
+    bool is_in_snapshot;         /* the key was put since the last snapshot began */
 };
 
 struct pm_gc {
@@ -60,7 +63,7 @@
 }
 
 /* Returns why the key is obsolete, as far as its name alone shows, or NULL if it may be in use. */
-static const char *find_reason(const struct pm_gc *collector, const char *key)
+static const char *find_obsolete_reason(const struct pm_gc *collector, const char *key)
 {
     if (is_of_unknown_controller(collector, key, PM_KEY_VIEW_PREFIX))
         return "the view of a controller that is not in the settings";
@@ -69,10 +72,10 @@
     return NULL;
 }
 
-/* Returns why a request to drain the holder with the token `drain_token` is obsolete, or NULL if it
- * is in use. */
-static const char *find_drain_reason(const struct pm_gc *collector, const char *key,
-                                     uint64_t drain_token)
+/* Returns why a request to drain the holder with the token `drain_token` is obsolete, or NULL if
+ * the request is still in use. */
+static const char *find_obsolete_drain_reason(const struct pm_gc *collector, const char *key,
+                                              uint64_t drain_token)
 {
     enum pm_role role;
 
@@ -85,8 +88,8 @@
 
 /* ---- candidates ---- */
 
-/* Adds the candidate. If the key is already a candidate with this revision, that one is kept, with
- * the time since which it is unchanged. */
+/* Adds the candidate. A known candidate with the same key and revision is kept instead, and with it
+ * its `obsolete_since`. */
 static void add_candidate(struct pm_gc *collector, const char *key, struct candidate candidate)
 {
     struct candidate *known = g_tree_lookup(collector->candidates, key);
@@ -101,30 +104,30 @@
     g_tree_replace(collector->candidates, g_strdup(key), known);
 }
 
-/* The argument of update_drain_reason. */
+/* The argument of update_obsolete_drain_reason. */
 struct holder_change {
     const struct pm_gc *collector;
     double now;
 };
 
-/* Updates why a drain request is obsolete after a change of holder. A request counts as
- * unchanged from when it becomes obsolete. */
-static gboolean update_drain_reason(gpointer key, gpointer value, gpointer arg)
+/* Determines again, after a change of holder, whether and why a drain request is obsolete. The time
+ * before its deletion starts when it becomes obsolete. */
+static gboolean update_obsolete_drain_reason(gpointer key, gpointer value, gpointer arg)
 {
     const struct holder_change *change = arg;
     struct candidate *candidate = value;
-    const char *reason;
+    const char *obsolete_reason;
 
     if (!g_str_has_prefix(key, PM_KEY_DRAIN_PREFIX))
         return FALSE;
-    reason = find_drain_reason(change->collector, key, candidate->drain_token);
-    if (reason && !candidate->reason)
-        candidate->unchanged_since_at = change->now;
-    candidate->reason = reason;
+    obsolete_reason = find_obsolete_drain_reason(change->collector, key, candidate->drain_token);
+    if (obsolete_reason && !candidate->obsolete_reason)
+        candidate->obsolete_since = change->now;
+    candidate->obsolete_reason = obsolete_reason;
     return FALSE;
 }
 
-static void put_holder(struct pm_gc *collector, const char *key, uint64_t token, double now)
+static void apply_holder_put(struct pm_gc *collector, const char *key, uint64_t token, double now)
 {
     struct holder_change change = {.collector = collector, .now = now};
     enum pm_role role;
@@ -132,37 +135,37 @@
     if (!pm_role_from_name(key + strlen(PM_KEY_ROLE_PREFIX), &role))
         return;
     collector->holder_tokens[role] = token;
-    g_tree_foreach(collector->candidates, update_drain_reason, &change);
+    g_tree_foreach(collector->candidates, update_obsolete_drain_reason, &change);
 }
 
-static void put_drain_request(struct pm_gc *collector, const char *key, const cbor_item_t *value,
-                              uint64_t revision, double now)
+static void apply_drain_request_put(struct pm_gc *collector, const char *key,
+                                    const cbor_item_t *value, uint64_t revision, double now)
 {
-    struct candidate candidate = {.revision = revision, .unchanged_since_at = now};
+    struct candidate candidate = {.revision = revision, .obsolete_since = now};
 
     if (!pm_cbor_read_count(pm_cbor_get(value, "token"), &candidate.drain_token))
         return;
-    candidate.reason = find_drain_reason(collector, key, candidate.drain_token);
+    candidate.obsolete_reason = find_obsolete_drain_reason(collector, key, candidate.drain_token);
     add_candidate(collector, key, candidate);
 }
 
-/* ---- the replica's feed ---- */
+/* ---- changes of the replica ---- */
 
 void pm_gc_apply_put(struct pm_gc *collector, const char *key, const cbor_item_t *value,
                      uint64_t revision, double now)
 {
-    struct candidate candidate = {.revision = revision, .unchanged_since_at = now};
+    struct candidate candidate = {.revision = revision, .obsolete_since = now};
 
     if (g_str_has_prefix(key, PM_KEY_ROLE_PREFIX)) {
-        put_holder(collector, key, revision, now);
+        apply_holder_put(collector, key, revision, now);
         return;
     }
     if (g_str_has_prefix(key, PM_KEY_DRAIN_PREFIX)) {
-        put_drain_request(collector, key, value, revision, now);
+        apply_drain_request_put(collector, key, value, revision, now);
         return;
     }
-    candidate.reason = find_reason(collector, key);
-    if (candidate.reason)
+    candidate.obsolete_reason = find_obsolete_reason(collector, key);
+    if (candidate.obsolete_reason)
         add_candidate(collector, key, candidate);
 }
 
@@ -213,7 +216,8 @@
 
 static bool is_due(const struct pm_gc *collector, const struct candidate *candidate, double now)
 {
-    return candidate->reason && now - candidate->unchanged_since_at >= collector->delete_after_s;
+    return candidate->obsolete_reason &&
+           now - candidate->obsolete_since >= collector->delete_after_s;
 }
 
 /* The argument of add_delete_if_due. */
@@ -263,13 +267,13 @@
 {
     const struct status_output *status = arg;
     const struct candidate *candidate = value;
-    double unchanged_s = status->now - candidate->unchanged_since_at;
+    double unchanged_s = status->now - candidate->obsolete_since;
 
-    if (!candidate->reason)
+    if (!candidate->obsolete_reason)
         return FALSE;
     pm_cbor_put_map(status->out);
     pm_cbor_put_pair_text(status->out, "key", key);
-    pm_cbor_put_pair_text(status->out, "why", candidate->reason);
+    pm_cbor_put_pair_text(status->out, "why", candidate->obsolete_reason);
     pm_cbor_put_pair_number(status->out, "unchanged_s", unchanged_s);
     pm_cbor_put_pair_flag(status->out, "due", is_due(status->collector, candidate, status->now));
     pm_cbor_put_end(status->out);
--- a/src/roles/intent_closing.c
+++ b/src/roles/intent_closing.c
@@ -6,9 +6,11 @@
 #include <stdio.h>
 
 enum {
-    /* From this number of closing intents on, a transaction is sent at once and not at the tick. */
+    /* With at least this many closing intents, a transaction is sent at once and not at the next
+     * tick. */
     CLOSE_BATCH_MIN = 8,
-    /* From this number on, keys are deleted even if the write budget is used up. */
+    /* With at least this many closing intents, keys are deleted even if the write budget is used
+     * up. */
     OVER_BUDGET_MIN = 32
 };
 
@@ -81,7 +83,7 @@
     g_ptr_array_free(open, TRUE);
 }
 
-void pm_roles_delete_closed_intents(struct pm_roles *roles, enum pm_role role, double now)
+void pm_roles_delete_closing_intents(struct pm_roles *roles, enum pm_role role, double now)
 {
     struct close_transaction *close;
     struct pm_txn txn = {0};
@@ -112,5 +114,5 @@
     intent->call_in_flight = false;
     intent->is_closing = true;
     if (count_closing(roles, intent->role) >= CLOSE_BATCH_MIN)
-        pm_roles_delete_closed_intents(roles, intent->role, now);
+        pm_roles_delete_closing_intents(roles, intent->role, now);
 }
--- a/src/roles/intent_log.c
+++ b/src/roles/intent_log.c
@@ -155,7 +155,7 @@
         reset_calls(intent);
 }
 
-/* ---- the replica's feed ---- */
+/* ---- changes of the replica ---- */
 
 void pm_roles_apply_intent_put(struct pm_roles *roles, const char *key, const cbor_item_t *value,
                                uint64_t revision)
--- a/src/roles/internal.h
+++ b/src/roles/internal.h
@@ -25,14 +25,14 @@
     uint64_t token;
 };
 
-/* This controller's own claim on the role. Updated by acquisition.c, except for the fields that
- * name drain.c. */
+/* This controller's own claim on the role. Updated by acquisition.c; drain.c updates the fields
+ * marked (drain.c). */
 struct pm_role_claim {
-    uint64_t token;          /* own fencing token, 0 if this controller does not hold the role */
-    bool acquire_in_flight;  /* a transaction to acquire the role is in flight */
-    bool drain_in_flight;    /* a transaction to release the role is in flight (drain.c) */
-    double vacant_since_at;  /* monotonic time since which the role is vacant, 0 if it is not */
-    double backoff_until_at; /* monotonic time before which the role is not acquired (drain.c) */
+    uint64_t token;         /* own fencing token, 0 if this controller does not hold the role */
+    bool acquire_in_flight; /* a transaction to acquire the role is in flight */
+    bool drain_in_flight;   /* a transaction to release the role is in flight (drain.c) */
+    double vacant_since;    /* monotonic time since which the role is vacant, 0 if it is not */
+    double backoff_until;   /* monotonic time before which the role is not acquired (drain.c) */
 };
 
 struct pm_role_state {
@@ -57,16 +57,17 @@
     GHashTable *open;           /* name to struct pm_intent, owned */
     GHashTable *writes;         /* name to struct intent_write, for each write in flight */
     GHashTable *snapshot_names; /* names in the snapshot being read, NULL between snapshots */
-    uint64_t last_number;       /* number of the last intent that this controller named */
-    /* For each role, whether a transaction that deletes closing intents is in flight. */
+    uint64_t last_number;       /* number in the name of this controller's last intent */
+    /* For each role, whether a transaction that deletes the keys of closing intents is in flight.
+     * An intent is closing once all its calls to the provider are settled. */
     bool close_in_flight[PM_ROLE_COUNT];
 };
 
 struct pm_roles {
     /* Set by pm_roles_new and never changed. */
     struct pm_store *store;
-    const struct pm_settings *settings;
-    const struct pm_roles_setting *setting;
+    const struct pm_settings *settings;     /* the platform's, of the whole controller */
+    const struct pm_roles_setting *setting; /* the operators', of this slice */
     const char *incarnation_id;
     struct pm_links_trace *trace;   /* NULL if no trace is written */
     struct pm_audit_log *audit_log; /* NULL if no audit log is written */
@@ -101,8 +102,8 @@
 /* Marks the role as no longer held by this controller. Does nothing if the controller did not hold
  * it. `reason` is stored unchanged in the audit log and the trace. */
 void pm_roles_mark_lost(struct pm_roles *roles, enum pm_role role, const char *reason);
-/* Acquires the roles that are bound to the leader, also from another holder. The transaction
- * compares the epoch, which proves that this controller leads. */
+/* Acquires the roles that are bound to the leader, even if another controller holds them. The
+ * transaction compares the epoch, so it fails if this controller no longer leads. */
 void pm_roles_acquire_as_leader(struct pm_roles *roles);
 /* Acquires the role if at `now` (monotonic seconds) it has been vacant for long enough and is not
  * in back-off after a drain. */
@@ -119,7 +120,7 @@
 
 /* ---- intent_log.c ---- */
 
-/* Applies a put of an intent's key from the replica's feed. */
+/* Applies a put of an intent's key. */
 void pm_roles_apply_intent_put(struct pm_roles *roles, const char *key, const cbor_item_t *value,
                                uint64_t revision);
 /* Returns the number of the role's open intents, those of all controllers. */
@@ -127,9 +128,9 @@
 
 /* ---- intent_closing.c ---- */
 
-/* Deletes the keys of closing intents, up to the limit of one transaction. As long as few intents
- * are closing, it deletes only as many as the write budget allows. Does nothing if this controller
- * does not hold the role at `now` (monotonic seconds), or if such a transaction is in flight. */
-void pm_roles_delete_closed_intents(struct pm_roles *roles, enum pm_role role, double now);
+/* Deletes the keys of closing intents in one transaction: as many as the write budget allows, or if
+ * many intents are closing, as many as fit into a transaction. Does nothing if this controller does
+ * not hold the role at `now` (monotonic seconds), or if such a transaction is in flight. */
+void pm_roles_delete_closing_intents(struct pm_roles *roles, enum pm_role role, double now);
 
 #endif
--- a/src/roles/lease.c
+++ b/src/roles/lease.c
@@ -1,5 +1,5 @@
-/* The lease to which the keys of this controller's roles are attached, and the time until which it
- * allows this controller to act. */
+/* The lease to which the keys of this controller's roles are attached, and the time until which
+ * this controller may act under the lease. */
 #include "base/clock.h"
 #include "roles/internal.h"
 
@@ -23,7 +23,8 @@
 
 /* Extends the validity after a grant or a keep-alive was answered. The state service counts the TTL
  * from when it executed the request, which is later than `sent_at`. The clocks of both machines may
- * drift, so twice the bound is deducted. The lease thus expires here no later than there. */
+ * drift, so twice the bound on drift is deducted. This controller thus considers the lease expired
+ * no later than the state service does. */
 static void extend_validity(struct pm_roles *roles)
 {
     double ttl_s = roles->setting->ttl_s;
--- a/src/roles/replica.c
+++ b/src/roles/replica.c
@@ -1,4 +1,4 @@
-/* Applies the replica's feed: the roles' holders, drain requests and open intents. */
+/* Applies changes of the replica to the roles' holders, the drain requests and the open intents. */
 #include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
@@ -43,8 +43,8 @@
     holder->incarnation_id[0] = 0;
 }
 
-static void put_holder(struct pm_roles *roles, enum pm_role role, const cbor_item_t *value,
-                       uint64_t revision)
+static void apply_holder_put(struct pm_roles *roles, enum pm_role role, const cbor_item_t *value,
+                             uint64_t revision)
 {
     struct pm_role_state *state = &roles->states[role];
     struct pm_role_holder *holder = &state->holder;
@@ -69,8 +69,8 @@
         pm_roles_mark_acquired(roles, role, revision);
 }
 
-static void put_drain_request(struct pm_roles *roles, enum pm_role role, const cbor_item_t *value,
-                              uint64_t revision)
+static void apply_drain_request_put(struct pm_roles *roles, enum pm_role role,
+                                    const cbor_item_t *value, uint64_t revision)
 {
     struct pm_role_drain_request *request = &roles->states[role].drain_request;
 
@@ -95,14 +95,14 @@
     }
     if (split_key(key, PM_KEY_ROLE_PREFIX, &name)) {
         if (pm_role_from_name(name, &role))
-            put_holder(roles, role, value, revision);
+            apply_holder_put(roles, role, value, revision);
         else
             pm_error("role.unreadable", "%s: there is no such role; the key is kept", key);
         return true;
     }
     if (split_key(key, PM_KEY_DRAIN_PREFIX, &name)) {
         if (pm_role_from_name(name, &role))
-            put_drain_request(roles, role, value, revision);
+            apply_drain_request_put(roles, role, value, revision);
         return true;
     }
     return false;
@@ -110,7 +110,7 @@
 
 /* ---- deletes ---- */
 
-static void delete_holder(struct pm_roles *roles, enum pm_role role, uint64_t revision)
+static void apply_holder_delete(struct pm_roles *roles, enum pm_role role, uint64_t revision)
 {
     struct pm_role_state *state = &roles->states[role];
     struct pm_role_holder *holder = &state->holder;
@@ -125,8 +125,8 @@
     holder->changed_at = pm_clock_monotonic();
     if (revision <= own_token)
         return;
-    /* The feed may show the deletes before the drain's transaction is answered, or its answer may
-     * be lost. */
+    /* The replica may show the deletes before the transaction that drains the role is answered, and
+     * the answer may be lost. */
     if (is_drain_requested)
         pm_roles_mark_drained(roles, role);
     else
@@ -147,7 +147,7 @@
         g_hash_table_remove(roles->intents.open, name);
     } else if (split_key(key, PM_KEY_ROLE_PREFIX, &name)) {
         if (pm_role_from_name(name, &role))
-            delete_holder(roles, role, revision);
+            apply_holder_delete(roles, role, revision);
     } else if (split_key(key, PM_KEY_DRAIN_PREFIX, &name)) {
         if (pm_role_from_name(name, &role))
             clear_drain_request(roles, role);
--- a/src/roles/roles.c
+++ b/src/roles/roles.c
@@ -68,7 +68,7 @@
     pm_roles_acquire_if_vacant(roles, PM_ROLE_GARBAGE_COLLECTION, now);
     for (int i = 0; i < PM_ROLE_COUNT; i++) {
         pm_roles_drain_if_requested(roles, (enum pm_role)i);
-        pm_roles_delete_closed_intents(roles, (enum pm_role)i, now);
+        pm_roles_delete_closing_intents(roles, (enum pm_role)i, now);
     }
 }
 
--- a/src/roles/roles.h
+++ b/src/roles/roles.h
@@ -3,15 +3,15 @@
  * controller, and keeps the open intents of all controllers.
  *
  * The holder of a role is stored in a key of the state service that is attached to the holder's
- * lease. The revision at which the holder wrote the key is its fencing token. A holder acts only
- * until its lease expires by its own monotonic clock, and every transaction that it sends for the
- * role compares the key's revision with the token. A transaction of a replaced holder therefore
- * conflicts and changes nothing.
+ * lease. The revision at which the holder wrote the key is the holder's fencing token. A holder
+ * acts only until its lease expires by its own monotonic clock, and every transaction that it sends
+ * for the role compares the key's revision with the token. A transaction of a replaced holder
+ * therefore conflicts and changes nothing.
  *
- * The controller calls the functions for the replica's feed, the tick and the status; the
- * autoscaler calls those for intents. All calls are made in the event-loop thread under
- * `struct pm_controller.lock`, which also guards the state of this module. Requests to the state
- * service are asynchronous, and their callbacks run in the same thread.
+ * The controller calls the functions that apply changes of the replica, the tick and the status;
+ * the autoscaler calls those for intents. All calls are made in the event-loop thread under `struct
+ * pm_controller.lock`, which also guards the state of this module. Requests to the state service
+ * are asynchronous, and their callbacks run in the same thread.
  *
  * Keys that are read and written: p/duty/NAME and p/drain/NAME (see role.h), and p/intent/NAME (see
  * intent.h). p/epoch is only compared in transactions. */
@@ -56,7 +56,7 @@
 /* Frees the instance. None of its requests to the state service may be in flight. */
 void pm_roles_free(struct pm_roles *roles);
 
-/* ---- the replica's feed ---- */
+/* ---- changes of the replica ---- */
 
 /* Applies a put. Returns false if the key belongs to another module. */
 bool pm_roles_apply_put(struct pm_roles *roles, const char *key, const cbor_item_t *value,
@@ -66,8 +66,8 @@
 /* Called when a snapshot begins. Clears all holders and drain requests; those that still exist are
  * put again by the snapshot. */
 void pm_roles_snapshot_begin(struct pm_roles *roles);
-/* Called when the snapshot is complete. Removes the open intents that it did not contain, and marks
- * each role of this controller as lost whose key it did not contain. */
+/* Called when the snapshot is complete. Removes the open intents that the snapshot did not contain,
+ * and marks a role of this controller as lost if the snapshot did not contain its key. */
 void pm_roles_snapshot_end(struct pm_roles *roles);
 
 /* ---- leases and fencing tokens ---- */
@@ -75,7 +75,7 @@
 /* The controller calls pm_roles_tick at least this often. */
 #define PM_ROLES_TICK_S 0.5
 /* The periodic step: keeps the lease alive, acquires and drains roles as `conditions` allow, and
- * deletes closed intents. `conditions` is copied. `now` is in monotonic seconds. */
+ * deletes the keys of closing intents. `conditions` is copied. `now` is in monotonic seconds. */
 void pm_roles_tick(struct pm_roles *roles, const struct pm_roles_conditions *conditions,
                    double now);
 /* Whether machines are rented and terminated under roles and intents. This requires that all
--- a/src/roles/tests/provider_call_checker.c
+++ b/src/roles/tests/provider_call_checker.c
@@ -55,7 +55,7 @@
 
 /* ---- the state service ---- */
 
-static void put_holder(struct call_checker *checker, enum pm_role role, uint64_t token)
+static void apply_holder_put(struct call_checker *checker, enum pm_role role, uint64_t token)
 {
     checker->current_tokens[role] = token;
     if (token <= checker->last_tokens[role])
@@ -81,8 +81,8 @@
         g_string_append_printf(checker->violations, "%s is written a second time\n", key);
 }
 
-static void put_intent(struct call_checker *checker, const char *key, const cbor_item_t *value,
-                       uint64_t revision, double now)
+static void apply_intent_put(struct call_checker *checker, const char *key,
+                             const cbor_item_t *value, uint64_t revision, double now)
 {
     struct pm_intent *intent = pm_intent_decode(key, value, revision);
     struct known_intent *known;
@@ -103,7 +103,7 @@
                              g_strdup(intent->name));
 }
 
-static void delete_intent(struct call_checker *checker, const char *name)
+static void apply_intent_delete(struct call_checker *checker, const char *name)
 {
     struct known_intent *known = g_hash_table_lookup(checker->intents, name);
 
@@ -120,14 +120,14 @@
         if (!pm_role_from_name(key + strlen(PM_KEY_ROLE_PREFIX), &role))
             return;
         if (value)
-            put_holder(checker, role, revision);
+            apply_holder_put(checker, role, revision);
         else
             checker->current_tokens[role] = 0;
     } else if (g_str_has_prefix(key, PM_KEY_INTENT_PREFIX)) {
         if (value)
-            put_intent(checker, key, value, revision, now);
+            apply_intent_put(checker, key, value, revision, now);
         else
-            delete_intent(checker, key + strlen(PM_KEY_INTENT_PREFIX));
+            apply_intent_delete(checker, key + strlen(PM_KEY_INTENT_PREFIX));
     }
 }
 
--- a/src/roles/tests/test_garbage_collector.c
+++ b/src/roles/tests/test_garbage_collector.c
@@ -69,7 +69,7 @@
     put("p/links/node-9", 0, 5, 0);
     assert_int_equal(count_due(DELETE_AFTER_S - 1, NULL), 0);
     assert_int_equal(count_due(DELETE_AFTER_S, "p/links/node-9"), 1);
-    put("p/links/node-9", 0, 6, DELETE_AFTER_S); /* the key is still being written */
+    put("p/links/node-9", 0, 6, DELETE_AFTER_S); /* the key has changed, so the time starts over */
     assert_int_equal(count_due(DELETE_AFTER_S + 1, NULL), 0);
     pm_gc_apply_delete(collector, "p/links/node-9", 7);
     assert_int_equal(count_due(10 * DELETE_AFTER_S, NULL), 0);
@@ -102,7 +102,7 @@
     assert_int_equal(count_due(50 + DELETE_AFTER_S, "p/drain/nonsense"), 2);
 }
 
-/* Many keys are obsolete in a large state: they are deleted in small batches, and no job is. */
+/* In a large state with many obsolete keys, these are deleted in small batches, but no jobs are. */
 static void jobs_are_kept_in_a_large_state(void **state)
 {
     char key[64];
--- a/src/roles/tests/test_replacements.c
+++ b/src/roles/tests/test_replacements.c
@@ -1,5 +1,5 @@
-/* Guards against a replaced holder of a role that still rents or terminates machines, and against
- * intents that are lost or carried out twice when the holder changes.
+/* Guards against a controller that rents or terminates machines after another one has acquired its
+ * role, and against intents that are lost or carried out twice when the role's holder changes.
  *
  * Runs real controller processes. The holder is paused at each step between writing an intent and
  * deleting it, and another controller replaces it. Then the first one is resumed, or killed and
@@ -8,7 +8,9 @@
  *
  * Environment variables for runs outside CI: PM_REPLACEMENTS sets the number of replacements and
  * PM_SEED the seed. PM_FIRST_DAEMON is a program to run as controller 0, for example with a wall
- * clock that jumps. */
+ * clock that jumps. PM_OLD_DAEMON is an earlier version of the daemon, for
+ * earlier_version_runs_alongside, which is then the only test that runs. PM_TEST_FILTER selects
+ * tests by name. PM_TEST_LOG shows the controllers' logs. */
 #include "base/keys.h"
 #include "testing/cluster.h"
 #include "base/clock.h"
@@ -27,15 +29,16 @@
 #define DEADLINE_S 60.0      /* limit of each wait, ample even on a busy machine */
 #define STEP_DEADLINE_S 12.0 /* a step that is not reached within this time is skipped */
 #define SUCCESSOR_RUN_S 0.7  /* the new holder runs for this long before the old one resumes */
-#define LOST_AFTER_S 2.0     /* unanswered for this long, a busy machine may be terminated */
+/* A machine that runs a task may be terminated if its heartbeats were unanswered for this long. */
+#define LOST_AFTER_S 2.0
 #define JOB_INTERVAL_S 0.5   /* time between two submissions */
 #define PROVIDER_DELAY_S 7.0 /* longer than a controller waits for the provider's answer */
 #define DOWNTIME_S 0.3       /* time during which no controller runs */
 
 enum { CONTROLLERS = 3, REPLACEMENTS = 20, SEED = 1 };
 
-static const char enabled_settings[] = "leader_ttl_s: 1\nconfirm_s: 0.6\nidle_return_s: 1\n"
-                                       "duties:\n  fence: true\n  ttl_s: 1.5\n";
+static const char roles_enabled_settings[] = "leader_ttl_s: 1\nconfirm_s: 0.6\nidle_return_s: 1\n"
+                                             "duties:\n  fence: true\n  ttl_s: 1.5\n";
 
 /* The step at which the holder is paused. */
 enum step {
@@ -52,18 +55,18 @@
     struct cluster *cluster;
     struct call_checker *checker;
     enum step step;
-    enum pm_role role; /* the role whose intent or call reaches the step */
-    /* `is_armed`: the holder is to be paused once it reaches the step. `is_kill`: it is later
-     * killed and restarted, not resumed. */
-    bool is_armed, is_kill;
+    enum pm_role role;      /* the role whose intent or call reaches the step */
+    bool is_armed,          /* the holder is to be paused once it reaches the step */
+        should_kill;        /* the paused holder is later killed and restarted, not resumed */
     int stopped_controller; /* index of the paused or killed controller, -1 if there is none */
     double stopped_at;      /* monotonic time of the pause, 0 once scale-out has a new holder */
-    GArray *vacancies[2];   /* seconds without a holder of scale-out, by `is_kill` */
+    GArray *vacancies[2];   /* seconds without a holder of scale-out, by `should_kill` */
 };
 
 /* ---- pausing the holder ---- */
 
-static void pause_holder(struct scenario *scenario)
+/* Pauses the leader, which holds both scale-out and scale-in, if `is_armed`. */
+static void pause_leader_if_armed(struct scenario *scenario)
 {
     int leader = cluster_leader(scenario->cluster);
 
@@ -88,7 +91,7 @@
     double vacancy_s = pm_clock_monotonic() - scenario->stopped_at;
 
     if (scenario->stopped_at > 0)
-        g_array_append_val(scenario->vacancies[scenario->is_kill], vacancy_s);
+        g_array_append_val(scenario->vacancies[scenario->should_kill], vacancy_s);
     scenario->stopped_at = 0;
 }
 
@@ -101,7 +104,7 @@
         record_vacancy(scenario);
     if (is_intent_of_role(scenario, key) && ((scenario->step == STEP_INTENT_DURABLE && data) ||
                                              (scenario->step == STEP_INTENT_DELETED && !data)))
-        pause_holder(scenario);
+        pause_leader_if_armed(scenario);
 }
 
 static void on_call(void *arg, const struct fake_provider_call *call)
@@ -115,20 +118,20 @@
     if (scenario->step == STEP_CALL_ANSWER_LOST)
         fake_provider_lose_next_answer(cluster_provider(scenario->cluster), rental);
     if (scenario->step == STEP_CALL_EXECUTED || scenario->step == STEP_CALL_ANSWER_LOST)
-        pause_holder(scenario);
+        pause_leader_if_armed(scenario);
 }
 
 static struct scenario *current; /* the scenario that the predicates of cluster_run_until use */
 
-static bool holder_is_paused(struct cluster *cluster)
+static bool pause_holder_if_due(struct cluster *cluster)
 {
     if (current->is_armed && current->step == STEP_INTENT_IN_FLIGHT &&
         fake_store_has_delayed_txn(cluster_store(cluster)))
-        pause_holder(current);
+        pause_leader_if_armed(current);
     return current->stopped_controller >= 0;
 }
 
-static bool another_controller_leads(struct cluster *cluster)
+static bool running_controller_leads(struct cluster *cluster)
 {
     int leader = cluster_leader(cluster);
 
@@ -137,9 +140,11 @@
 
 /* ---- one replacement ---- */
 
-static void resume_stopped(struct scenario *scenario)
+/* Resumes or restarts the stopped controller, then executes the transaction that the fake state
+ * service has delayed, if there is one. */
+static void bring_back_stopped_controller(struct scenario *scenario)
 {
-    if (scenario->is_kill) {
+    if (scenario->should_kill) {
         cluster_kill(scenario->cluster, scenario->stopped_controller);
         cluster_start(scenario->cluster, scenario->stopped_controller);
     } else {
@@ -150,7 +155,7 @@
     scenario->stopped_controller = -1;
 }
 
-static int next_leader; /* the leader that replaced the first one, for third_controller_leads */
+static int next_leader; /* the leader that replaced the paused one, for third_controller_leads */
 
 static bool third_controller_leads(struct cluster *cluster)
 {
@@ -159,7 +164,7 @@
     return leader >= 0 && leader != current->stopped_controller && leader != next_leader;
 }
 
-/* Kills the next leader too, so that the first one resumes after two changes of leader. */
+/* Kills the next leader too, so that the paused one resumes after two changes of leader. */
 static void replace_next_leader(struct scenario *scenario)
 {
     next_leader = cluster_leader(scenario->cluster);
@@ -172,29 +177,29 @@
  * `replace_twice` its successor is replaced as well. Returns false if the step was not reached, so
  * that nothing was replaced. */
 static bool replace_holder(struct scenario *scenario, enum step step, enum pm_role role,
-                           bool is_kill, bool replace_twice)
+                           bool should_kill, bool replace_twice)
 {
     char key[64];
 
     scenario->step = step;
     scenario->role = role;
-    scenario->is_kill = is_kill;
+    scenario->should_kill = should_kill;
     scenario->is_armed = true;
     snprintf(key, sizeof key, PM_KEY_INTENT_PREFIX "%s", pm_role_name(role));
     if (step == STEP_INTENT_IN_FLIGHT)
         fake_store_delay_next_txn(cluster_store(scenario->cluster), key);
     /* Makes the holder write intents: it terminates the failed machine and rents another one. */
     fake_provider_fail_machine(cluster_provider(scenario->cluster));
-    if (!cluster_run_until(scenario->cluster, holder_is_paused, STEP_DEADLINE_S)) {
+    if (!cluster_run_until(scenario->cluster, pause_holder_if_due, STEP_DEADLINE_S)) {
         scenario->is_armed = false;
         fake_store_delay_next_txn(cluster_store(scenario->cluster), "");
         return false;
     }
-    assert_true(cluster_run_until(scenario->cluster, another_controller_leads, DEADLINE_S));
+    assert_true(cluster_run_until(scenario->cluster, running_controller_leads, DEADLINE_S));
     cluster_run(scenario->cluster, SUCCESSOR_RUN_S);
     if (replace_twice)
         replace_next_leader(scenario);
-    resume_stopped(scenario);
+    bring_back_stopped_controller(scenario);
     return true;
 }
 
@@ -203,13 +208,14 @@
     return cluster_is_idle(cluster) && !call_checker_open_intents(current->checker);
 }
 
+/* `old_daemon` is the program that controller 0 runs, or NULL for the same as the others. */
 static void start_cluster_with(struct scenario *scenario, const char *operator_settings,
                                const char *old_daemon)
 {
     *scenario =
         (struct scenario){.stopped_controller = -1, .checker = call_checker_new(LOST_AFTER_S)};
-    for (int is_kill = 0; is_kill < 2; is_kill++)
-        scenario->vacancies[is_kill] = g_array_new(FALSE, FALSE, sizeof(double));
+    for (int should_kill = 0; should_kill < 2; should_kill++)
+        scenario->vacancies[should_kill] = g_array_new(FALSE, FALSE, sizeof(double));
     current = scenario;
     scenario->cluster = cluster_new(&(struct cluster_settings){.controller_count = CONTROLLERS,
                                                                .daemon = PM_DAEMON,
@@ -229,8 +235,8 @@
 {
     cluster_free(scenario->cluster);
     call_checker_free(scenario->checker);
-    for (int is_kill = 0; is_kill < 2; is_kill++)
-        g_array_free(scenario->vacancies[is_kill], TRUE);
+    for (int should_kill = 0; should_kill < 2; should_kill++)
+        g_array_free(scenario->vacancies[should_kill], TRUE);
 }
 
 static void finish_and_check(struct scenario *scenario)
@@ -268,7 +274,7 @@
  * before then are rented without intents. */
 static void start_cluster_with_roles(struct scenario *scenario)
 {
-    start_cluster_with(scenario, enabled_settings, g_getenv("PM_FIRST_DAEMON"));
+    start_cluster_with(scenario, roles_enabled_settings, g_getenv("PM_FIRST_DAEMON"));
     assert_true(cluster_run_until(scenario->cluster, has_acquisition, DEADLINE_S));
     cluster_set_load(scenario->cluster, JOB_INTERVAL_S);
     assert_true(cluster_run_until(scenario->cluster, has_started_tasks, DEADLINE_S));
@@ -293,17 +299,19 @@
 {
     static const char *const names[] = {"holder paused", "holder paused and killed"};
 
-    for (int is_kill = 0; is_kill < 2; is_kill++) {
-        GArray *vacancies = scenario->vacancies[is_kill];
+    for (int should_kill = 0; should_kill < 2; should_kill++) {
+        GArray *vacancies = scenario->vacancies[should_kill];
         g_array_sort(vacancies, compare_numbers);
         if (vacancies->len)
-            printf("time without a holder, %s: median %.2f s, maximum %.2f s of %u\n",
-                   names[is_kill], g_array_index(vacancies, double, vacancies->len / 2),
-                   g_array_index(vacancies, double, vacancies->len - 1), vacancies->len);
+            printf(
+                "time without a scale-out holder (%s): median %.2f s, maximum %.2f s, %u times\n",
+                names[should_kill], g_array_index(vacancies, double, vacancies->len / 2),
+                g_array_index(vacancies, double, vacancies->len - 1), vacancies->len);
     }
 }
 
-/* Replaces holders of both roles at every step, by pauses and kills. The seed sets the order. */
+/* Replaces the holder at each step in turn. The seed chooses the role whose intent or call is
+ * waited for, whether the holder is killed, and whether its successor is replaced too. */
 static void holders_are_replaced_at_every_step(void **arg)
 {
     long wanted_count = read_number("PM_REPLACEMENTS", REPLACEMENTS);
@@ -317,9 +325,9 @@
     for (long i = 0; done_count < wanted_count && missed_count < wanted_count; i++) {
         enum step step = (enum step)(i % STEP_COUNT);
         enum pm_role role = g_rand_boolean(random) ? PM_ROLE_SCALE_OUT : PM_ROLE_SCALE_IN;
-        bool is_kill = g_rand_int_range(random, 0, 3) == 0;
+        bool should_kill = g_rand_int_range(random, 0, 3) == 0;
         bool is_reached =
-            replace_holder(&scenario, step, role, is_kill, g_rand_int_range(random, 0, 5) == 0);
+            replace_holder(&scenario, step, role, should_kill, g_rand_int_range(random, 0, 5) == 0);
         done_count += is_reached;
         missed_count += !is_reached;
         if (*call_checker_violations(scenario.checker))
@@ -336,8 +344,8 @@
     g_rand_free(random);
 }
 
-/* Guards against a checker that sees no calls: with roles disabled, no intents are written, so
- * every call is a violation. */
+/* Guards against a checker to which no calls are reported. With roles disabled, no intents are
+ * written, so that every call is a violation. */
 static void checker_finds_violations_without_roles(void **arg)
 {
     struct scenario scenario;
@@ -354,33 +362,34 @@
     free_scenario(&scenario);
 }
 
-/* The provider refuses calls, and executes a call after its timeout. */
+/* Guards against machines that are terminated without an open intent if the provider refuses calls,
+ * or executes a call after the controller has stopped waiting for the answer. */
 static void provider_refuses_and_executes_late(void **arg)
 {
     struct scenario scenario;
-    struct fake_provider *fleet;
+    struct fake_provider *provider;
     unsigned terminated_before;
 
     (void)arg;
     start_cluster_with_roles(&scenario);
-    fleet = cluster_provider(scenario.cluster);
-    fake_provider_refuse_requests(fleet, 429, 3);
-    fake_provider_fail_machine(fleet);
+    provider = cluster_provider(scenario.cluster);
+    fake_provider_refuse_requests(provider, 429, 3);
+    fake_provider_fail_machine(provider);
     cluster_run(scenario.cluster, STEP_DEADLINE_S / 3);
-    fake_provider_refuse_requests(fleet, 503, 3);
-    fake_provider_fail_machine(fleet);
+    fake_provider_refuse_requests(provider, 503, 3);
+    fake_provider_fail_machine(provider);
     cluster_run(scenario.cluster, STEP_DEADLINE_S / 3);
     terminated_before = call_checker_terminated(scenario.checker);
-    fake_provider_delay_next_termination(fleet, PROVIDER_DELAY_S);
-    fake_provider_fail_machine(fleet);
+    fake_provider_delay_next_termination(provider, PROVIDER_DELAY_S);
+    fake_provider_fail_machine(provider);
     /* The controller repeats the call, and later the provider executes the first one too. */
     cluster_run(scenario.cluster, 2 * PROVIDER_DELAY_S);
     assert_true(call_checker_terminated(scenario.checker) > terminated_before);
     finish_and_check(&scenario);
 }
 
-/* At each step from a durable intent on, the holder is paused there, then all controllers are
- * killed and soon restarted. */
+/* Guards against open intents that are lost when all controllers stop at once. Pauses the holder at
+ * each step from STEP_INTENT_DURABLE to the last, then kills and restarts all controllers. */
 static void all_controllers_are_killed_at_once(void **arg)
 {
     struct scenario scenario;
@@ -392,14 +401,14 @@
         scenario.role = PM_ROLE_SCALE_IN;
         scenario.is_armed = true;
         fake_provider_fail_machine(cluster_provider(scenario.cluster));
-        assert_true(cluster_run_until(scenario.cluster, holder_is_paused, DEADLINE_S));
+        assert_true(cluster_run_until(scenario.cluster, pause_holder_if_due, DEADLINE_S));
         for (int i = 0; i < CONTROLLERS; i++)
             cluster_kill(scenario.cluster, i);
         cluster_run(scenario.cluster, DOWNTIME_S);
         for (int i = 0; i < CONTROLLERS; i++)
             cluster_start(scenario.cluster, i);
         scenario.stopped_controller = -1;
-        assert_true(cluster_run_until(scenario.cluster, another_controller_leads, DEADLINE_S));
+        assert_true(cluster_run_until(scenario.cluster, running_controller_leads, DEADLINE_S));
         cluster_run(scenario.cluster, SUCCESSOR_RUN_S);
     }
     finish_and_check(&scenario);
@@ -422,7 +431,7 @@
     scenario.stopped_controller = cluster_leader(scenario.cluster);
     fake_store_put_number(state, drain_key, "token", token);
     cluster_kill(scenario.cluster, scenario.stopped_controller);
-    assert_true(cluster_run_until(scenario.cluster, another_controller_leads, DEADLINE_S));
+    assert_true(cluster_run_until(scenario.cluster, running_controller_leads, DEADLINE_S));
     cluster_start(scenario.cluster, scenario.stopped_controller);
     cluster_run(scenario.cluster, SUCCESSOR_RUN_S);
     assert_true(fake_store_revision(state, holder_key) > token);
@@ -431,7 +440,7 @@
     scenario.stopped_controller = cluster_leader(scenario.cluster);
     fake_store_put_number(state, drain_key, "token", token);
     fake_store_put_number(state, drain_key, "token", token);
-    assert_true(cluster_run_until(scenario.cluster, another_controller_leads, DEADLINE_S));
+    assert_true(cluster_run_until(scenario.cluster, running_controller_leads, DEADLINE_S));
     cluster_run(scenario.cluster, SUCCESSOR_RUN_S);
     assert_true(fake_store_revision(state, holder_key) > token);
     finish_and_check(&scenario);
@@ -450,7 +459,7 @@
     struct scenario scenario;
 
     (void)arg;
-    start_cluster_with(&scenario, enabled_settings, g_getenv("PM_OLD_DAEMON"));
+    start_cluster_with(&scenario, roles_enabled_settings, g_getenv("PM_OLD_DAEMON"));
     cluster_set_load(scenario.cluster, JOB_INTERVAL_S);
     assert_true(cluster_run_until(scenario.cluster, has_started_tasks, DEADLINE_S));
     for (int attempt = 0; attempt < CONTROLLERS && !old_version_leads(scenario.cluster);
--- a/src/roles/tests/test_roles.c
+++ b/src/roles/tests/test_roles.c
@@ -349,8 +349,8 @@
     assert_false(pm_roles_is_active(second.roles));
 }
 
-/* A malformed value is kept, and the controller does not acquire that role. Other roles are not
- * affected. */
+/* A malformed value of a holder's key is kept, and the controller does not acquire that role. Other
+ * roles are not affected. */
 static void unreadable_holder_is_left_in_place(void **arg)
 {
     (void)arg;
