--- a/src/cmd/pumicemount/internal.h
+++ b/src/cmd/pumicemount/internal.h
@@ -27,8 +27,8 @@
 /* Interval of the timer in reconciliation.c. */
 #define PM_CONTROLLER_RECONCILE_INTERVAL_S 0.5
 
-/* The stored ledger (p/ledger): the teams' usage, cached images and failing jobs, as written by the
- * leader for its successor. */
+/* The stored ledger (p/ledger), which the leader writes for its successor: the teams' usage, which
+ * zones are silent, the cached images and the failing jobs. */
 struct pm_controller_ledger {
     struct pm_buffer value; /* the last value read as a follower, applied on election */
     uint64_t revision;      /* of the key, 0: not stored */
@@ -61,9 +61,9 @@
     double mean_duration_s; /* of a plan, as a moving average */
 };
 
-/* The schedule of write-backs of the working state: the longer they take, the longer the pause
- * between two of them. */
-struct pm_controller_committing {
+/* The schedule of write-backs, which commit changes of the working state to the state service
+ * (pm_commit_run). The longer they take, the longer the pause between two of them. */
+struct pm_controller_commit_schedule {
     ev_timer timer;         /* active while the next write-back waits for its time */
     double ended_at;        /* monotonic: when the last write-back ended */
     double mean_duration_s; /* of a write-back, as a moving average */
@@ -71,7 +71,7 @@
 
 /* The schedule of the autoscaler's runs: the longer the last run took, the longer the pause after
  * it. */
-struct pm_controller_autoscaling {
+struct pm_controller_autoscaler_schedule {
     double ended_at;        /* monotonic: when the last run ended */
     double last_duration_s; /* of the last run */
 };
@@ -80,13 +80,13 @@
     struct ev_loop *loop;
     const struct pm_settings *settings;
     const struct pm_operator_settings *operator_settings;
-    /* Guards everything except `planning.wake_lock` and what that one guards. The event-loop thread
+    /* Guards everything except `planning.wake_lock` and `planning.is_due`. The event-loop thread
      * holds it except while it waits for events; the planner's thread holds it during a plan. */
     GMutex lock;
-    struct pm_name_tables tables;
+    struct pm_name_tables tables; /* the interned names, and the machine types with their CPUs */
     struct pm_http_client *http;
     struct pm_http_server *user_server, *peer_server;
-    /* The slices. */
+    /* The slices: modules with their own state, each in a folder of src/. */
     struct pm_store *store;
     struct pm_election *election;
     struct pm_cancel_quorum *cancel_quorum;
@@ -101,8 +101,8 @@
     struct pm_autoscaler *autoscaler;
     struct pm_api *api;
     struct pm_shards *shards;
-    /* The part that this controller plays in the cluster. */
-    bool is_active; /* it leads or owns a shard, and its working state has been rebuilt */
+    /* This controller's position in the cluster. */
+    bool is_active; /* it is the leader or owns a shard, and its working state has been rebuilt */
     bool is_leader;
     double elected_at; /* monotonic: when this controller was last elected */
     /* Monotonic: when this controller last advanced the epoch so that workers refuse launches of
@@ -115,11 +115,11 @@
     struct pm_controller_machine_types machine_types;
     struct pm_controller_gc_run gc_run;
     struct pm_controller_planning planning;
-    struct pm_controller_committing committing;
-    struct pm_controller_autoscaling autoscaling;
+    struct pm_controller_commit_schedule commit_schedule;
+    struct pm_controller_autoscaler_schedule autoscaler_schedule;
     ev_timer reconcile_timer;
     /* Monotonic: when a heartbeat of any worker last arrived, even if it was not answered. */
-    double last_heartbeat_at;
+    double last_worker_heartbeat_at;
     double state_logged_at;    /* monotonic: when controller.state was last logged */
     int pushes_in_flight;      /* to all machines together */
     bool view_write_in_flight; /* a write of this controller's own p/links/NAME is in flight */
@@ -143,12 +143,13 @@
 
 /* ---- worker_endpoint.c: heartbeats, and commands pushed to workers ---- */
 
-/* Pushes the commands that are due to the worker with POST /do. Does nothing if a push to it is in
- * flight or may not be sent now, or if no command is due. With `probe`, pushes even if no command
- * is due: the worker's answer carries its report, and the worker learns our fencing token. */
+/* Pushes the commands that are due to the worker with POST /do. With `probe`, pushes even if no
+ * command is due: the worker's answer carries its report, and the worker learns our fencing token.
+ * Does nothing if the worker's address is unknown, if a push to the worker is in flight or failed
+ * just now, if pushes use all the sockets that they may, or if the epoch is not confirmed. */
 void pm_controller_push_commands(struct pm_controller *controller, struct pm_machine *machine,
                                  bool probe);
-/* Does the same, without `probe`, for all machines that this controller places tasks on. */
+/* Pushes the commands that are due to all machines on which this controller places tasks. */
 void pm_controller_push_all_commands(struct pm_controller *controller);
 /* Handles POST /v1/report, a worker's heartbeat, and replies to it. */
 void pm_controller_handle_heartbeat(struct pm_controller *controller,
@@ -183,13 +184,14 @@
 
 /* Creates the links slice and its trace. */
 void pm_controller_init_links(struct pm_controller *controller);
-/* Lets the election's messages to peers carry views of links. Called once the election exists. */
+/* Makes the election's messages to peers carry each controller's view: the states of its links, as
+ * that controller observes them. Called once the election exists. */
 void pm_controller_attach_links(struct pm_controller *controller);
 /* Evaluates the links, probes those without traffic, and writes this controller's view when it is
  * due. */
 void pm_controller_tick_links(struct pm_controller *controller, double now);
-/* On the leader: steps down if another controller can lead better, or if this one has lost its
- * workers and another may reach them. */
+/* On the leader: steps down if another controller has better links, or if this controller and its
+ * workers no longer reach each other and another controller may reach them. */
 void pm_controller_step_down_if_unfit(struct pm_controller *controller, double now);
 
 /* ---- singleton_roles.c: roles under a lease, and garbage collection ---- */
@@ -209,20 +211,22 @@
 /* ---- reconciliation.c: periodic work ---- */
 
 struct pm_controller_counts {
-    /* Machines that are up and not assigned to another controller; those of them whose heartbeats
-     * are missed; machines assigned to the owners of shards; machines that boot. */
-    int machines_up, machines_silent, machines_assigned, machines_booting;
-    unsigned jobs; /* that are neither done nor cancelled, or whose tasks are not all proven gone */
+    int machines_up,       /* machines that are up, without those assigned to owners of shards */
+        machines_silent,   /* those of `machines_up` that missed a heartbeat */
+        machines_assigned, /* machines assigned to other controllers, the owners of shards */
+        machines_booting;
+    unsigned jobs; /* jobs that have not ended, and ended jobs with tasks that may still run */
     /* Delegated tasks are those that the owner of a shard has yet to place. */
     unsigned tasks_placed, tasks_waiting, tasks_delegated;
-    double cpus, idle_cpus; /* of machines that are up; idle: free for this controller's tasks */
+    double cpus,   /* of all machines that are up, also of those assigned to owners of shards */
+        idle_cpus; /* free on machines that are up and not assigned to owners of shards */
 };
 
 /* Counts machines, jobs and tasks, for the log and the operators' tool. */
 struct pm_controller_counts pm_controller_count(struct pm_controller *controller, double now);
-/* Probes workers that have not reported to this controller, whose heartbeats are late, or that may
- * not receive what this controller sends. On the leader, advances the epoch if a launch of unknown
- * outcome requires it. */
+/* Probes workers that have not reported to this controller, workers whose heartbeats are late, and
+ * workers that possibly do not receive this controller's messages. On the leader, advances the
+ * epoch if a push of launches got no answer, so that the worker refuses them if they arrive. */
 void pm_controller_probe_workers(struct pm_controller *controller, double now);
 /* Callback of the reconcile timer. */
 void pm_controller_on_reconcile_timer(struct ev_loop *loop, ev_timer *watcher, int events);
--- a/src/cmd/pumicemount/leadership_events.c
+++ b/src/cmd/pumicemount/leadership_events.c
@@ -8,11 +8,12 @@
 
 #include <string.h>
 
-/* Shares of the state service's write budget. Followers need theirs to write users' requests and
- * the placements of their shards. */
+/* Shares of the state service's write budget. Followers need their shares to write users' requests
+ * and the placements of their shards. */
 #define LEADER_WRITE_SHARE 0.5
-#define LEADER_WRITE_SHARE_MAX 0.9 /* allowed while the watch shows that followers write less */
-#define FOLLOWERS_WRITE_SHARE 0.8  /* divided among all followers */
+/* The leader's limit while the watch shows that followers write less than their share. */
+#define LEADER_WRITE_SHARE_MAX 0.9
+#define FOLLOWERS_WRITE_SHARE 0.8 /* divided among all followers */
 
 /* ---- working state ---- */
 
@@ -26,8 +27,8 @@
     pm_workers_add_placement(controller->workers, job, task_index, machine, stored->attempt,
                              stored->incarnation, PM_PLACEMENT_DURABLE, now);
     if (machine->state == PM_MACHINE_BOOTING) {
-        /* The worker may have failed since its last heartbeat to the previous leader, which is not
-         * known here: its silence is measured from now. */
+        /* This controller does not know when the previous leader received the worker's last
+         * heartbeat, and the worker may have failed since, so its silence is measured from now. */
         machine->state = PM_MACHINE_UP;
         machine->heartbeat.last_message_at = now;
     }
@@ -89,8 +90,8 @@
 /* ---- election ---- */
 
 /* Rebuilds the working state from the replica: which tasks are done, and every placement whose task
- * is not proven gone. Heartbeats then confirm the tasks that still run, so that they are not
- * started a second time. */
+ * may still run. Heartbeats then confirm the tasks that do run, so that they are not started a
+ * second time. */
 static void on_elected(void *arg, uint64_t epoch)
 {
     struct pm_controller *controller = arg;
@@ -165,12 +166,12 @@
     pm_controller_plan_soon(controller); /* so that the job's tasks are killed at once */
 }
 
-static const struct pm_cancellation *on_list_cancellations(void *arg, uint64_t revision,
-                                                           size_t most, size_t *count, bool *more)
+static const struct pm_cancellation *
+on_list_cancellations(void *arg, uint64_t revision, size_t max_count, size_t *count, bool *has_more)
 {
     struct pm_controller *controller = arg;
 
-    return pm_jobs_list_cancellations(controller->jobs, revision, most, count, more);
+    return pm_jobs_list_cancellations(controller->jobs, revision, max_count, count, has_more);
 }
 
 static void on_peer_reached_revision(void *arg, int peer, uint64_t store_revision)
--- a/src/cmd/pumicemount/link_monitor.c
+++ b/src/cmd/pumicemount/link_monitor.c
@@ -8,15 +8,16 @@
 
 #include <stdio.h>
 
-/* A worker counts as silent after the larger of this time and this many heartbeat intervals. */
+/* A worker counts as silent when no heartbeat has arrived for SILENCE_INTERVALS heartbeat
+ * intervals, but not before SILENCE_MIN_S. */
 #define SILENCE_MIN_S 3.5
 #define SILENCE_INTERVALS 1.6
 #define PROBE_TIMEOUT_S 1.0
 
 enum {
-    /* With fewer silent or unreachable machines, the fault may well be theirs and not this
-     * controller's. */
-    SILENT_MACHINES_MIN = 3,
+    /* With fewer silent or unreachable machines, the cause is possibly a fault of these machines
+     * and not of this controller. */
+    AFFECTED_MACHINES_MIN = 3,
     VIEW_WRITE_BUDGET_MIN = 4, /* changes that must be left in the write budget for the view */
     PROBE_ANSWER_BYTES = 1024 * 1024
 };
@@ -34,9 +35,9 @@
 }
 
 static void on_decode_views(void *arg, int peer, const unsigned char *data, size_t size,
-                            double asked_at)
+                            double sent_at)
 {
-    pm_links_decode_views(((struct pm_controller *)arg)->links, peer, data, size, asked_at,
+    pm_links_decode_views(((struct pm_controller *)arg)->links, peer, data, size, sent_at,
                           pm_clock_monotonic());
 }
 
@@ -45,7 +46,7 @@
     pm_links_record_peer_request(((struct pm_controller *)arg)->links, peer, pm_clock_monotonic());
 }
 
-static double on_candidate_wait(void *arg)
+static double on_extra_campaign_delay(void *arg)
 {
     return pm_links_extra_campaign_delay_s(((struct pm_controller *)arg)->links,
                                            pm_clock_monotonic());
@@ -59,7 +60,7 @@
            controller->is_active;
 }
 
-/* Adds the address to the census, if it is known and the list is not full. */
+/* Adds the address to the zone's census, unless it is "" or the list is full. */
 static void add_endpoint(struct pm_links_zone_census *census, const char *endpoint)
 {
     for (int i = 0; i < PM_VIEW_ENDPOINTS_MAX && endpoint[0]; i++)
@@ -69,13 +70,13 @@
         }
 }
 
-/* Counts the machines of each zone, and collects addresses of some for other controllers to probe.
- * Addresses of machines whose heartbeats arrive come first; where these are too few, those of
- * silent machines are added, because another controller may reach them. */
+/* Counts the machines of each zone, and collects addresses of some of them for other controllers to
+ * probe. Addresses of machines whose heartbeats arrive come first. If a zone has too few of these,
+ * machines that missed a heartbeat are added, because another controller may reach them. */
 static void record_zone_censuses(struct pm_controller *controller, double now)
 {
     struct pm_links_zone_census census[PM_ZONES_MAX] = {0};
-    struct pm_links_zone_census silent[PM_ZONES_MAX] = {0};
+    struct pm_links_zone_census missed_heartbeat[PM_ZONES_MAX] = {0};
     GPtrArray *all = pm_workers_all(controller->workers);
 
     for (guint i = 0; i < all->len; i++) {
@@ -83,7 +84,7 @@
         if (!is_managed_here(controller, machine) || machine->zone < 0)
             continue;
         add_endpoint(pm_machine_missed_heartbeat(machine, controller->settings, now)
-                         ? &silent[machine->zone]
+                         ? &missed_heartbeat[machine->zone]
                          : &census[machine->zone],
                      machine->endpoint);
         if (!machine->heartbeat.has_reported)
@@ -93,7 +94,7 @@
     }
     for (int zone = 0; zone < controller->settings->zone_count; zone++) {
         for (int i = 0; i < PM_VIEW_ENDPOINTS_MAX; i++)
-            add_endpoint(&census[zone], silent[zone].endpoint[i]);
+            add_endpoint(&census[zone], missed_heartbeat[zone].endpoint[i]);
         pm_links_record_zone_census(controller->links, zone, &census[zone], now);
     }
 }
@@ -162,15 +163,15 @@
     pm_store_commit(controller->store, &txn, on_view_written, controller);
 }
 
-/* Steps down if the heartbeats of all workers, or this leader's answers to most of them, no longer
- * arrive. A leader that is cut off from the workers alone can only let their leases expire, while
- * another controller may still reach them. */
+/* Steps down if no worker's heartbeat arrives any more, or if most workers no longer receive this
+ * leader's answers. A leader that has lost only its links to the workers can do no more than let
+ * their leases expire, while another controller may still reach them. */
 static void step_down_if_unreachable(struct pm_controller *controller, double now)
 {
     GPtrArray *all = pm_workers_all(controller->workers);
     double silence_s = MAX(SILENCE_MIN_S, SILENCE_INTERVALS * controller->settings->heartbeat_s);
-    int silent = 0;
-    int unreachable = 0;
+    int silent_count = 0;
+    int unreachable_count = 0;
     int up_count = 0;
 
     if (!controller->settings->peer_count || now - controller->elected_at < silence_s)
@@ -182,14 +183,15 @@
         up_count++;
         /* Answers to pushes do not count, because a worker whose heartbeats reach no controller
          * loses its lease. */
-        silent +=
+        silent_count +=
             now - MAX(machine->heartbeat.last_heartbeat_at, controller->elected_at) >= silence_s;
-        unreachable += pm_machine_is_unreachable(machine, now);
+        unreachable_count += pm_machine_is_unreachable(machine, now);
     }
     /* Any heartbeat that arrives counts, even one that can't be answered because of an outage. */
-    if (silent >= SILENT_MACHINES_MIN && now - controller->last_heartbeat_at >= silence_s)
+    if (silent_count >= AFFECTED_MACHINES_MIN &&
+        now - controller->last_worker_heartbeat_at >= silence_s)
         pm_election_step_down(controller->election, "no worker's heartbeat arrives");
-    else if (unreachable >= SILENT_MACHINES_MIN && 2 * unreachable > up_count &&
+    else if (unreachable_count >= AFFECTED_MACHINES_MIN && 2 * unreachable_count > up_count &&
              pm_election_is_confirmed(controller->election, now))
         pm_election_step_down(controller->election,
                               "most workers do not receive this controller's answers");
@@ -197,6 +199,8 @@
 
 void pm_controller_step_down_if_unfit(struct pm_controller *controller, double now)
 {
+    /* With links.decide, a leader that lost its workers steps down only if another controller could
+     * lead at least as well. */
     if (pm_links_should_step_down(controller->links, now - controller->elected_at, now))
         pm_election_step_down(controller->election, "another controller has better links");
     else if (!controller->operator_settings->links.decide ||
@@ -226,7 +230,7 @@
         controller->trace = pm_links_trace_new(setting->trace_dir, controller->settings->name,
                                                setting->trace_mb, err, sizeof err);
         if (!controller->trace) /* the controller runs without a trace */
-            pm_error("links.trace", "no trace is written: %s", err);
+            pm_error("links.trace", "the trace can't be opened; running without it: %s", err);
     }
     controller->links = pm_links_new(controller->settings, setting, controller->trace);
     if (setting->observe)
@@ -240,6 +244,6 @@
     pm_election_attach_links(
         controller->election,
         &(struct pm_election_links){controller->operator_settings->links.probe_s, on_encode_views,
-                                    on_decode_views, on_peer_request_received, on_candidate_wait,
-                                    controller});
+                                    on_decode_views, on_peer_request_received,
+                                    on_extra_campaign_delay, controller});
 }
--- a/src/cmd/pumicemount/planner.c
+++ b/src/cmd/pumicemount/planner.c
@@ -1,15 +1,16 @@
 /* Runs the planner's thread and the work after each plan: write-back, pushes to workers, and the
- * autoscaler. Plans, write-backs and autoscaler runs are each followed by a pause that grows with
- * their duration, so that workers and users are still answered in time with a large fleet or on a
- * slow machine. */
+ * autoscaler. The longer plans, write-backs and autoscaler runs take, the less often they are run,
+ * so that workers and users are still answered in time with a large fleet or on a slow machine. */
 #include "base/clock.h"
 #include "internal.h"
 
-#define PLAN_INTERVAL_MIN_S 0.03 /* from the start of a plan to the start of the next */
-/* A pause is the duration of the work times a factor, up to a maximum. The pause of plans counts
- * from the start of the last plan, the other pauses count from the end of the last run. */
-#define PLAN_PAUSE_FACTOR 8
-#define PLAN_PAUSE_MAX_S 0.6
+/* The interval from the start of a plan to the start of the next is the mean duration of a plan
+ * times the factor, within these limits. */
+#define PLAN_INTERVAL_MIN_S 0.03
+#define PLAN_INTERVAL_FACTOR 8
+#define PLAN_INTERVAL_MAX_S 0.6
+/* The pause from the end of an autoscaler run or a write-back to the start of the next is the
+ * duration of the work times the factor, up to the maximum. */
 #define AUTOSCALER_PAUSE_FACTOR 15
 #define AUTOSCALER_PAUSE_MAX_S 1
 #define COMMIT_PAUSE_FACTOR 6
@@ -45,7 +46,7 @@
     struct pm_scheduler *scheduler = controller->scheduler;
     double now = pm_clock_monotonic();
 
-    pm_scheduler_set_full_view(scheduler, controller->is_leader);
+    pm_scheduler_set_sees_all_teams(scheduler, controller->is_leader);
     pm_scheduler_set_writable(scheduler, pm_controller_is_store_writable(controller, now));
     pm_scheduler_begin_plan(scheduler, now, pm_clock_wall());
     if (controller->is_leader)
@@ -102,14 +103,14 @@
 void pm_controller_plan_soon(struct pm_controller *controller)
 {
     struct pm_controller_planning *planning = &controller->planning;
-    double pause_s;
+    double interval_s;
 
     if (!controller->is_active || ev_is_active(&planning->timer))
         return;
-    pause_s = MIN(MAX(PLAN_INTERVAL_MIN_S, PLAN_PAUSE_FACTOR * planning->mean_duration_s),
-                  PLAN_PAUSE_MAX_S);
+    interval_s = MIN(MAX(PLAN_INTERVAL_MIN_S, PLAN_INTERVAL_FACTOR * planning->mean_duration_s),
+                     PLAN_INTERVAL_MAX_S);
     restart_timer(controller->loop, &planning->timer,
-                  planning->woken_at + pause_s - pm_clock_monotonic());
+                  planning->woken_at + interval_s - pm_clock_monotonic());
 }
 
 /* ---- write-back ---- */
@@ -129,28 +130,30 @@
 
 void pm_controller_commit(struct pm_controller *controller)
 {
-    struct pm_controller_committing *committing = &controller->committing;
+    struct pm_controller_commit_schedule *commit_schedule = &controller->commit_schedule;
     double now = pm_clock_monotonic();
-    double pause_s = MIN(COMMIT_PAUSE_FACTOR * committing->mean_duration_s, COMMIT_PAUSE_MAX_S);
+    double pause_s =
+        MIN(COMMIT_PAUSE_FACTOR * commit_schedule->mean_duration_s, COMMIT_PAUSE_MAX_S);
     struct pm_commit_conditions conditions;
     double next_at;
 
     if (!controller->is_active)
         return;
-    if (now < committing->ended_at + pause_s) {
-        /* The changes that come up during the pause are then written together. */
-        restart_timer(controller->loop, &committing->timer, committing->ended_at + pause_s - now);
+    if (now < commit_schedule->ended_at + pause_s) {
+        /* Changes that are made during the pause are written together after it. */
+        restart_timer(controller->loop, &commit_schedule->timer,
+                      commit_schedule->ended_at + pause_s - now);
         return;
     }
     pm_scheduler_recheck_quota(controller->scheduler, now);
     conditions = commit_conditions(controller);
     next_at = pm_commit_run(controller->commit, &conditions, now, pm_clock_wall());
-    committing->ended_at = pm_clock_monotonic();
-    committing->mean_duration_s =
-        update_mean(committing->mean_duration_s, committing->ended_at - now);
-    ev_timer_stop(controller->loop, &committing->timer);
+    commit_schedule->ended_at = pm_clock_monotonic();
+    commit_schedule->mean_duration_s =
+        update_mean(commit_schedule->mean_duration_s, commit_schedule->ended_at - now);
+    ev_timer_stop(controller->loop, &commit_schedule->timer);
     if (next_at > 0)
-        restart_timer(controller->loop, &committing->timer, next_at - now);
+        restart_timer(controller->loop, &commit_schedule->timer, next_at - now);
 }
 
 static void on_commit_timer(struct ev_loop *loop, ev_timer *watcher, int events)
@@ -164,21 +167,23 @@
 
 static void run_autoscaler(struct pm_controller *controller)
 {
-    struct pm_controller_autoscaling *autoscaling = &controller->autoscaling;
+    struct pm_controller_autoscaler_schedule *autoscaler_schedule =
+        &controller->autoscaler_schedule;
     double now = pm_clock_monotonic();
     double pause_s =
-        MIN(AUTOSCALER_PAUSE_FACTOR * autoscaling->last_duration_s, AUTOSCALER_PAUSE_MAX_S);
+        MIN(AUTOSCALER_PAUSE_FACTOR * autoscaler_schedule->last_duration_s, AUTOSCALER_PAUSE_MAX_S);
     bool may_terminate_silent;
 
-    if (now < autoscaling->ended_at + pause_s)
+    if (now < autoscaler_schedule->ended_at + pause_s)
         return;
-    /* A process that was suspended has missed heartbeats: no machine is terminated for that. */
+    /* If this process was suspended, it has missed heartbeats through no fault of the machines, so
+     * no machine is terminated for its silence. */
     may_terminate_silent = pm_controller_is_store_writable(controller, now) &&
                            !pm_links_was_paused_recently(controller->links, now);
     pm_autoscaler_set_writable(controller->autoscaler, may_terminate_silent, now);
     pm_autoscaler_run(controller->autoscaler, now, pm_clock_wall());
-    autoscaling->ended_at = pm_clock_monotonic();
-    autoscaling->last_duration_s = autoscaling->ended_at - now;
+    autoscaler_schedule->ended_at = pm_clock_monotonic();
+    autoscaler_schedule->last_duration_s = autoscaler_schedule->ended_at - now;
 }
 
 static void on_plan_done(struct ev_loop *loop, ev_async *watcher, int events)
@@ -201,16 +206,16 @@
 void pm_controller_init_planner(struct pm_controller *controller)
 {
     struct pm_controller_planning *planning = &controller->planning;
-    struct pm_controller_committing *committing = &controller->committing;
+    struct pm_controller_commit_schedule *commit_schedule = &controller->commit_schedule;
 
     g_mutex_init(&planning->wake_lock);
     g_cond_init(&planning->wake);
     ev_async_init(&planning->done, on_plan_done);
     ev_timer_init(&planning->timer, on_plan_timer, 0., 0.);
-    ev_timer_init(&committing->timer, on_commit_timer, 0., 0.);
+    ev_timer_init(&commit_schedule->timer, on_commit_timer, 0., 0.);
     planning->done.data = controller;
     planning->timer.data = controller;
-    committing->timer.data = controller;
+    commit_schedule->timer.data = controller;
     ev_async_start(controller->loop, &planning->done);
 }
 
--- a/src/cmd/pumicemount/reconciliation.c
+++ b/src/cmd/pumicemount/reconciliation.c
@@ -10,19 +10,20 @@
 
 #define LEDGER_INTERVAL_S 5.0
 #define LOG_INTERVAL_S 10.0
-/* The shortest interval between advances of the epoch for launches of unknown outcome. */
+/* The shortest interval between advances of the epoch that make workers refuse launches whose push
+ * was not answered. */
 #define ADVANCE_EPOCH_INTERVAL_S 6.0
 /* The epoch is advanced only for a worker whose last message is younger than this. */
 #define RECENT_MESSAGE_S 3.0
-/* A heartbeat is late, and the worker is probed, after the heartbeat interval times the factor plus
- * the fixed delay. */
+/* A heartbeat is late, and the worker is probed, once no message of the worker has arrived for the
+ * heartbeat interval times the factor plus the grace period. */
 #define LATE_HEARTBEAT_FACTOR 1.25
-#define LATE_HEARTBEAT_S 0.4
+#define LATE_HEARTBEAT_GRACE_S 0.4
 
 enum {
-    /* A run sends no more probes once this many workers have a push in flight, so that not all
-     * workers are probed at once. */
-    PROBES_MAX = 150,
+    /* A run sends no more probes once this many of the workers that it has looked at have a push in
+     * flight, so that not all workers are probed at once. */
+    PUSHES_IN_FLIGHT_MAX = 150,
     /* Changes that must be left in the write budget for the ledger to be written on time. */
     LEDGER_WRITE_BUDGET_MIN = 6
 };
@@ -65,8 +66,8 @@
     controller->ledger.write_in_flight = true;
     controller->ledger.written_at = now;
     pm_txn_compare(&txn, PM_KEY_EPOCH, pm_election_epoch_revision(controller->election));
-    /* A write that is applied late must not replace a newer one: it would restore an outdated
-     * record of which zones were silent. */
+    /* A write that is applied late must not replace a newer one, because the ledger would then
+     * contain an outdated record of which zones are silent. */
     pm_txn_compare(&txn, PM_KEY_LEDGER, controller->ledger.revision);
     pm_txn_put(&txn, PM_KEY_LEDGER);
     pm_scheduler_encode_ledger(controller->scheduler, now, pm_clock_wall(), &txn.writes);
@@ -81,15 +82,14 @@
 static double lease_exclusive_since(struct pm_controller *controller, struct pm_machine *machine)
 {
     struct pm_machine_lease *lease = &machine->lease;
-    double exclusive_since = lease->exclusive_since;
+    double since = lease->exclusive_since;
 
-    if (!exclusive_since && controller->is_leader) {
-        exclusive_since =
-            pm_election_epoch_exclusive_since(controller->election, lease->reclaimed_epoch);
-        if (lease->reclaimed_epoch && isfinite(exclusive_since))
-            lease->exclusive_since = exclusive_since;
+    if (!since && controller->is_leader) {
+        since = pm_election_epoch_exclusive_since(controller->election, lease->reclaimed_epoch);
+        if (lease->reclaimed_epoch && isfinite(since))
+            lease->exclusive_since = since;
     }
-    return MAX(exclusive_since, pm_election_exclusive_since(controller->election));
+    return MAX(since, pm_election_exclusive_since(controller->election));
 }
 
 /* Marks the placements of workers whose lease has certainly expired as lost: such a worker, if it
@@ -107,12 +107,11 @@
         return;
     for (guint i = 0; i < machines->len; i++) {
         struct pm_machine *machine = g_ptr_array_index(machines, i);
-        double exclusive_since;
+        double since;
         if (!machine || !machine->placements->len || machine->shard.assigned_to)
             continue;
-        exclusive_since = lease_exclusive_since(controller, machine);
-        if (!pm_workers_is_lease_expired(machine, exclusive_since, controller->settings->lease_s,
-                                         now))
+        since = lease_exclusive_since(controller, machine);
+        if (!pm_workers_is_lease_expired(machine, since, controller->settings->lease_s, now))
             continue;
         pm_info("worker.lease_expired", "%s: its %u placements are lost", machine->name,
                 machine->placements->len);
@@ -127,7 +126,8 @@
 static bool should_probe(const struct pm_controller *controller, const struct pm_machine *machine,
                          double now)
 {
-    double late_s = LATE_HEARTBEAT_FACTOR * controller->settings->heartbeat_s + LATE_HEARTBEAT_S;
+    double late_s =
+        LATE_HEARTBEAT_FACTOR * controller->settings->heartbeat_s + LATE_HEARTBEAT_GRACE_S;
 
     if (!machine->heartbeat.has_reported && machine->endpoint[0] && machine->provider.is_listed)
         return true;
@@ -139,8 +139,8 @@
     return machine->state == PM_MACHINE_UP && now - machine->heartbeat.last_message_at > late_s;
 }
 
-/* Whether the epoch should be advanced for this machine's sake: a launch that got no answer may
- * still reach its worker, and the worker would refuse it after seeing a later fencing token. */
+/* Whether the epoch should be advanced because of this machine: a launch whose push was not
+ * answered may still reach the worker, which refuses it once it has seen a higher fencing token. */
 static bool needs_epoch_advance(const struct pm_controller *controller,
                                 const struct pm_machine *machine, double now)
 {
@@ -155,20 +155,20 @@
 {
     GPtrArray *machines = pm_workers_all(controller->workers);
     bool is_epoch_advance_needed = false;
-    int probes = 0;
+    int push_count = 0;
 
     for (guint i = 0; i < machines->len; i++) {
         struct pm_machine *machine = g_ptr_array_index(machines, i);
         if (!machine || machine->state == PM_MACHINE_TERMINATING || machine->shard.assigned_to)
             continue;
         is_epoch_advance_needed |= needs_epoch_advance(controller, machine, now);
-        if (probes >= PROBES_MAX)
+        if (push_count >= PUSHES_IN_FLIGHT_MAX)
             continue; /* a later run probes this worker */
         /* The worker answers with its report and learns our fencing token, even if the incarnation
          * in the request is not its own. */
         if (should_probe(controller, machine, now))
             pm_controller_push_commands(controller, machine, true);
-        probes += machine->push.in_flight_number != 0;
+        push_count += machine->push.in_flight_number != 0;
     }
     if (is_epoch_advance_needed && controller->is_leader &&
         now - controller->epoch_advanced_at > ADVANCE_EPOCH_INTERVAL_S) {
@@ -241,7 +241,7 @@
     pm_scheduler_log_quota_usage(controller->scheduler);
 }
 
-/* The part of the periodic work that only an active controller does. */
+/* Does the periodic work of an active controller. */
 static void reconcile(struct pm_controller *controller, double now)
 {
     expire_leases(controller, now);
--- a/src/cmd/pumicemount/replica_feed.c
+++ b/src/cmd/pumicemount/replica_feed.c
@@ -1,5 +1,5 @@
-/* Dispatches the changes of the replica, which the state service's client reports, to the slices
- * that own the keys. Runs in the event-loop thread. */
+/* Passes each change of the replica, as the state service's client reports it, to the slice that
+ * owns the key. Runs in the event-loop thread. */
 #include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
--- a/src/cmd/pumicemount/singleton_roles.c
+++ b/src/cmd/pumicemount/singleton_roles.c
@@ -1,5 +1,5 @@
-/* Drives the singleton roles: passes the roles slice its conditions, handles acquired and drained
- * roles, and collects garbage among the stored keys. Runs in the event-loop thread. */
+/* Runs the periodic step of the singleton roles, reacts to acquired and drained roles, and deletes
+ * stored keys that are no longer used. Runs in the event-loop thread. */
 #include "base/keys.h"
 #include "base/clock.h"
 #include "base/log.h"
@@ -47,8 +47,7 @@
 }
 
 /* Deletes unused keys, as many as the write budget and the limit of a transaction allow. The
- * transaction compares the role's fencing token, so it fails if this controller has lost the role.
- */
+ * transaction compares the role's fencing token, so it fails if this controller lost the role. */
 static void collect_garbage(struct pm_controller *controller, double now)
 {
     int deletes_max = MIN(pm_store_write_budget(controller->store, now) - GC_RESERVED_WRITES,
@@ -97,7 +96,7 @@
         pm_audit_log_new(setting->audit_log_dir, controller->settings->name,
                          setting->audit_log_period_s, setting->audit_log_mb, err, sizeof err);
     if (!audit_log)
-        pm_error("audit_log.error", "no audit log is written: %s", err);
+        pm_error("audit_log.error", "the audit log can't be opened; running without it: %s", err);
     return audit_log;
 }
 
--- a/src/cmd/pumicemount/worker_endpoint.c
+++ b/src/cmd/pumicemount/worker_endpoint.c
@@ -8,10 +8,12 @@
 
 /* A push with commands that is not answered within this time has an unknown outcome. */
 #define PUSH_TIMEOUT_S 3.0
-/* For a push without commands, which only checks that the worker responds. */
+/* Timeout of a push without commands, which is sent for the worker's report in the answer and to
+ * show the worker our fencing token. */
 #define PROBE_TIMEOUT_S 1.5
 #define PUSH_RETRY_S 0.7 /* from a failed push to the next push to the machine */
-/* The longest delay by which a heartbeat may arrive after a message that was sent later. */
+/* A heartbeat that is older than the newest message of its worker counts as overtaken by that
+ * message if the message arrived at most this long ago. Otherwise it counts as a duplicate. */
 #define REORDERING_MAX_S 2.0
 
 enum {
@@ -44,24 +46,27 @@
     double now = pm_clock_monotonic();
 
     machine->push.failed_at = now;
-    /* A booting machine can't answer, and a process that was suspended has missed answers. */
+    /* A booting machine can't answer yet. If this controller's process was suspended, it may have
+     * missed the answer. Neither shows a failure of the delivery. */
     if (machine->heartbeat.has_reported && !pm_links_was_paused_recently(controller->links, now))
-        pm_machine_note_delivery_failure(machine, "a push got no answer", now);
+        pm_machine_note_delivery_failure(machine, "POST /do could not be sent or was not answered",
+                                         now);
     machine->push.retry_at = now + PUSH_RETRY_S;
 }
 
 static void apply_push_answer(struct pm_controller *controller, const cbor_item_t *report)
 {
-    bool fresh;
+    bool is_newest;
 
     pm_workers_apply_report(controller->workers, report, PM_REPORT_PUSH_REPLY,
-                            pm_election_epoch(controller->election), pm_clock_monotonic(), &fresh);
+                            pm_election_epoch(controller->election), pm_clock_monotonic(),
+                            &is_newest);
     pm_controller_plan_soon(controller);
     pm_controller_commit(controller);
 }
 
-/* Records the push's outcome, unless the working state was reset after the push was sent. Then
- * pushes the commands that became due meanwhile. */
+/* Records the push's outcome, and pushes the commands that became due meanwhile. Does nothing if
+ * the working state was reset after the push was sent. */
 static void settle_push(const struct push *push, struct pm_machine *machine, int status,
                         const cbor_item_t *report)
 {
@@ -215,9 +220,9 @@
 struct heartbeat {
     struct pm_http_request *request;
     const cbor_item_t *report;
-    char machine[PM_NAME_MAX];
-    uint64_t fencing_token; /* the highest that the worker has seen */
-    double now;             /* monotonic */
+    char machine[PM_NAME_MAX]; /* the machine's name */
+    uint64_t fencing_token;    /* the highest that the worker has seen */
+    double now;                /* monotonic */
 };
 
 /* Whether another controller is responsible for the machine. That holds for every machine while
@@ -232,10 +237,10 @@
     return !machine || machine->shard.returned_to_leader;
 }
 
-/* Redirects the worker, or renews its lease if this follower may do so during an outage of the
- * state service. */
-static void answer_worker_of_another(struct pm_controller *controller,
-                                     const struct heartbeat *heartbeat)
+/* Answers a worker whose machine another controller is responsible for: redirects the worker, or
+ * renews its lease if this follower may do so during an outage of the state service. */
+static void answer_other_controllers_worker(struct pm_controller *controller,
+                                            const struct heartbeat *heartbeat)
 {
     struct pm_election *election = controller->election;
 
@@ -261,7 +266,8 @@
     if (is_deposed)
         pm_election_recheck_epoch(controller->election);
     pm_debug("heartbeat.epoch_unconfirmed",
-             "answered %s with 503: epoch %llu is not confirmed, or its token %llu is higher",
+             "heartbeat of %s answered with 503: epoch %llu is not confirmed, or the worker's "
+             "fencing token %llu is higher",
              heartbeat->machine, (unsigned long long)epoch,
              (unsigned long long)heartbeat->fencing_token);
     reply_unavailable(heartbeat->request);
@@ -272,27 +278,28 @@
 {
     uint64_t epoch = pm_election_epoch(controller->election);
     struct pm_machine *machine;
-    bool fresh;
+    bool is_newest;
 
     if (!check_epoch(controller, heartbeat))
         return;
     machine = pm_workers_apply_report(controller->workers, heartbeat->report, PM_REPORT_HEARTBEAT,
-                                      epoch, heartbeat->now, &fresh);
+                                      epoch, heartbeat->now, &is_newest);
     if (!machine) {
         pm_http_reply(heartbeat->request, 400, NULL, 0, 0);
         return;
     }
-    /* A copy of an old heartbeat is not answered 200, because it neither shows that the worker runs
-     * nor renews its lease. A worker that has lost its state looks the same: it is answered 503 too
-     * and begins its next incarnation. But if another message of the worker arrived within
-     * REORDERING_MAX_S, the heartbeat was merely overtaken, by the worker's answer to a push. */
+    /* A worker whose machine is being terminated gets no more commands or renewals. A duplicate of
+     * an old heartbeat does not show that the worker still runs, so it must not renew the lease.
+     * The heartbeats of a worker that restarted without its state look old as well; the 503 makes
+     * it begin its next incarnation. But if another message of the worker arrived within
+     * REORDERING_MAX_S, the heartbeat was merely overtaken by the worker's answer to a push. */
     if (machine->state == PM_MACHINE_TERMINATING ||
-        (!fresh && heartbeat->now - machine->heartbeat.last_message_at > REORDERING_MAX_S)) {
+        (!is_newest && heartbeat->now - machine->heartbeat.last_message_at > REORDERING_MAX_S)) {
         reply_unavailable(heartbeat->request);
         return;
     }
     heartbeat->request->deadline = pm_election_confirmation_deadline(controller->election);
-    reply_commands(controller, heartbeat->request, fresh ? machine : NULL, heartbeat->report);
+    reply_commands(controller, heartbeat->request, is_newest ? machine : NULL, heartbeat->report);
     pm_machine_note_heartbeat_ack(machine, epoch, heartbeat->now);
     pm_controller_plan_soon(controller);
     pm_controller_commit(controller);
@@ -305,7 +312,7 @@
 
     if (controller->is_leader &&
         pm_autoscaler_is_terminated(controller->autoscaler, heartbeat->machine)) {
-        /* The heartbeat is a late copy: the machine's termination has been confirmed. */
+        /* The heartbeat was delayed: the machine's termination has been confirmed since. */
         reply_unavailable(heartbeat->request);
         return;
     }
@@ -316,7 +323,7 @@
                                   token && token == pm_election_epoch(controller->election),
                                   heartbeat->now);
     if (is_managed_elsewhere(controller, machine))
-        answer_worker_of_another(controller, heartbeat);
+        answer_other_controllers_worker(controller, heartbeat);
     else
         answer_own_worker(controller, heartbeat);
 }
@@ -327,7 +334,7 @@
     struct heartbeat heartbeat = {.request = request, .now = pm_clock_monotonic()};
     cbor_item_t *report = pm_cbor_parse(request->body, request->body_size);
 
-    controller->last_heartbeat_at = heartbeat.now;
+    controller->last_worker_heartbeat_at = heartbeat.now;
     heartbeat.report = report;
     pm_cbor_read_count(pm_cbor_get(report, "mandate"), &heartbeat.fencing_token);
     if (pm_cbor_read_text(pm_cbor_get(report, "host"), heartbeat.machine, sizeof heartbeat.machine))
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -32,8 +32,8 @@
 static bool may_preempt_anything(const struct pm_scheduler *scheduler, const struct pm_job *job,
                                  enum pm_priority lowest)
 {
-    return job->priority > lowest ||
-           (scheduler->has_full_view && is_other_team_beyond_guarantee(scheduler, job->spec->team));
+    return job->priority > lowest || (scheduler->sees_all_teams &&
+                                      is_other_team_beyond_guarantee(scheduler, job->spec->team));
 }
 
 static void preempt_for_tasks(struct pm_scheduler *scheduler, struct pm_job *job, uint32_t tasks,
--- a/src/scheduler/preemption_rules.c
+++ b/src/scheduler/preemption_rules.c
@@ -25,7 +25,7 @@
 static bool may_preempt_as_urgent(const struct pm_scheduler *scheduler, const struct pm_job *job,
                                   int other_team)
 {
-    return !scheduler->has_full_view || other_team == job->spec->team ||
+    return !scheduler->sees_all_teams || other_team == job->spec->team ||
            is_within_guarantee(scheduler, job) ||
            pm_scheduler_is_beyond_guarantee(scheduler, other_team);
 }
@@ -34,7 +34,7 @@
 static bool may_preempt_for_guarantee(const struct pm_scheduler *scheduler,
                                       const struct pm_job *job, const struct pm_job *other)
 {
-    return scheduler->has_full_view && job->spec->team != other->spec->team &&
+    return scheduler->sees_all_teams && job->spec->team != other->spec->team &&
            other->priority < PM_PRIORITY_PRODUCTION && is_within_guarantee(scheduler, job) &&
            pm_scheduler_is_beyond_guarantee(scheduler, other->spec->team);
 }
@@ -60,7 +60,7 @@
     if (job->priority == PM_PRIORITY_PRODUCTION)
         return false;
     return job->priority < other->priority ||
-           (scheduler->has_full_view && team != other->spec->team &&
+           (scheduler->sees_all_teams && team != other->spec->team &&
             pm_scheduler_is_beyond_guarantee(scheduler, team));
 }
 
@@ -92,7 +92,7 @@
 enum pm_priority pm_scheduler_preemption_priority_limit(const struct pm_scheduler *scheduler,
                                                         const struct pm_job *job)
 {
-    bool may_use_guarantee = scheduler->has_full_view && !pm_scheduler_is_uncharged(job);
+    bool may_use_guarantee = scheduler->sees_all_teams && !pm_scheduler_is_uncharged(job);
 
     return may_use_guarantee ? PM_PRIORITY_PRODUCTION : job->priority;
 }
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -128,7 +128,7 @@
     for (guint i = 0; i < active->len; i++) {
         const struct pm_job *job = g_ptr_array_index(active, i);
         /* Only the leader counts leases: a shard's owner counts its tasks as placements. */
-        if (job->delegated && job->spec && scheduler->has_full_view)
+        if (job->delegated && job->spec && scheduler->sees_all_teams)
             add_tasks(&usage[job->spec->team].leased, job->spec, count_leased_tasks(job));
     }
     check_reported_usage(scheduler, now);
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -13,7 +13,7 @@
     scheduler->jobs = jobs;
     scheduler->workers = workers;
     scheduler->operator_settings = operator_settings;
-    scheduler->has_full_view = true;
+    scheduler->sees_all_teams = true;
     scheduler->is_writable = true;
     scheduler->unmet_demand = g_array_new(FALSE, FALSE, sizeof(struct pm_unmet_demand));
     scheduler->run.queue = g_ptr_array_new();
@@ -46,9 +46,9 @@
     scheduler->reserve_cpus = cpus;
 }
 
-void pm_scheduler_set_full_view(struct pm_scheduler *scheduler, bool has_full_view)
+void pm_scheduler_set_sees_all_teams(struct pm_scheduler *scheduler, bool sees_all_teams)
 {
-    scheduler->has_full_view = has_full_view;
+    scheduler->sees_all_teams = sees_all_teams;
 }
 
 void pm_scheduler_set_writable(struct pm_scheduler *scheduler, bool is_writable)
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -32,7 +32,7 @@
 void pm_scheduler_set_reserve(struct pm_scheduler *scheduler, double cpus);
 /* Sets whether this controller sees the usage of all teams. A shard's owner does not, and leaves
  * preemption for guarantees to the leader. */
-void pm_scheduler_set_full_view(struct pm_scheduler *scheduler, bool has_full_view);
+void pm_scheduler_set_sees_all_teams(struct pm_scheduler *scheduler, bool sees_all_teams);
 /* Sets whether placements can be written to the store now. While they cannot, nothing is preempted
  * or moved, because no replacement could be started. */
 void pm_scheduler_set_writable(struct pm_scheduler *scheduler, bool is_writable);
--- a/src/scheduler/state.h
+++ b/src/scheduler/state.h
@@ -116,7 +116,7 @@
     double reserve_cpus; /* on ordinary machines, kept free for services */
     /* Whether it sees the usage of all teams, as the leader does and the owner of a shard does not;
      * whether placements can be written to the store now. */
-    bool has_full_view, is_writable;
+    bool sees_all_teams, is_writable;
 
     struct pm_occupancy occupancy;
     struct pm_guarantee_usage guarantee;
