--- a/src/cmd/pumicectl/report_status.c
+++ b/src/cmd/pumicectl/report_status.c
@@ -5,8 +5,8 @@
 static const char *describe_role(const json_t *body)
 {
     if (pm_json_flag(body, "leads"))
-        return pm_json_flag(body, "confirmed") ? "leader" : "leader, epoch not confirmed";
-    return pm_json_flag(body, "holds_block") ? "shard owner" : "replica";
+        return pm_json_flag(body, "confirmed") ? "leader" : "leader, not confirmed";
+    return pm_json_flag(body, "holds_block") ? "holds a block" : "replica";
 }
 
 static json_t *describe_controller(const struct pm_answer *answer)
