--- a/src/base/cbor.c
+++ b/src/base/cbor.c
@@ -48,8 +48,8 @@
     return true;
 }
 
-/* Returns whether an item with that first byte may be a chunk of an indefinite-length string of
- * that major type. */
+/* Returns whether an item that starts with the byte `first` may be a chunk of an indefinite-length
+ * string of type `major`. */
 static bool is_string_chunk(unsigned char first, unsigned major)
 {
     return first >> 5 == major && (first & 31) != INFO_INDEFINITE;
@@ -81,8 +81,9 @@
     uint64_t count = head->major == MAJOR_MAP ? 2 * head->value : head->value;
     size_t offset = head->next;
 
-    /* Each entry takes at least one byte, so a count above the number of remaining bytes is false.
-     * It is rejected before the loop: otherwise it would cost time and memory. */
+    /* Each entry takes at least one byte, so a count above the number of remaining bytes is
+     * invalid. The item is rejected before the loop, because such a count would cost time and
+     * memory. */
     if (head->value > size - offset)
         return 0;
     for (uint64_t i = 0; i < count; i++) {
--- a/src/cmd/pumicectl/main.c
+++ b/src/cmd/pumicectl/main.c
@@ -16,6 +16,7 @@
 
 enum { ERROR_SIZE = 512 };
 
+/* The description that --help shows. */
 static const char summary[] =
     "Commands:\n"
     "  status                    show the leader, the controllers that answer, and counts of\n"
--- a/src/cmd/pumicectl/report_cleanup.c
+++ b/src/cmd/pumicectl/report_cleanup.c
@@ -3,7 +3,8 @@
 
 /* Returns the answer of the controller that holds the garbage collection role, because that
  * controller decides what is deleted. If the holder did not answer, returns the first answer,
- * because all replicas have the same keys. Returns NULL if no controller answered. */
+ * because every controller has a replica of the same keys. Returns NULL if no controller
+ * answered. */
 static const struct pm_answer *find_best_answer(const struct pm_gathered *gathered)
 {
     const struct pm_answer *best = NULL;
--- a/src/links/fitness.c
+++ b/src/links/fitness.c
@@ -189,8 +189,8 @@
     return pm_fitness_lead_rank(matrix, best, 0) - pm_fitness_lead_rank(matrix, 0, 0);
 }
 
-/* Updates `since`, the time since which the condition has held, or 0. Returns whether it has held
- * for at least `delay_s`. */
+/* Updates `since`: the time since which the condition has held, or 0 if it does not hold. Returns
+ * whether the condition has held for at least `delay_s`. */
 static bool has_held_for(double *since, bool condition, double delay_s, double now)
 {
     if (!condition)
--- a/src/links/view_message.c
+++ b/src/links/view_message.c
@@ -110,7 +110,8 @@
             free_message(views.view[--views.n_view]);
     }
     *size = pm__views__get_packed_size(&views);
-    data = g_malloc(*size + 1); /* never NULL, although a message without views has 0 bytes */
+    /* A message without views has 0 bytes, and g_malloc(0) would return NULL. */
+    data = g_malloc(*size + 1);
     pm__views__pack(&views, data);
     for (size_t i = 0; i < views.n_view; i++)
         free_message(views.view[i]);
--- a/src/links/views.c
+++ b/src/links/views.c
@@ -25,7 +25,8 @@
         from->logged_at = now;
         return;
     }
-    /* A peer that sends its views also requests ours, just as regularly. */
+    /* A peer that sends its views also requests ours at regular intervals, so its requests are
+     * expected from now on. */
     pm_link_set_inbound_expected(&from->link, true, now);
 }
 
--- a/src/soak/soak.c
+++ b/src/soak/soak.c
@@ -15,7 +15,8 @@
 enum {
     OPEN_JOBS_MAX = 40, /* no job is submitted while this many have not ended */
     MACHINE_CPUS = 8,
-    MACHINES_PER_ARRAY_TASK_FACTOR = 10 /* see array_task_factor */
+    /* The factor of array jobs' task counts is max_machines divided by this, at least 1. */
+    MACHINES_PER_ARRAY_TASK_FACTOR = 10
 };
 
 /* The leases of the leader and of the roles are short, so that many of them expire in a run of a
@@ -28,7 +29,8 @@
 
 /* The possible lengths of the workers' leases; a run draws one unless its settings give a length.
  * With 4 s, many leases expire in a minute. With 15 s, a command may arrive while the worker's
- * lease is still valid, but after its sender has stopped waiting for the answer. */
+ * lease is still valid, but after the controller that sent the command has stopped waiting for the
+ * answer. */
 static const double worker_leases_s[] = {4, 15};
 
 double soak_elapsed_s(const struct soak *soak)
@@ -105,8 +107,8 @@
     }
 }
 
-/* Ends all faults, cancels the services, and waits until every job has ended and a controller
- * leads. Jobs that have not ended after SETTLE_TIMEOUT_S are recorded as violations. */
+/* Ends all faults, cancels the jobs that would never end, and waits until every job has ended and a
+ * controller leads. Jobs that have not ended after SETTLE_TIMEOUT_S are recorded as violations. */
 static void settle(struct soak *soak)
 {
     double deadline_s;
@@ -147,6 +149,7 @@
 static bool prepare(struct soak *soak)
 {
     const struct soak_settings *settings = soak->settings;
+    /* Draws the schedule, the lease and the seed of soak->random. */
     GRand *seeded = g_rand_new_with_seed(settings->seed);
 
     soak->schedule = fault_schedule_draw(seeded, settings->seconds, settings->kinds);
@@ -186,8 +189,9 @@
 static struct soak *current_soak;
 
 /* Returns whether a task was started and, if roles are enabled, the scale-out role was acquired. A
- * role is acquired only once all controllers support roles. The call checker exists only if roles
- * are enabled; its acquisitions are those of the scale-out role. */
+ * role is acquired only once all controllers support roles. The call checker, which checks the
+ * calls to the machine provider, exists only if roles are enabled. It counts how often the
+ * scale-out role was acquired. */
 static bool has_started(struct cluster *cluster)
 {
     const struct call_checker *checker = current_soak->violations.checker;
@@ -211,8 +215,8 @@
 }
 
 /* Ends the processes and frees what the run owns, with two exceptions. The text of the violations
- * belongs to the result. `random` is used by the cluster, whose memory is kept until the process
- * ends. */
+ * belongs to the result. `random` is kept because the cluster refers to it, and cluster_free ends
+ * the cluster's processes but keeps its memory until this process ends. */
 static void clean_up(struct soak *soak)
 {
     cluster_free(soak->cluster);
--- a/src/testing/fake_worker_delays.c
+++ b/src/testing/fake_worker_delays.c
@@ -11,7 +11,9 @@
  * not suspended. */
 struct delayed_message {
     struct fake_machine *machine;
-    int controller; /* the sender of a command, or the original receiver of a heartbeat */
+    /* The sender of a command, or the controller to which a heartbeat was first posted. The
+     * delayed copy of the heartbeat goes to a randomly chosen controller. */
+    int controller;
     struct pm_buffer body;
     double due_at;
 };
