--- a/src/api/concurrency_limit.c
+++ b/src/api/concurrency_limit.c
@@ -4,8 +4,8 @@
 
 enum { INITIAL_LIMIT = 64 };
 #define PRIORITY_FACTOR 1.5 /* priority requests are admitted up to this multiple of the limit */
-/* Durations up to this multiple of the state service's latency do not indicate overload, since a
- * request waits for at most this number of the state service's answers. */
+/* A request waits for at most this number of responses of the state service, so a duration up to
+ * this multiple of the state service's latency does not indicate overload. */
 #define STORE_LATENCY_FACTOR 4.0
 /* Users do not notice shorter durations, so these are no reason to refuse requests. */
 #define NOTICEABLE_LATENCY_S 0.1
--- a/src/jobs/commit_transaction.c
+++ b/src/jobs/commit_transaction.c
@@ -3,8 +3,8 @@
 #include "jobs/commit_internal.h"
 #include "jobs/internal.h"
 
-/* The state service limits a request to 64 KiB, and the compares of a transaction to four times the
- * number of changes that it may have. */
+/* The state service limits a request to 64 KiB. It also limits a transaction's compares to four
+ * times the number of writes that a transaction may have. */
 enum {
     BODY_SIZE_FULL = 48 * 1024, /* bytes of writes beyond which no more changes are added */
     COMPARES_PER_WRITE = 4,
@@ -78,7 +78,8 @@
                    pm_stored_chunk_revision(pm_chunk_stored_value(job->chunks[chunk_index], half)));
 }
 
-/* Records the proposed placements that the value of the chunk, or of its half, makes durable. */
+/* Records the chunk's proposed placements, or those of one half, which become durable when the
+ * transaction writes the chunk or half. */
 static void add_proposed_placements(struct commit_transaction *transaction, struct pm_job *job,
                                     const struct pm_chunk *chunk, int half)
 {
@@ -224,11 +225,13 @@
     }
 }
 
-/* If the job has more values than fit into one transaction, its end is written in several: the
- * first writes the final state and keeps the description, the next ones delete the dependency lists
- * and the chunks, and the last removes the description. */
+/* Adds the job's final state and the deletion of its chunks and dependency lists. If these changes
+ * do not fit into one transaction, several are used: the first writes the final state and keeps the
+ * description, the next ones delete the dependency lists and the chunks, and the last removes the
+ * description. */
 void pm_commit_transaction_add_final(struct commit_transaction *transaction, struct pm_job *job)
 {
+    /* While `cancelled_by_dependency` is set, the job's own value lacks the cancellation. */
     bool final_is_stored = job->state != PM_JOB_LIVE && !job->dependencies.cancelled_by_dependency;
     bool fits;
 
--- a/src/leadership/epoch_acks.c
+++ b/src/leadership/epoch_acks.c
@@ -1,6 +1,7 @@
-/* Which peers know the current epoch of the term. Once a majority knows it, no majority can confirm
- * an earlier epoch any more. So after the earlier confirmations have expired, only controllers that
- * know this epoch renew workers' leases (pm_election_epoch_exclusive_since). */
+/* Tracks which peers have acknowledged the current epoch of the term. Once a majority has, no
+ * majority can confirm an earlier epoch to a controller. When the confirmations given before that
+ * have expired, only controllers that know this epoch renew workers' leases
+ * (pm_election_epoch_exclusive_since). */
 #include "base/clock.h"
 #include "leadership/internal.h"
 
--- a/src/roles/event_log.c
+++ b/src/roles/event_log.c
@@ -1,4 +1,5 @@
-/* Records changes of holders and actions under roles in the log, the audit log and the trace. */
+/* Records changes of a role's holder in the log, the audit log and the trace, and actions on a
+ * role's intents in the audit log and the trace. */
 #include "base/log.h"
 #include "links/trace.h"
 #include "roles/audit_log.h"
--- a/src/roles/intent_closing.c
+++ b/src/roles/intent_closing.c
@@ -53,7 +53,8 @@
     return count;
 }
 
-/* Returns how many keys one transaction may delete at `now`, if `closing` intents are closing. */
+/* Returns how many keys one transaction may delete at `now`. `closing` is the number of closing
+ * intents. */
 static int max_deletes(const struct pm_roles *roles, unsigned closing, double now)
 {
     int txn_ops = roles->settings->store_txn_ops;
--- a/src/scheduler/bin_packing.c
+++ b/src/scheduler/bin_packing.c
@@ -9,16 +9,19 @@
 /* The image is cached, so that the service starts at once. */
 #define SERVICE_IMAGE_BONUS 10.0
 /* The image is not cached, and the job may fetch it (pm_scheduler_may_fetch()). A job that has
- * missed its objective anyway adds its image to one more machine. */
+ * already missed its start objective prefers a machine without its image, so that one more machine
+ * caches the image. */
 #define SERVICE_NEW_IMAGE_BONUS 4.0
-#define FETCH_PENALTY_PER_S 0.3     /* per second of image fetches ahead of the task's own */
-#define FETCH_PENALTY_MAX 10.0      /* upper bound of the penalty for image fetches */
-#define SERVICE_SHARE_PENALTY 8.0   /* on a cold start, for using PM_SERVICE_SHARE of a machine */
+#define FETCH_PENALTY_PER_S 0.3 /* per second of image fetches ahead of the task's own */
+#define FETCH_PENALTY_MAX 10.0  /* upper bound of the penalty for image fetches */
+/* On a cold start, if the replica has missed its start objective and would leave less than
+ * PM_SERVICE_SHARE of the machine's processors free or preemptible. */
+#define SERVICE_SHARE_PENALTY 8.0
 #define SAME_JOB_PENALTY 2.0        /* per task of the same job already on the machine */
 #define SERVICE_CAPACITY_WEIGHT 3.0 /* times the machine's free or preemptible share */
 #define BATCH_IMAGE_BONUS 3.0       /* the image is cached */
-/* The machine is a spot machine if, and only if, the job may use one: ordinary machines cost more
- * and are kept for services. */
+/* The machine is a spot machine and the job may use one, or neither is the case. On-demand machines
+ * cost more and are kept for services. */
 #define BATCH_SPOT_MATCH_BONUS 5.0
 #define BATCH_FREE_CAPACITY_WEIGHT 2.0 /* times the share of the machine that stays free */
 
@@ -201,8 +204,8 @@
     return best;
 }
 
-/* Whether the job's next task could start on the machine with the cached image, once work of lower
- * priority is preempted there. */
+/* Whether the machine has cached the job's image, and could run the job's next task once
+ * lower-priority tasks there are preempted. */
 static bool can_start_from_cache(const struct pm_scheduler *scheduler,
                                  const struct pm_machine *machine, const struct pm_job *job,
                                  const struct pm_zone_spread *spread, double now)
--- a/src/scheduler/task_placement.c
+++ b/src/scheduler/task_placement.c
@@ -53,8 +53,8 @@
     log_placement(scheduler, job, index, attempt, machine);
 }
 
-/* Returns the first task at or after `from` that is waiting and not in back-off, or the job's task
- * count if there is none. */
+/* Returns the first task at or after `from` that is waiting, is not in back-off, and whose
+ * placement can be stored (not checked for gangs), or the job's task count if there is none. */
 static uint32_t next_waiting_task(const struct pm_name_tables *tables, struct pm_job *job,
                                   uint32_t from, double now)
 {
@@ -64,7 +64,8 @@
             continue;
         if (job->spec->kind == PM_WORKLOAD_GANG || pm_job_can_store_placement(tables, job, i))
             return i;
-        /* The stored value is full: skip the other tasks of this half chunk too. */
+        /* The stored value has no room for another placement: skip the other tasks of this half
+         * chunk too. */
         i |= PM_HALF_CHUNK_TASKS - 1;
     }
     return job->task_count;
@@ -83,7 +84,7 @@
 }
 
 /* Returns the machine for the job's next task, or NULL if the task fits nowhere. `previous` is the
- * machine of the task that this plan placed last for the job, or NULL. Array tasks fill that
+ * machine chosen for the job's previous task in this plan, or NULL. Array tasks fill that
  * machine before another is chosen. */
 static struct pm_machine *choose_machine(struct pm_scheduler *scheduler, const struct pm_job *job,
                                          struct pm_machine *previous,
--- a/src/workers/push.c
+++ b/src/workers/push.c
@@ -1,4 +1,5 @@
-/* Pushes of commands (POST /do). They are numbered, and each machine has at most one in flight. */
+/* Tracks the pushes of commands to workers (POST /do). The numbers match a result to its push. Each
+ * machine has at most one push in flight. */
 #include "base/http.h"
 #include "workers/internal.h"
 
@@ -10,6 +11,7 @@
     return machine->push.in_flight_number;
 }
 
+/* Records what the result of push `number` means for the placement. */
 static void settle_placement(struct pm_placement *placement, uint64_t number, int status)
 {
     if (status == PM_HTTP_NO_RESPONSE) {
@@ -18,9 +20,9 @@
         if (placement->launch_push_number == number)
             placement->launch_push_number = 0;
     } else if (placement->launch_push_number <= number) {
-        /* The worker answered, so a launch that it does not report is sent again. The answer proves
-         * nothing about an earlier push without an answer, whose launch may still be carried out,
-         * so `launch_outcome_unknown` stays. */
+        /* The worker answered, so a launch that it does not report is sent again. The answer
+         * does not show whether an earlier push without a response will still be carried out, so
+         * `launch_outcome_unknown` is kept. */
         placement->launch_push_number = 0;
     }
     if (status != 200)
@@ -34,7 +36,8 @@
     machine->push.in_flight_number = 0;
     for (guint i = 0; i < machine->placements->len; i++)
         settle_placement(g_ptr_array_index(machine->placements, i), number, status);
-    /* A copy of an unanswered push may still arrive minutes later. */
+    /* A copy of a push without a response may still arrive minutes later. Record the epoch and the
+     * incarnation under which its outcome is unknown. */
     if (status == PM_HTTP_NO_RESPONSE && machine->push.has_launches) {
         machine->push.unknown_outcome_epoch = epoch;
         machine->push.unknown_outcome_incarnation = machine->heartbeat.incarnation;
