--- a/src/cmd/pumicectl/audit_files.c
+++ b/src/cmd/pumicectl/audit_files.c
@@ -5,7 +5,7 @@
 
 enum { REASON_SIZE = 256 };
 
-/* Formats a wall-clock time in UTC. Returns a text owned by the caller, or "" if the time is out of
+/* Formats a time of day in UTC. Returns a text owned by the caller, or "" if the time is out of
  * range. */
 static char *format_wall(double wall)
 {
--- a/src/roles/audit_entry.h
+++ b/src/roles/audit_entry.h
@@ -4,7 +4,7 @@
  * The functions have no state. They are called by the audit log in the thread of its writer, and by
  * the operator's tool.
  *
- * Stored value: {number, day, event, duty, subject, detail}. `day` is the wall-clock time in
+ * Stored value: {number, day, event, duty, subject, detail}. `day` is the time of day in
  * seconds, `duty` the role's stored name ("" in the seal), and `subject` what the event concerns,
  * such as the name of an intent or a fencing token. */
 #ifndef PM_ROLES_AUDIT_ENTRY_H
@@ -26,7 +26,7 @@
 
 struct pm_audit_entry {
     uint64_t number; /* counts from 1 in each file, without gaps */
-    double wall;     /* wall-clock seconds, for people only: no decision depends on it */
+    double wall;     /* time of day, for people only: no decision depends on it */
     char event[24], role[16], subject[128], detail[160];
 };
 
--- a/src/roles/audit_log.c
+++ b/src/roles/audit_log.c
@@ -37,7 +37,7 @@
     struct archive *archive; /* NULL while no file is open */
     int fd;
     char path[PATH_SIZE];    /* its final path, without PART_SUFFIX */
-    double opened_wall;      /* wall-clock seconds when it was opened */
+    double opened_wall;      /* time of day when it was opened */
     uint64_t bytes, entries; /* written so far */
 };
 
--- a/src/roles/audit_log.h
+++ b/src/roles/audit_log.h
@@ -29,7 +29,7 @@
                                       size_t err_size);
 /* Waits until all appended entries are written, then closes the file and frees the log. */
 void pm_audit_log_free(struct pm_audit_log *log);
-/* Appends an entry with the current wall-clock time. The texts are copied, and truncated to the
+/* Appends an entry with the current time of day. The texts are copied, and truncated to the
  * size of their field. Never blocks: if the queue of the writer's thread is full, the entry is
  * dropped. */
 void pm_audit_log_append(struct pm_audit_log *log, const char *event, const char *role_name,
--- a/src/workers/heartbeat.c
+++ b/src/workers/heartbeat.c
@@ -356,7 +356,7 @@
         return NULL;
     if (is_stale(&machine->heartbeat, &report)) {
         machine->heartbeat.last_stale_at = now;
-        return machine;
+        return machine; /* the task list of an outdated message is outdated, too */
     }
     *is_newest = true;
     apply_report(workers, machine, &report, source, now);
