--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -92,7 +92,7 @@
 void pm_autoscaler_request_machine_types(struct pm_autoscaler *autoscaler, double now);
 /* Decodes the provider's list of machine types, or the stored copy of it (key p/types), into
  * `tables`. False when it is empty or an entry is malformed; the entries before that one are
- * applied all the same. Types beyond PM_TYPES_MAX are logged and skipped. */
+ * applied all the same. Types beyond PM_MACHINE_TYPES_MAX are logged and skipped. */
 bool pm_machine_types_decode(struct pm_name_tables *tables, const cbor_item_t *models);
 
 /* ---- sizing.c ---- */
--- a/src/autoscaler/internal.h
+++ b/src/autoscaler/internal.h
@@ -107,7 +107,8 @@
     struct pm_request_budget budget;
     struct pm_inventory inventory;
     struct pm_machine_types_request types_request;
-    struct pm_machine_kind kinds[PM_TYPES_MAX][PM_ZONES_MAX][2]; /* by type, zone, spot or not */
+    /* By type, zone, spot or not. */
+    struct pm_machine_kind kinds[PM_MACHINE_TYPES_MAX][PM_ZONES_MAX][2];
     struct pm_demand_rate demand_rate;
     struct pm_headroom headroom;
     struct pm_intent_times intent_times;
--- a/src/autoscaler/kind_choice.c
+++ b/src/autoscaler/kind_choice.c
@@ -49,7 +49,7 @@
            may_request(sizing, type, zone, spot);
 }
 
-static double price_with_boot(const struct pm_type *type, bool spot, bool is_service)
+static double price_with_boot(const struct pm_machine_type *type, bool spot, bool is_service)
 {
     double kept_s = is_service ? SERVICE_KEPT_S : BATCH_KEPT_S;
 
@@ -66,7 +66,7 @@
     double least = INFINITY;
 
     for (int index = 0; index < tables->type_count; index++) {
-        const struct pm_type *type = &tables->types[index];
+        const struct pm_machine_type *type = &tables->types[index];
         int capacity = (int)pm_spec_tasks_that_fit(job->spec, type->cpus, type->gpus, type->ram_gb);
         /* What a service leaves free, other jobs use. */
         int tasks = is_service ? capacity : MIN(capacity, task_count);
@@ -85,7 +85,7 @@
 void pm_sizing_add_machine(struct pm_sizing *sizing, const struct pm_scale_out_request *kind)
 {
     struct pm_autoscaler *autoscaler = sizing->autoscaler;
-    const struct pm_type *type = &autoscaler->tables->types[kind->type];
+    const struct pm_machine_type *type = &autoscaler->tables->types[kind->type];
     struct pm_sizing_machine machine = {
         .free = {.cpus = type->cpus, .gpus = type->gpus, .ram_gb = type->ram_gb},
         .type = kind->type,
--- a/src/autoscaler/machine_types_codec.c
+++ b/src/autoscaler/machine_types_codec.c
@@ -8,7 +8,7 @@
 #include "autoscaler/autoscaler.h"
 #include "base/log.h"
 
-static void decode_optional(const cbor_item_t *item, struct pm_type *type)
+static void decode_optional(const cbor_item_t *item, struct pm_machine_type *type)
 {
     pm_cbor_read_number(pm_cbor_get(item, "accelerators"), &type->gpus);
     pm_cbor_read_number(pm_cbor_get(item, "local_gb"), &type->local_gb);
@@ -20,7 +20,7 @@
 
 /* Zones that the settings do not name are left out. */
 static void decode_zones(const cbor_item_t *zones, const struct pm_settings *settings,
-                         struct pm_type *type)
+                         struct pm_machine_type *type)
 {
     char name[PM_NAME_MAX];
 
@@ -35,7 +35,7 @@
 
 /* Decodes one type, and its name to `name`, of PM_NAME_MAX bytes. False when it is malformed. */
 static bool decode_type(const cbor_item_t *item, const struct pm_settings *settings, char *name,
-                        struct pm_type *type)
+                        struct pm_machine_type *type)
 {
     if (!pm_cbor_read_text(pm_cbor_get(item, "sku"), name, PM_NAME_MAX) ||
         !pm_cbor_read_number(pm_cbor_get(item, "cpus"), &type->cpus) ||
@@ -54,18 +54,18 @@
     if (!pm_cbor_length(models))
         return false;
     for (size_t i = 0; i < pm_cbor_length(models); i++) {
-        struct pm_type type = {0};
+        struct pm_machine_type type = {0};
         int index;
         if (!decode_type(pm_cbor_at(models, i), tables->settings, name, &type))
             return false;
         index = pm_names_intern(tables->type_names, name);
-        if (index >= PM_TYPES_MAX) {
+        if (index >= PM_MACHINE_TYPES_MAX) {
             pm_error("autoscaler.machine_types", "%s is not used: only %d types are", name,
-                     PM_TYPES_MAX);
+                     PM_MACHINE_TYPES_MAX);
             continue;
         }
         tables->types[index] = type;
     }
-    tables->type_count = MIN(pm_names_count(tables->type_names), PM_TYPES_MAX);
+    tables->type_count = MIN(pm_names_count(tables->type_names), PM_MACHINE_TYPES_MAX);
     return true;
 }
--- a/src/cmd/plan-bench/main.c
+++ b/src/cmd/plan-bench/main.c
@@ -210,9 +210,9 @@
     pm_names_intern(tables->type_names, "small");
     pm_names_intern(tables->type_names, "large");
     tables->types[0] =
-        (struct pm_type){.cpus = 4, .ram_gb = 32, .local_gb = 35, .pull_gb_per_s = 0.2};
+        (struct pm_machine_type){.cpus = 4, .ram_gb = 32, .local_gb = 35, .pull_gb_per_s = 0.2};
     tables->types[1] =
-        (struct pm_type){.cpus = 16, .ram_gb = 128, .local_gb = 40, .pull_gb_per_s = 0.4};
+        (struct pm_machine_type){.cpus = 16, .ram_gb = 128, .local_gb = 40, .pull_gb_per_s = 0.4};
     tables->type_count = 2;
 }
 
--- a/src/cmd/pumicemount/admin.c
+++ b/src/cmd/pumicemount/admin.c
@@ -137,8 +137,8 @@
             continue;
         g_string_append_printf(names, "%s%s", named++ ? ", " : "", id);
     }
-    if (job->dependencies.unmet > named)
-        g_string_append_printf(names, " and %u more", job->dependencies.unmet - named);
+    if (job->dependencies.unmet_count > named)
+        g_string_append_printf(names, " and %u more", job->dependencies.unmet_count - named);
     encode_reason(out, "waits-for-jobs", names->str);
     g_string_free(names, TRUE);
 }
@@ -192,7 +192,7 @@
     if (!pm_controller_is_store_writable(controller, now))
         encode_reason(out, "not-recorded",
                       "this controller does not reach the state service; it places nothing");
-    if (job->dependencies.incomplete || job->dependencies.unmet) {
+    if (job->dependencies.incomplete || job->dependencies.unmet_count) {
         encode_unmet_dependencies(controller, job, out);
         return;
     }
--- a/src/cmd/pumicemount/placement_events.c
+++ b/src/cmd/pumicemount/placement_events.c
@@ -50,7 +50,7 @@
 static void mark_gang_done(struct pm_job *job)
 {
     for (uint32_t i = 0; i < job->task_count; i++)
-        pm_job_task(job, i)->done = true;
+        pm_job_ensure_task(job, i)->done = true;
     job->work.done_count = job->task_count;
 }
 
@@ -82,7 +82,7 @@
     static const char *const ends[] = {"",        "done",     "stopped", "failed",
                                        "refused", "its gang", "gone"};
     struct pm_controller *controller = arg;
-    struct pm_task *task = pm_job_task(placement->job, placement->task_index);
+    struct pm_task *task = pm_job_ensure_task(placement->job, placement->task_index);
 
     pm_debug("task.exited", "%s/%u try %u on %s: %s%s", placement->job->id, placement->task_index,
              placement->attempt, placement->machine->name, ends[end], saved ? " saved" : "");
--- a/src/jobs/cancellations.c
+++ b/src/jobs/cancellations.c
@@ -1,5 +1,5 @@
-/* Which jobs are durably cancelled, as far as known: from the feed, from this controller's own
- * writes, and from peers. */
+/* The durable cancellations that this controller knows of, from the feed, from its own writes, and
+ * from peers. */
 #include "jobs/internal.h"
 
 void pm_jobs_record_cancellation(struct pm_jobs *jobs, const char *id, uint64_t revision)
@@ -8,7 +8,8 @@
     GArray *list = jobs->cancellations;
 
     g_strlcpy(entry.id, id, sizeof entry.id);
-    /* A listing is in the order of keys, and peers have their own: it is sorted when next read. */
+    /* Cancellations need not arrive in order of revision, since a full listing is in order of keys
+     * and peers report theirs separately. The list is sorted when it is read next. */
     if (list->len && g_array_index(list, struct pm_cancellation, list->len - 1).revision > revision)
         jobs->cancellations_unsorted = true;
     g_array_append_val(list, entry);
@@ -20,7 +21,7 @@
         return;
     job->cancellation_revision = *(const uint64_t *)arg;
     job->state = PM_JOB_CANCELLED;
-    job->dependencies.cancelled_by_one = true;
+    job->dependencies.cancelled_by_dependency = true;
 }
 
 bool pm_jobs_apply_cancellation(struct pm_jobs *jobs, const char *id, uint64_t revision)
@@ -34,7 +35,7 @@
         job->cancellation_revision = revision;
         job->state = PM_JOB_CANCELLED;
     } else {
-        g_hash_table_insert(jobs->unknown_cancelled, g_strdup(id),
+        g_hash_table_insert(jobs->cancelled_before_known, g_strdup(id),
                             g_memdup2(&revision, sizeof revision));
     }
     pm_jobs_record_cancellation(jobs, id, revision);
@@ -46,7 +47,7 @@
 {
     const struct pm_job *job = pm_jobs_find(jobs, id);
     const uint64_t *revision =
-        job ? &job->cancellation_revision : g_hash_table_lookup(jobs->unknown_cancelled, id);
+        job ? &job->cancellation_revision : g_hash_table_lookup(jobs->cancelled_before_known, id);
 
     return revision ? *revision : 0;
 }
@@ -59,7 +60,8 @@
     return (left_revision > right_revision) - (left_revision < right_revision);
 }
 
-/* The index of the first of the sorted cancellations with a later revision. */
+/* Returns the index of the first of the sorted cancellations whose revision is above `revision`, or
+ * `count` if there is none. */
 static size_t find_first_after(const struct pm_cancellation *sorted, size_t count,
                                uint64_t revision)
 {
@@ -77,7 +79,8 @@
 }
 
 const struct pm_cancellation *pm_jobs_list_cancellations(struct pm_jobs *jobs, uint64_t revision,
-                                                         size_t most, size_t *count, bool *more)
+                                                         size_t limit, size_t *count,
+                                                         bool *has_more)
 {
     size_t known = jobs->cancellations->len;
     const struct pm_cancellation *all;
@@ -89,10 +92,10 @@
     jobs->cancellations_unsorted = false;
     all = (const struct pm_cancellation *)(void *)jobs->cancellations->data;
     from = find_first_after(all, known, revision);
-    end = MIN(from + most, known);
+    end = MIN(from + limit, known);
     while (end > from && end < known && all[end].revision == all[end - 1].revision)
         end++;
     *count = end - from;
-    *more = end < known;
+    *has_more = end < known;
     return all + from;
 }
--- a/src/jobs/chunk.h
+++ b/src/jobs/chunk.h
@@ -1,12 +1,12 @@
-/* The tasks of a job in chunks of 128: what the state service has of them, and the working state.
+/* Chunks: the tasks of a job in groups of 128, as stored in the state service and as working state.
  *
  * A chunk's value lists which tasks are done, and where the others are placed. It is stored as one
- * value, p/t/ID/K, or, where the limits are low, as two halves, p/t/ID/K/0 and /1. A half that is
- * stored takes precedence over the whole for its tasks.
+ * value, p/t/ID/K, or, if that could exceed the state service's limit, as two halves, p/t/ID/K/0
+ * and p/t/ID/K/1. A stored half takes precedence over the whole for its tasks.
  *
- * Chunks belong to their job and are guarded by `struct pm_controller.lock`. The replica's feed
- * writes what is stored; whoever places the job (the leader, or a shard's owner) keeps the working
- * state, which the write-back (commit.h) stores. */
+ * Chunks belong to their job and are guarded by `struct pm_controller.lock`. The state service's
+ * feed updates the stored values; the controller that places the job (the leader, or a shard's
+ * owner) keeps the working state, which the write-back (commit.h) stores. Times are monotonic. */
 #ifndef PM_JOBS_CHUNK_H
 #define PM_JOBS_CHUNK_H
 
@@ -22,76 +22,79 @@
     PM_CHUNK_TASKS = 128,
     PM_HALF_CHUNK_TASKS = 64,
     PM_CHUNK_HALVES = PM_CHUNK_TASKS / PM_HALF_CHUNK_TASKS,
-    PM_CHUNK_WHOLE = -1 /* stands for the whole chunk where a half is counted from 0 */
+    PM_CHUNK_WHOLE = -1 /* passed in place of the number of a half (0 or 1) */
 };
 
-/* A placement as the state service has it. */
+/* A placement as stored in the state service. */
 struct pm_stored_placement {
     uint16_t task_in_chunk;
     uint32_t attempt, incarnation;
-    int machine_index; /* index of the tables' machine names */
+    int machine_index; /* index in the tables' machine names */
 };
 
-/* One stored value: of the whole chunk, or of a half. */
+/* One stored value, which is that of a whole chunk or of a half. */
 struct pm_stored_chunk {
-    uint64_t revision;              /* as the replica has it; 0: not stored */
-    uint64_t written_revision;      /* of our own last write, which the watch may not show yet */
-    uint64_t done[PM_CHUNK_HALVES]; /* bit i of half h: its task i is done */
+    uint64_t revision;         /* as shown by the feed; 0 if the value is not stored */
+    uint64_t written_revision; /* of this controller's last write; the watch may not show it yet */
+    uint64_t done[PM_CHUNK_HALVES]; /* bit i of entry h is set if task i of half h is done */
     uint32_t last_attempt;
     GArray *placements; /* of struct pm_stored_placement; owned */
 };
 
 /* Bits of `struct pm_chunk_write_back.dirty`. */
 enum {
-    PM_DIRTY_FIRST_HALF = 1, /* has to be written */
-    PM_DIRTY_SECOND_HALF = 2,
+    PM_DIRTY_FIRST_HALF = 1,  /* the first half has to be written */
+    PM_DIRTY_SECOND_HALF = 2, /* the second half has to be written */
     PM_DIRTY_HALVES = PM_DIRTY_FIRST_HALF | PM_DIRTY_SECOND_HALF,
-    PM_DIRTY_WHOLE = 4 /* both halves are stored: the value of the whole is to be deleted */
+    PM_DIRTY_WHOLE = 4 /* both halves are stored, so the value of the whole has to be deleted */
 };
 
-/* Writing the chunk's working state back to the state service (commit.h). */
+/* Write-back of the chunk's working state to the state service (commit.h). */
 struct pm_chunk_write_back {
-    unsigned dirty;         /* PM_DIRTY_... */
+    unsigned dirty;         /* bits PM_DIRTY_... */
     bool in_flight;         /* a write has no result yet */
-    double retry_at;        /* monotonic: not written before */
-    uint32_t failures;      /* of its writes, in a row */
-    bool write_in_halves;   /* rejected as one value */
-    bool write_alone;       /* rejected together with others */
-    unsigned rejected_hash; /* of the value that was rejected alone; 0: none was */
+    double retry_at;        /* the chunk is not written before this time */
+    uint32_t failures;      /* consecutive failed writes */
+    bool write_in_halves;   /* it was rejected as one value, so it is written in halves */
+    bool write_alone;       /* it was rejected, so it is written in a transaction of its own */
+    unsigned rejected_hash; /* of the value that was rejected when written alone; 0 if none was */
 };
 
 struct pm_chunk {
-    /* The replica: the stored values, */
+    /* The replica: the stored values. */
     struct pm_stored_chunk whole, halves[PM_CHUNK_HALVES];
-    /* and their contents together. */
-    bool is_stored; /* any of them is there */
+    /* The replica: the contents of the stored values, merged. */
+    bool is_stored; /* at least one of the values is stored */
     uint64_t done[PM_CHUNK_HALVES];
     uint32_t last_attempt;
-    GArray *stored_placements; /* of struct pm_stored_placement; NULL: never stored; owned */
-    /* The working state of whoever places the job. */
-    struct pm_task *tasks; /* PM_CHUNK_TASKS of them, owned; NULL: none was ever touched */
+    GArray *stored_placements; /* of struct pm_stored_placement; NULL if no value was stored yet;
+                                * owned */
+    /* The working state of the controller that places the job. */
+    struct pm_task *tasks; /* PM_CHUNK_TASKS of them, owned; NULL if none was accessed yet */
     uint16_t placement_counts[PM_CHUNK_HALVES];
     struct pm_chunk_write_back write_back;
 };
 
-/* The value of that half of the chunk, or, for PM_CHUNK_WHOLE, of the whole. Borrowed from it. */
-struct pm_stored_chunk *pm_chunk_stored(struct pm_chunk *chunk, int half);
+/* Returns the stored value of a half of the chunk, or, for PM_CHUNK_WHOLE, of the whole; borrowed
+ * from the chunk. */
+struct pm_stored_chunk *pm_chunk_stored_value(struct pm_chunk *chunk, int half);
 
-/* The revision that a write of the value has to compare; 0: it is not stored. */
+/* Returns the revision that a write of the value has to compare; 0 if the value is not stored. */
 uint64_t pm_stored_chunk_revision(const struct pm_stored_chunk *value);
 
-/* Writes the value of p/t/ID/`chunk_index`, or of one half of it (PM_CHUNK_WHOLE: of the whole),
- * from the working state, which the chunk must have. */
+/* Encodes the working state of the chunk (`half` is PM_CHUNK_WHOLE) or of one of its halves as a
+ * p/t value. The chunk must have working state. */
 void pm_chunk_encode(const struct pm_name_tables *tables, const struct pm_job *job, int chunk_index,
                      int half, struct pm_buffer *out);
 
-/* Whether the chunk is written in halves: it is already, or it could grow too large for one value.
- * Every further value costs one more change of the state service's budget, the scarcest of all. */
+/* Whether the chunk is written in halves, which is so if it already is stored in halves, or if it
+ * could grow too large for one value. Other chunks are written whole, since each value costs one
+ * change of the write budget, which is the scarcest resource. */
 bool pm_job_is_chunk_split(const struct pm_name_tables *tables, const struct pm_job *job,
                            int chunk_index);
 
-/* Whether the value that the task's placement is stored in may grow by one more placement. */
-bool pm_job_value_has_room(const struct pm_name_tables *tables, const struct pm_job *job,
-                           uint32_t task_index);
+/* Whether one more placement fits into the value in which the task's placement would be stored. */
+bool pm_job_can_store_placement(const struct pm_name_tables *tables, const struct pm_job *job,
+                                uint32_t task_index);
 
 #endif
--- a/src/jobs/chunk_codec.c
+++ b/src/jobs/chunk_codec.c
@@ -1,4 +1,5 @@
-/* Values of p/t, in CBOR: which tasks of a chunk are done, and where the others are placed. */
+/* CBOR codec of p/t values, which list the tasks of a chunk that are done, and the placements of
+ * the others. */
 #include "jobs/codec_fields.h"
 #include "jobs/internal.h"
 
@@ -7,12 +8,13 @@
 #include <string.h>
 
 enum {
-    DONE_TEXT_MAX = 1024, /* of the text of which tasks are done */
+    DONE_TEXT_MAX = 1024, /* size in bytes of the ranges of tasks that are done, with the NUL */
     WORD_BITS = 64,
-    PLACEMENT_FIELDS = 4 /* of a stored placement: task in chunk, attempt, machine, incarnation */
+    PLACEMENT_FIELDS = 4 /* task in chunk, attempt, machine, incarnation */
 };
 
-/* Reads ranges such as "0-3,7" up to the first character that is not part of one. */
+/* Reads the tasks that are done from ranges such as "0-3,7". Ignores the text from the first
+ * malformed range on. */
 static void read_ranges(const char *text, uint64_t done[PM_CHUNK_HALVES])
 {
     memset(done, 0, PM_CHUNK_TASKS / 8);
@@ -30,7 +32,7 @@
     }
 }
 
-/* Writes which of the tasks from `first` to before `end` are done. */
+/* Writes the tasks that are done, from index `first` up to, but not including, `end`, as ranges. */
 static void write_ranges(const struct pm_task *tasks, int first, int end, char *out, size_t size)
 {
     size_t used = 0;
@@ -47,11 +49,11 @@
     }
 }
 
-/* False: unreadable. */
+/* Reads a stored placement. Returns false if it is malformed. */
 static bool read_placement(struct pm_name_tables *tables, const cbor_item_t *item,
                            struct pm_stored_placement *out)
 {
-    char machine[TEXT_MAX];
+    char machine[NAME_SIZE_MAX];
     uint64_t task;
     uint64_t attempt;
     uint64_t incarnation;
--- a/src/jobs/chunks.c
+++ b/src/jobs/chunks.c
@@ -1,11 +1,11 @@
-/* The replica of chunks, and how large their values may grow. */
+/* The replica of chunks, and the sizes of their values. */
 #include "jobs/internal.h"
 #include "base/protocol.h"
 
-/* Sizes in bytes of JSON, which the state service counts. */
+/* Sizes in bytes of the values' JSON form, by which the state service limits them. */
 enum {
-    PLACEMENT_SIZE = 28, /* of a placement in a chunk's value */
-    VALUE_SIZE = 140     /* of a chunk's value without its placements */
+    PLACEMENT_SIZE = 28,   /* of one placement in a chunk's value */
+    EMPTY_VALUE_SIZE = 140 /* of a chunk's value without its placements */
 };
 
 static void stored_placements_free(GArray *placements)
@@ -19,7 +19,7 @@
     if (!chunk)
         return;
     for (int half = PM_CHUNK_WHOLE; half < PM_CHUNK_HALVES; half++)
-        stored_placements_free(pm_chunk_stored(chunk, half)->placements);
+        stored_placements_free(pm_chunk_stored_value(chunk, half)->placements);
     stored_placements_free(chunk->stored_placements);
     g_free(chunk->tasks);
     g_free(chunk);
@@ -42,7 +42,7 @@
     job->chunk_count = 0;
 }
 
-struct pm_chunk *pm_job_chunk(struct pm_job *job, int chunk_index)
+struct pm_chunk *pm_job_ensure_chunk(struct pm_job *job, int chunk_index)
 {
     if (chunk_index < 0 || chunk_index >= job->chunk_count)
         return NULL;
@@ -51,7 +51,7 @@
     return job->chunks[chunk_index];
 }
 
-struct pm_stored_chunk *pm_chunk_stored(struct pm_chunk *chunk, int half)
+struct pm_stored_chunk *pm_chunk_stored_value(struct pm_chunk *chunk, int half)
 {
     return half == PM_CHUNK_WHOLE ? &chunk->whole : &chunk->halves[half];
 }
@@ -66,7 +66,8 @@
     return half == PM_CHUNK_WHOLE ? PM_DIRTY_HALVES : (unsigned)PM_DIRTY_FIRST_HALF << half;
 }
 
-/* Copies the half's tasks from the value that is in force for them. */
+/* Sets the merged contents of one half from its own stored value or, if it has none, from that of
+ * the whole. */
 static void merge_half(struct pm_chunk *chunk, int half)
 {
     const struct pm_stored_chunk *value =
@@ -98,10 +99,10 @@
         chunk->last_attempt = MAX(chunk->last_attempt, chunk->whole.last_attempt);
 }
 
-void pm_chunk_forget_stored(struct pm_chunk *chunk)
+void pm_chunk_mark_not_stored(struct pm_chunk *chunk)
 {
     for (int half = PM_CHUNK_WHOLE; half < PM_CHUNK_HALVES; half++)
-        pm_chunk_stored(chunk, half)->revision = 0;
+        pm_chunk_stored_value(chunk, half)->revision = 0;
     pm_chunk_merge(chunk);
 }
 
@@ -120,14 +121,14 @@
     if (chunk && has_stored_half(chunk))
         return true;
     if (tables->protocol_version < PM_PROTOCOL_DEPENDENCIES)
-        return false; /* an earlier version would read a half as the whole */
+        return false; /* earlier versions would read the value of a half as that of the whole */
     return (chunk && chunk->write_back.write_in_halves) ||
-           tasks * PLACEMENT_SIZE + VALUE_SIZE > tables->settings->store_value_kb * 1024;
+           tasks * PLACEMENT_SIZE + EMPTY_VALUE_SIZE > tables->settings->store_value_kb * 1024;
 }
 
-/* How many placements the value has that the task's placement is stored in. */
-static unsigned placements_beside(const struct pm_name_tables *tables, const struct pm_job *job,
-                                  uint32_t task_index)
+/* Returns how many placements are in the value in which the task's placement would be stored. */
+static unsigned count_placements_in_value(const struct pm_name_tables *tables,
+                                          const struct pm_job *job, uint32_t task_index)
 {
     int chunk_index = (int)(task_index / PM_CHUNK_TASKS);
     const struct pm_chunk *chunk = job->chunks[chunk_index];
@@ -137,8 +138,8 @@
     return (unsigned)chunk->placement_counts[0] + chunk->placement_counts[1];
 }
 
-bool pm_job_value_has_room(const struct pm_name_tables *tables, const struct pm_job *job,
-                           uint32_t task_index)
+bool pm_job_can_store_placement(const struct pm_name_tables *tables, const struct pm_job *job,
+                                uint32_t task_index)
 {
     const struct pm_settings *settings = tables->settings;
     bool is_early = tables->protocol_version < PM_PROTOCOL_DEPENDENCIES;
@@ -147,6 +148,7 @@
 
     if (!job->chunks[task_index / PM_CHUNK_TASKS])
         return true;
-    return (placements_beside(tables, job, task_index) + 1) * PLACEMENT_SIZE + VALUE_SIZE <=
+    return (count_placements_in_value(tables, job, task_index) + 1) * PLACEMENT_SIZE +
+               EMPTY_VALUE_SIZE <=
            size_max_kb * 1024;
 }
--- a/src/jobs/commit.c
+++ b/src/jobs/commit.c
@@ -1,12 +1,14 @@
-/* When transactions are sent, and how many at a time. */
+/* Sends transactions: decides when, and how many may be in flight. */
 #include "jobs/commit_internal.h"
 
-#define IN_FLIGHT_POLL_S 0.02 /* until the next try, with all transactions in flight */
-#define BUDGET_POLL_S 0.05    /* until the next try, with the write budget spent */
+#define IN_FLIGHT_POLL_S 0.02 /* until the next run if IN_FLIGHT_MAX transactions are in flight */
+#define BUDGET_POLL_S 0.05    /* until the next run if the write budget is spent */
 
 enum {
     IN_FLIGHT_MAX = 4, /* transactions */
-    WRITES_MIN = 4 /* a transaction for fewer changes is not begun, where the limit allows more */
+    /* No transaction is sent while the write budget is below this number of changes, or below the
+     * limit of one transaction if that is lower. */
+    WRITES_MIN = 4
 };
 
 struct pm_commit *pm_commit_new(struct pm_name_tables *tables, struct pm_jobs *jobs,
@@ -53,8 +55,8 @@
         if (!transaction->values->len) {
             pm_commit_transaction_free(transaction);
             if (commit->deferrable_since)
-                pm_commit_note_time(&next_at,
-                                    MAX(pm_commit_deferred_until(commit), now + BUDGET_POLL_S));
+                pm_commit_lower_next_at(&next_at,
+                                        MAX(pm_commit_deferred_until(commit), now + BUDGET_POLL_S));
             return next_at;
         }
         commit->in_flight++;
--- a/src/jobs/commit_due.c
+++ b/src/jobs/commit_due.c
@@ -1,14 +1,20 @@
-/* What is due to be written, by urgency: final states and the placements of services first, then
- * other placements, and last what no launch waits for. */
+/* Selects the changes that are due, by urgency: first final states and new placements of production
+ * jobs, then other new placements, and last the changes that no launch waits for. */
 #include "jobs/commit_internal.h"
 
-/* Deferrable changes are written together with what follows soon */
+/* How long deferrable changes wait, so that later ones are written in the same transaction */
 #define DEFERRABLE_DELAY_S 0.15
-#define DEFERRABLE_BUDGET_SHARE 0.3 /* of the write rate that has to be left for them */
+/* They are written while at least this share of the write rate is left of the write budget */
+#define DEFERRABLE_BUDGET_SHARE 0.3
 
-enum urgency { URGENCY_SERVICE, URGENCY_LAUNCH, URGENCY_DEFERRABLE, URGENCY_NOT_DUE };
+enum urgency {
+    URGENCY_IMMEDIATE,  /* a final state, or a new placement of a production job */
+    URGENCY_LAUNCH,     /* a new placement of another job: its launch waits for the write */
+    URGENCY_DEFERRABLE, /* no launch waits for the write */
+    URGENCY_NOT_DUE
+};
 
-void pm_commit_note_time(double *next_at, double at)
+void pm_commit_lower_next_at(double *next_at, double at)
 {
     *next_at = *next_at ? MIN(*next_at, at) : at;
 }
@@ -18,8 +24,8 @@
     return commit->deferrable_since ? commit->deferrable_since + DEFERRABLE_DELAY_S : 0;
 }
 
-/* Whether the job has come to its end and none of its tasks is left on any machine. */
-static bool is_over(const struct pm_job *job)
+/* Whether the job has ended and none of its tasks is placed any more. */
+static bool has_ended(const struct pm_job *job)
 {
     if (!job->spec || job->work.placed_count)
         return false;
@@ -27,11 +33,12 @@
            (job->spec->kind != PM_WORKLOAD_SERVICE && job->work.done_count == job->task_count);
 }
 
-/* The final state of a job that is cancelled with one it depends on follows from the other's, so
- * nothing waits for it: those of a long chain are written when enough of the budget is left. */
+/* Nothing waits for the final state of a job that was cancelled because of a dependency, since
+ * every controller derives it from the cancellation of the dependency. The final states of a long
+ * chain are therefore written only when enough of the write budget is left. */
 static enum urgency final_state_urgency(const struct pm_job *job)
 {
-    return job->dependencies.cancelled_by_one ? URGENCY_DEFERRABLE : URGENCY_SERVICE;
+    return job->dependencies.cancelled_by_dependency ? URGENCY_DEFERRABLE : URGENCY_IMMEDIATE;
 }
 
 static bool has_proposed_placement(const struct pm_chunk *chunk)
@@ -44,34 +51,34 @@
     return false;
 }
 
-/* How urgent it is to write the chunk. Where it only waits for its retry, `*next_at` becomes the
- * time of it. */
+/* Returns how urgent it is to write the chunk. If the chunk only waits for its retry, `*next_at` is
+ * lowered to the time of the retry. */
 static enum urgency chunk_urgency(const struct pm_job *job, const struct pm_chunk *chunk,
                                   double now, double *next_at)
 {
     if (!chunk->write_back.dirty || chunk->write_back.in_flight)
         return URGENCY_NOT_DUE;
     if (chunk->write_back.retry_at > now) {
-        pm_commit_note_time(next_at, chunk->write_back.retry_at);
+        pm_commit_lower_next_at(next_at, chunk->write_back.retry_at);
         return URGENCY_NOT_DUE;
     }
     if (!has_proposed_placement(chunk))
         return URGENCY_DEFERRABLE;
-    return job->spec->priority == PM_PRIORITY_PRODUCTION ? URGENCY_SERVICE : URGENCY_LAUNCH;
+    return job->spec->priority == PM_PRIORITY_PRODUCTION ? URGENCY_IMMEDIATE : URGENCY_LAUNCH;
 }
 
 static void add_due_final_state(struct commit_transaction *transaction, struct pm_job *job,
                                 enum urgency urgency, double now, double *next_at)
 {
     if (job->write_back.retry_at > now) {
-        pm_commit_note_time(next_at, job->write_back.retry_at);
+        pm_commit_lower_next_at(next_at, job->write_back.retry_at);
         return;
     }
     if (urgency == final_state_urgency(job) && !pm_commit_transaction_is_full(transaction))
         pm_commit_transaction_add_final(transaction, job);
 }
 
-/* Whether this very value of the chunk was rejected: it waits until it changes. */
+/* Whether the chunk's current value was rejected, in which case it is not sent until it changes. */
 static bool is_rejected_value(const struct pm_commit *commit, const struct pm_job *job,
                               int chunk_index)
 {
@@ -108,15 +115,15 @@
         struct pm_job *job = g_ptr_array_index(active, i);
         if (!job->spec || job->delegated || job->write_back.final_in_flight)
             continue;
-        if (is_over(job))
+        if (has_ended(job))
             add_due_final_state(transaction, job, urgency, now, next_at);
         else
             add_due_chunks(transaction, job, urgency, now, next_at);
     }
 }
 
-/* Deferrable changes yield to all others: the ends of tasks are written with the next launch in
- * their chunk, or with the job's final state, unless enough of the budget is left. */
+/* Whether enough of the write budget is left for deferrable changes. Otherwise the ends of tasks
+ * are written with the next launch in their chunk, or with the job's final state. */
 static bool has_budget_for_deferrable(const struct pm_commit *commit, double now)
 {
     return pm_store_write_budget(commit->store, now) >=
@@ -148,14 +155,14 @@
         const struct pm_job *job = g_ptr_array_index(active, i);
         if (!job->spec || job->delegated)
             continue;
-        if (is_over(job) ? has_deferrable_final_state(job, now) : has_deferrable_chunk(job, now))
+        if (has_ended(job) ? has_deferrable_final_state(job, now) : has_deferrable_chunk(job, now))
             return true;
     }
     return false;
 }
 
-/* Adds deferrable changes once they have waited for others to join them and enough of the budget is
- * left. */
+/* Adds the deferrable changes, once they have waited for DEFERRABLE_DELAY_S and enough of the write
+ * budget is left. */
 static void add_deferrable(struct commit_transaction *transaction, double now, double *next_at)
 {
     struct pm_commit *commit = transaction->commit;
@@ -173,7 +180,7 @@
 
 void pm_commit_add_due(struct commit_transaction *transaction, double now, double *next_at)
 {
-    add_all_of_urgency(transaction, URGENCY_SERVICE, now, next_at);
+    add_all_of_urgency(transaction, URGENCY_IMMEDIATE, now, next_at);
     add_all_of_urgency(transaction, URGENCY_LAUNCH, now, next_at);
     add_deferrable(transaction, now, next_at);
 }
--- a/src/jobs/commit_internal.h
+++ b/src/jobs/commit_internal.h
@@ -1,6 +1,7 @@
-/* What the parts of the write-back share; nobody else includes it. commit.c decides when to send,
- * commit_due.c what is due, commit_transaction.c builds a transaction, commit_results.c applies its
- * result to the working state. */
+/* Declarations shared by the source files of the write-back; no other file may include it. commit.c
+ * decides when transactions are sent, commit_due.c selects the changes that are due,
+ * commit_transaction.c builds a transaction, and commit_results.c applies its result to the working
+ * state. */
 #ifndef PM_JOBS_COMMIT_INTERNAL_H
 #define PM_JOBS_COMMIT_INTERNAL_H
 
@@ -11,13 +12,14 @@
     struct pm_jobs *jobs;
     struct pm_store *store;
     struct pm_commit_hooks hooks;
-    uint64_t generation;     /* a transaction of an earlier one is not ours any more */
+    uint64_t generation;     /* results of transactions of an earlier generation are ignored */
     int in_flight;           /* transactions without a result */
-    double deferrable_since; /* monotonic: since when a deferrable change waits, 0: none does */
-    double wall;             /* time of day of the run under way */
+    double deferrable_since; /* monotonic time since when a deferrable change waits; 0 if none */
+    double wall;             /* wall-clock time of the latest run */
 };
 
-/* A placement that the transaction makes durable, if it still stands by then. */
+/* A placement that the transaction makes durable, unless it is removed or replaced before the
+ * result arrives. */
 struct proposed_placement {
     struct pm_job *job;
     uint32_t task_index;
@@ -26,13 +28,13 @@
 
 enum written_kind { WRITTEN_FINAL_STATE, WRITTEN_CHUNK, WRITTEN_DEPENDENCY_LIST };
 
-/* A part of the working state that the transaction writes. */
+/* A key that the transaction writes or deletes. */
 struct written_value {
     struct pm_job *job;
     enum written_kind kind;
     int index;      /* of the chunk, or of the dependency list */
-    int half;       /* of a chunk: PM_CHUNK_WHOLE, or which half */
-    bool is_delete; /* the key is deleted */
+    int half;       /* of a chunk: the number of the half, or PM_CHUNK_WHOLE */
+    bool is_delete; /* the key is deleted, not written */
 };
 
 /* A transaction under construction, or in flight. */
@@ -40,56 +42,58 @@
     struct pm_commit *commit;
     uint64_t generation;
     double sent_at;
-    int max_writes;     /* what the write budget and the state service's limit allow */
+    int max_writes;     /* the smaller of the write budget and the limit of one transaction */
     GArray *placements; /* of struct proposed_placement */
     GArray *values;     /* of struct written_value */
-    bool is_closed;     /* has a chunk that is to be written alone */
+    bool is_closed;     /* contains a chunk that has to be written alone: nothing is added */
     struct pm_txn txn;
 };
 
 /* ---- commit_transaction.c ---- */
 
-/* An empty transaction under these conditions, owned by the caller. */
+/* Returns a transaction with these conditions and no changes, owned by the caller. */
 struct commit_transaction *pm_commit_transaction_new(struct pm_commit *commit,
                                                      const struct pm_commit_conditions *conditions,
                                                      double now, int max_writes);
 
-/* Frees it with all it owns. */
+/* Frees the transaction with all that it owns. */
 void pm_commit_transaction_free(struct commit_transaction *transaction);
 
-/* Whether nothing more may be added. */
+/* Whether no more changes may be added. */
 bool pm_commit_transaction_is_full(const struct commit_transaction *transaction);
 
-/* Adds as many of the chunk's dirty values as the limits allow, and marks them in flight. */
+/* Adds as many of the chunk's dirty values as the limits allow, and marks the chunk in flight. */
 void pm_commit_transaction_add_chunk(struct commit_transaction *transaction, struct pm_job *job,
                                      int chunk_index);
 
-/* Adds the job's final state, and the deletion of its chunks and dependency lists as far as the
- * limits allow. Adds nothing while one of its chunks is in flight, or if it does not fit beside
- * what the transaction already has. */
+/* Adds the job's final state, and as many deletions of its chunks and dependency lists as the
+ * limits allow. Adds nothing while one of its chunks is in flight, or if all this does not fit into
+ * the rest of a transaction that already has changes. */
 void pm_commit_transaction_add_final(struct commit_transaction *transaction, struct pm_job *job);
 
 /* ---- commit_due.c ---- */
 
-/* Adds what is due at `now` in the order of its urgency, as far as the limits allow. Lowers
- * `*next_at` (monotonic, 0: none) to the earliest time at which something else becomes due. */
+/* Adds the changes that are due at `now`, most urgent first, as far as the limits allow. Lowers
+ * `*next_at` (monotonic; 0 if not set) to the earliest time at which a change that waits for a
+ * retry becomes due. */
 void pm_commit_add_due(struct commit_transaction *transaction, double now, double *next_at);
 
-/* When deferrable changes that wait are to be written; 0: none waits. */
+/* Returns the monotonic time at which the waiting deferrable changes are to be written, or 0 if
+ * none waits. */
 double pm_commit_deferred_until(const struct pm_commit *commit);
 
-/* `*next_at` becomes the earlier of itself and `at`; 0 stands for no time. */
-void pm_commit_note_time(double *next_at, double at);
+/* Sets `*next_at` to `at` if that is earlier, or if `*next_at` is 0 (not set). */
+void pm_commit_lower_next_at(double *next_at, double at);
 
 /* ---- commit_results.c ---- */
 
-/* Identifies what would be written of the chunk now, so that a value that was rejected is not sent
- * again unchanged; never 0. */
+/* Returns a hash, never 0, of the value that would be written for the chunk now, so that a rejected
+ * value is not sent again unchanged. */
 guint pm_commit_chunk_hash(const struct pm_commit *commit, const struct pm_job *job,
                            int chunk_index);
 
-/* The end of a transaction, whose `arg` is a struct commit_transaction: applies the result, calls
- * the hooks, frees the transaction. */
+/* Called with the result of a transaction (`arg` is its struct commit_transaction): applies the
+ * result, calls the hooks, and frees the transaction. */
 void pm_commit_on_result(void *arg, enum pm_store_result result, uint64_t store_revision,
                          const cbor_item_t *conflicting_keys);
 
--- a/src/jobs/commit_results.c
+++ b/src/jobs/commit_results.c
@@ -1,5 +1,5 @@
-/* What the results of transactions change in the working state: revisions, retries, and which
- * placements may be launched. */
+/* Applies the results of transactions to the working state: updates revisions, schedules retries,
+ * and reports which placements may be launched. */
 #include "base/keys.h"
 #include "jobs/commit_internal.h"
 #include "jobs/internal.h"
@@ -8,17 +8,18 @@
 
 #include <string.h>
 
-/* Until a chunk or a final state is written again. */
+/* Delays before a chunk or a final state is written again, by the result of the failed write. */
 #define CONFLICT_RETRY_S 0.06
 #define THROTTLED_RETRY_S 0.15
 #define REJECTED_RETRY_S 3.0
 #define RETRY_S 0.3
 
 enum {
-    FAILURES_PER_DOUBLING = 4, /* of a chunk's retry delay */
+    /* A chunk's retry delay doubles each time that this many writes in a row have failed. */
+    FAILURES_PER_DOUBLING = 4,
     DOUBLINGS_MAX = 6,
     HASH_FACTOR = 33,
-    STORE_KEY_MAX = 256 /* of a conflicting key, in bytes */
+    STORE_KEY_MAX = 256 /* size of a conflicting key in bytes, with its NUL */
 };
 
 static double retry_delay_s(enum pm_store_result result)
@@ -51,7 +52,7 @@
 static void chunk_succeeded(struct pm_chunk *chunk, const struct written_value *written,
                             uint64_t store_revision)
 {
-    struct pm_stored_chunk *stored = pm_chunk_stored(chunk, written->half);
+    struct pm_stored_chunk *stored = pm_chunk_stored_value(chunk, written->half);
 
     chunk->write_back.failures = 0;
     if (written->is_delete) {
@@ -63,17 +64,17 @@
     chunk->write_back.write_alone = false;
     if (written->half != PM_CHUNK_WHOLE && pm_stored_chunk_revision(&chunk->whole) &&
         pm_stored_chunk_revision(&chunk->halves[!written->half]))
-        chunk->write_back.dirty |=
-            PM_DIRTY_WHOLE; /* both halves are stored: the whole is to be deleted */
+        /* Both halves are stored, so the value of the whole has to be deleted. */
+        chunk->write_back.dirty |= PM_DIRTY_WHOLE;
 }
 
-/* The value is too large, most likely. Of several in one transaction it is not known which was the
- * cause, so each is written alone next time; one that is rejected alone is not sent again
- * unchanged. */
+/* A rejected value is most likely too large. If a transaction with several values is rejected, the
+ * cause could be any of them, so each is written in a transaction of its own next time. A value
+ * that is rejected in such a transaction is not sent again unchanged. */
 static void chunk_rejected(const struct pm_commit *commit, struct pm_chunk *chunk,
                            const struct written_value *written)
 {
-    pm_error("commit.rejected", "the state service refuses p/t/%s/%d", written->job->id,
+    pm_error("commit.rejected", "the state service rejected a write of p/t/%s/%d", written->job->id,
              written->index);
     if (written->half == PM_CHUNK_WHOLE)
         chunk->write_back.write_in_halves = true;
@@ -83,8 +84,9 @@
     chunk->write_back.write_alone = true;
 }
 
-/* The chunk is written again, on the revision that the watch shows by then. If this transaction is
- * executed late after all, either its own compares fail or ours do. */
+/* Schedules another write of the chunk, which will compare the revision that the watch shows at
+ * that time. If the failed transaction is still executed later, the compares of either that
+ * transaction or the new one fail, so only one of them takes effect. */
 static void chunk_failed(const struct pm_commit *commit, struct pm_chunk *chunk,
                          const struct written_value *written, enum pm_store_result result,
                          double now)
@@ -108,7 +110,7 @@
     struct pm_chunk *chunk = written->index < job->chunk_count ? job->chunks[written->index] : NULL;
 
     if (!chunk)
-        return; /* the job's final state has arrived, and its chunks were freed */
+        return; /* the feed has shown the job's final state, and the chunks were freed */
     chunk->write_back.in_flight = false;
     if (result == PM_STORE_OK)
         chunk_succeeded(chunk, written, store_revision);
@@ -123,7 +125,8 @@
         job->write_back.retry_at = now + retry_delay_s(result);
 }
 
-/* Lists are deleted from the last to the first: those before `list_index` are left. */
+/* Records that the dependency list was deleted. Lists are deleted from the last to the first, so
+ * those before `list_index` remain. */
 static void apply_to_dependency_list(struct pm_job *job, int list_index,
                                      enum pm_store_result result)
 {
@@ -147,8 +150,8 @@
     }
 }
 
-/* The placement is durable, unless it was given up or replaced meanwhile. */
-static void make_durable(const struct pm_commit *commit, const struct proposed_placement *proposed)
+/* Marks the placement as durable, unless it was removed or replaced in the meantime. */
+static void mark_durable(const struct pm_commit *commit, const struct proposed_placement *proposed)
 {
     const struct pm_task *task =
         proposed->job->chunks ? pm_job_find_task(proposed->job, proposed->task_index) : NULL;
@@ -171,7 +174,7 @@
         apply_to_value(commit, &g_array_index(transaction->values, struct written_value, i), result,
                        store_revision, now);
     for (guint i = 0; result == PM_STORE_OK && i < transaction->placements->len; i++)
-        make_durable(commit, &g_array_index(transaction->placements, struct proposed_placement, i));
+        mark_durable(commit, &g_array_index(transaction->placements, struct proposed_placement, i));
 }
 
 static void report_epoch_conflict(const struct pm_commit *commit,
@@ -197,7 +200,8 @@
         if (result == PM_STORE_OK)
             commit->hooks.epoch_confirmed(commit->hooks.arg, transaction->sent_at, store_revision);
         else
-            pm_debug("commit.failed", "status %d (%s)", result, pm_store_result_name(result));
+            pm_debug("commit.failed", "transaction failed with status %d (%s)", result,
+                     pm_store_result_name(result));
         report_epoch_conflict(commit, conflicting_keys);
     }
     pm_commit_transaction_free(transaction);
--- a/src/jobs/commit_transaction.c
+++ b/src/jobs/commit_transaction.c
@@ -1,14 +1,14 @@
-/* Builds transactions: which keys a change of a job or of a chunk compares and writes. */
+/* Builds transactions: adds the compares and writes for changes of jobs and chunks. */
 #include "base/keys.h"
 #include "jobs/commit_internal.h"
 #include "jobs/internal.h"
 
-/* The state service's limits: 64 KiB a request, and four compares for each change that one
- * transaction may have. */
+/* The state service limits a request to 64 KiB, and the compares of a transaction to four times the
+ * number of changes that it may have. */
 enum {
-    BODY_SIZE_FULL = 48 * 1024, /* nothing more is added to a body beyond this */
+    BODY_SIZE_FULL = 48 * 1024, /* bytes of writes beyond which no more changes are added */
     COMPARES_PER_WRITE = 4,
-    COMPARES_PER_CHUNK_MAX = 4 /* the job, the whole chunk, and both halves */
+    COMPARES_PER_CHUNK_MAX = 4 /* the keys of the job, the whole chunk and both halves */
 };
 
 struct commit_transaction *pm_commit_transaction_new(struct pm_commit *commit,
@@ -52,7 +52,7 @@
     return transaction->max_writes - transaction->txn.write_count;
 }
 
-static void add_value(struct commit_transaction *transaction, struct written_value value)
+static void record_written_value(struct commit_transaction *transaction, struct written_value value)
 {
     g_array_append_val(transaction->values, value);
 }
@@ -75,10 +75,10 @@
 
     pm_chunk_key_write(job, chunk_index, half, key);
     pm_txn_compare(&transaction->txn, key,
-                   pm_stored_chunk_revision(pm_chunk_stored(job->chunks[chunk_index], half)));
+                   pm_stored_chunk_revision(pm_chunk_stored_value(job->chunks[chunk_index], half)));
 }
 
-/* Remembers which proposed placements the chunk's value makes durable. */
+/* Records the proposed placements that the value of the chunk, or of its half, makes durable. */
 static void add_proposed_placements(struct commit_transaction *transaction, struct pm_job *job,
                                     const struct pm_chunk *chunk, int half)
 {
@@ -107,8 +107,9 @@
     add_proposed_placements(transaction, job, chunk, half);
     chunk->write_back.dirty &= ~pm_chunk_dirty_bits(half);
     chunk->write_back.in_flight = true;
-    job->write_back.attempted = true;
-    add_value(transaction, (struct written_value){job, WRITTEN_CHUNK, chunk_index, half, false});
+    job->write_back.chunk_write_attempted = true;
+    record_written_value(transaction,
+                         (struct written_value){job, WRITTEN_CHUNK, chunk_index, half, false});
 }
 
 static void delete_chunk(struct commit_transaction *transaction, struct pm_job *job,
@@ -119,13 +120,14 @@
     pm_chunk_key_write(job, chunk_index, half, key);
     pm_txn_delete(&transaction->txn, key);
     job->chunks[chunk_index]->write_back.in_flight = true;
-    add_value(transaction, (struct written_value){job, WRITTEN_CHUNK, chunk_index, half, true});
+    record_written_value(transaction,
+                         (struct written_value){job, WRITTEN_CHUNK, chunk_index, half, true});
 }
 
-/* Writes the halves. A chunk that is stored whole and has become too large for that is moved to
- * halves in steps: each half that is written takes precedence over the whole for its tasks,
- * and once both are stored the whole is deleted. Interrupted between any two steps, nothing
- * is lost. */
+/* Adds writes of the chunk's halves. A chunk that is stored as one value, and has become too large
+ * for that, is split in steps: each half that is written takes precedence over the whole for its
+ * tasks, and once both halves are stored, the whole is deleted. No data is lost if this is
+ * interrupted between any two steps. */
 static void add_halves(struct commit_transaction *transaction, struct pm_job *job, int chunk_index)
 {
     struct pm_chunk *chunk = job->chunks[chunk_index];
@@ -157,14 +159,14 @@
         put_chunk(transaction, job, chunk_index, PM_CHUNK_WHOLE);
 }
 
-/* How many values of the job's chunks are stored. */
+/* Returns how many chunk values of the job are stored; each half counts as one. */
 static int count_stored_chunks(const struct pm_job *job)
 {
     int count = 0;
 
     for (int k = 0; k < job->chunk_count; k++)
         for (int half = PM_CHUNK_WHOLE; job->chunks[k] && half < PM_CHUNK_HALVES; half++)
-            count += pm_stored_chunk_revision(pm_chunk_stored(job->chunks[k], half)) != 0;
+            count += pm_stored_chunk_revision(pm_chunk_stored_value(job->chunks[k], half)) != 0;
     return count;
 }
 
@@ -204,8 +206,8 @@
         int last = (int)count - 1;
         pm_dependency_list_key_write(job, last, key);
         pm_txn_delete(&transaction->txn, key);
-        add_value(transaction,
-                  (struct written_value){job, WRITTEN_DEPENDENCY_LIST, last, PM_CHUNK_WHOLE, true});
+        record_written_value(transaction, (struct written_value){job, WRITTEN_DEPENDENCY_LIST, last,
+                                                                 PM_CHUNK_WHOLE, true});
     }
 }
 
@@ -215,7 +217,7 @@
         struct pm_chunk *chunk = job->chunks[k];
         for (int half = PM_CHUNK_WHOLE;
              chunk && half < PM_CHUNK_HALVES && writes_left(transaction) > 0; half++) {
-            if (!pm_stored_chunk_revision(pm_chunk_stored(chunk, half)))
+            if (!pm_stored_chunk_revision(pm_chunk_stored_value(chunk, half)))
                 continue;
             compare_chunk(transaction, job, k, half);
             delete_chunk(transaction, job, k, half);
@@ -224,12 +226,12 @@
     }
 }
 
-/* A job with more values than fit into one transaction ends in steps: first its final state is
- * written with the description kept, then its lists and chunks are deleted, then the description.
- */
+/* If the job has more values than fit into one transaction, its end is written in several: the
+ * first writes the final state and keeps the description, the next ones delete the dependency lists
+ * and the chunks, and the last removes the description. */
 void pm_commit_transaction_add_final(struct commit_transaction *transaction, struct pm_job *job)
 {
-    bool final_is_stored = job->state != PM_JOB_LIVE && !job->dependencies.cancelled_by_one;
+    bool final_is_stored = job->state != PM_JOB_LIVE && !job->dependencies.cancelled_by_dependency;
     bool fits;
 
     if (has_chunk_in_flight(job) || writes_left(transaction) < 1)
@@ -237,15 +239,15 @@
     fits =
         count_stored_chunks(job) + (int)job->spec->overflow_lists + 1 <= writes_left(transaction);
     if (!fits && transaction->values->len)
-        return; /* it waits for a transaction of its own */
+        return; /* the job waits for a transaction of its own */
     compare_job(transaction, job);
     if (fits || !final_is_stored)
         put_final_state(transaction, job, !fits);
-    add_value(transaction,
-              (struct written_value){job, WRITTEN_FINAL_STATE, 0, PM_CHUNK_WHOLE, false});
+    record_written_value(
+        transaction, (struct written_value){job, WRITTEN_FINAL_STATE, 0, PM_CHUNK_WHOLE, false});
     job->write_back.final_in_flight = true;
     if (!fits && !final_is_stored)
-        return; /* the rest is deleted once the final state is durable */
+        return; /* lists and chunks are deleted once the final state is durable */
     delete_dependency_lists(transaction, job);
     delete_chunks(transaction, job);
 }
--- a/src/jobs/dependencies.c
+++ b/src/jobs/dependencies.c
@@ -1,22 +1,23 @@
-/* The dependency graph: its nodes and edges, and the walks along them. */
+/* The dependency graph: its nodes and edges, and the traversals along the edges. */
 #include "jobs/dependencies.h"
 
 #include <math.h>
 
-/* A job in the graph. Once removed it stays allocated while others still refer to it, so that
- * leaving the graph never searches the lists of others. */
+/* A job in the graph. Nodes are reference-counted: a removed node stays allocated while the lists
+ * of other nodes refer to it, so that removing a node need not search their lists. */
 struct node {
-    struct pm_job *job; /* NULL: named by others, not known yet */
-    bool is_added;      /* its own dependencies are linked */
-    bool is_removed;    /* it has left the graph */
-    bool is_queued;     /* in the walk under way */
+    struct pm_job *job; /* NULL if others depend on it, but the job itself is not known yet */
+    bool is_added;      /* the edges to its dependencies were added */
+    bool is_removed;    /* no longer in the graph */
+    bool is_queued;     /* in the queue of the current traversal */
     unsigned references;
-    GPtrArray *dependencies, *dependents; /* of struct node; each entry is a reference */
+    GPtrArray *dependencies, *dependents; /* of struct node; each entry holds a reference */
 };
 
 struct pm_dependency_graph {
     struct pm_name_tables *tables;
-    GPtrArray *nodes; /* by index of `dependency_ids`; NULL: removed, or in no dependency */
+    GPtrArray *nodes; /* by index in `dependency_ids`; NULL if removed, or if the job has neither
+                       * dependencies nor dependents */
     uint64_t steps;
 };
 
@@ -62,7 +63,7 @@
                                                         : NULL;
 }
 
-static struct node *make_node(struct pm_dependency_graph *graph, int index)
+static struct node *ensure_node(struct pm_dependency_graph *graph, int index)
 {
     struct node *node = find_node(graph, index);
 
@@ -75,7 +76,8 @@
     return node;
 }
 
-/* Removes the node from the graph. Others may refer to it until they leave as well. */
+/* Removes the node from the graph. The lists of other nodes may refer to it until these are
+ * removed. */
 static void remove_node(struct pm_dependency_graph *graph, int index)
 {
     struct node *node = find_node(graph, index);
@@ -100,8 +102,8 @@
 
 /* ---- priority and deadline ---- */
 
-/* A dependency gets at least the priority of its dependent, and a deadline that leaves time for the
- * dependent to run. Whether this changed the dependency. */
+/* Raises the dependency's priority to at least that of its dependent, and lowers its deadline so
+ * that it leaves time for the dependent to run. Returns whether either changed. */
 static bool inherit(struct pm_job *dependency, const struct pm_job *dependent)
 {
     double due = dependent->deadline_wall - dependent->spec->estimated_run_s;
@@ -112,13 +114,13 @@
     return is_changed;
 }
 
-/* Whether the edge is in the order of acceptance, as every edge between accepted jobs is. */
+/* Whether the dependency was accepted before the dependent, as is so for all accepted jobs. */
 static bool is_in_order(const struct node *dependency, const struct node *dependent)
 {
     return dependency->job && dependency->job->revision < dependent->job->revision;
 }
 
-/* Latest accepted first. */
+/* Sorts nodes by the revision of acceptance, latest first. */
 static gint compare_acceptance(gconstpointer left, gconstpointer right, gpointer data)
 {
     uint64_t left_revision = ((const struct node *)left)->job->revision;
@@ -146,9 +148,9 @@
     return node;
 }
 
-/* Passes the node's priority and deadline on to all its dependencies, direct and indirect. A node
- * leaves the queue only after all of its own dependents that the walk reaches, so each is handled
- * once. */
+/* Propagates the node's priority and deadline to all its dependencies, direct and indirect. The
+ * queue is in order of acceptance, latest first, so a node is dequeued only after all its
+ * dependents that the traversal reaches, and each node is processed once. */
 static void propagate(struct pm_dependency_graph *graph, struct node *from)
 {
     GSequence *queue = g_sequence_new(NULL);
@@ -167,36 +169,36 @@
     g_sequence_free(queue);
 }
 
-/* ---- adding ---- */
+/* ---- adding jobs ---- */
 
-/* A dependency of the job is done since that time of day, 0: not known. The wait of the job counts
- * from the last such end. */
-static void note_dependency_end(struct pm_job *job, double ended_wall)
+/* Records that a dependency of the job ended at the wall-clock time `ended_wall` (0 if not known).
+ * The job's waiting time counts from the last such end. */
+static void record_dependency_end(struct pm_job *job, double ended_wall)
 {
-    double *met_wall = &job->dependencies.met_wall;
+    double *last_ended_wall = &job->dependencies.last_ended_wall;
 
-    *met_wall = ended_wall > 0 ? MAX(*met_wall, ended_wall) : INFINITY;
+    *last_ended_wall = ended_wall > 0 ? MAX(*last_ended_wall, ended_wall) : INFINITY;
 }
 
 static void add_edge(struct pm_dependency_graph *graph, struct node *node, int index,
                      struct pm_job *job)
 {
-    struct node *dependency = make_node(graph, index);
+    struct node *dependency = ensure_node(graph, index);
 
     dependency->job = job;
     g_ptr_array_add(node->dependencies, node_ref(dependency));
     g_ptr_array_add(dependency->dependents, node_ref(node));
-    node->job->dependencies.unmet++;
+    node->job->dependencies.unmet_count++;
 }
 
-/* The earlier of two revisions, of which `known` may be 0: none. */
+/* Returns the earlier of two revisions; `known` may be 0, which means none. */
 static uint64_t earlier_revision(uint64_t known, uint64_t other)
 {
     return known ? MIN(known, other) : other;
 }
 
-/* Links the node to its job's dependencies. Returns the revision of the earliest cancellation among
- * them, 0: none is cancelled. */
+/* Adds edges from the node to the unmet dependencies of its job. Returns the revision of the
+ * earliest cancellation among the dependencies, or 0 if none is cancelled. */
 static uint64_t add_dependencies(struct pm_dependency_graph *graph, struct node *node,
                                  pm_dependency_lookup *lookup, void *arg)
 {
@@ -211,14 +213,14 @@
         if (outcome.cancellation_revision)
             cancelled = earlier_revision(cancelled, outcome.cancellation_revision);
         else if (outcome.job && outcome.job->state == PM_JOB_DONE)
-            note_dependency_end(node->job, outcome.job->ended_wall);
+            record_dependency_end(node->job, outcome.job->ended_wall);
         else
             add_edge(graph, node, index, outcome.job);
     }
     return cancelled;
 }
 
-/* The node that has just been added inherits from the dependents that were known before it. */
+/* Lets a node that has just been added inherit from dependents that were added before it. */
 static void inherit_from_dependents(struct pm_dependency_graph *graph, struct node *node)
 {
     for (guint i = 0; i < node->dependents->len; i++) {
@@ -235,11 +237,11 @@
     struct pm_names *ids = graph->tables->dependency_ids;
     int index =
         job->spec->dependency_count ? pm_names_intern(ids, job->id) : pm_names_find(ids, job->id);
-    struct node *node = index >= 0 ? make_node(graph, index) : NULL;
+    struct node *node = index >= 0 ? ensure_node(graph, index) : NULL;
     uint64_t cancelled;
 
     if (!node || node->is_added)
-        return 0; /* it has neither dependencies nor dependents so far; or it is added already */
+        return 0; /* the job has neither dependencies nor dependents so far, or was added before */
     node->job = job;
     node->is_added = true;
     cancelled = add_dependencies(graph, node, lookup, arg);
@@ -248,7 +250,7 @@
     return cancelled;
 }
 
-/* ---- ends ---- */
+/* ---- jobs that end ---- */
 
 void pm_dependencies_mark_done(struct pm_dependency_graph *graph, const char *id, double ended_wall)
 {
@@ -261,15 +263,15 @@
         const struct node *dependent = g_ptr_array_index(node->dependents, i);
         if (dependent->is_removed)
             continue;
-        dependent->job->dependencies.unmet--;
-        note_dependency_end(dependent->job, ended_wall);
+        dependent->job->dependencies.unmet_count--;
+        record_dependency_end(dependent->job, ended_wall);
     }
     remove_node(graph, index);
 }
 
-/* Cancels the dependents of the node, and adds their indices to the walk. */
+/* Cancels the dependents of the node, and appends their indices to `pending`. */
 static void cancel_dependents(struct pm_dependency_graph *graph, const struct node *node,
-                              pm_dependency_cancel *cancel, void *arg, GArray *walk)
+                              pm_dependency_cancel *cancel, void *arg, GArray *pending)
 {
     for (guint i = 0; i < node->dependents->len; i++) {
         const struct node *dependent = g_ptr_array_index(node->dependents, i);
@@ -278,32 +280,32 @@
             continue;
         index = pm_names_find(graph->tables->dependency_ids, dependent->job->id);
         cancel(arg, dependent->job);
-        g_array_append_val(walk, index);
+        g_array_append_val(pending, index);
     }
 }
 
 void pm_dependencies_mark_cancelled(struct pm_dependency_graph *graph, const char *id,
                                     pm_dependency_cancel *cancel, void *arg)
 {
-    GArray *walk = g_array_new(FALSE, FALSE, sizeof(int));
+    GArray *pending = g_array_new(FALSE, FALSE, sizeof(int));
     int index = pm_names_find(graph->tables->dependency_ids, id);
 
     if (find_node(graph, index))
-        g_array_append_val(walk, index);
-    while (walk->len) {
+        g_array_append_val(pending, index);
+    while (pending->len) {
         const struct node *node;
-        index = g_array_index(walk, int, walk->len - 1);
-        g_array_set_size(walk, walk->len - 1);
+        index = g_array_index(pending, int, pending->len - 1);
+        g_array_set_size(pending, pending->len - 1);
         node = find_node(graph, index);
         if (!node)
-            continue; /* reached by another way */
-        cancel_dependents(graph, node, cancel, arg, walk);
+            continue; /* already removed: reached on another path */
+        cancel_dependents(graph, node, cancel, arg, pending);
         remove_node(graph, index);
     }
-    g_array_free(walk, TRUE);
+    g_array_free(pending, TRUE);
 }
 
-uint64_t pm_dependencies_steps(const struct pm_dependency_graph *graph)
+uint64_t pm_dependencies_edges_visited(const struct pm_dependency_graph *graph)
 {
     return graph->steps;
 }
--- a/src/jobs/dependency_codec.c
+++ b/src/jobs/dependency_codec.c
@@ -1,19 +1,19 @@
-/* The dependencies of a job as texts: in submissions, in its value, and in lists beside that. */
+/* CBOR codec of the dependencies of a job, in submissions, p/j values and p/n values. */
 #include "jobs/codec_fields.h"
 #include "jobs/internal.h"
 
 #include <string.h>
 
-/* Sizes in bytes of JSON, which the state service counts. */
+/* Sizes in bytes of the values' JSON form, by which the state service limits them. */
 enum {
-    TEXT_OVERHEAD = 3,         /* of a text in a list: its quotes and a comma */
-    LIST_OVERHEAD = 64,        /* of a p/n value without its ids */
-    DEPENDENCIES_OVERHEAD = 32 /* of the field in a job's value without its ids */
+    TEXT_OVERHEAD = 3,         /* of each id in a list: two quotes and a comma */
+    LIST_OVERHEAD = 64,        /* of a p/n value without the ids */
+    DEPENDENCIES_OVERHEAD = 32 /* of the field in a p/j value without the ids */
 };
 
 static bool are_valid_ids(const cbor_item_t *list)
 {
-    char id[TEXT_MAX];
+    char id[NAME_SIZE_MAX];
 
     for (size_t i = 0; i < pm_cbor_length(list); i++)
         if (!pm_cbor_read_text(pm_cbor_at(list, i), id, sizeof id) || !pm_job_id_is_valid(id))
@@ -21,12 +21,12 @@
     return true;
 }
 
-/* The ids of the list, which are valid, each once. */
+/* Returns the distinct ids of a list that has only valid ids. */
 static GPtrArray *read_distinct_ids(const cbor_item_t *list)
 {
     GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
     GHashTable *seen = g_hash_table_new(g_str_hash, g_str_equal);
-    char id[TEXT_MAX];
+    char id[NAME_SIZE_MAX];
 
     for (size_t i = 0; i < pm_cbor_length(list); i++) {
         pm_cbor_read_text(pm_cbor_at(list, i), id, sizeof id);
--- a/src/jobs/feed.c
+++ b/src/jobs/feed.c
@@ -1,4 +1,4 @@
-/* Applies the state service's feed to the replica: values of p/j, p/n and p/t. */
+/* Applies the state service's feed to the replica: puts of p/j, p/n, p/t, and deletions of p/t. */
 #include "base/keys.h"
 #include "jobs/internal.h"
 #include "base/log.h"
@@ -10,8 +10,8 @@
 static void set_state(struct pm_jobs *jobs, struct pm_job *job, enum pm_job_state state)
 {
     if (state == PM_JOB_CANCELLED)
-        job->dependencies.cancelled_by_one = false; /* by its own value instead */
-    /* What is known cancelled stays so: this value is an older one then. */
+        job->dependencies.cancelled_by_dependency = false; /* its own value says so now */
+    /* A job whose cancellation is known stays cancelled: a value with another state is older. */
     job->state = job->cancellation_revision ? PM_JOB_CANCELLED : state;
     if (job->state == PM_JOB_CANCELLED && !job->cancellation_revision) {
         job->cancellation_revision = job->revision;
@@ -19,14 +19,14 @@
     }
 }
 
-/* Reads the description from the job's value. False: unreadable. */
+/* Reads the description from the job's value. Returns false if it is malformed. */
 static bool read_description(struct pm_jobs *jobs, struct pm_job *job, const cbor_item_t *value)
 {
     bool is_new = !job->spec;
     struct pm_spec *spec = is_new ? g_new0(struct pm_spec, 1) : job->spec;
 
     if (!pm_stored_spec_decode(jobs->tables, value, spec)) {
-        pm_error("jobs.unreadable_value", "unreadable description of job %s", job->id);
+        pm_error("jobs.unreadable_value", "malformed description of job %s", job->id);
         if (is_new)
             pm_spec_free(spec);
         return false;
@@ -38,7 +38,7 @@
     return true;
 }
 
-/* Applies the rest of a readable value, beside the job's state. */
+/* Applies the part of a well-formed value that follows the job's state. */
 static void apply_job_value(struct pm_jobs *jobs, struct pm_job *job, const cbor_item_t *value,
                             uint32_t task_count)
 {
@@ -56,8 +56,8 @@
     pm_jobs_complete_dependencies(jobs, job);
 }
 
-static struct pm_job *put_job(struct pm_jobs *jobs, const char *id, const cbor_item_t *value,
-                              uint64_t revision)
+static struct pm_job *apply_job_put(struct pm_jobs *jobs, const char *id, const cbor_item_t *value,
+                                    uint64_t revision)
 {
     struct pm_job *job = pm_jobs_find(jobs, id);
     struct pm_job_summary summary = {.state = PM_JOB_LIVE, .task_count = 1};
@@ -67,10 +67,10 @@
         return NULL;
     is_readable = pm_job_summary_decode(value, &summary);
     if (!is_readable) {
-        pm_error("jobs.unreadable_value", "unreadable value of job %s", id);
+        pm_error("jobs.unreadable_value", "malformed state or task count of job %s", id);
         if (job)
             return NULL;
-        /* It was accepted once, so it stays known, whatever became of its value. */
+        /* The job was accepted, so it is added to the known jobs all the same. */
     }
     if (!job)
         job = pm_jobs_add(jobs, id, summary.task_count);
@@ -78,15 +78,16 @@
     set_state(jobs, job, summary.state);
     if (summary.state == PM_JOB_DONE)
         pm_job_end_time_decode(value, &job->ended_wall);
-    if (is_readable) /* otherwise it is not run, since it may have been cancelled */
+    /* A job with a malformed value is not run, since it may have been cancelled. */
+    if (is_readable)
         apply_job_value(jobs, job, value, summary.task_count);
     return job;
 }
 
 /* ---- p/t ---- */
 
-static struct pm_job *put_chunk(struct pm_jobs *jobs, const char *rest, const cbor_item_t *value,
-                                uint64_t revision)
+static struct pm_job *apply_chunk_put(struct pm_jobs *jobs, const char *suffix,
+                                      const cbor_item_t *value, uint64_t revision)
 {
     char id[PM_ID_MAX];
     struct pm_job *job;
@@ -95,15 +96,15 @@
     int chunk_index;
     int half;
 
-    if (!pm_chunk_key_parse(rest, id, &chunk_index, &half))
+    if (!pm_chunk_key_parse(suffix, id, &chunk_index, &half))
         return NULL;
     job = pm_jobs_find(jobs, id);
-    chunk = job ? pm_job_chunk(job, chunk_index) : NULL;
-    stored = chunk ? pm_chunk_stored(chunk, half) : NULL;
+    chunk = job ? pm_job_ensure_chunk(job, chunk_index) : NULL;
+    stored = chunk ? pm_chunk_stored_value(chunk, half) : NULL;
     if (!stored || stored->revision >= revision)
         return NULL;
     if (!pm_chunk_decode(jobs->tables, value, stored)) {
-        pm_error("jobs.unreadable_value", "unreadable chunk %s", rest);
+        pm_error("jobs.unreadable_value", "malformed value of p/t/%s, ignored", suffix);
         return NULL;
     }
     stored->revision = revision;
@@ -111,7 +112,8 @@
     return job;
 }
 
-static struct pm_job *delete_chunk(struct pm_jobs *jobs, const char *rest, uint64_t revision)
+static struct pm_job *apply_chunk_delete(struct pm_jobs *jobs, const char *suffix,
+                                         uint64_t revision)
 {
     char id[PM_ID_MAX];
     struct pm_job *job;
@@ -120,11 +122,11 @@
     int chunk_index;
     int half;
 
-    if (!pm_chunk_key_parse(rest, id, &chunk_index, &half))
+    if (!pm_chunk_key_parse(suffix, id, &chunk_index, &half))
         return NULL;
     job = pm_jobs_find(jobs, id);
     chunk = job && chunk_index < job->chunk_count ? job->chunks[chunk_index] : NULL;
-    stored = chunk ? pm_chunk_stored(chunk, half) : NULL;
+    stored = chunk ? pm_chunk_stored_value(chunk, half) : NULL;
     if (!stored || stored->revision > revision)
         return NULL;
     stored->revision = 0;
@@ -137,22 +139,22 @@
 struct pm_job *pm_jobs_apply_put(struct pm_jobs *jobs, const char *key, const cbor_item_t *value,
                                  uint64_t revision)
 {
-    const char *rest;
-
-    if ((rest = pm_key_without_prefix(key, PM_KEY_JOB_PREFIX)))
-        return put_job(jobs, rest, value, revision);
-    if ((rest = pm_key_without_prefix(key, PM_KEY_DEPENDENCY_LIST_PREFIX)))
-        return pm_jobs_apply_dependency_list(jobs, rest, value);
-    if ((rest = pm_key_without_prefix(key, PM_KEY_CHUNK_PREFIX)))
-        return put_chunk(jobs, rest, value, revision);
+    const char *suffix;
+
+    if ((suffix = pm_key_without_prefix(key, PM_KEY_JOB_PREFIX)))
+        return apply_job_put(jobs, suffix, value, revision);
+    if ((suffix = pm_key_without_prefix(key, PM_KEY_DEPENDENCY_LIST_PREFIX)))
+        return pm_jobs_apply_dependency_list(jobs, suffix, value);
+    if ((suffix = pm_key_without_prefix(key, PM_KEY_CHUNK_PREFIX)))
+        return apply_chunk_put(jobs, suffix, value, revision);
     return NULL;
 }
 
 struct pm_job *pm_jobs_apply_delete(struct pm_jobs *jobs, const char *key, uint64_t revision)
 {
-    const char *rest = pm_key_without_prefix(key, PM_KEY_CHUNK_PREFIX);
+    const char *suffix = pm_key_without_prefix(key, PM_KEY_CHUNK_PREFIX);
 
-    return rest ? delete_chunk(jobs, rest, revision) : NULL;
+    return suffix ? apply_chunk_delete(jobs, suffix, revision) : NULL;
 }
 
 void pm_jobs_snapshot_begin(struct pm_jobs *jobs)
@@ -160,13 +162,13 @@
     GHashTableIter iter;
     gpointer value;
 
-    /* p/j keys are never deleted, so only chunks can have vanished unseen. The listing puts them
-     * again, and after their jobs, since it is in the order of keys. */
+    /* p/j keys are never deleted, so only chunks can have been deleted while no watch was open. The
+     * listing puts those that exist again, after their jobs, since it is in order of keys. */
     g_hash_table_iter_init(&iter, jobs->by_id);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct pm_job *job = value;
         for (int k = 0; k < job->chunk_count; k++)
             if (job->chunks[k])
-                pm_chunk_forget_stored(job->chunks[k]);
+                pm_chunk_mark_not_stored(job->chunks[k]);
     }
 }
--- a/src/jobs/internal.h
+++ b/src/jobs/internal.h
@@ -1,12 +1,12 @@
-/* What the parts of the jobs slice share; nobody else includes it. (The parts of the write-back
- * share commit_internal.h as well.) */
+/* Declarations shared by the source files of the jobs slice; other slices must not include it. (The
+ * files of the write-back also share commit_internal.h.) */
 #ifndef PM_JOBS_INTERNAL_H
 #define PM_JOBS_INTERNAL_H
 
 #include "jobs/dependencies.h"
 
-enum { TEXT_MAX = 120 }; /* of a name, in bytes with its NUL */
-#define EPS 1e-6         /* amounts as decimal numbers are this exact */
+enum { NAME_SIZE_MAX = 120 }; /* size of a submitted or stored name in bytes, with its NUL */
+#define AMOUNT_TOLERANCE 1e-6 /* rounding error allowed when amounts are compared */
 
 /* The replica of the jobs (jobs.c). */
 struct pm_jobs {
@@ -15,118 +15,128 @@
     GPtrArray *active;
     struct pm_dependency_graph *dependencies;
     bool delegated;
-    GHashTable *overflow_lists; /* id to GPtrArray of GPtrArray of ids: the p/n values by index, of
-                                 * jobs whose dependencies are not all known */
+    /* The p/n values of jobs whose dependencies are not all known: a map from the job's id to a
+     * GPtrArray, whose entry K is the GPtrArray of the ids in p/n/ID/K. */
+    GHashTable *overflow_lists;
     /* Cancellations (cancellations.c). */
-    GArray *cancellations;         /* of struct pm_cancellation */
-    bool cancellations_unsorted;   /* it is not by revision, as it should be */
-    GHashTable *unknown_cancelled; /* id to revision: cancelled, though the job is not known yet */
+    GArray *cancellations;       /* of struct pm_cancellation */
+    bool cancellations_unsorted; /* has to be sorted by revision before it is read */
+    /* Cancellations of jobs that are not known yet: a map from the job's id to the revision. */
+    GHashTable *cancelled_before_known;
 };
 
 /* ---- jobs.c: the set of jobs ---- */
 
-/* Adds a job that was not known, with no description. Borrowed from `jobs`. */
+/* Adds a job that is not known yet, without a description, and returns it, borrowed from `jobs`. */
 struct pm_job *pm_jobs_add(struct pm_jobs *jobs, const char *id, uint32_t task_count);
 
-/* The job is listed by pm_jobs_active, and is this controller's to place if others are. */
+/* Adds the job to the active jobs, unless it is one, and delegates it if all jobs are delegated. */
 void pm_jobs_activate(struct pm_jobs *jobs, struct pm_job *job);
 
-/* The job is over and none of its tasks is left: frees all but its final state. */
+/* Frees all but the final state of a job that has ended and has no placed tasks, and removes it
+ * from the active jobs. */
 void pm_jobs_keep_final_state_only(struct pm_jobs *jobs, struct pm_job *job);
 
-/* ---- job_dependencies.c: what jobs of the replica depend on ---- */
+/* ---- job_dependencies.c: the dependencies of the replica's jobs ---- */
 
-/* Brings the dependency graph up to date with the job, and derives what follows from it: the
- * cancellation of its dependents, or its own. */
+/* Updates the dependency graph after the job has changed. Cancels the job if a dependency of it is
+ * cancelled, and its dependents if it is cancelled itself. */
 void pm_jobs_update_graph(struct pm_jobs *jobs, struct pm_job *job);
 
-/* Reads the dependencies from the value of a job whose description is new. If they can't be read,
- * or stand in lists beside it, the job may not start. */
+/* Reads the dependencies from the value of a job whose description has just become known. If they
+ * are malformed, or are stored in separate lists, the job may not start. */
 void pm_jobs_read_dependencies(struct pm_jobs *jobs, struct pm_job *job, const cbor_item_t *value);
 
-/* Once the job and all of its lists are known, in whatever order, it joins the graph. */
+/* Adds the job to the dependency graph if its dependencies are stored in separate lists and all of
+ * these are known. The lists may become known before or after the job. */
 void pm_jobs_complete_dependencies(struct pm_jobs *jobs, struct pm_job *job);
 
-/* Applies the value of p/n/`rest`. Returns the job that it belongs to, NULL if that is not known,
- * or has its dependencies already. */
-struct pm_job *pm_jobs_apply_dependency_list(struct pm_jobs *jobs, const char *rest,
+/* Applies the value of p/n/`suffix`. Returns the job that it belongs to, or NULL if the value is
+ * malformed, the job is not known, or all its dependencies are known already. */
+struct pm_job *pm_jobs_apply_dependency_list(struct pm_jobs *jobs, const char *suffix,
                                              const cbor_item_t *value);
 
 /* ---- cancellations.c ---- */
 
-/* Lists the job's durable cancellation at that revision for peers that ask. */
+/* Adds the job's durable cancellation at `revision` to the list that peers can ask for. */
 void pm_jobs_record_cancellation(struct pm_jobs *jobs, const char *id, uint64_t revision);
 
-/* Cancels a job that depends on a cancelled one; `arg`: the revision of that cancellation
- * (uint64_t). It is not listed for peers, which derive it as well. */
+/* Cancels a job because a dependency of it was cancelled at the revision that `arg` points to
+ * (uint64_t). This is not listed for peers, which derive it themselves. */
 void pm_jobs_cancel_dependent(void *arg, struct pm_job *job);
 
 /* ---- keys.c ---- */
 
-enum { PM_JOBS_KEY_MAX = 64 };
+enum { PM_JOBS_KEY_MAX = 64 }; /* size of a job's, chunk's or list's key in bytes, with its NUL */
 
-/* What follows the prefix in the key; NULL if the key does not begin with it. */
+/* Returns the part of the key after the prefix, or NULL if the key does not start with it. */
 const char *pm_key_without_prefix(const char *key, const char *prefix);
 
-/* Writes the job's key into `key`, of PM_JOBS_KEY_MAX bytes, as the other two. */
+/* Writes the job's key to `key`, a buffer of PM_JOBS_KEY_MAX bytes. */
 void pm_job_key_write(const struct pm_job *job, char *key);
 
-/* Writes the key of the chunk, or of one half of it (PM_CHUNK_WHOLE: of the whole). */
+/* Writes the key of the chunk (`half` is PM_CHUNK_WHOLE) or of one of its halves to `key`, a buffer
+ * of PM_JOBS_KEY_MAX bytes. */
 void pm_chunk_key_write(const struct pm_job *job, int chunk_index, int half, char *key);
 
-/* Writes the key of the job's dependency list of that index. */
+/* Writes the key of the job's dependency list with that index to `key`, a buffer of PM_JOBS_KEY_MAX
+ * bytes. */
 void pm_dependency_list_key_write(const struct pm_job *job, int list_index, char *key);
 
-/* Splits ID/K, or ID/K/H, which follow the prefix in a key of p/t or p/n; `id` has PM_ID_MAX bytes,
- * `*half` becomes PM_CHUNK_WHOLE where there is no H. False: another form. */
-bool pm_chunk_key_parse(const char *rest, char *id, int *index, int *half);
+/* Parses `suffix`, the part of a p/t or p/n key after the prefix, which is ID/K or ID/K/H. `id` is
+ * a buffer of PM_ID_MAX bytes; `*half` is set to PM_CHUNK_WHOLE if there is no H. Returns false if
+ * the suffix has another form. */
+bool pm_chunk_key_parse(const char *suffix, char *id, int *index, int *half);
 
 /* ---- job_codec.c: descriptions and values of p/j ---- */
 
-/* Names in a description that the caller has to look up. */
+/* The names in a description, which the caller has to look up or intern. */
 struct pm_submitted_names {
-    char class_name[TEXT_MAX], team[TEXT_MAX], image[TEXT_MAX];
-    char zone[TEXT_MAX]; /* "": any */
+    char class_name[NAME_SIZE_MAX], team[NAME_SIZE_MAX], image[NAME_SIZE_MAX];
+    char zone[NAME_SIZE_MAX]; /* empty if any zone is allowed */
 };
 
-/* What every value of p/j has. */
+/* The fields that every p/j value has. */
 struct pm_job_summary {
     enum pm_job_state state;
     uint32_t task_count;
 };
 
-/* Reads the fields that submissions and stored descriptions share. False with the name of the field
- * at fault in `*why` (a constant); `spec` is then partly overwritten. */
+/* Reads the fields that submissions and stored descriptions share. If one is missing or invalid,
+ * returns false with its name in `*reason` (a constant); `spec` is then partly overwritten. */
 bool pm_spec_decode(const struct pm_name_tables *tables, const cbor_item_t *body,
-                    struct pm_spec *spec, struct pm_submitted_names *names, const char **why);
+                    struct pm_spec *spec, struct pm_submitted_names *names, const char **reason);
 
-/* The index of the team in the settings, -1: unknown. */
+/* Returns the index of the team in the settings, or -1 if they do not list it. */
 int pm_spec_find_team(const struct pm_settings *settings, const struct pm_submitted_names *names);
 
-/* The index of the zone in the settings, -1: any zone, or an unknown one. */
+/* Returns the index of the zone in the settings, or -1 if none is named or it is not listed. */
 int pm_spec_find_zone(const struct pm_settings *settings, const struct pm_submitted_names *names);
 
-/* Reads the description from a stored value, all but its dependencies. False: unreadable, or of a
- * team that the settings don't have; `spec` is then partly overwritten. */
+/* Reads the description from a stored value, except for its dependencies. Returns false if the
+ * value is malformed or the settings do not list its team; `spec` is then partly overwritten. */
 bool pm_stored_spec_decode(struct pm_name_tables *tables, const cbor_item_t *value,
                            struct pm_spec *spec);
 
-/* Reads what every value of p/j has. False: unreadable, and `out` is unchanged. */
+/* Reads the fields that every p/j value has. Returns false, with `out` unchanged, if one is missing
+ * or invalid. */
 bool pm_job_summary_decode(const cbor_item_t *value, struct pm_job_summary *out);
 
-/* Whether the value keeps the job's description. */
+/* Whether the p/j value contains the job's description. */
 bool pm_job_value_has_description(const cbor_item_t *value);
 
-/* Reads the time of day at which a job that is done ended; unchanged if it is not recorded. */
+/* Reads the wall-clock time at which a job that is done ended; `*ended_wall` is unchanged if the
+ * value does not have it. */
 void pm_job_end_time_decode(const cbor_item_t *value, double *ended_wall);
 
 /* ---- dependency_codec.c ---- */
 
-/* Reads how many lists beside a job's value name its dependencies, 0 if none does. False:
- * unreadable. */
+/* Reads the number of p/n values that list the job's dependencies; 0 if the p/j value lists them
+ * itself. Returns false if the field is malformed. */
 bool pm_overflow_lists_decode(const cbor_item_t *value, uint64_t *out);
 
-/* Writes the field of the dependencies from `first` to before `end` into the map being written. */
+/* Adds the field with the dependencies from index `first` up to, but not including, `end` to the
+ * map that is being written to `out`. */
 void pm_dependencies_field_encode(const struct pm_name_tables *tables, const struct pm_spec *spec,
                                   uint32_t first, uint32_t end, struct pm_buffer *out);
 
@@ -135,28 +145,30 @@
 /* Frees a chunk and its tasks; NULL is allowed. */
 void pm_chunk_free(struct pm_chunk *chunk);
 
-/* Allocates the list of the job's chunks, unless it is there. */
+/* Allocates the job's array of chunks, unless it exists. */
 void pm_job_allocate_chunks(struct pm_job *job);
 
-/* Frees the job's chunks and their list. */
+/* Frees the job's chunks and their array. */
 void pm_job_free_chunks(struct pm_job *job);
 
-/* The chunk of that index, made if it is missing; NULL: the job has no such chunk. */
-struct pm_chunk *pm_job_chunk(struct pm_job *job, int chunk_index);
+/* Returns the chunk with that index, which is created if it does not exist; NULL if the index is
+ * beyond the job's tasks. */
+struct pm_chunk *pm_job_ensure_chunk(struct pm_job *job, int chunk_index);
 
-/* Derives the chunk's contents from its stored values. */
+/* Computes the chunk's replicated contents from its stored values, those of whole and halves. */
 void pm_chunk_merge(struct pm_chunk *chunk);
 
-/* Forgets which values of the chunk are stored. */
-void pm_chunk_forget_stored(struct pm_chunk *chunk);
+/* Marks all values of the chunk as not stored. */
+void pm_chunk_mark_not_stored(struct pm_chunk *chunk);
 
-/* The bits of `dirty` that stand for the halves of a value. */
+/* Returns the bits of `struct pm_chunk_write_back.dirty` for one half, or for PM_CHUNK_WHOLE those
+ * of both halves. */
 unsigned pm_chunk_dirty_bits(int half);
 
 /* ---- chunk_codec.c: values of p/t ---- */
 
-/* Reads a value of p/t into `out`, all but its revision. False: unreadable, and `out` is unchanged.
- */
+/* Reads a p/t value into `out`, except for its revision. Returns false, with `out` unchanged, if
+ * the value is malformed. */
 bool pm_chunk_decode(struct pm_name_tables *tables, const cbor_item_t *value,
                      struct pm_stored_chunk *out);
 
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -1,7 +1,9 @@
-/* One job: what the replica has of it, and the working state of whoever places it.
+/* A job: its state as replicated from the state service, and the working state of the controller
+ * that places it, which is the leader or, for a delegated job, the owner of its shard.
  *
  * The fields are grouped by the part that writes them. Jobs belong to `struct pm_jobs` (jobs.h) and
- * are guarded by `struct pm_controller.lock`. */
+ * are guarded by `struct pm_controller.lock`. Times named `*_wall` are wall-clock times, all other
+ * times are monotonic; both are in seconds. */
 #ifndef PM_JOBS_JOB_H
 #define PM_JOBS_JOB_H
 
@@ -16,104 +18,109 @@
 
 /* The outcomes of a job's tasks (workers/failures.h). */
 struct pm_job_failures {
-    int machines[4]; /* distinct ones on which its tasks failed since the last that succeeded */
+    int machines[4]; /* distinct machines on which its tasks failed since the last success */
     unsigned machine_count;
-    unsigned consecutive;  /* failures since the last success */
-    unsigned retry_rounds; /* attempts since it was found failing, as far as they lengthen the
-                            * delay */
-    bool reported_failing; /* found failing by the owner of its shard, or by the leader before */
-    bool has_succeeded;    /* a task of it completed */
-    double retry_at;       /* monotonic: no task of it starts before, while it is failing */
+    unsigned consecutive;     /* failures since the last success */
+    unsigned retry_doublings; /* how often the retry delay has been doubled since the job was found
+                               * failing */
+    bool reported_failing;    /* found failing by the owner of its shard or by an earlier leader */
+    bool has_succeeded;       /* at least one of its tasks completed */
+    double retry_at;          /* while the job is failing, none of its tasks starts before this */
 };
 
 /* What a job waits for (dependencies.h). */
 struct pm_job_dependencies {
-    bool incomplete; /* the jobs that it depends on are not all known yet */
-    uint32_t unmet;  /* jobs that it depends on and that are not durably done: it may not start */
-    double met_wall; /* time of day at which the last of them ended; 0: none has; INFINITY: one
-                      * ended whose time an earlier version did not record */
-    bool cancelled_by_one; /* cancelled because a job that it depends on is */
+    bool incomplete; /* the ids of its dependencies are not all known yet */
+    /* Dependencies that are not durably done, plus one while `incomplete`. The job may start only
+     * once this is 0. */
+    uint32_t unmet_count;
+    double last_ended_wall;       /* when the last dependency ended; 0 if none has, INFINITY if an
+                                   * earlier version recorded an end without its time */
+    bool cancelled_by_dependency; /* cancelled because a dependency was cancelled */
 };
 
 /* The scheduler's view of a job: how long it has waited, and how it has run. */
 struct pm_job_scheduling {
-    double waiting_since_wall; /* time of day at which its wait began, as far as seen here */
-    double reservation_until;  /* monotonic, gang: capacity is being freed for it until then */
-    bool is_starving;          /* has waited too long to begin */
-    bool is_overdue_start;     /* was starving: what runs of it was started for that */
-    bool has_fully_started;    /* all of its tasks were placed at one time, or are done */
-    double fully_started_at;   /* monotonic: when; 0: before this controller became active */
-    double remaining_cpu_s;    /* of an array: processor-seconds that are left */
-    double run_time_sum_s;     /* measured run times of its tasks: the estimate may be far off */
-    uint32_t run_time_samples;
-    bool counted_in_demand; /* counted in the measured rate of array work (autoscaler) */
-    double backoff_until;   /* monotonic: some tasks back off until then, see struct pm_task */
+    double waiting_since_wall; /* when it began to wait for capacity; 0 if not determined yet */
+    double reservation_until;  /* gang: capacity is being freed for it until this time */
+    bool is_starving;          /* has waited too long to start and is placed first */
+    bool is_overdue_start;     /* its running tasks were started because it was starving */
+    bool has_fully_started;    /* at some moment, each of its tasks was either placed or done */
+    double fully_started_at;   /* when that was; 0 if before this controller became active */
+    double remaining_cpu_s;    /* array: processor-seconds of work left, as ranked */
+    double run_time_sum_s;     /* measured run times of its tasks, used to correct the submitted
+                                * estimate, which may be far off */
+    uint32_t run_time_samples; /* number of measurements in `run_time_sum_s` */
+    bool counted_in_demand;    /* counted in the autoscaler's measured rate of array work */
+    double backoff_until;      /* the latest `backoff_until` of its tasks (struct pm_task) */
 };
 
-/* Counts over the job's tasks, on whoever places it. */
+/* Counts over the job's tasks, kept by the controller that places it. */
 struct pm_job_work {
     uint32_t done_count, placed_count;
-    uint32_t last_attempt;
-    uint32_t first_waiting_hint; /* no task below this index waits */
+    uint32_t last_attempt;       /* the highest attempt number used so far */
+    uint32_t first_waiting_hint; /* every task below this index is placed or done */
 };
 
-/* Writing the job's state back to the state service (commit.h). */
+/* Write-back of the job's state to the state service (commit.h). */
 struct pm_job_write_back {
-    bool final_in_flight; /* a write of its final state has no result yet */
-    bool attempted;       /* a chunk was written, or is being written, from here */
-    double retry_at;      /* monotonic: the final state is not written before */
+    bool final_in_flight;       /* a write of its final state has no result yet */
+    bool chunk_write_attempted; /* a chunk has been stored, or its write was sent */
+    double retry_at;            /* the final state is not written before this time */
 };
 
 struct pm_job {
     char id[PM_ID_MAX];
-    uint64_t revision; /* of its key */
+    uint64_t revision; /* of its p/j key */
     enum pm_job_state state;
-    uint64_t cancellation_revision; /* of its durable cancellation, 0: none is known */
+    uint64_t cancellation_revision; /* revision of its durable cancellation; 0 if none is known */
     uint32_t task_count;
-    double ended_wall; /* time of day at which it was found done, 0: not known */
+    double ended_wall; /* when the job was found done; 0 if not known */
     struct pm_job_dependencies dependencies;
-    enum pm_priority priority; /* its own, or that of a job that depends on it if that is higher */
-    double deadline_wall;      /* time of day: its own deadline, or what one that depends on it
-                                * leaves; INFINITY: none */
-    struct pm_spec *spec;      /* NULL once only the final state is kept, or if it can't be read;
-                                * owned */
+    enum pm_priority priority; /* the highest of its own priority and those of its dependents */
+    double deadline_wall;      /* the earliest of its own deadline and the latest ends that its
+                                * dependents' deadlines leave it; INFINITY if there is none */
+    struct pm_spec *spec;      /* owned; NULL if only the final state is kept, or if the description
+                                * can't be read */
     int chunk_count;
-    struct pm_chunk **chunks; /* owned; NULL entries: nothing is known of these tasks */
+    struct pm_chunk **chunks; /* owned; an entry is NULL if nothing is known of its tasks */
     bool is_active;           /* listed by pm_jobs_active */
-    /* Whoever places the job: the leader, or the owner of a shard. */
-    bool delegated;       /* on the leader: the owner of a shard places it */
-    uint32_t parallelism; /* tasks at a time that the shard's lease allows */
+    /* The working state of the controller that places the job. */
+    bool delegated;       /* set on the leader: the owner of a shard places the job */
+    uint32_t parallelism; /* how many tasks the shard's lease allows at a time; UINT32_MAX if the
+                           * job is not leased */
     struct pm_job_work work;
     struct pm_job_write_back write_back;
     struct pm_job_scheduling scheduling;
     struct pm_job_failures failures;
 };
 
-/* Display counts from the replica: tasks that are done, and tasks with a stored placement. */
+/* Counts, from the replica and for display, the tasks that are done and those that have a stored
+ * placement. */
 void pm_job_count_tasks(const struct pm_job *job, uint32_t *done, uint32_t *running);
 
-/* The working state of the task, made if it is missing. `task_index` is below the job's
- * `task_count`. Borrowed from the job. */
-struct pm_task *pm_job_task(struct pm_job *job, uint32_t task_index);
+/* Returns the working state of the task, which is created if it does not exist; borrowed from the
+ * job. `task_index` must be below the job's `task_count`. */
+struct pm_task *pm_job_ensure_task(struct pm_job *job, uint32_t task_index);
 
-/* The same, NULL if it was never made. */
+/* Returns the working state of the task, borrowed from the job; NULL if it was never created. */
 const struct pm_task *pm_job_find_task(const struct pm_job *job, uint32_t task_index);
 
-/* The task's state has changed, so its half of the chunk has to be written. */
+/* Marks the half of the chunk that contains the task as changed, so that it is written back. */
 void pm_job_mark_dirty(struct pm_job *job, uint32_t task_index);
 
-/* The task is not to be started before `until` (monotonic). */
+/* Keeps the task from being started before the monotonic time `until`. */
 void pm_job_back_off(struct pm_job *job, uint32_t task_index, double until);
 
-/* Counts a placement of the task that was made (`change` 1) or removed (-1). */
-void pm_job_count_placement(struct pm_job *job, uint32_t task_index, int change);
+/* Adds `change` to the placement counts of the job and of the task's chunk: 1 after a placement of
+ * the task was made, -1 after one was removed. */
+void pm_job_adjust_placement_count(struct pm_job *job, uint32_t task_index, int change);
 
-/* How many tasks are neither done nor placed, and may start as far as the job's state and its
- * dependencies go. */
+/* Returns how many tasks are neither done nor placed; 0 if the job is not live, has no readable
+ * description, or has unmet dependencies. */
 uint32_t pm_job_waiting_tasks(const struct pm_job *job);
 
-/* How many of the waiting tasks may start at `now` (monotonic): those that back off are left out.
- */
+/* Returns how many of the waiting tasks do not back off at the monotonic time `now`. */
 uint32_t pm_job_startable_tasks(const struct pm_job *job, double now);
 
 /* Drops the job's working state and rebuilds its counts from the replica. The placements must have
--- a/src/jobs/job_codec.c
+++ b/src/jobs/job_codec.c
@@ -1,5 +1,5 @@
-/* Descriptions of jobs and values of p/j, in CBOR. Descriptions are submitted and stored in the
- * same fields. */
+/* CBOR codec of job descriptions and p/j values. Descriptions have the same fields in submissions
+ * and in stored values. */
 #include "jobs/codec_fields.h"
 #include "jobs/internal.h"
 #include "base/protocol.h"
@@ -15,7 +15,7 @@
 static const char *const priority_names[] = {"best_effort", "normal", "urgent", "production"};
 static const char *const state_names[] = {"live", "cancelled", "done"};
 
-/* The index of the text among the names, -1: none of them. */
+/* Returns the index of the text among the names, or -1 if it is none of them. */
 static int name_index(const char *const *names, size_t count, const char *text)
 {
     for (size_t i = 0; i < count; i++)
@@ -26,36 +26,36 @@
 
 /* ---- reading fields ----
  *
- * Each returns false with the name of the field in `*why` if it is missing or has no valid value.
- */
+ * Each sets `*reason`, if it has that argument, to the name of the field, and returns false if the
+ * field is missing or invalid. */
 
-static bool read_name(const cbor_item_t *body, const char *key, char *out, const char **why)
+static bool read_name(const cbor_item_t *body, const char *key, char *out, const char **reason)
 {
-    *why = key;
-    return pm_cbor_read_text(pm_cbor_get(body, key), out, TEXT_MAX) && out[0];
+    *reason = key;
+    return pm_cbor_read_text(pm_cbor_get(body, key), out, NAME_SIZE_MAX) && out[0];
 }
 
-/* Reads one of the names into its index. */
+/* Reads a field whose value is one of `names`, and sets `*out` to the index of that name. */
 static bool read_choice(const cbor_item_t *body, const char *key, const char *const *names,
-                        size_t count, int *out, const char **why)
+                        size_t count, int *out, const char **reason)
 {
-    char text[TEXT_MAX];
+    char text[NAME_SIZE_MAX];
 
-    if (!read_name(body, key, text, why))
+    if (!read_name(body, key, text, reason))
         return false;
     *out = name_index(names, count, text);
     return *out >= 0;
 }
 
-static bool read_amount(const cbor_item_t *body, const char *key, double *out, const char **why)
+static bool read_amount(const cbor_item_t *body, const char *key, double *out, const char **reason)
 {
-    *why = key;
+    *reason = key;
     return pm_cbor_read_number(pm_cbor_get(body, key), out) && *out >= 0 && *out <= AMOUNT_MAX;
 }
 
-static bool read_flag(const cbor_item_t *body, const char *key, bool *out, const char **why)
+static bool read_flag(const cbor_item_t *body, const char *key, bool *out, const char **reason)
 {
-    *why = key;
+    *reason = key;
     *out = false;
     return !pm_cbor_has(body, key) || pm_cbor_read_flag(pm_cbor_get(body, key), out);
 }
@@ -71,11 +71,12 @@
     return true;
 }
 
-/* Types that are not known are left out: they may have been withdrawn. */
+/* Reads the list of allowed machine types. Unknown types are skipped, since the provider may have
+ * withdrawn them. */
 static bool read_allowed_types(const struct pm_name_tables *tables, const cbor_item_t *list,
                                uint64_t *out)
 {
-    char name[TEXT_MAX];
+    char name[NAME_SIZE_MAX];
 
     if (!list) {
         *out = ANY_TYPE;
@@ -89,7 +90,7 @@
         if (!pm_cbor_read_text(pm_cbor_at(list, i), name, sizeof name))
             return false;
         type = pm_names_find(tables->type_names, name);
-        if (type >= 0 && type < PM_TYPES_MAX)
+        if (type >= 0 && type < PM_MACHINE_TYPES_MAX)
             *out |= (uint64_t)1 << type;
     }
     return true;
@@ -97,69 +98,72 @@
 
 /* ---- descriptions ---- */
 
-static bool read_names(const cbor_item_t *body, struct pm_submitted_names *names, const char **why)
+static bool read_names(const cbor_item_t *body, struct pm_submitted_names *names,
+                       const char **reason)
 {
-    return read_name(body, FIELD_CLASS, names->class_name, why) &&
-           read_name(body, FIELD_TEAM, names->team, why) &&
-           read_name(body, FIELD_IMAGE, names->image, why);
+    return read_name(body, FIELD_CLASS, names->class_name, reason) &&
+           read_name(body, FIELD_TEAM, names->team, reason) &&
+           read_name(body, FIELD_IMAGE, names->image, reason);
 }
 
-static bool read_kind_and_priority(const cbor_item_t *body, struct pm_spec *spec, const char **why)
+static bool read_kind_and_priority(const cbor_item_t *body, struct pm_spec *spec,
+                                   const char **reason)
 {
     int index;
 
-    if (!read_choice(body, FIELD_KIND, kind_names, G_N_ELEMENTS(kind_names), &index, why))
+    if (!read_choice(body, FIELD_KIND, kind_names, G_N_ELEMENTS(kind_names), &index, reason))
         return false;
     spec->kind = (enum pm_workload_kind)index;
     if (!read_choice(body, FIELD_PRIORITY, priority_names, G_N_ELEMENTS(priority_names), &index,
-                     why))
+                     reason))
         return false;
     spec->priority = (enum pm_priority)index;
     return true;
 }
 
-static bool read_amounts(const cbor_item_t *body, struct pm_spec *spec, const char **why)
+static bool read_amounts(const cbor_item_t *body, struct pm_spec *spec, const char **reason)
 {
-    if (!read_amount(body, FIELD_CPUS, &spec->cpus, why) ||
-        !read_amount(body, FIELD_GPUS, &spec->gpus, why) ||
-        !read_amount(body, FIELD_RAM_GB, &spec->ram_gb, why) ||
-        !read_amount(body, FIELD_IMAGE_GB, &spec->image_gb, why) ||
-        !read_amount(body, FIELD_ESTIMATED_RUN_S, &spec->estimated_run_s, why) ||
-        !read_amount(body, FIELD_CHECKPOINT_INTERVAL_S, &spec->checkpoint_interval_s, why) ||
-        !read_amount(body, FIELD_CHECKPOINT_DURATION_S, &spec->checkpoint_duration_s, why))
+    if (!read_amount(body, FIELD_CPUS, &spec->cpus, reason) ||
+        !read_amount(body, FIELD_GPUS, &spec->gpus, reason) ||
+        !read_amount(body, FIELD_RAM_GB, &spec->ram_gb, reason) ||
+        !read_amount(body, FIELD_IMAGE_GB, &spec->image_gb, reason) ||
+        !read_amount(body, FIELD_ESTIMATED_RUN_S, &spec->estimated_run_s, reason) ||
+        !read_amount(body, FIELD_CHECKPOINT_INTERVAL_S, &spec->checkpoint_interval_s, reason) ||
+        !read_amount(body, FIELD_CHECKPOINT_DURATION_S, &spec->checkpoint_duration_s, reason))
         return false;
     spec->deadline_s = -1;
     return !pm_cbor_has(body, FIELD_DEADLINE_S) ||
-           read_amount(body, FIELD_DEADLINE_S, &spec->deadline_s, why);
+           read_amount(body, FIELD_DEADLINE_S, &spec->deadline_s, reason);
 }
 
 static bool read_placement_rules(const struct pm_name_tables *tables, const cbor_item_t *body,
                                  struct pm_spec *spec, struct pm_submitted_names *names,
-                                 const char **why)
+                                 const char **reason)
 {
-    if (!read_flag(body, FIELD_SAME_ZONE, &spec->same_zone, why) ||
-        !read_flag(body, FIELD_SPREAD_ZONES, &spec->spread_zones, why) ||
-        !read_flag(body, FIELD_SPOT, &spec->spot, why))
+    if (!read_flag(body, FIELD_SAME_ZONE, &spec->same_zone, reason) ||
+        !read_flag(body, FIELD_SPREAD_ZONES, &spec->spread_zones, reason) ||
+        !read_flag(body, FIELD_SPOT, &spec->spot, reason))
         return false;
-    *why = FIELD_ALLOWED_TYPES;
+    *reason = FIELD_ALLOWED_TYPES;
     if (!read_allowed_types(tables, pm_cbor_get(body, FIELD_ALLOWED_TYPES), &spec->allowed_types))
         return false;
     names->zone[0] = 0;
-    return !pm_cbor_has(body, FIELD_ZONE) || read_name(body, FIELD_ZONE, names->zone, why);
+    return !pm_cbor_has(body, FIELD_ZONE) || read_name(body, FIELD_ZONE, names->zone, reason);
 }
 
 bool pm_spec_decode(const struct pm_name_tables *tables, const cbor_item_t *body,
-                    struct pm_spec *spec, struct pm_submitted_names *names, const char **why)
+                    struct pm_spec *spec, struct pm_submitted_names *names, const char **reason)
 {
-    *why = "not a map";
+    *reason = "not a map";
     if (!body || !cbor_isa_map(body))
         return false;
-    if (!read_names(body, names, why) || !read_kind_and_priority(body, spec, why))
+    if (!read_names(body, names, reason) || !read_kind_and_priority(body, spec, reason))
         return false;
-    *why = FIELD_TASK_COUNT;
+    *reason = FIELD_TASK_COUNT;
     if (!read_task_count(body, &spec->task_count))
         return false;
-    return read_amounts(body, spec, why) && read_placement_rules(tables, body, spec, names, why);
+    return read_amounts(body, spec, reason) &&
+           read_placement_rules(tables, body, spec, names, reason);
 }
 
 int pm_spec_find_team(const struct pm_settings *settings, const struct pm_submitted_names *names)
@@ -179,9 +183,9 @@
                            struct pm_spec *spec)
 {
     struct pm_submitted_names names;
-    const char *why;
+    const char *reason;
 
-    if (!pm_spec_decode(tables, value, spec, &names, &why))
+    if (!pm_spec_decode(tables, value, spec, &names, &reason))
         return false;
     spec->team = pm_spec_find_team(tables->settings, &names);
     if (spec->team < 0)
--- a/src/jobs/job_dependencies.c
+++ b/src/jobs/job_dependencies.c
@@ -1,4 +1,4 @@
-/* What the jobs of the replica depend on: from their values, and from lists beside these, into the
+/* The dependencies of the replica's jobs: reads them from p/j and p/n values, and updates the
  * dependency graph. */
 #include "jobs/internal.h"
 #include "base/log.h"
@@ -12,8 +12,8 @@
                                               pm_jobs_cancellation_revision(jobs, id)};
 }
 
-/* A live job whose dependencies are all known joins the graph, and is cancelled if one of them is.
- */
+/* Adds a live job whose dependencies are all known to the graph, and cancels it if one of them is
+ * cancelled. */
 static void add_to_graph(struct pm_jobs *jobs, struct pm_job *job)
 {
     const struct pm_spec *spec = job->spec;
@@ -51,11 +51,12 @@
 
     is_readable &= pm_overflow_lists_decode(value, &lists);
     if (!is_readable)
-        pm_error("jobs.unreadable_value", "unreadable dependencies of job %s", job->id);
+        pm_error("jobs.unreadable_value", "malformed dependencies of job %s, which will not start",
+                 job->id);
     if (!is_readable || lists) {
         spec->overflow_lists = (uint32_t)MIN(lists, PM_JOB_TASKS_MAX);
         job->dependencies.incomplete = true;
-        job->dependencies.unmet++; /* stands for those that are not known yet */
+        job->dependencies.unmet_count++; /* one for all that are not known yet */
     }
     if (ids) {
         pm_spec_set_dependencies(jobs->tables, spec, ids);
@@ -73,7 +74,8 @@
     return true;
 }
 
-/* The ids of the first `count` lists, borrowed from them; the array is the caller's. */
+/* Returns an array, owned by the caller, of the ids in the first `count` lists; the ids are
+ * borrowed from the lists. */
 static GPtrArray *join_lists(const GPtrArray *lists, uint32_t count)
 {
     GPtrArray *ids = g_ptr_array_new();
@@ -99,7 +101,7 @@
     g_ptr_array_free(ids, TRUE);
     g_hash_table_remove(jobs->overflow_lists, job->id);
     job->dependencies.incomplete = false;
-    job->dependencies.unmet--;
+    job->dependencies.unmet_count--;
     pm_jobs_update_graph(jobs, job);
 }
 
@@ -109,8 +111,8 @@
         g_ptr_array_free(list, TRUE);
 }
 
-/* Keeps the list, in place of an earlier one of that index. */
-static void keep_list(struct pm_jobs *jobs, const char *id, int list_index, GPtrArray *ids)
+/* Stores the list, and frees an earlier one with the same index. */
+static void store_list(struct pm_jobs *jobs, const char *id, int list_index, GPtrArray *ids)
 {
     GPtrArray *lists = g_hash_table_lookup(jobs->overflow_lists, id);
 
@@ -124,7 +126,7 @@
     g_ptr_array_index(lists, list_index) = ids;
 }
 
-struct pm_job *pm_jobs_apply_dependency_list(struct pm_jobs *jobs, const char *rest,
+struct pm_job *pm_jobs_apply_dependency_list(struct pm_jobs *jobs, const char *suffix,
                                              const cbor_item_t *value)
 {
     char id[PM_ID_MAX];
@@ -133,23 +135,23 @@
     int list_index;
     int half;
 
-    if (!pm_chunk_key_parse(rest, id, &list_index, &half) || half != PM_CHUNK_WHOLE ||
+    if (!pm_chunk_key_parse(suffix, id, &list_index, &half) || half != PM_CHUNK_WHOLE ||
         !pm_job_id_is_valid(id))
         return NULL;
     job = pm_jobs_find(jobs, id);
     if (job && !job->dependencies.incomplete)
-        return NULL; /* all of them are known, or it is over */
+        return NULL; /* the dependencies are all known, or the job has ended */
     if (!pm_dependency_ids_decode(value, &ids) || !ids) {
-        pm_error("jobs.unreadable_value", "unreadable list %s", rest);
+        pm_error("jobs.unreadable_value", "malformed dependency list p/n/%s, ignored", suffix);
         return NULL;
     }
-    keep_list(jobs, id, list_index, ids);
+    store_list(jobs, id, list_index, ids);
     if (job)
         pm_jobs_complete_dependencies(jobs, job);
     return job;
 }
 
-uint64_t pm_jobs_dependency_steps(const struct pm_jobs *jobs)
+uint64_t pm_jobs_dependency_edges_visited(const struct pm_jobs *jobs)
 {
-    return pm_dependencies_steps(jobs->dependencies);
+    return pm_dependencies_edges_visited(jobs->dependencies);
 }
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -23,7 +23,7 @@
     jobs->cancellations = g_array_new(FALSE, FALSE, sizeof(struct pm_cancellation));
     jobs->overflow_lists =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
-    jobs->unknown_cancelled = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    jobs->cancelled_before_known = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return jobs;
 }
 
@@ -33,7 +33,7 @@
     g_ptr_array_free(jobs->active, TRUE);
     pm_dependencies_free(jobs->dependencies);
     g_array_free(jobs->cancellations, TRUE);
-    g_hash_table_destroy(jobs->unknown_cancelled);
+    g_hash_table_destroy(jobs->cancelled_before_known);
     g_hash_table_destroy(jobs->overflow_lists);
     g_free(jobs);
 }
@@ -48,13 +48,14 @@
     return jobs->active;
 }
 
-/* The revision of a cancellation that became known before the job itself; 0: none did. */
-static uint64_t remove_unknown_cancellation(struct pm_jobs *jobs, const char *id)
+/* Removes the cancellation that became known before the job itself, and returns its revision; 0 if
+ * there is none. */
+static uint64_t pop_early_cancellation(struct pm_jobs *jobs, const char *id)
 {
-    const uint64_t *found = g_hash_table_lookup(jobs->unknown_cancelled, id);
+    const uint64_t *found = g_hash_table_lookup(jobs->cancelled_before_known, id);
     uint64_t revision = found ? *found : 0;
 
-    g_hash_table_remove(jobs->unknown_cancelled, id);
+    g_hash_table_remove(jobs->cancelled_before_known, id);
     return revision;
 }
 
@@ -65,7 +66,7 @@
     g_strlcpy(job->id, id, sizeof job->id);
     job->task_count = task_count;
     g_hash_table_insert(jobs->by_id, job->id, job);
-    job->cancellation_revision = remove_unknown_cancellation(jobs, id);
+    job->cancellation_revision = pop_early_cancellation(jobs, id);
     job->deadline_wall = INFINITY;
     return job;
 }
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -1,23 +1,28 @@
-/* The replica of all jobs: what the state service has of them, and the working state beside it.
+/* The replica of all jobs: a copy of the jobs' values in the state service, together with the
+ * working state of the controller that places the jobs.
  *
  * Owned by the controller and guarded by `struct pm_controller.lock`. The event-loop thread applies
  * the state service's feed; the planner thread reads and changes the working state during a plan.
  * Nothing here does I/O or reads a clock.
  *
- * Keys that it reads (the write-back, commit.h, writes them):
+ * The replica reads these keys, which the write-back (commit.h) writes:
  *
- * - p/j/ID: the job: its description while it lives, its final state for ever after
+ * - p/j/ID has the job's description while the job is live, and its final state from then on. This
+ * key is never deleted.
  *
- * - p/n/ID/K: more of the job's dependencies than fit into its own value; written before that
- * value, which has the number of such lists
+ * - p/n/ID/K has a list of the job's dependencies, if they do not fit into p/j/ID. The lists are
+ * written before p/j/ID, which has their number.
  *
- * - p/t/ID/K: tasks 128*K to 128*K+127: which are done, and where the others are placed
+ * - p/t/ID/K has tasks 128*K to 128*K+127 (a chunk): which of them are done, and where the others
+ * are placed.
  *
- * - p/t/ID/K/H: the same of the first (H 0) or second half alone; takes precedence over p/t/ID/K
+ * - p/t/ID/K/H has the first (H = 0) or second (H = 1) half of that chunk, and takes precedence
+ * over p/t/ID/K.
  *
- * p/j is written by users' submissions and cancellations, and, for the final state, by whoever
- * places the job: the leader, or the owner of a shard. Only the latter writes p/t, on the condition
- * of the epoch's key, the job's key, the chunk's own and, for an owner, the shard's. */
+ * p/j is written by users' submissions and cancellations; the final state is written by the
+ * controller that places the job, which is the leader or the owner of a shard. Only that controller
+ * writes p/t, in transactions that compare the revisions of the epoch's key, the job's key, the
+ * chunk's key and, on a shard's owner, the shard's key. */
 #ifndef PM_JOBS_JOBS_H
 #define PM_JOBS_JOBS_H
 
@@ -33,70 +38,76 @@
 
 struct pm_jobs;
 
-/* An empty replica, owned by the caller (pm_jobs_free). Borrows the tables. Never fails. */
+/* Returns an empty replica, owned by the caller (pm_jobs_free). Borrows the tables. Never fails. */
 struct pm_jobs *pm_jobs_new(struct pm_name_tables *tables);
 
-/* Frees it with all jobs, their chunks and their descriptions. */
+/* Frees the replica with all jobs, their chunks and their descriptions. */
 void pm_jobs_free(struct pm_jobs *jobs);
 
-/* The job of that id, borrowed; NULL if it is not known. Jobs are never removed. */
+/* Returns the job with that id, borrowed; NULL if it is not known. Jobs are never removed. */
 struct pm_job *pm_jobs_find(const struct pm_jobs *jobs, const char *id);
 
-/* Jobs that are not over, or whose tasks are not all proven ended (struct pm_job), in no set order.
- * Borrowed; valid until the feed is applied next. */
+/* Returns the active jobs (struct pm_job) in no particular order: those that have not ended, and
+ * those with tasks that are not yet proven to have ended. Borrowed; valid until the feed is applied
+ * again. */
 GPtrArray *pm_jobs_active(struct pm_jobs *jobs);
 
-/* ---- the feed of the state service ---- */
+/* ---- applying the feed of the state service ---- */
 
-/* Applies a key's value at that revision. Keys of others are ignored, and so are values that are
- * older than what is known. Returns the job that changed, NULL if none did. A value that can't be
- * read is logged; its job stays known, and is not run. */
+/* Applies the value that was written to `key` at `revision`. Keys of other modules and values older
+ * than the known one are ignored. Returns the job that changed, or NULL if none did. A malformed
+ * value is logged; its job stays known, but is not run. */
 struct pm_job *pm_jobs_apply_put(struct pm_jobs *jobs, const char *key, const cbor_item_t *value,
                                  uint64_t revision);
 
-/* Applies the deletion of a key at that revision. Returns the job that changed, NULL if none did.
- */
+/* Applies the deletion of `key` at `revision`. Returns the job that changed; NULL if none did. */
 struct pm_job *pm_jobs_apply_delete(struct pm_jobs *jobs, const char *key, uint64_t revision);
 
-/* A full listing begins: chunks count as not stored until it, or the watch, puts them again. */
+/* Called before a full listing is applied: marks all chunks as not stored until the listing, or the
+ * watch, puts them again. */
 void pm_jobs_snapshot_begin(struct pm_jobs *jobs);
 
 /* ---- cancellations ----
  *
- * A durable cancellation may be known before the feed shows it: from this controller's own write,
- * or from a peer. From then on the job is cancelled here, though its key's revision is still the
- * old one: what is written on that revision fails, as it should. */
+ * A controller may learn of a durable cancellation before the feed shows it, from its own write or
+ * from a peer. It treats the job as cancelled from then on, though it still has the old revision of
+ * the job's key. A write that compares this old revision fails, which is intended. */
 
 struct pm_cancellation {
     uint64_t revision;
     char id[PM_ID_MAX];
 };
 
-/* `id` was durably cancelled at `revision`, not 0. Returns whether that is news. */
+/* Records that job `id` was durably cancelled at `revision`, and returns true. Does nothing and
+ * returns false if the cancellation is known already, the job is done, the id is malformed, or
+ * `revision` is 0. */
 bool pm_jobs_apply_cancellation(struct pm_jobs *jobs, const char *id, uint64_t revision);
 
-/* The revision of the job's cancellation, also if nothing else is known of the job; 0: none is
+/* Returns the revision of the job's cancellation, or 0 if none is known. The job itself need not be
  * known. */
 uint64_t pm_jobs_cancellation_revision(const struct pm_jobs *jobs, const char *id);
 
-/* The cancellations after `revision`, in the order of their revisions: about `most` of them, but
- * all of one revision together. `*count` is how many, `*more` whether there are others after them.
- * Borrowed; valid until the next cancellation becomes known. */
+/* Returns the cancellations after `revision`, in order of revision, and sets `*count` to their
+ * number. At most `limit` are returned, unless more are needed to return all cancellations of the
+ * last revision. `*has_more` is set to whether later ones were left out. Borrowed; valid until
+ * another cancellation is recorded. */
 const struct pm_cancellation *pm_jobs_list_cancellations(struct pm_jobs *jobs, uint64_t revision,
-                                                         size_t most, size_t *count, bool *more);
+                                                         size_t limit, size_t *count,
+                                                         bool *has_more);
 
 /* ---- dependencies ---- */
 
-/* How many edges of the dependency graph have been looked at so far, the measure of its cost. */
-uint64_t pm_jobs_dependency_steps(const struct pm_jobs *jobs);
+/* Returns how many edges of the dependency graph have been visited so far, as a measure of the cost
+ * of its traversals. */
+uint64_t pm_jobs_dependency_edges_visited(const struct pm_jobs *jobs);
 
 /* ---- the working state ---- */
 
-/* Whether another controller, the owner of a shard, places the jobs: sets it for all active ones
- * and for those to come. */
+/* Sets whether another controller (the owner of a shard) places the jobs, for all active jobs and
+ * for those that become active later. */
 void pm_jobs_set_delegated(struct pm_jobs *jobs, bool delegated);
 
-/* pm_job_reset_work for all active jobs. */
+/* Calls pm_job_reset_work for all active jobs. */
 void pm_jobs_reset_work(struct pm_jobs *jobs);
 
 #endif
--- a/src/jobs/keys.c
+++ b/src/jobs/keys.c
@@ -31,28 +31,28 @@
     snprintf(key, PM_JOBS_KEY_MAX, PM_KEY_DEPENDENCY_LIST_PREFIX "%s/%d", job->id, list_index);
 }
 
-/* Reads what follows the index: nothing, or the number of a half. */
-static bool parse_half(const char *rest, int *half)
+/* Parses the part of a key after the index, which is empty or the number of a half. */
+static bool parse_half(const char *suffix, int *half)
 {
     *half = PM_CHUNK_WHOLE;
-    if (!*rest)
+    if (!*suffix)
         return true;
-    if (*rest != '/' || (rest[1] != '0' && rest[1] != '1') || rest[2])
+    if (*suffix != '/' || (suffix[1] != '0' && suffix[1] != '1') || suffix[2])
         return false;
-    *half = rest[1] - '0';
+    *half = suffix[1] - '0';
     return true;
 }
 
-bool pm_chunk_key_parse(const char *rest, char *id, int *index, int *half)
+bool pm_chunk_key_parse(const char *suffix, char *id, int *index, int *half)
 {
-    const char *slash = strchr(rest, '/');
+    const char *slash = strchr(suffix, '/');
     char *end;
     unsigned long number;
 
-    if (!slash || (size_t)(slash - rest) >= PM_ID_MAX)
+    if (!slash || (size_t)(slash - suffix) >= PM_ID_MAX)
         return false;
-    memcpy(id, rest, (size_t)(slash - rest));
-    id[slash - rest] = 0;
+    memcpy(id, suffix, (size_t)(slash - suffix));
+    id[slash - suffix] = 0;
     number = strtoul(slash + 1, &end, 10);
     if (end == slash + 1 || number > PM_JOB_TASKS_MAX / PM_CHUNK_TASKS)
         return false;
--- a/src/jobs/spec.c
+++ b/src/jobs/spec.c
@@ -1,11 +1,11 @@
-/* Descriptions of jobs, apart from how they are stored. */
+/* Descriptions of jobs, except for their encoding (job_codec.c, dependency_codec.c). */
 #include "jobs/internal.h"
 
 #include <ctype.h>
 #include <math.h>
 #include <string.h>
 
-#define TASKS_THAT_FIT_MAX 1e6 /* of a description that requires no capacity */
+#define TASKS_THAT_FIT_MAX 1e6 /* the result if a task requires no capacity */
 #define JOB_ID_PREFIX "job-"
 
 void pm_spec_free(struct pm_spec *spec)
@@ -29,11 +29,11 @@
     double count = TASKS_THAT_FIT_MAX;
 
     if (spec->cpus > 0)
-        count = MIN(count, floor((cpus + EPS) / spec->cpus));
+        count = MIN(count, floor((cpus + AMOUNT_TOLERANCE) / spec->cpus));
     if (spec->gpus > 0)
-        count = MIN(count, floor((gpus + EPS) / spec->gpus));
+        count = MIN(count, floor((gpus + AMOUNT_TOLERANCE) / spec->gpus));
     if (spec->ram_gb > 0)
-        count = MIN(count, floor((ram_gb + EPS) / spec->ram_gb));
+        count = MIN(count, floor((ram_gb + AMOUNT_TOLERANCE) / spec->ram_gb));
     return count < 0 ? 0 : (uint32_t)count;
 }
 
--- a/src/jobs/task.h
+++ b/src/jobs/task.h
@@ -1,8 +1,8 @@
-/* Tasks and their placements: the working state of whoever places a job.
+/* Tasks and their placements: the working state of the controller that places a job.
  *
- * A placement is made and freed by the workers slice, which keeps its state in step with what the
- * machine's worker reports; the write-back (commit.h) makes it durable. Guarded by
- * `struct pm_controller.lock`. */
+ * The workers slice creates and frees placements and updates their state from the reports of the
+ * machine's worker; the write-back (commit.h) makes them durable. Guarded by
+ * `struct pm_controller.lock`. Times are monotonic. */
 #ifndef PM_JOBS_TASK_H
 #define PM_JOBS_TASK_H
 
@@ -13,43 +13,44 @@
 struct pm_machine; /* workers slice */
 
 enum pm_placement_state {
-    PM_PLACEMENT_PROPOSED, /* not durable yet: nothing may be sent */
-    PM_PLACEMENT_DURABLE,  /* may be launched; its worker has not reported it yet */
+    PM_PLACEMENT_PROPOSED, /* not durable yet: no command may be sent for it */
+    PM_PLACEMENT_DURABLE,  /* may be launched; the worker has not reported the task yet */
     PM_PLACEMENT_FETCHING,
     PM_PLACEMENT_WAITING,
     PM_PLACEMENT_RUNNING,
     PM_PLACEMENT_CHECKPOINTING,
-    PM_PLACEMENT_ENDED /* proven: it occupies nothing any more */
+    PM_PLACEMENT_ENDED /* proven to have ended: it occupies no capacity any more */
 };
 
-/* Where a task is, or may be. */
+/* One attempt of a task on one machine. The task runs there, or may still come to run there, until
+ * the placement is proven ended. */
 struct pm_placement {
     struct pm_job *job;
     struct pm_machine *machine;
-    int machine_index; /* of the tables' machine names */
+    int machine_index; /* index in the tables' machine names */
     uint32_t task_index, attempt;
     uint32_t incarnation; /* of the worker */
     enum pm_placement_state state;
-    bool should_stop;     /* to be killed */
-    bool stop_acked;      /* a push with the kill was answered */
-    bool seen_in_message; /* in the message being read */
-    double grace_s;
-    double placed_at;     /* monotonic: placed, or found again */
-    double running_since; /* monotonic: first seen running, 0: not yet */
-    uint64_t launch_push; /* number of the last push with the launch, until one is answered; 0:
-                           * none */
-    bool launch_outcome_unknown;    /* a push with the launch has no answer */
+    bool should_stop;     /* the task is to be killed */
+    bool stop_acked;      /* the kill was pushed, and the push has not failed */
+    bool seen_in_message; /* the worker's message that is being applied lists the task */
+    double grace_s;       /* how long the task may take to stop */
+    double placed_at;     /* when it was placed, or recovered from the replica */
+    double running_since; /* when it was first reported running; 0 if it was not */
+    uint64_t launch_push; /* number of the last push that carried the launch; 0 if there is none, or
+                           * once a push has been answered */
+    bool launch_outcome_unknown;    /* a push that carried the launch got no answer */
     uint64_t launch_reply_sequence; /* sequence number of the heartbeat whose answer carried the
-                                     * launch, 0: none */
+                                     * launch; 0 if none did */
 };
 
-/* One task, as seen by whoever places its job. */
+/* The working state of one task. */
 struct pm_task {
     struct pm_placement *placement; /* not proven ended; borrowed from the workers slice */
     uint16_t failures;
     bool done;
-    bool was_resumed;     /* ran before: its next run may be shorter than a whole one */
-    double backoff_until; /* monotonic: the next attempt, after failures */
+    bool was_resumed;     /* has run before, so that its next run may be shorter than a whole run */
+    double backoff_until; /* after failures, the next attempt does not start before this time */
 };
 
 #endif
--- a/src/jobs/work.c
+++ b/src/jobs/work.c
@@ -1,5 +1,5 @@
-/* The working state of whoever places a job: its tasks, the counts over them, and which chunks have
- * to be written. */
+/* The working state that the controller that places a job keeps of it: its tasks, the counts over
+ * them, and which chunks have to be written. */
 #include "jobs/internal.h"
 
 #include <string.h>
@@ -8,9 +8,9 @@
 
 /* ---- tasks ---- */
 
-struct pm_task *pm_job_task(struct pm_job *job, uint32_t task_index)
+struct pm_task *pm_job_ensure_task(struct pm_job *job, uint32_t task_index)
 {
-    struct pm_chunk *chunk = pm_job_chunk(job, (int)(task_index / PM_CHUNK_TASKS));
+    struct pm_chunk *chunk = pm_job_ensure_chunk(job, (int)(task_index / PM_CHUNK_TASKS));
 
     if (!chunk->tasks)
         chunk->tasks = g_new0(struct pm_task, PM_CHUNK_TASKS);
@@ -24,31 +24,31 @@
     return chunk && chunk->tasks ? &chunk->tasks[task_index % PM_CHUNK_TASKS] : NULL;
 }
 
-/* Which half of its chunk the task is in. */
-static int half_of(uint32_t task_index)
+/* Returns the number of the half of its chunk that the task is in. */
+static int half_index(uint32_t task_index)
 {
     return (int)(task_index % PM_CHUNK_TASKS / PM_HALF_CHUNK_TASKS);
 }
 
 void pm_job_mark_dirty(struct pm_job *job, uint32_t task_index)
 {
-    pm_job_task(job, task_index);
+    pm_job_ensure_task(job, task_index);
     job->chunks[task_index / PM_CHUNK_TASKS]->write_back.dirty |=
-        pm_chunk_dirty_bits(half_of(task_index));
+        pm_chunk_dirty_bits(half_index(task_index));
 }
 
 void pm_job_back_off(struct pm_job *job, uint32_t task_index, double until)
 {
-    pm_job_task(job, task_index)->backoff_until = until;
+    pm_job_ensure_task(job, task_index)->backoff_until = until;
     job->scheduling.backoff_until = MAX(job->scheduling.backoff_until, until);
 }
 
 /* ---- counts ---- */
 
-void pm_job_count_placement(struct pm_job *job, uint32_t task_index, int change)
+void pm_job_adjust_placement_count(struct pm_job *job, uint32_t task_index, int change)
 {
-    struct pm_chunk *chunk = pm_job_chunk(job, (int)(task_index / PM_CHUNK_TASKS));
-    uint16_t *count = &chunk->placement_counts[half_of(task_index)];
+    struct pm_chunk *chunk = pm_job_ensure_chunk(job, (int)(task_index / PM_CHUNK_TASKS));
+    uint16_t *count = &chunk->placement_counts[half_index(task_index)];
 
     *count = (uint16_t)(*count + change);
     job->work.placed_count += (uint32_t)change;
@@ -56,12 +56,12 @@
 
 uint32_t pm_job_waiting_tasks(const struct pm_job *job)
 {
-    if (job->state != PM_JOB_LIVE || !job->spec || job->dependencies.unmet)
+    if (job->state != PM_JOB_LIVE || !job->spec || job->dependencies.unmet_count)
         return 0;
     return job->task_count - job->work.done_count - job->work.placed_count;
 }
 
-/* How many waiting tasks of the chunk back off. */
+/* Returns how many waiting tasks of the chunk back off. */
 static uint32_t count_backing_off(const struct pm_chunk *chunk, double now)
 {
     uint32_t count = 0;
@@ -104,7 +104,7 @@
     }
 }
 
-/* ---- starting over from the replica ---- */
+/* ---- rebuilding the working state from the replica ---- */
 
 static void clear_chunk_work(struct pm_chunk *chunk)
 {
@@ -115,13 +115,13 @@
     chunk->write_back.in_flight = false;
     chunk->write_back.retry_at = 0;
     for (int half = PM_CHUNK_WHOLE; half < PM_CHUNK_HALVES; half++)
-        pm_chunk_stored(chunk, half)->written_revision = 0;
+        pm_chunk_stored_value(chunk, half)->written_revision = 0;
 }
 
 static void restore_chunk_work(struct pm_job *job, struct pm_chunk *chunk)
 {
     chunk->tasks = g_new0(struct pm_task, PM_CHUNK_TASKS);
-    job->write_back.attempted = true;
+    job->write_back.chunk_write_attempted = true;
     job->work.last_attempt = MAX(job->work.last_attempt, chunk->last_attempt);
     for (int i = 0; i < PM_CHUNK_TASKS; i++) {
         if (!(chunk->done[i / WORD_BITS] >> (i % WORD_BITS) & 1))
@@ -146,6 +146,7 @@
         if (chunk->is_stored)
             restore_chunk_work(job, chunk);
     }
-    /* As far as the number of attempts shows. */
+    /* The replica does not record this. It is inferred from the number of attempts, which is at
+     * least the number of tasks once all of them have been placed. */
     job->scheduling.has_fully_started = job->work.last_attempt >= job->task_count;
 }
--- a/src/scheduler/cold_start.c
+++ b/src/scheduler/cold_start.c
@@ -48,7 +48,7 @@
 bool pm_scheduler_may_fetch(const struct pm_scheduler *scheduler, const struct pm_machine *machine,
                             const struct pm_job *job)
 {
-    const struct pm_type *type = &scheduler->tables->types[machine->type];
+    const struct pm_machine_type *type = &scheduler->tables->types[machine->type];
     double waited_s = scheduler->run.wall - pm_scheduler_waiting_since(job);
 
     return waited_s > pm_scheduler_start_objective_s(scheduler, job) &&
--- a/src/scheduler/consolidation.c
+++ b/src/scheduler/consolidation.c
@@ -92,7 +92,7 @@
 }
 
 /* What the machine costs for the capacity that it does not use. */
-static double wasted_price(const struct pm_type *type, const struct pm_machine *machine)
+static double wasted_price(const struct pm_machine_type *type, const struct pm_machine *machine)
 {
     double used_cpus = type->cpus - pm_scheduler_preemptible_cpus(machine);
 
@@ -113,7 +113,7 @@
 
     for (guint i = 0; i < machines->len; i++) {
         struct pm_machine *machine = g_ptr_array_index(machines, i);
-        const struct pm_type *type;
+        const struct pm_machine_type *type;
         double wasted;
         if (!machine || !is_drainable(scheduler, machine, now))
             continue;
--- a/src/scheduler/occupancy.c
+++ b/src/scheduler/occupancy.c
@@ -20,7 +20,7 @@
 static double machine_share(const struct pm_name_tables *tables, const struct pm_spec *spec,
                             const struct pm_machine *machine)
 {
-    const struct pm_type *type = &tables->types[machine->type];
+    const struct pm_machine_type *type = &tables->types[machine->type];
     double share =
         MAX(spec->cpus / MAX(type->cpus, PM_EPSILON), spec->ram_gb / MAX(type->ram_gb, PM_EPSILON));
 
--- a/src/scheduler/ranking.c
+++ b/src/scheduler/ranking.c
@@ -18,9 +18,9 @@
 /* When the job's dependencies were met; where that was stored without its time, from now on. */
 static double dependencies_met_wall(const struct pm_job *job, double wall)
 {
-    if (job->dependencies.met_wall <= 0 || isinf(job->dependencies.met_wall))
+    if (job->dependencies.last_ended_wall <= 0 || isinf(job->dependencies.last_ended_wall))
         return wall;
-    return MIN(MAX(job->dependencies.met_wall, job->spec->submitted_wall), wall);
+    return MIN(MAX(job->dependencies.last_ended_wall, job->spec->submitted_wall), wall);
 }
 
 int pm_scheduler_compare_by_age(const void *first, const void *second)
@@ -113,7 +113,7 @@
         job->scheduling.remaining_cpu_s = 0;
         if (!job->spec)
             continue;
-        if (!job->dependencies.unmet && !job->scheduling.waiting_since_wall)
+        if (!job->dependencies.unmet_count && !job->scheduling.waiting_since_wall)
             job->scheduling.waiting_since_wall = dependencies_met_wall(job, scheduler->run.wall);
         if (job->spec->kind == PM_WORKLOAD_ARRAY)
             job->scheduling.remaining_cpu_s = remaining_cpu_s(scheduler, job);
--- a/src/scheduler/state.h
+++ b/src/scheduler/state.h
@@ -73,7 +73,7 @@
     GPtrArray *open_machines; /* borrowed: usable, and not full */
     GArray *unschedulable;    /* of struct pm_requirements: do not fit, and capacity only shrinks
                                  within a plan */
-    bool is_boot_expected[PM_TYPES_MAX][PM_ZONES_MAX][PM_MARKETS];
+    bool is_boot_expected[PM_MACHINE_TYPES_MAX][PM_ZONES_MAX][PM_MARKETS];
 };
 
 /* capacity.c */
--- a/src/scheduler/task_placement.c
+++ b/src/scheduler/task_placement.c
@@ -59,7 +59,7 @@
         const struct pm_task *task = pm_job_find_task(job, i);
         if (task && (task->done || task->placement || task->backoff_until > now))
             continue;
-        if (job->spec->kind == PM_WORKLOAD_GANG || pm_job_value_has_room(tables, job, i))
+        if (job->spec->kind == PM_WORKLOAD_GANG || pm_job_can_store_placement(tables, job, i))
             return i;
         /* The others of this half chunk, too, wait until its stored value has room again. */
         i |= PM_HALF_CHUNK_TASKS - 1;
--- a/src/shards/job_assignment.c
+++ b/src/shards/job_assignment.c
@@ -55,9 +55,9 @@
 /* Whether the job may be assigned: none of it has been placed or done by the leader. */
 static bool is_delegable(const struct pm_job *job)
 {
-    return job->state == PM_JOB_LIVE && has_delegable_spec(job) && !job->dependencies.unmet &&
+    return job->state == PM_JOB_LIVE && has_delegable_spec(job) && !job->dependencies.unmet_count &&
            !pm_failures_is_job_failing(job) && !job->delegated && !job->work.placed_count &&
-           !job->work.done_count && !job->write_back.attempted;
+           !job->work.done_count && !job->write_back.chunk_write_attempted;
 }
 
 /* Processors that the tasks of the shard's jobs ask for. */
--- a/src/shards/machine_assignment.c
+++ b/src/shards/machine_assignment.c
@@ -36,7 +36,7 @@
 
     for (guint i = 0; i < machines->len; i++) {
         const struct pm_machine *machine = g_ptr_array_index(machines, i);
-        const struct pm_type *type;
+        const struct pm_machine_type *type;
         if (!machine || !machine->shard.owner || machine->type < 0)
             continue;
         type = &tables->types[machine->type];
--- a/src/shards/machine_revocation.c
+++ b/src/shards/machine_revocation.c
@@ -23,7 +23,7 @@
 {
     const struct pm_machine *machine = pm_workers_at(shards->workers, entry->index);
     struct pm_machine_capacity capacity;
-    const struct pm_type *type;
+    const struct pm_machine_type *type;
 
     if (!machine || machine->type < 0 || entry->state != PM_SHARD_MACHINE_OWNED ||
         used[entry->index])
--- a/src/workers/failures.c
+++ b/src/workers/failures.c
@@ -100,9 +100,9 @@
 
     if (now < failures->retry_at)
         return;
-    failures->retry_at = now + RETRY_S * (1 << failures->retry_rounds);
-    if (failures->retry_rounds < RETRY_DOUBLINGS_MAX)
-        failures->retry_rounds++;
+    failures->retry_at = now + RETRY_S * (1 << failures->retry_doublings);
+    if (failures->retry_doublings < RETRY_DOUBLINGS_MAX)
+        failures->retry_doublings++;
 }
 
 static void note_failure(struct pm_job *job, struct pm_machine *machine, double now)
@@ -142,7 +142,7 @@
 
 static void back_off_task(struct pm_placement *placement, enum pm_task_exit end, double now)
 {
-    struct pm_task *task = pm_job_task(placement->job, placement->task_index);
+    struct pm_task *task = pm_job_ensure_task(placement->job, placement->task_index);
     double backoff_s = BACKOFF_S;
 
     task->failures = (uint16_t)MIN(task->failures + 1, BACKOFF_DOUBLINGS_MAX);
@@ -154,7 +154,7 @@
 void pm_failures_note_exit(struct pm_placement *placement, enum pm_task_exit end, double now)
 {
     if (end == PM_TASK_EXIT_DONE) {
-        pm_job_task(placement->job, placement->task_index)->failures = 0;
+        pm_job_ensure_task(placement->job, placement->task_index)->failures = 0;
         note_success(placement->job, placement->machine);
         return;
     }
--- a/src/workers/machines.c
+++ b/src/workers/machines.c
@@ -91,7 +91,7 @@
 
 void pm_workers_set_type(struct pm_workers *workers, struct pm_machine *machine, int type)
 {
-    const struct pm_type *machine_type = &workers->tables->types[type < 0 ? 0 : type];
+    const struct pm_machine_type *machine_type = &workers->tables->types[type < 0 ? 0 : type];
 
     if (machine->type >= 0 || type < 0 || type >= workers->tables->type_count)
         return;
--- a/src/workers/placements.c
+++ b/src/workers/placements.c
@@ -35,8 +35,8 @@
     g_ptr_array_add(machine->placements, placement);
     take_capacity(machine, job->spec);
     machine->provider.idle_since = 0;
-    pm_job_task(job, task_index)->placement = placement;
-    pm_job_count_placement(job, task_index, 1);
+    pm_job_ensure_task(job, task_index)->placement = placement;
+    pm_job_adjust_placement_count(job, task_index, 1);
     return placement;
 }
 
@@ -44,13 +44,13 @@
 static void release_placement(struct pm_placement *placement)
 {
     struct pm_job *job = placement->job;
-    struct pm_task *task = pm_job_task(job, placement->task_index);
+    struct pm_task *task = pm_job_ensure_task(job, placement->task_index);
 
     return_capacity(placement->machine, job->spec);
     placement->state = PM_PLACEMENT_ENDED;
     if (task->placement == placement)
         task->placement = NULL;
-    pm_job_count_placement(job, placement->task_index, -1);
+    pm_job_adjust_placement_count(job, placement->task_index, -1);
     if (placement->task_index < job->work.first_waiting_hint)
         job->work.first_waiting_hint = placement->task_index;
 }
@@ -65,7 +65,7 @@
 
 static void mark_task_done(struct pm_job *job, uint32_t task_index)
 {
-    struct pm_task *task = pm_job_task(job, task_index);
+    struct pm_task *task = pm_job_ensure_task(job, task_index);
 
     if (task->done)
         return;
