--- a/src/api/api.h
+++ b/src/api/api.h
@@ -28,11 +28,11 @@
 struct pm_api *pm_api_new(struct ev_loop *loop, struct pm_store *store, struct pm_jobs *jobs,
                           struct pm_name_tables *tables, struct pm_cancel_quorum *cancel_quorum,
                           const struct pm_operator_settings *operator_settings);
-/* Sets whether every controller of the cluster can read jobs with dependencies. While that is not
- * so, submissions with dependencies are answered 503. */
+/* Sets whether every controller of the cluster can read jobs with dependencies. If not, submissions
+ * with dependencies are answered 503. */
 void pm_api_enable_dependencies(struct pm_api *api, bool enabled);
-/* Sets whether this controller cannot reach the state service. Requests that need the state service
- * are then answered 503 at once; final states are still answered from the replica. */
+/* Sets whether this controller is unable to reach the state service. If it is, requests that need
+ * the state service are answered 503 at once; final states are still answered from the replica. */
 void pm_api_set_cut_off(struct pm_api *api, bool cut_off);
 /* Handles a request whose path is /work or begins with /work/. The request is answered exactly
  * once, at once or from a callback. */
--- a/src/api/concurrency_limit.c
+++ b/src/api/concurrency_limit.c
@@ -4,15 +4,17 @@
 
 enum { INITIAL_LIMIT = 64 };
 #define PRIORITY_FACTOR 1.5 /* priority requests are admitted up to this multiple of the limit */
-/* A request waits for at most this number of answers of the state service. */
+/* Durations up to this multiple of the state service's latency do not indicate overload, since a
+ * request waits for at most this number of the state service's answers. */
 #define STORE_LATENCY_FACTOR 4.0
 /* Users do not notice shorter durations, so these are no reason to refuse requests. */
-#define NOTICEABLE_S 0.1
+#define NOTICEABLE_LATENCY_S 0.1
 #define OVERLOAD_FACTOR 4.0 /* durations above this multiple of the baseline indicate overload */
-#define RECENT_WEIGHT 0.1   /* of the latest duration in the recent mean */
+#define RECENT_WEIGHT 0.1   /* weight of the latest duration in the moving mean */
 /* Weight of the latest duration in the baseline: a long overload must not become the baseline. */
 #define BASELINE_WEIGHT 0.0001
-#define DECREASE_FACTOR 0.98 /* of the limit, at each request that ends during overload */
+/* The limit is multiplied by this when a request ends during overload. */
+#define DECREASE_FACTOR 0.98
 
 struct pm_concurrency_limit {
     unsigned min, max;
@@ -73,7 +75,7 @@
     if (limit->in_progress)
         limit->in_progress--;
     record_duration(limit, duration_s);
-    acceptable_s = MAX(NOTICEABLE_S, OVERLOAD_FACTOR * limit->baseline_s);
+    acceptable_s = MAX(NOTICEABLE_LATENCY_S, OVERLOAD_FACTOR * limit->baseline_s);
     acceptable_s = MAX(acceptable_s, STORE_LATENCY_FACTOR * store_latency_s);
     if (limit->recent_s > acceptable_s)
         limit->current = MAX(limit->min, limit->current * DECREASE_FACTOR);
--- a/src/api/internal.h
+++ b/src/api/internal.h
@@ -40,7 +40,8 @@
     GPtrArray *dependency_ids; /* owned; NULL if the job has no dependencies */
     size_t value_size;         /* of the job's value without its dependencies; 0 if not known yet */
     uint32_t overflow_lists_written; /* number of p/n values that are durable */
-    uint32_t overflow_lists_sent;    /* the same once the transaction in flight has succeeded */
+    uint32_t overflow_lists_sent; /* number of p/n values that are durable once the transaction in
+                                   * flight has succeeded */
 };
 
 /* A user's request in progress. The reply frees it. */
--- a/src/api/readiness.c
+++ b/src/api/readiness.c
@@ -4,7 +4,7 @@
 
 /* The state service counts as reachable for this long after an answer. */
 #define REACHABLE_S 4.0
-#define PROBE_INTERVAL_S 1.0 /* between reads while there are no other answers */
+#define PROBE_INTERVAL_S 1.0 /* between reads while no other request gets answers */
 
 static void on_probe_done(void *arg, bool ok)
 {
--- a/src/api/submission.c
+++ b/src/api/submission.c
@@ -186,7 +186,7 @@
     if (!submission->dependency_ids || spec->dependencies)
         return;
     pm_spec_set_dependencies(tables, spec, submission->dependency_ids);
-    spec->overflow_lists = pm_spec_overflow_lists(tables, spec, submission->value_size);
+    spec->overflow_list_count = pm_spec_overflow_list_count(tables, spec, submission->value_size);
 }
 
 /* ---- overflow lists ---- */
@@ -221,7 +221,7 @@
     struct pm_txn txn = {0};
     char key[64];
 
-    while (index < spec->overflow_lists && txn.write_count < tables->settings->store_txn_ops &&
+    while (index < spec->overflow_list_count && txn.write_count < tables->settings->store_txn_ops &&
            txn.writes.size < PM_API_TXN_BYTES_MAX) {
         snprintf(key, sizeof key, "p/n/%s/%u", request->id, index);
         pm_txn_put(&txn, key);
@@ -248,7 +248,7 @@
         return;
     }
     intern_dependencies(request);
-    if (submission->overflow_lists_written < submission->spec->overflow_lists)
+    if (submission->overflow_lists_written < submission->spec->overflow_list_count)
         write_overflow_lists(request);
     else /* the write is conditional on the key not existing, so no linearizable read is needed */
         pm_api_enqueue_write(request);
--- a/src/api/write_batch.c
+++ b/src/api/write_batch.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 enum { BATCHES_IN_FLIGHT_MAX = 4, JOB_KEY_SIZE = 64 };
-/* A request that is older than this is answered 503, before its client times out after 5 s. */
+/* A queued request that is older is answered 503, before its client times out after 5 s. */
 #define QUEUED_MAX_S 3.0
 #define NO_BUDGET_DELAY_S 0.05   /* until the next attempt while the write budget is used up */
 #define NEXT_BATCH_DELAY_S 0.001 /* after a batch was executed, or rejected with a conflict */
@@ -53,7 +53,7 @@
 
 /* ---- results ---- */
 
-static void on_conflict_replicated(void *arg, bool ok)
+static void on_replica_caught_up(void *arg, bool ok)
 {
     struct pm_api_request *request = arg;
 
@@ -103,7 +103,7 @@
         return;
     }
     if (result == PM_STORE_CONFLICT && is_job_conflicting(conflicting_keys, request->id)) {
-        pm_store_wait_for_revision(api->store, store_revision, on_conflict_replicated, request);
+        pm_store_wait_for_revision(api->store, store_revision, on_replica_caught_up, request);
         return;
     }
     if (may_retry(result) && ++request->attempts <= PM_API_ATTEMPTS_MAX)
--- a/src/autoscaler/boot_tracking.c
+++ b/src/autoscaler/boot_tracking.c
@@ -37,7 +37,7 @@
 static bool is_up_with_known_rental_time(const struct pm_machine *machine)
 {
     return machine->state == PM_MACHINE_UP && machine->type >= 0 && machine->zone >= 0 &&
-           !machine->shard.owner && machine->provider.rented_at > 0;
+           !machine->shard.assigned_to && machine->provider.rented_at > 0;
 }
 
 static void count_overdue(struct pm_autoscaler *autoscaler, const struct pm_machine *machine,
--- a/src/autoscaler/inventory.c
+++ b/src/autoscaler/inventory.c
@@ -99,7 +99,7 @@
     if (inventory->started_at - machine->provider.rented_at <= lag_s)
         return false;
     /* The worker of a machine in a shard reports to the shard's owner. */
-    return machine->shard.owner || now - machine->heartbeat.last_message_at > lag_s;
+    return machine->shard.assigned_to || now - machine->heartbeat.last_message_at > lag_s;
 }
 
 static void set_absent_since(struct pm_autoscaler *autoscaler, double now)
@@ -213,7 +213,7 @@
 
     for (guint i = 0; i < machines->len; i++) {
         const struct pm_machine *machine = g_ptr_array_index(machines, i);
-        if (machine && machine->state == PM_MACHINE_UP && !machine->shard.owner &&
+        if (machine && machine->state == PM_MACHINE_UP && !machine->shard.assigned_to &&
             machine->placements->len && now - machine->heartbeat.last_message_at > limit_s)
             return true;
     }
--- a/src/autoscaler/scale_in.c
+++ b/src/autoscaler/scale_in.c
@@ -62,7 +62,7 @@
 
     if (!machine->provider.absent_since || machine->state != PM_MACHINE_UP)
         return false;
-    return machine->shard.owner ||
+    return machine->shard.assigned_to ||
            silence_s > ABSENT_HEARTBEAT_INTERVALS * settings->heartbeat_s + ABSENT_MARGIN_S;
 }
 
@@ -71,7 +71,7 @@
 {
     double silence_s = now - machine->heartbeat.last_message_at;
 
-    return !machine->shard.owner && machine->state == PM_MACHINE_UP &&
+    return !machine->shard.assigned_to && machine->state == PM_MACHINE_UP &&
            machine->placements->len == 0 &&
            silence_s > SILENCE_LEASE_DURATIONS * settings->lease_s + SILENCE_MARGIN_S;
 }
@@ -217,7 +217,7 @@
             continue;
         reason = lost_reason(autoscaler, machine, now);
         /* Only the owner of a shard knows whether a machine in the shard is needed. */
-        if (!reason && !machine->shard.owner)
+        if (!reason && !machine->shard.assigned_to)
             reason = unneeded_reason(autoscaler, machine, &pass);
         if (reason)
             pm_autoscaler_mark_for_termination(machine, reason);
--- a/src/autoscaler/silent_machines.c
+++ b/src/autoscaler/silent_machines.c
@@ -37,12 +37,12 @@
 static const char *partition_reason(const struct pm_autoscaler *autoscaler,
                                     const struct pm_machine *machine, double now)
 {
-    if (machine->shard.owner)
+    if (machine->shard.assigned_to)
         return NULL;
     if (pm_machine_is_unreachable(machine, now))
         return "its heartbeats arrive but this controller's answers do not reach it, while its "
                "zone responds";
-    if (pm_machine_is_not_reporting(machine, autoscaler->tables->settings, now))
+    if (pm_machine_only_answers_pushes(machine, autoscaler->tables->settings, now))
         return "it answers pushes but its heartbeats do not arrive, while its zone responds";
     return NULL;
 }
@@ -51,7 +51,7 @@
  * whose owner has not reported it as silent recently. */
 static double silent_since(const struct pm_machine *machine, double now)
 {
-    if (!machine->shard.owner)
+    if (!machine->shard.assigned_to)
         return machine->heartbeat.last_message_at;
     if (now - machine->shard.reported_silent_at < OWNER_REPORT_AGE_MAX_S)
         return machine->shard.silent_since;
@@ -70,7 +70,7 @@
 /* Whether the machine counts as lost after a silence of `silence_s`. */
 static bool is_lost(const struct pm_machine *machine, double silence_s, double limit_s)
 {
-    if (machine->shard.owner)
+    if (machine->shard.assigned_to)
         return silence_s > limit_s * RESPONDING_SHARE;
     return has_failed_probe(machine) && silence_s > limit_s;
 }
@@ -81,7 +81,7 @@
     struct zone_counts *zone = &scan->zones[machine->zone];
     double silence_s = now - silent_since(machine, now);
 
-    scan->has_reported[machine->zone] |= machine->heartbeat.is_known;
+    scan->has_reported[machine->zone] |= machine->heartbeat.has_reported;
     if (partition_reason(autoscaler, machine, now)) {
         zone->silent++;
         g_ptr_array_add(scan->candidates, machine);
--- a/src/autoscaler/silent_zones.c
+++ b/src/autoscaler/silent_zones.c
@@ -64,7 +64,7 @@
         struct pm_machine *machine = g_ptr_array_index(machines, i);
         double message_at;
         if (!machine || machine->state != PM_MACHINE_UP || machine->zone < 0 ||
-            machine->shard.owner || !machine->placements->len || has_reported[machine->zone])
+            machine->shard.assigned_to || !machine->placements->len || has_reported[machine->zone])
             continue;
         message_at = handover->zone_last_message_at[machine->zone];
         if (message_at > 0 && now - message_at > lease_s + LEASE_MARGIN_S)
--- a/src/autoscaler/sizing.c
+++ b/src/autoscaler/sizing.c
@@ -14,7 +14,7 @@
 static bool is_packable(const struct pm_machine *machine)
 {
     return machine->state == PM_MACHINE_BOOTING && !machine->heartbeat.spot_interruption_at &&
-           !pm_failures_is_machine_faulty(machine) && !machine->shard.owner &&
+           !pm_failures_is_machine_faulty(machine) && !machine->shard.assigned_to &&
            machine->free.cpus > PM_SIZING_CPUS_EPSILON;
 }
 
--- a/src/cmd/pumicemount/admin.c
+++ b/src/cmd/pumicemount/admin.c
@@ -53,9 +53,9 @@
 
     for (guint i = 0; i < all->len; i++) {
         const struct pm_machine *machine = g_ptr_array_index(all, i);
-        if (machine && machine->shard.owner > 0 &&
-            machine->shard.owner <= controller->settings->peer_count)
-            owned[machine->shard.owner - 1]++;
+        if (machine && machine->shard.assigned_to > 0 &&
+            machine->shard.assigned_to <= controller->settings->peer_count)
+            owned[machine->shard.assigned_to - 1]++;
     }
     pm_cbor_put_text(out, "holders");
     pm_cbor_put_list(out);
@@ -166,7 +166,7 @@
                                              machine->spot))
             continue;
         booting += machine->state == PM_MACHINE_BOOTING;
-        if (machine->state != PM_MACHINE_UP || machine->shard.owner)
+        if (machine->state != PM_MACHINE_UP || machine->shard.assigned_to)
             continue;
         allowed++;
         fit += pm_spec_tasks_that_fit(spec, machine->free.cpus, machine->free.gpus,
--- a/src/cmd/pumicemount/leadership_events.c
+++ b/src/cmd/pumicemount/leadership_events.c
@@ -69,7 +69,7 @@
 static void reset_working_state(struct pm_controller *controller)
 {
     pm_workers_reset(controller->workers);
-    pm_jobs_reset_work(controller->jobs);
+    pm_jobs_reset_working_state(controller->jobs);
     pm_commit_reset(controller->commit);
     pm_scheduler_reset(controller->scheduler);
     pm_scheduler_set_reserve(controller->scheduler, 0);
@@ -208,7 +208,7 @@
 
 static void on_job_returned(void *arg, struct pm_job *job)
 {
-    pm_job_reset_work(job);
+    pm_job_reset_working_state(job);
     recover_placements(arg, job, pm_clock_monotonic());
 }
 
--- a/src/cmd/pumicemount/link_monitor.c
+++ b/src/cmd/pumicemount/link_monitor.c
@@ -54,7 +54,7 @@
 static bool is_managed_here(const struct pm_controller *controller,
                             const struct pm_machine *machine)
 {
-    return machine && machine->state == PM_MACHINE_UP && !machine->shard.owner &&
+    return machine && machine->state == PM_MACHINE_UP && !machine->shard.assigned_to &&
            controller->is_active;
 }
 
@@ -85,7 +85,7 @@
                          ? &silent[machine->zone]
                          : &census[machine->zone],
                      machine->endpoint);
-        if (!machine->heartbeat.is_known)
+        if (!machine->heartbeat.has_reported)
             continue;
         census[machine->zone].up++;
         census[machine->zone].unreachable += pm_machine_is_unreachable(machine, now);
@@ -181,7 +181,8 @@
         up_count++;
         /* Answers to pushes do not count, because a worker whose heartbeats reach no controller
          * loses its lease. */
-        silent += now - MAX(machine->heartbeat.last_at, controller->elected_at) >= silence_s;
+        silent +=
+            now - MAX(machine->heartbeat.last_heartbeat_at, controller->elected_at) >= silence_s;
         unreachable += pm_machine_is_unreachable(machine, now);
     }
     /* Any heartbeat that arrives counts, even one that can't be answered because of an outage. */
--- a/src/cmd/pumicemount/reconciliation.c
+++ b/src/cmd/pumicemount/reconciliation.c
@@ -108,7 +108,7 @@
     for (guint i = 0; i < machines->len; i++) {
         struct pm_machine *machine = g_ptr_array_index(machines, i);
         double exclusive_since;
-        if (!machine || !machine->placements->len || machine->shard.owner)
+        if (!machine || !machine->placements->len || machine->shard.assigned_to)
             continue;
         exclusive_since = lease_exclusive_since(controller, machine);
         if (!pm_workers_is_lease_expired(machine, exclusive_since, controller->settings->lease_s,
@@ -129,11 +129,11 @@
 {
     double late_s = LATE_HEARTBEAT_FACTOR * controller->settings->heartbeat_s + LATE_HEARTBEAT_S;
 
-    if (!machine->heartbeat.is_known && machine->endpoint[0] && machine->provider.is_listed)
+    if (!machine->heartbeat.has_reported && machine->endpoint[0] && machine->provider.is_listed)
         return true;
     /* The answer shows that the worker receives what we send, and that its machine exists. */
-    if (machine->heartbeat.is_known &&
-        (machine->delivery.failures || !pm_machine_is_verified(machine)))
+    if (machine->heartbeat.has_reported &&
+        (machine->delivery.failures || !pm_machine_is_known_to_exist(machine)))
         return true;
     /* The worker may run and reach only other controllers. */
     return machine->state == PM_MACHINE_UP && now - machine->heartbeat.last_message_at > late_s;
@@ -159,7 +159,7 @@
 
     for (guint i = 0; i < machines->len; i++) {
         struct pm_machine *machine = g_ptr_array_index(machines, i);
-        if (!machine || machine->state == PM_MACHINE_TERMINATING || machine->shard.owner)
+        if (!machine || machine->state == PM_MACHINE_TERMINATING || machine->shard.assigned_to)
             continue;
         is_epoch_advance_needed |= needs_epoch_advance(controller, machine, now);
         if (probes >= PROBES_MAX)
@@ -168,7 +168,7 @@
          * in the request is not its own. */
         if (should_probe(controller, machine, now))
             pm_controller_push_commands(controller, machine, true);
-        probes += machine->push.in_flight != 0;
+        probes += machine->push.in_flight_number != 0;
     }
     if (is_epoch_advance_needed && controller->is_leader &&
         now - controller->epoch_advanced_at > ADVANCE_EPOCH_INTERVAL_S) {
@@ -182,15 +182,15 @@
 static void count_machine(struct pm_controller *controller, const struct pm_machine *machine,
                           struct pm_controller_counts *counts, double now)
 {
-    counts->machines_up += machine->state == PM_MACHINE_UP && !machine->shard.owner;
+    counts->machines_up += machine->state == PM_MACHINE_UP && !machine->shard.assigned_to;
     counts->machines_booting += machine->state == PM_MACHINE_BOOTING;
-    counts->machines_assigned += machine->shard.owner > 0;
-    counts->machines_silent += machine->state == PM_MACHINE_UP && !machine->shard.owner &&
+    counts->machines_assigned += machine->shard.assigned_to > 0;
+    counts->machines_silent += machine->state == PM_MACHINE_UP && !machine->shard.assigned_to &&
                                pm_machine_missed_heartbeat(machine, controller->settings, now);
     if (machine->state != PM_MACHINE_UP)
         return;
     counts->cpus += controller->tables.types[machine->type].cpus;
-    counts->idle_cpus += machine->shard.owner ? 0 : machine->free.cpus;
+    counts->idle_cpus += machine->shard.assigned_to ? 0 : machine->free.cpus;
 }
 
 static void count_job(const struct pm_job *job, struct pm_controller_counts *counts)
--- a/src/cmd/pumicemount/worker_endpoint.c
+++ b/src/cmd/pumicemount/worker_endpoint.c
@@ -45,18 +45,18 @@
 
     machine->push.failed_at = now;
     /* A booting machine can't answer, and a process that was suspended has missed answers. */
-    if (machine->heartbeat.is_known && !pm_links_is_lagging(controller->links, now))
+    if (machine->heartbeat.has_reported && !pm_links_is_lagging(controller->links, now))
         pm_machine_note_delivery_failure(machine, "a push got no answer", now);
     machine->push.retry_at = now + PUSH_RETRY_S;
 }
 
 static void apply_push_answer(struct pm_controller *controller, const cbor_item_t *report)
 {
-    bool fresh;
+    bool is_newest;
 
-    pm_workers_apply_heartbeat(controller->workers, report, PM_SOURCE_PUSH,
-                               pm_election_epoch(controller->election), pm_clock_monotonic(),
-                               &fresh);
+    pm_workers_apply_report(controller->workers, report, PM_REPORT_PUSH_REPLY,
+                            pm_election_epoch(controller->election), pm_clock_monotonic(),
+                            &is_newest);
     pm_controller_plan_soon(controller);
     pm_controller_commit(controller);
 }
@@ -87,7 +87,7 @@
     cbor_item_t *report = NULL;
 
     controller->pushes_in_flight--;
-    if (machine && machine->heartbeat.is_known && status != PM_HTTP_NOT_SENT)
+    if (machine && machine->heartbeat.has_reported && status != PM_HTTP_NOT_SENT)
         pm_links_record_command_result(controller->links, machine->zone, status > 0, push->sent_at,
                                        pm_clock_monotonic());
     if (status == 200 || status == 409) /* both carry the worker's report */
@@ -103,7 +103,7 @@
 {
     int pushes_max = controller->settings->sockets / PUSH_SOCKETS_DIVISOR;
 
-    if (machine->push.in_flight || controller->pushes_in_flight >= pushes_max ||
+    if (machine->push.in_flight_number || controller->pushes_in_flight >= pushes_max ||
         !machine->endpoint[0])
         return false;
     if (machine->push.retry_at > pm_clock_monotonic())
@@ -158,7 +158,7 @@
 
     for (guint i = 0; i < machines->len; i++) {
         struct pm_machine *machine = g_ptr_array_index(machines, i);
-        if (machine && machine->state == PM_MACHINE_UP && !machine->shard.owner)
+        if (machine && machine->state == PM_MACHINE_UP && !machine->shard.assigned_to)
             pm_controller_push_commands(controller, machine, false);
     }
 }
@@ -229,8 +229,8 @@
     if (!controller->is_active)
         return true;
     if (controller->is_leader)
-        return machine && machine->shard.owner;
-    return !machine || machine->shard.returned;
+        return machine && machine->shard.assigned_to;
+    return !machine || machine->shard.returned_to_leader;
 }
 
 /* Redirects the worker, or renews its lease if this follower may do so during an outage of the
@@ -273,12 +273,12 @@
 {
     uint64_t epoch = pm_election_epoch(controller->election);
     struct pm_machine *machine;
-    bool fresh;
+    bool is_newest;
 
     if (!check_epoch(controller, heartbeat))
         return;
-    machine = pm_workers_apply_heartbeat(controller->workers, heartbeat->report,
-                                         PM_SOURCE_HEARTBEAT, epoch, heartbeat->now, &fresh);
+    machine = pm_workers_apply_report(controller->workers, heartbeat->report, PM_REPORT_HEARTBEAT,
+                                      epoch, heartbeat->now, &is_newest);
     if (!machine) {
         pm_http_reply(heartbeat->request, 400, NULL, 0, 0);
         return;
@@ -288,13 +288,13 @@
      * and begins its next incarnation. But if another message of the worker arrived within
      * REORDERING_MAX_S, the heartbeat was merely overtaken, by the worker's answer to a push. */
     if (machine->state == PM_MACHINE_TERMINATING ||
-        (!fresh && heartbeat->now - machine->heartbeat.last_message_at > REORDERING_MAX_S)) {
+        (!is_newest && heartbeat->now - machine->heartbeat.last_message_at > REORDERING_MAX_S)) {
         reply_unavailable(heartbeat->request);
         return;
     }
     heartbeat->request->deadline = pm_election_confirmation_deadline(controller->election);
-    reply_commands(controller, heartbeat->request, fresh ? machine : NULL, heartbeat->report);
-    pm_machine_note_ack(machine, epoch, heartbeat->now);
+    reply_commands(controller, heartbeat->request, is_newest ? machine : NULL, heartbeat->report);
+    pm_machine_note_heartbeat_ack(machine, epoch, heartbeat->now);
     pm_controller_plan_soon(controller);
     pm_controller_commit(controller);
 }
--- a/src/jobs/chunk.h
+++ b/src/jobs/chunk.h
@@ -55,8 +55,8 @@
     bool in_flight;         /* a write has no result yet */
     double retry_at;        /* the chunk is not written before this time */
     uint32_t failures;      /* consecutive failed writes */
-    bool write_in_halves;   /* it was rejected as one value, so it is written in halves */
-    bool write_alone;       /* it was rejected, so it is written in a transaction of its own */
+    bool write_in_halves;   /* the chunk was rejected as one value; its halves are written */
+    bool write_alone;       /* a write was rejected; the next is a transaction of its own */
     unsigned rejected_hash; /* of the value that was rejected when written alone; 0 if none was */
 };
 
@@ -87,9 +87,9 @@
 void pm_chunk_encode(const struct pm_name_tables *tables, const struct pm_job *job, int chunk_index,
                      int half, struct pm_buffer *out);
 
-/* Whether the chunk is written in halves, which is so if it already is stored in halves, or if it
- * could grow too large for one value. Other chunks are written whole, since each value costs one
- * change of the write budget, which is the scarcest resource. */
+/* Whether the chunk is written in halves: it already is stored in halves, it was rejected as one
+ * value, or it could grow too large for one. Other chunks are written whole, since each value costs
+ * one change of the write budget, which is the scarcest resource. */
 bool pm_job_is_chunk_split(const struct pm_name_tables *tables, const struct pm_job *job,
                            int chunk_index);
 
--- a/src/jobs/codec.h
+++ b/src/jobs/codec.h
@@ -32,8 +32,8 @@
 
 /* Returns how many p/n values are needed for the dependencies; 0 if they all fit into the p/j
  * value, whose size without them is `size` bytes. */
-uint32_t pm_spec_overflow_lists(const struct pm_name_tables *tables, const struct pm_spec *spec,
-                                size_t size);
+uint32_t pm_spec_overflow_list_count(const struct pm_name_tables *tables,
+                                     const struct pm_spec *spec, size_t size);
 
 /* Encodes the value of p/n/ID/`list_index`. */
 void pm_dependency_list_encode(const struct pm_name_tables *tables, const struct pm_spec *spec,
--- a/src/jobs/codec_fields.h
+++ b/src/jobs/codec_fields.h
@@ -9,7 +9,7 @@
 #define FIELD_TASK_COUNT "entries" /* also in submissions */
 
 /* Fields of the p/j value of a job that is done. */
-#define FIELD_ENDED_WALL "ended" /* wall-clock time; early versions did not write it */
+#define FIELD_ENDED_WALL "ended" /* time of day; early versions did not write it */
 
 /* Fields of a description, which are in submissions and in the p/j values of live jobs. */
 #define FIELD_CLASS "ledger" /* the name of the job's class */
@@ -33,7 +33,7 @@
 #define FIELD_DEPENDENCIES "awaits"  /* list of job ids; also the only field of a p/n value */
 
 /* Fields of stored descriptions only. */
-#define FIELD_SUBMITTED_WALL "at"    /* wall-clock time */
+#define FIELD_SUBMITTED_WALL "at"    /* time of day */
 #define FIELD_OVERFLOW_LISTS "lists" /* number of p/n values, which replace "awaits" */
 
 /* Fields of submissions only. */
--- a/src/jobs/commit.c
+++ b/src/jobs/commit.c
@@ -1,11 +1,13 @@
 /* Sends transactions: decides when, and how many may be in flight. */
 #include "jobs/commit_internal.h"
 
-#define IN_FLIGHT_POLL_S 0.02 /* until the next run if IN_FLIGHT_MAX transactions are in flight */
-#define BUDGET_POLL_S 0.05    /* until the next run if the write budget is spent */
+/* Delay until the next run while IN_FLIGHT_MAX transactions are in flight. */
+#define IN_FLIGHT_POLL_S 0.02
+/* Delay until the next run while the write budget is spent. */
+#define BUDGET_POLL_S 0.05
 
 enum {
-    IN_FLIGHT_MAX = 4, /* transactions */
+    IN_FLIGHT_MAX = 4, /* transactions without a result at any time */
     /* No transaction is sent while the write budget is below this number of changes, or below the
      * limit of one transaction if that is lower. */
     WRITES_MIN = 4
@@ -52,7 +54,7 @@
             return now + BUDGET_POLL_S;
         transaction = pm_commit_transaction_new(commit, conditions, now, max_writes);
         pm_commit_add_due(transaction, now, &next_at);
-        if (!transaction->values->len) {
+        if (!transaction->changes->len) {
             pm_commit_transaction_free(transaction);
             if (commit->deferrable_since)
                 pm_commit_lower_next_at(&next_at,
--- a/src/jobs/commit.h
+++ b/src/jobs/commit.h
@@ -46,7 +46,7 @@
 void pm_commit_free(struct pm_commit *commit);
 
 /* Sends the changes that are due, as far as the write budget allows. `now` is the monotonic time;
- * `wall` is the wall-clock time, which is recorded as the end of jobs that are done. Returns the
+ * `wall` is the time of day, which is recorded as the end of jobs that are done. Returns the
  * monotonic time at which to call this again, or 0 if nothing waits to be written. */
 double pm_commit_run(struct pm_commit *commit, const struct pm_commit_conditions *conditions,
                      double now, double wall);
--- a/src/jobs/commit_due.c
+++ b/src/jobs/commit_due.c
@@ -2,9 +2,10 @@
  * jobs, then other new placements, and last the changes that no launch waits for. */
 #include "jobs/commit_internal.h"
 
-/* How long deferrable changes wait, so that later ones are written in the same transaction */
+/* How long deferrable changes wait, so that later ones are written in the same transaction. */
 #define DEFERRABLE_DELAY_S 0.15
-/* They are written while at least this share of the write rate is left of the write budget */
+/* Deferrable changes are written only while the write budget that is left is at least this share of
+ * the write rate (changes per second). */
 #define DEFERRABLE_BUDGET_SHARE 0.3
 
 enum urgency {
@@ -78,7 +79,8 @@
         pm_commit_transaction_add_final(transaction, job);
 }
 
-/* Whether the chunk's current value was rejected, in which case it is not sent until it changes. */
+/* Whether the chunk's current value was rejected. Such a value is sent again only once it has
+ * changed. */
 static bool is_rejected_value(const struct pm_commit *commit, const struct pm_job *job,
                               int chunk_index)
 {
@@ -99,7 +101,7 @@
             continue;
         if (pm_commit_transaction_is_full(transaction))
             continue;
-        if (chunk->write_back.write_alone && transaction->values->len)
+        if (chunk->write_back.write_alone && transaction->changes->len)
             continue;
         pm_commit_transaction_add_chunk(transaction, job, k);
         transaction->is_closed = chunk->write_back.write_alone;
--- a/src/jobs/commit_internal.h
+++ b/src/jobs/commit_internal.h
@@ -12,10 +12,11 @@
     struct pm_jobs *jobs;
     struct pm_store *store;
     struct pm_commit_hooks hooks;
-    uint64_t generation;     /* results of transactions of an earlier generation are ignored */
+    uint64_t generation;     /* number of resets; results of transactions from before the last one
+                              * are ignored */
     int in_flight;           /* transactions without a result */
-    double deferrable_since; /* monotonic time since when a deferrable change waits; 0 if none */
-    double wall;             /* wall-clock time of the latest run */
+    double deferrable_since; /* monotonic: when deferrable changes began to wait; 0 if none wait */
+    double wall;             /* time of day of the latest run */
 };
 
 /* A placement that the transaction makes durable, unless it is removed or replaced before the
@@ -26,12 +27,12 @@
     uint32_t attempt;
 };
 
-enum written_kind { WRITTEN_FINAL_STATE, WRITTEN_CHUNK, WRITTEN_DEPENDENCY_LIST };
+enum change_kind { CHANGE_FINAL_STATE, CHANGE_CHUNK, CHANGE_DEPENDENCY_LIST };
 
 /* A key that the transaction writes or deletes. */
-struct written_value {
+struct commit_change {
     struct pm_job *job;
-    enum written_kind kind;
+    enum change_kind kind;
     int index;      /* of the chunk, or of the dependency list */
     int half;       /* of a chunk: the number of the half, or PM_CHUNK_WHOLE */
     bool is_delete; /* the key is deleted, not written */
@@ -44,8 +45,8 @@
     double sent_at;
     int max_writes;     /* the smaller of the write budget and the limit of one transaction */
     GArray *placements; /* of struct proposed_placement */
-    GArray *values;     /* of struct written_value */
-    bool is_closed;     /* contains a chunk that has to be written alone: nothing is added */
+    GArray *changes;    /* of struct commit_change */
+    bool is_closed;     /* contains a chunk that has to be written alone; nothing may be added */
     struct pm_txn txn;
 };
 
--- a/src/jobs/commit_results.c
+++ b/src/jobs/commit_results.c
@@ -12,7 +12,7 @@
 #define CONFLICT_RETRY_S 0.06
 #define THROTTLED_RETRY_S 0.15
 #define REJECTED_RETRY_S 3.0
-#define RETRY_S 0.3
+#define DEFAULT_RETRY_S 0.3
 
 enum {
     /* A chunk's retry delay doubles each time that this many writes in a row have failed. */
@@ -32,7 +32,7 @@
     case PM_STORE_REJECTED:
         return REJECTED_RETRY_S;
     default:
-        return RETRY_S;
+        return DEFAULT_RETRY_S;
     }
 }
 
@@ -49,73 +49,75 @@
     return hash ? hash : 1;
 }
 
-static void chunk_succeeded(struct pm_chunk *chunk, const struct written_value *written,
+static void chunk_succeeded(struct pm_chunk *chunk, const struct commit_change *change,
                             uint64_t store_revision)
 {
-    struct pm_stored_chunk *stored = pm_chunk_stored_value(chunk, written->half);
+    struct pm_stored_chunk *stored = pm_chunk_stored_value(chunk, change->half);
 
     chunk->write_back.failures = 0;
-    if (written->is_delete) {
+    if (change->is_delete) {
         stored->revision = stored->written_revision = 0;
         return;
     }
     stored->written_revision = store_revision;
     chunk->write_back.rejected_hash = 0;
     chunk->write_back.write_alone = false;
-    if (written->half != PM_CHUNK_WHOLE && pm_stored_chunk_revision(&chunk->whole) &&
-        pm_stored_chunk_revision(&chunk->halves[!written->half]))
+    if (change->half != PM_CHUNK_WHOLE && pm_stored_chunk_revision(&chunk->whole) &&
+        pm_stored_chunk_revision(&chunk->halves[!change->half]))
         /* Both halves are stored, so the value of the whole has to be deleted. */
         chunk->write_back.dirty |= PM_DIRTY_WHOLE;
 }
 
 /* A rejected value is most likely too large. If a transaction with several values is rejected, the
  * cause could be any of them, so each is written in a transaction of its own next time. A value
- * that is rejected in such a transaction is not sent again unchanged. */
+ * that is rejected there too is sent again only after it has changed. */
 static void chunk_rejected(const struct pm_commit *commit, struct pm_chunk *chunk,
-                           const struct written_value *written)
+                           const struct commit_change *change)
 {
-    pm_error("commit.rejected", "the state service rejected a write of p/t/%s/%d", written->job->id,
-             written->index);
-    if (written->half == PM_CHUNK_WHOLE)
+    pm_error("commit.rejected",
+             "the state service rejected a transaction that changes p/t/%s/%d or a half of it",
+             change->job->id, change->index);
+    if (change->half == PM_CHUNK_WHOLE)
         chunk->write_back.write_in_halves = true;
     if (chunk->write_back.write_alone)
-        chunk->write_back.rejected_hash =
-            pm_commit_chunk_hash(commit, written->job, written->index);
+        chunk->write_back.rejected_hash = pm_commit_chunk_hash(commit, change->job, change->index);
     chunk->write_back.write_alone = true;
 }
 
 /* Schedules another write of the chunk, which will compare the revision that the watch shows at
- * that time. If the failed transaction is still executed later, the compares of either that
- * transaction or the new one fail, so only one of them takes effect. */
+ * that time. A transaction that failed without an answer may still be executed, even after the new
+ * one was sent. Whichever of the two is executed second then has no effect, since a revision that
+ * it compares has changed. */
 static void chunk_failed(const struct pm_commit *commit, struct pm_chunk *chunk,
-                         const struct written_value *written, enum pm_store_result result,
+                         const struct commit_change *change, enum pm_store_result result,
                          double now)
 {
     chunk->write_back.failures++;
     if (result == PM_STORE_REJECTED)
-        chunk_rejected(commit, chunk, written);
-    if (!written->is_delete)
-        chunk->write_back.dirty |= pm_chunk_dirty_bits(written->half);
-    else if (written->half == PM_CHUNK_WHOLE)
+        chunk_rejected(commit, chunk, change);
+    if (!change->is_delete)
+        chunk->write_back.dirty |= pm_chunk_dirty_bits(change->half);
+    else if (change->half == PM_CHUNK_WHOLE)
         chunk->write_back.dirty |= PM_DIRTY_WHOLE;
+    /* Halves are deleted only with the job's final state, which is retried until it succeeds. */
     chunk->write_back.retry_at =
         now + retry_delay_s(result) *
                   (1 << MIN(chunk->write_back.failures / FAILURES_PER_DOUBLING, DOUBLINGS_MAX));
 }
 
-static void apply_to_chunk(const struct pm_commit *commit, const struct written_value *written,
+static void apply_to_chunk(const struct pm_commit *commit, const struct commit_change *change,
                            enum pm_store_result result, uint64_t store_revision, double now)
 {
-    struct pm_job *job = written->job;
-    struct pm_chunk *chunk = written->index < job->chunk_count ? job->chunks[written->index] : NULL;
+    struct pm_job *job = change->job;
+    struct pm_chunk *chunk = change->index < job->chunk_count ? job->chunks[change->index] : NULL;
 
     if (!chunk)
         return; /* the feed has shown the job's final state, and the chunks were freed */
     chunk->write_back.in_flight = false;
     if (result == PM_STORE_OK)
-        chunk_succeeded(chunk, written, store_revision);
+        chunk_succeeded(chunk, change, store_revision);
     else
-        chunk_failed(commit, chunk, written, result, now);
+        chunk_failed(commit, chunk, change, result, now);
 }
 
 static void apply_to_final_state(struct pm_job *job, enum pm_store_result result, double now)
@@ -131,21 +133,21 @@
                                      enum pm_store_result result)
 {
     if (result == PM_STORE_OK && job->spec)
-        job->spec->overflow_lists = MIN(job->spec->overflow_lists, (uint32_t)list_index);
+        job->spec->overflow_list_count = MIN(job->spec->overflow_list_count, (uint32_t)list_index);
 }
 
-static void apply_to_value(const struct pm_commit *commit, const struct written_value *written,
-                           enum pm_store_result result, uint64_t store_revision, double now)
+static void apply_change_result(const struct pm_commit *commit, const struct commit_change *change,
+                                enum pm_store_result result, uint64_t store_revision, double now)
 {
-    switch (written->kind) {
-    case WRITTEN_FINAL_STATE:
-        apply_to_final_state(written->job, result, now);
+    switch (change->kind) {
+    case CHANGE_FINAL_STATE:
+        apply_to_final_state(change->job, result, now);
         break;
-    case WRITTEN_CHUNK:
-        apply_to_chunk(commit, written, result, store_revision, now);
+    case CHANGE_CHUNK:
+        apply_to_chunk(commit, change, result, store_revision, now);
         break;
-    case WRITTEN_DEPENDENCY_LIST:
-        apply_to_dependency_list(written->job, written->index, result);
+    case CHANGE_DEPENDENCY_LIST:
+        apply_to_dependency_list(change->job, change->index, result);
         break;
     }
 }
@@ -170,9 +172,9 @@
     const struct pm_commit *commit = transaction->commit;
     double now = pm_clock_monotonic();
 
-    for (guint i = 0; i < transaction->values->len; i++)
-        apply_to_value(commit, &g_array_index(transaction->values, struct written_value, i), result,
-                       store_revision, now);
+    for (guint i = 0; i < transaction->changes->len; i++)
+        apply_change_result(commit, &g_array_index(transaction->changes, struct commit_change, i),
+                            result, store_revision, now);
     for (guint i = 0; result == PM_STORE_OK && i < transaction->placements->len; i++)
         mark_durable(commit, &g_array_index(transaction->placements, struct proposed_placement, i));
 }
@@ -194,13 +196,15 @@
     struct commit_transaction *transaction = arg;
     struct pm_commit *commit = transaction->commit;
 
+    /* The result of a transaction that was sent before the last reset is ignored. */
     if (transaction->generation == commit->generation) {
         commit->in_flight--;
         apply_result(transaction, result, store_revision);
         if (result == PM_STORE_OK)
             commit->hooks.epoch_confirmed(commit->hooks.arg, transaction->sent_at, store_revision);
         else
-            pm_debug("commit.failed", "transaction failed with status %d (%s)", result,
+            pm_debug("commit.failed",
+                     "a transaction with changes of jobs failed with result %d (%s)", result,
                      pm_store_result_name(result));
         report_epoch_conflict(commit, conflicting_keys);
     }
--- a/src/jobs/commit_transaction.c
+++ b/src/jobs/commit_transaction.c
@@ -22,7 +22,7 @@
     transaction->sent_at = now;
     transaction->max_writes = max_writes;
     transaction->placements = g_array_new(FALSE, FALSE, sizeof(struct proposed_placement));
-    transaction->values = g_array_new(FALSE, FALSE, sizeof(struct written_value));
+    transaction->changes = g_array_new(FALSE, FALSE, sizeof(struct commit_change));
     pm_txn_compare(&transaction->txn, PM_KEY_EPOCH, conditions->epoch_revision);
     if (conditions->shard_key)
         pm_txn_compare(&transaction->txn, conditions->shard_key, conditions->shard_revision);
@@ -32,7 +32,7 @@
 void pm_commit_transaction_free(struct commit_transaction *transaction)
 {
     g_array_free(transaction->placements, TRUE);
-    g_array_free(transaction->values, TRUE);
+    g_array_free(transaction->changes, TRUE);
     pm_txn_free(&transaction->txn);
     g_free(transaction);
 }
@@ -52,17 +52,17 @@
     return transaction->max_writes - transaction->txn.write_count;
 }
 
-static void record_written_value(struct commit_transaction *transaction, struct written_value value)
+static void record_change(struct commit_transaction *transaction, struct commit_change change)
 {
-    g_array_append_val(transaction->values, value);
+    g_array_append_val(transaction->changes, change);
 }
 
 static void compare_job(struct commit_transaction *transaction, const struct pm_job *job)
 {
     char key[PM_JOBS_KEY_MAX];
 
-    for (guint i = 0; i < transaction->values->len; i++)
-        if (g_array_index(transaction->values, struct written_value, i).job == job)
+    for (guint i = 0; i < transaction->changes->len; i++)
+        if (g_array_index(transaction->changes, struct commit_change, i).job == job)
             return; /* compared already */
     pm_job_key_write(job, key);
     pm_txn_compare(&transaction->txn, key, job->revision);
@@ -108,8 +108,7 @@
     chunk->write_back.dirty &= ~pm_chunk_dirty_bits(half);
     chunk->write_back.in_flight = true;
     job->write_back.chunk_write_attempted = true;
-    record_written_value(transaction,
-                         (struct written_value){job, WRITTEN_CHUNK, chunk_index, half, false});
+    record_change(transaction, (struct commit_change){job, CHANGE_CHUNK, chunk_index, half, false});
 }
 
 static void delete_chunk(struct commit_transaction *transaction, struct pm_job *job,
@@ -120,8 +119,7 @@
     pm_chunk_key_write(job, chunk_index, half, key);
     pm_txn_delete(&transaction->txn, key);
     job->chunks[chunk_index]->write_back.in_flight = true;
-    record_written_value(transaction,
-                         (struct written_value){job, WRITTEN_CHUNK, chunk_index, half, true});
+    record_change(transaction, (struct commit_change){job, CHANGE_CHUNK, chunk_index, half, true});
 }
 
 /* Adds writes of the chunk's halves. A chunk that is stored as one value, and has become too large
@@ -201,13 +199,13 @@
 {
     char key[PM_JOBS_KEY_MAX];
 
-    for (uint32_t count = job->spec->overflow_lists; count > 0 && writes_left(transaction) > 0;
+    for (uint32_t count = job->spec->overflow_list_count; count > 0 && writes_left(transaction) > 0;
          count--) {
         int last = (int)count - 1;
         pm_dependency_list_key_write(job, last, key);
         pm_txn_delete(&transaction->txn, key);
-        record_written_value(transaction, (struct written_value){job, WRITTEN_DEPENDENCY_LIST, last,
-                                                                 PM_CHUNK_WHOLE, true});
+        record_change(transaction, (struct commit_change){job, CHANGE_DEPENDENCY_LIST, last,
+                                                          PM_CHUNK_WHOLE, true});
     }
 }
 
@@ -236,15 +234,15 @@
 
     if (has_chunk_in_flight(job) || writes_left(transaction) < 1)
         return;
-    fits =
-        count_stored_chunks(job) + (int)job->spec->overflow_lists + 1 <= writes_left(transaction);
-    if (!fits && transaction->values->len)
+    fits = count_stored_chunks(job) + (int)job->spec->overflow_list_count + 1 <=
+           writes_left(transaction);
+    if (!fits && transaction->changes->len)
         return; /* the job waits for a transaction of its own */
     compare_job(transaction, job);
     if (fits || !final_is_stored)
         put_final_state(transaction, job, !fits);
-    record_written_value(
-        transaction, (struct written_value){job, WRITTEN_FINAL_STATE, 0, PM_CHUNK_WHOLE, false});
+    record_change(transaction,
+                  (struct commit_change){job, CHANGE_FINAL_STATE, 0, PM_CHUNK_WHOLE, false});
     job->write_back.final_in_flight = true;
     if (!fits && !final_is_stored)
         return; /* lists and chunks are deleted once the final state is durable */
--- a/src/jobs/dependencies.c
+++ b/src/jobs/dependencies.c
@@ -6,7 +6,7 @@
 /* A job in the graph. Nodes are reference-counted: a removed node stays allocated while the lists
  * of other nodes refer to it, so that removing a node need not search their lists. */
 struct node {
-    struct pm_job *job; /* NULL if others depend on it, but the job itself is not known yet */
+    struct pm_job *job; /* NULL while the job is not known yet, and once the node is removed */
     bool is_added;      /* the edges to its dependencies were added */
     bool is_removed;    /* no longer in the graph */
     bool is_queued;     /* in the queue of the current traversal */
@@ -18,7 +18,7 @@
     struct pm_name_tables *tables;
     GPtrArray *nodes; /* by index in `dependency_ids`; NULL if removed, or if the job has neither
                        * dependencies nor dependents */
-    uint64_t steps;
+    uint64_t edges_visited;
 };
 
 struct pm_dependency_graph *pm_dependencies_new(struct pm_name_tables *tables)
@@ -76,13 +76,13 @@
     return node;
 }
 
-/* Removes the node from the graph. The lists of other nodes may refer to it until these are
- * removed. */
+/* Removes the node from the graph. The lists of other nodes may still refer to it; its memory is
+ * freed when the last of those nodes is removed. */
 static void remove_node(struct pm_dependency_graph *graph, int index)
 {
     struct node *node = find_node(graph, index);
 
-    graph->steps += node->dependencies->len + node->dependents->len;
+    graph->edges_visited += node->dependencies->len + node->dependents->len;
     g_ptr_array_index(graph->nodes, index) = NULL;
     node->is_removed = true;
     node->job = NULL;
@@ -114,8 +114,9 @@
     return is_changed;
 }
 
-/* Whether the dependency was accepted before the dependent, as is so for all accepted jobs. */
-static bool is_in_order(const struct node *dependency, const struct node *dependent)
+/* Whether the dependency is known and was accepted before the dependent. The API accepts no other
+ * dependencies; the check keeps a malformed stored value from making a traversal run in circles. */
+static bool was_accepted_before(const struct node *dependency, const struct node *dependent)
 {
     return dependency->job && dependency->job->revision < dependent->job->revision;
 }
@@ -160,8 +161,8 @@
         const struct node *dependent = dequeue(queue);
         for (guint i = 0; i < dependent->dependencies->len; i++) {
             struct node *dependency = g_ptr_array_index(dependent->dependencies, i);
-            graph->steps++;
-            if (!dependency->is_removed && is_in_order(dependency, dependent) &&
+            graph->edges_visited++;
+            if (!dependency->is_removed && was_accepted_before(dependency, dependent) &&
                 inherit(dependency->job, dependent->job))
                 enqueue(queue, dependency);
         }
@@ -171,8 +172,9 @@
 
 /* ---- adding jobs ---- */
 
-/* Records that a dependency of the job ended at the wall-clock time `ended_wall` (0 if not known).
- * The job's waiting time counts from the last such end. */
+/* Records that a dependency of the job ended at the time of day `ended_wall` (0 if not known). The
+ * job's waiting time counts from the last such end. After an end at an unknown time the record
+ * stays INFINITY, and the scheduler counts from when it first finds the dependencies met. */
 static void record_dependency_end(struct pm_job *job, double ended_wall)
 {
     double *last_ended_wall = &job->dependencies.last_ended_wall;
@@ -203,21 +205,22 @@
                                  pm_dependency_lookup *lookup, void *arg)
 {
     const struct pm_spec *spec = node->job->spec;
-    uint64_t cancelled = 0;
+    uint64_t earliest_cancellation = 0;
 
     for (uint32_t i = 0; i < spec->dependency_count; i++) {
         int index = spec->dependencies[i];
         struct pm_dependency_outcome outcome =
             lookup(arg, pm_names_text(graph->tables->dependency_ids, index));
-        graph->steps++;
+        graph->edges_visited++;
         if (outcome.cancellation_revision)
-            cancelled = earlier_revision(cancelled, outcome.cancellation_revision);
+            earliest_cancellation =
+                earlier_revision(earliest_cancellation, outcome.cancellation_revision);
         else if (outcome.job && outcome.job->state == PM_JOB_DONE)
             record_dependency_end(node->job, outcome.job->ended_wall);
         else
             add_edge(graph, node, index, outcome.job);
     }
-    return cancelled;
+    return earliest_cancellation;
 }
 
 /* Lets a node that has just been added inherit from dependents that were added before it. */
@@ -225,8 +228,8 @@
 {
     for (guint i = 0; i < node->dependents->len; i++) {
         const struct node *dependent = g_ptr_array_index(node->dependents, i);
-        graph->steps++;
-        if (!dependent->is_removed && is_in_order(node, dependent))
+        graph->edges_visited++;
+        if (!dependent->is_removed && was_accepted_before(node, dependent))
             inherit(node->job, dependent->job);
     }
 }
@@ -238,16 +241,16 @@
     int index =
         job->spec->dependency_count ? pm_names_intern(ids, job->id) : pm_names_find(ids, job->id);
     struct node *node = index >= 0 ? ensure_node(graph, index) : NULL;
-    uint64_t cancelled;
+    uint64_t earliest_cancellation;
 
     if (!node || node->is_added)
         return 0; /* the job has neither dependencies nor dependents so far, or was added before */
     node->job = job;
     node->is_added = true;
-    cancelled = add_dependencies(graph, node, lookup, arg);
+    earliest_cancellation = add_dependencies(graph, node, lookup, arg);
     inherit_from_dependents(graph, node);
     propagate(graph, node);
-    return cancelled;
+    return earliest_cancellation;
 }
 
 /* ---- jobs that end ---- */
@@ -307,5 +310,5 @@
 
 uint64_t pm_dependencies_edges_visited(const struct pm_dependency_graph *graph)
 {
-    return graph->steps;
+    return graph->edges_visited;
 }
--- a/src/jobs/dependencies.h
+++ b/src/jobs/dependencies.h
@@ -28,7 +28,7 @@
 /* Frees the graph, but not its jobs. */
 void pm_dependencies_free(struct pm_dependency_graph *graph);
 
-/* What the replica knows of a job that others depend on: NULL and 0 if it knows nothing. */
+/* What the replica knows of a job that others depend on. `job` is NULL if the job is not known. */
 struct pm_dependency_outcome {
     struct pm_job *job;
     uint64_t cancellation_revision; /* store revision of its cancellation; 0 if there is none */
@@ -43,7 +43,7 @@
 uint64_t pm_dependencies_add(struct pm_dependency_graph *graph, struct pm_job *job,
                              pm_dependency_lookup *lookup, void *arg);
 
-/* Records that the job with that id is durably done, since the wall-clock time `ended_wall` (0 if
+/* Records that the job with that id is durably done, since the time of day `ended_wall` (0 if
  * not known), and removes it from the graph. Its dependents may start if they have no other unmet
  * dependencies. */
 void pm_dependencies_mark_done(struct pm_dependency_graph *graph, const char *id,
--- a/src/jobs/dependency_codec.c
+++ b/src/jobs/dependency_codec.c
@@ -53,7 +53,7 @@
     return true;
 }
 
-bool pm_overflow_lists_decode(const cbor_item_t *value, uint64_t *out)
+bool pm_overflow_list_count_decode(const cbor_item_t *value, uint64_t *out)
 {
     *out = 0;
     return !pm_cbor_has(value, FIELD_OVERFLOW_LISTS) ||
@@ -70,8 +70,8 @@
     return (uint32_t)MAX(1, (value_size_max(tables) - LIST_OVERHEAD) / (PM_ID_MAX + TEXT_OVERHEAD));
 }
 
-uint32_t pm_spec_overflow_lists(const struct pm_name_tables *tables, const struct pm_spec *spec,
-                                size_t size)
+uint32_t pm_spec_overflow_list_count(const struct pm_name_tables *tables,
+                                     const struct pm_spec *spec, size_t size)
 {
     uint32_t per_list = ids_per_list(tables);
 
--- a/src/jobs/feed.c
+++ b/src/jobs/feed.c
@@ -10,7 +10,7 @@
 static void set_state(struct pm_jobs *jobs, struct pm_job *job, enum pm_job_state state)
 {
     if (state == PM_JOB_CANCELLED)
-        job->dependencies.cancelled_by_dependency = false; /* its own value says so now */
+        job->dependencies.cancelled_by_dependency = false; /* the job's own value records it */
     /* A job whose cancellation is known stays cancelled: a value with another state is older. */
     job->state = job->cancellation_revision ? PM_JOB_CANCELLED : state;
     if (job->state == PM_JOB_CANCELLED && !job->cancellation_revision) {
@@ -38,7 +38,7 @@
     return true;
 }
 
-/* Applies the part of a well-formed value that follows the job's state. */
+/* Applies a well-formed value, except for the job's state, which the caller has applied. */
 static void apply_job_value(struct pm_jobs *jobs, struct pm_job *job, const cbor_item_t *value,
                             uint32_t task_count)
 {
@@ -163,7 +163,7 @@
     gpointer value;
 
     /* p/j keys are never deleted, so only chunks can have been deleted while no watch was open. The
-     * listing puts those that exist again, after their jobs, since it is in order of keys. */
+     * listing shows those that still exist, after their jobs, since it is in order of keys. */
     g_hash_table_iter_init(&iter, jobs->by_id);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct pm_job *job = value;
--- a/src/jobs/internal.h
+++ b/src/jobs/internal.h
@@ -125,7 +125,7 @@
 /* Whether the p/j value contains the job's description. */
 bool pm_job_value_has_description(const cbor_item_t *value);
 
-/* Reads the wall-clock time at which a job that is done ended; `*ended_wall` is unchanged if the
+/* Reads the time of day at which a job that is done ended; `*ended_wall` is unchanged if the
  * value does not have it. */
 void pm_job_end_time_decode(const cbor_item_t *value, double *ended_wall);
 
@@ -133,7 +133,7 @@
 
 /* Reads the number of p/n values that list the job's dependencies; 0 if the p/j value lists them
  * itself. Returns false if the field is malformed. */
-bool pm_overflow_lists_decode(const cbor_item_t *value, uint64_t *out);
+bool pm_overflow_list_count_decode(const cbor_item_t *value, uint64_t *out);
 
 /* Adds the field with the dependencies from index `first` up to, but not including, `end` to the
  * map that is being written to `out`. */
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -2,8 +2,8 @@
  * that places it, which is the leader or, for a delegated job, the owner of its shard.
  *
  * The fields are grouped by the part that writes them. Jobs belong to `struct pm_jobs` (jobs.h) and
- * are guarded by `struct pm_controller.lock`. Times named `*_wall` are wall-clock times, all other
- * times are monotonic; both are in seconds. */
+ * are guarded by `struct pm_controller.lock`. Times named `*_wall` are times of day (seconds since
+ * 1970), all other times are monotonic seconds. */
 #ifndef PM_JOBS_JOB_H
 #define PM_JOBS_JOB_H
 
@@ -46,10 +46,10 @@
     bool is_starving;          /* has waited too long to start and is placed first */
     bool is_overdue_start;     /* its running tasks were started because it was starving */
     bool has_fully_started;    /* at some moment, each of its tasks was either placed or done */
-    double fully_started_at;   /* when that was; 0 if before this controller became active */
-    double remaining_cpu_s;    /* array: processor-seconds of work left, as ranked */
-    double run_time_sum_s;     /* measured run times of its tasks, used to correct the submitted
-                                * estimate, which may be far off */
+    double fully_started_at; /* when that was first so; 0 if before this controller became active */
+    double remaining_cpu_s;  /* array: processor-seconds of work left, for its rank */
+    double run_time_sum_s;   /* measured run times of its tasks, used to correct the submitted
+                              * estimate, which may be far off */
     uint32_t run_time_samples; /* number of measurements in `run_time_sum_s` */
     bool counted_in_demand;    /* counted in the autoscaler's measured rate of array work */
     double backoff_until;      /* the latest `backoff_until` of its tasks (struct pm_task) */
@@ -125,6 +125,6 @@
 
 /* Drops the job's working state and rebuilds its counts from the replica. The placements must have
  * been removed before. */
-void pm_job_reset_work(struct pm_job *job);
+void pm_job_reset_working_state(struct pm_job *job);
 
 #endif
--- a/src/jobs/job_codec.c
+++ b/src/jobs/job_codec.c
@@ -26,8 +26,8 @@
 
 /* ---- reading fields ----
  *
- * Each sets `*reason`, if it has that argument, to the name of the field, and returns false if the
- * field is missing or invalid. */
+ * Each function sets `*reason`, if it has that argument, to the name of the field, and returns
+ * false if the field is missing or invalid. */
 
 static bool read_name(const cbor_item_t *body, const char *key, char *out, const char **reason)
 {
@@ -270,8 +270,8 @@
     pm_cbor_put_pair_text(out, FIELD_PRIORITY, priority_names[spec->priority]);
     write_amounts(spec, out);
     write_placement_rules(tables, spec, out);
-    if (spec->overflow_lists)
-        pm_cbor_put_pair_count(out, FIELD_OVERFLOW_LISTS, spec->overflow_lists);
+    if (spec->overflow_list_count)
+        pm_cbor_put_pair_count(out, FIELD_OVERFLOW_LISTS, spec->overflow_list_count);
     else if (spec->dependency_count)
         pm_dependencies_field_encode(tables, spec, 0, spec->dependency_count, out);
     pm_cbor_put_pair_number(out, FIELD_SUBMITTED_WALL, spec->submitted_wall);
--- a/src/jobs/job_dependencies.c
+++ b/src/jobs/job_dependencies.c
@@ -49,14 +49,14 @@
     uint64_t lists = 0;
     bool is_readable = pm_dependency_ids_decode(value, &ids);
 
-    is_readable &= pm_overflow_lists_decode(value, &lists);
+    is_readable &= pm_overflow_list_count_decode(value, &lists);
     if (!is_readable)
         pm_error("jobs.unreadable_value", "malformed dependencies of job %s, which will not start",
                  job->id);
     if (!is_readable || lists) {
-        spec->overflow_lists = (uint32_t)MIN(lists, PM_JOB_TASKS_MAX);
+        spec->overflow_list_count = (uint32_t)MIN(lists, PM_JOB_TASKS_MAX);
         job->dependencies.incomplete = true;
-        job->dependencies.unmet_count++; /* one for all that are not known yet */
+        job->dependencies.unmet_count++; /* stands in for all dependencies that are not known yet */
     }
     if (ids) {
         pm_spec_set_dependencies(jobs->tables, spec, ids);
@@ -91,7 +91,7 @@
 void pm_jobs_complete_dependencies(struct pm_jobs *jobs, struct pm_job *job)
 {
     const GPtrArray *lists = g_hash_table_lookup(jobs->overflow_lists, job->id);
-    uint32_t count = job->spec ? job->spec->overflow_lists : 0;
+    uint32_t count = job->spec ? job->spec->overflow_list_count : 0;
     GPtrArray *ids;
 
     if (!job->dependencies.incomplete || !count || !has_all_lists(lists, count))
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -77,7 +77,7 @@
         return;
     job->is_active = true;
     job->delegated = jobs->delegated;
-    job->parallelism = UINT32_MAX;
+    job->parallelism = UINT32_MAX; /* not limited: the job is not leased to this controller */
     g_ptr_array_add(jobs->active, job);
 }
 
@@ -103,12 +103,12 @@
     for (guint i = 0; i < jobs->active->len; i++) {
         struct pm_job *job = g_ptr_array_index(jobs->active, i);
         job->delegated = delegated;
-        job->parallelism = UINT32_MAX;
+        job->parallelism = UINT32_MAX; /* not limited, as in pm_jobs_activate */
     }
 }
 
-void pm_jobs_reset_work(struct pm_jobs *jobs)
+void pm_jobs_reset_working_state(struct pm_jobs *jobs)
 {
     for (guint i = 0; i < jobs->active->len; i++)
-        pm_job_reset_work(g_ptr_array_index(jobs->active, i));
+        pm_job_reset_working_state(g_ptr_array_index(jobs->active, i));
 }
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -5,13 +5,16 @@
  * the state service's feed; the planner thread reads and changes the working state during a plan.
  * Nothing here does I/O or reads a clock.
  *
- * The replica reads these keys, which the write-back (commit.h) writes:
+ * The state service's feed is a full listing of the keys, followed by a watch that shows each later
+ * change. After a loss of the connection the feed may begin again with a listing.
  *
- * - p/j/ID has the job's description while the job is live, and its final state from then on. This
- * key is never deleted.
+ * The replica reads these keys:
  *
- * - p/n/ID/K has a list of the job's dependencies, if they do not fit into p/j/ID. The lists are
- * written before p/j/ID, which has their number.
+ * - p/j/ID has the job's description until the job ends, and its final state afterwards. This key
+ * is never deleted.
+ *
+ * - p/n/ID/K has a list of the job's dependencies, if they do not fit into p/j/ID. These lists are
+ * written before p/j/ID, which states how many lists there are.
  *
  * - p/t/ID/K has tasks 128*K to 128*K+127 (a chunk): which of them are done, and where the others
  * are placed.
@@ -63,15 +66,16 @@
 /* Applies the deletion of `key` at `revision`. Returns the job that changed; NULL if none did. */
 struct pm_job *pm_jobs_apply_delete(struct pm_jobs *jobs, const char *key, uint64_t revision);
 
-/* Called before a full listing is applied: marks all chunks as not stored until the listing, or the
- * watch, puts them again. */
+/* Called before a full listing is applied: marks all chunks as not stored, until the listing or the
+ * watch after it shows them. */
 void pm_jobs_snapshot_begin(struct pm_jobs *jobs);
 
 /* ---- cancellations ----
  *
  * A controller may learn of a durable cancellation before the feed shows it, from its own write or
  * from a peer. It treats the job as cancelled from then on, though it still has the old revision of
- * the job's key. A write that compares this old revision fails, which is intended. */
+ * the job's key. A write that compares this old revision fails, so it cannot overwrite the
+ * cancellation. */
 
 struct pm_cancellation {
     uint64_t revision;
@@ -88,9 +92,10 @@
 uint64_t pm_jobs_cancellation_revision(const struct pm_jobs *jobs, const char *id);
 
 /* Returns the cancellations after `revision`, in order of revision, and sets `*count` to their
- * number. At most `limit` are returned, unless more are needed to return all cancellations of the
- * last revision. `*has_more` is set to whether later ones were left out. Borrowed; valid until
- * another cancellation is recorded. */
+ * number. At most `limit` are returned, but cancellations of one revision are never split, since
+ * the caller continues after the last revision; the count may therefore exceed `limit`. `*has_more`
+ * is set to whether later ones were left out. Borrowed; valid until another cancellation is
+ * recorded. */
 const struct pm_cancellation *pm_jobs_list_cancellations(struct pm_jobs *jobs, uint64_t revision,
                                                          size_t limit, size_t *count,
                                                          bool *has_more);
@@ -107,7 +112,8 @@
  * for those that become active later. */
 void pm_jobs_set_delegated(struct pm_jobs *jobs, bool delegated);
 
-/* Calls pm_job_reset_work for all active jobs. */
-void pm_jobs_reset_work(struct pm_jobs *jobs);
+/* Drops the working state of all active jobs and rebuilds their counts from the replica, when this
+ * controller begins or ceases to place jobs. The placements must have been removed before. */
+void pm_jobs_reset_working_state(struct pm_jobs *jobs);
 
 #endif
--- a/src/jobs/name_tables.h
+++ b/src/jobs/name_tables.h
@@ -24,6 +24,8 @@
 
 struct pm_name_tables {
     const struct pm_settings *settings; /* borrowed */
+    /* Names of job classes (pm_spec.class_index), of container images, of machine types (an index
+     * is also the index in `types`), and of machines. */
     struct pm_names *class_names, *image_names, *type_names, *machine_names;
     struct pm_names *dependency_ids; /* ids of jobs with dependencies or dependents */
     unsigned protocol_version;       /* highest that every controller reads (base/protocol.h) */
--- a/src/jobs/spec.h
+++ b/src/jobs/spec.h
@@ -1,7 +1,7 @@
 /* Job specs: descriptions of jobs, as users submit them.
  *
- * A description does not change once it is accepted, except for `overflow_lists`. It is owned by
- * its creator; one that belongs to a job is guarded by `struct pm_controller.lock`. */
+ * A description does not change once it is accepted, except for `overflow_list_count`. It is owned
+ * by its creator; one that belongs to a job is guarded by `struct pm_controller.lock`. */
 #ifndef PM_JOBS_SPEC_H
 #define PM_JOBS_SPEC_H
 
@@ -22,7 +22,8 @@
 };
 
 struct pm_spec {
-    /* Indices: of the class and of the image in the tables' names, of the team in the settings. */
+    /* Indices: of the job class in the tables' `class_names`, of the team in the settings, of the
+     * image in `image_names`. */
     int class_index, team, image;
     int zone; /* index in the settings' zones; -1 if any zone is allowed */
     enum pm_workload_kind kind;
@@ -37,11 +38,11 @@
     double estimated_run_s; /* run time of one task */
     double checkpoint_interval_s, checkpoint_duration_s;
     double deadline_s;         /* counted from the submission; negative if there is no deadline */
-    double submitted_wall;     /* wall-clock time of the submission */
+    double submitted_wall;     /* time of day of the submission */
     uint32_t dependency_count; /* number of jobs that have to be done before this one starts */
     int *dependencies;         /* owned; indices in the tables' `dependency_ids` */
-    uint32_t overflow_lists;   /* number of p/n values that list the dependencies; 0 if the job's
-                                * own value lists them */
+    uint32_t overflow_list_count; /* number of p/n values that list the dependencies; 0 if the job's
+                                   * own value lists them */
 };
 
 /* Frees the description and the list of its dependencies; NULL is allowed. */
--- a/src/jobs/submission.c
+++ b/src/jobs/submission.c
@@ -4,8 +4,8 @@
 
 #include <string.h>
 
-/* Submissions must have each of these flags. Stored descriptions need not: they may have been
- * accepted before the flags were required. */
+/* Whether the submission has all flags that submissions must have. Stored descriptions may lack
+ * some, since they may have been accepted before the flags were required. */
 static bool has_required_flags(const cbor_item_t *body, const char **reason)
 {
     static const char *const flags[] = {FIELD_SAME_ZONE, FIELD_SPREAD_ZONES, FIELD_SPOT};
--- a/src/jobs/task.h
+++ b/src/jobs/task.h
@@ -31,15 +31,15 @@
     uint32_t task_index, attempt;
     uint32_t incarnation; /* of the worker */
     enum pm_placement_state state;
-    bool should_stop;     /* the task is to be killed */
-    bool stop_pushed;     /* the kill was pushed, and the push has not failed */
-    bool seen_in_message; /* the worker's message that is being applied lists the task */
-    double grace_s;       /* how long the task may take to stop */
-    double placed_at;     /* when it was placed, or recovered from the replica */
-    double running_since; /* when it was first reported running; 0 if it was not */
-    uint64_t launch_push; /* number of the last push that carried the launch; 0 if there is none, or
-                           * once a push has been answered */
-    bool launch_outcome_unknown;    /* a push that carried the launch got no answer */
+    bool should_stop;            /* the task is to be killed */
+    bool stop_pushed;            /* the kill was pushed, and the push has not failed */
+    bool seen_in_message;        /* the worker's message that is being applied lists the task */
+    double grace_s;              /* how long the task may take to stop */
+    double placed_at;            /* when it was placed, or recovered from the replica */
+    double running_since;        /* when it was first reported running; 0 if it was not */
+    uint64_t launch_push_number; /* number of the last push that carried the launch; 0 if there is
+                                  * none, or once a push has been answered */
+    bool launch_outcome_unknown; /* a push that carried the launch got no answer */
     uint64_t launch_reply_sequence; /* sequence number of the heartbeat whose answer carried the
                                      * launch; 0 if none did */
 };
--- a/src/jobs/work.c
+++ b/src/jobs/work.c
@@ -131,7 +131,7 @@
     }
 }
 
-void pm_job_reset_work(struct pm_job *job)
+void pm_job_reset_working_state(struct pm_job *job)
 {
     job->work = (struct pm_job_work){0};
     job->write_back = (struct pm_job_write_back){0};
@@ -146,7 +146,7 @@
         if (chunk->is_stored)
             restore_chunk_work(job, chunk);
     }
-    /* The replica does not record this. It is inferred from the number of attempts, which is at
-     * least the number of tasks once all of them have been placed. */
+    /* The replica does not record whether all tasks were placed at some moment. This is inferred
+     * from the number of attempts, which by then is at least the number of tasks. */
     job->scheduling.has_fully_started = job->work.last_attempt >= job->task_count;
 }
--- a/src/scheduler/bin_packing.c
+++ b/src/scheduler/bin_packing.c
@@ -38,13 +38,13 @@
 {
     const struct pm_settings *settings = scheduler->tables->settings;
 
-    return machine->state == PM_MACHINE_UP && machine->heartbeat.is_known &&
-           !machine->shard.owner && !machine->shard.revoking && !machine->reservation.draining &&
-           !machine->heartbeat.spot_interruption_at && !pm_failures_is_machine_faulty(machine) &&
-           !machine->delivery.failures && pm_machine_is_verified(machine) &&
-           machine->heartbeat.orphan_tasks->len == 0 &&
+    return machine->state == PM_MACHINE_UP && machine->heartbeat.has_reported &&
+           !machine->shard.assigned_to && !machine->shard.revoking &&
+           !machine->reservation.draining && !machine->heartbeat.spot_interruption_at &&
+           !pm_failures_is_machine_faulty(machine) && !machine->delivery.failures &&
+           pm_machine_is_known_to_exist(machine) && machine->heartbeat.orphan_tasks->len == 0 &&
            !pm_machine_missed_heartbeat(machine, settings, now) &&
-           !pm_machine_is_not_reporting(machine, settings, now);
+           !pm_machine_only_answers_pushes(machine, settings, now);
 }
 
 bool pm_scheduler_has_free_capacity(const struct pm_machine *machine, const struct pm_spec *spec)
--- a/src/scheduler/capacity.c
+++ b/src/scheduler/capacity.c
@@ -35,8 +35,9 @@
     double machine_cpus = scheduler->tables->types[machine->type].cpus;
     double cpus;
 
-    if (machine->shard.owner || (machine->state == PM_MACHINE_BOOTING &&
-                                 pm_scheduler_is_boot_expected(scheduler->tables, machine, now)))
+    if (machine->shard.assigned_to ||
+        (machine->state == PM_MACHINE_BOOTING &&
+         pm_scheduler_is_boot_expected(scheduler->tables, machine, now)))
         totals->batch_cpus += machine_cpus;
     if (!pm_scheduler_is_machine_usable(scheduler, machine, now))
         return;
--- a/src/scheduler/consolidation.c
+++ b/src/scheduler/consolidation.c
@@ -159,7 +159,7 @@
     *fleet = (struct fleet_state){.free = g_new0(struct free_capacity, machines->len + 1)};
     for (guint i = 0; i < machines->len; i++) {
         const struct pm_machine *machine = g_ptr_array_index(machines, i);
-        if (!machine || machine->state != PM_MACHINE_UP || machine->shard.owner)
+        if (!machine || machine->state != PM_MACHINE_UP || machine->shard.assigned_to)
             continue;
         fleet->draining += machine->reservation.draining && machine->placements->len;
         if (machine->spot || !pm_scheduler_is_machine_usable(scheduler, machine, now))
--- a/src/scheduler/ledger_codec.c
+++ b/src/scheduler/ledger_codec.c
@@ -160,7 +160,8 @@
 
     for (guint i = 0; i < machines->len; i++) {
         const struct pm_machine *machine = g_ptr_array_index(machines, i);
-        if (machine && machine->heartbeat.is_known && machine->zone >= 0 && !machine->shard.owner)
+        if (machine && machine->heartbeat.has_reported && machine->zone >= 0 &&
+            !machine->shard.assigned_to)
             last_message_at[machine->zone] =
                 MAX(last_message_at[machine->zone], machine->heartbeat.last_message_at);
     }
@@ -208,7 +209,7 @@
             continue;
         job = pm_jobs_find(scheduler->jobs, id);
         if (job && job->state == PM_JOB_LIVE && job->spec)
-            pm_failures_report_job(job, now);
+            pm_failures_mark_job_failing(job, now);
     }
 }
 
--- a/src/scheduler/shard_leasing.c
+++ b/src/scheduler/shard_leasing.c
@@ -53,7 +53,7 @@
 {
     struct pm_machine_leasing *leasing = &scheduler->leasing;
 
-    if (machine->shard.owner ||
+    if (machine->shard.assigned_to ||
         !pm_scheduler_is_machine_allowed(scheduler->tables, job, machine->type, machine->zone,
                                          machine->spot) ||
         !pm_scheduler_has_free_capacity(machine, job->spec))
--- a/src/shards/adoption.c
+++ b/src/shards/adoption.c
@@ -8,7 +8,7 @@
     struct pm_machine *machine = pm_workers_find_or_add(
         shards->workers, pm_names_text(shards->tables->machine_names, index));
 
-    machine->shard.owner = (int)(shard - shards->shard) + 1;
+    machine->shard.assigned_to = (int)(shard - shards->shard) + 1;
     machine->state = PM_MACHINE_UP;
     machine->heartbeat.last_message_at = now;
     g_array_append_val(shard->target.machines, entry);
--- a/src/shards/machine_assignment.c
+++ b/src/shards/machine_assignment.c
@@ -37,7 +37,7 @@
     for (guint i = 0; i < machines->len; i++) {
         const struct pm_machine *machine = g_ptr_array_index(machines, i);
         const struct pm_machine_type *type;
-        if (!machine || !machine->shard.owner || machine->type < 0)
+        if (!machine || !machine->shard.assigned_to || machine->type < 0)
             continue;
         type = &tables->types[machine->type];
         plan->free[i] = (struct pm_machine_capacity){type->cpus, type->gpus, type->ram_gb};
@@ -157,7 +157,7 @@
     struct pm_shard *shard = waiting->shard;
     struct pm_shard_machine entry = {.index = machine->index, .state = PM_SHARD_MACHINE_ADDING};
 
-    machine->shard.owner = (int)(shard - plan->shards->shard) + 1;
+    machine->shard.assigned_to = (int)(shard - plan->shards->shard) + 1;
     plan->free[machine->index] = machine->free;
     reserve_capacity(plan, waiting, machine->index);
     plan->is_reserved[machine->index] = true;
--- a/src/shards/owner_request.c
+++ b/src/shards/owner_request.c
@@ -66,7 +66,7 @@
     for (size_t i = 0; i < response->n_unreachable; i++) {
         struct pm_machine *machine = pm_workers_find(shards->workers, response->unreachable[i]);
         double now = pm_clock_monotonic();
-        if (!machine || !machine->shard.owner)
+        if (!machine || !machine->shard.assigned_to)
             continue;
         if (now - machine->shard.reported_silent_at > SILENCE_REPORT_GAP_S)
             machine->shard.silent_since = now;
@@ -80,9 +80,9 @@
     for (guint i = 0; i < shard->target.jobs->len; i++) {
         struct pm_job *job = g_ptr_array_index(shard->target.jobs, i);
         if (pm_shard_message_has_name(response->failing, response->n_failing, job->id))
-            pm_failures_report_job(job, now);
+            pm_failures_mark_job_failing(job, now);
         else
-            pm_failures_clear_job(job);
+            pm_failures_clear_job_mark(job);
     }
 }
 
--- a/src/shards/owner_response.c
+++ b/src/shards/owner_response.c
@@ -32,8 +32,8 @@
     /* A machine that was reported as drained stays drained, because this controller no longer
      * answers its worker. */
     if (pm_machine_is_drained(machine, pm_election_epoch(shards->election)))
-        machine->shard.returned = true;
-    if (machine->shard.returned)
+        machine->shard.returned_to_leader = true;
+    if (machine->shard.returned_to_leader)
         pm_shard_message_add_name(&response->drained, &response->n_drained, machine->name);
 }
 
@@ -58,7 +58,7 @@
         response->launch_outcome_unknown = true;
     if (pm_failures_is_machine_faulty(machine))
         pm_shard_message_add_name(&response->quarantined, &response->n_quarantined, machine->name);
-    if (machine->heartbeat.is_known &&
+    if (machine->heartbeat.has_reported &&
         (pm_machine_is_unreachable(machine, now) ||
          pm_machine_missed_heartbeat(machine, shards->tables->settings, now)))
         pm_shard_message_add_name(&response->unreachable, &response->n_unreachable, machine->name);
--- a/src/shards/ownership.c
+++ b/src/shards/ownership.c
@@ -38,8 +38,8 @@
     machine = pm_workers_find_or_add(shards->workers, name);
     machine->state = PM_MACHINE_UP;
     machine->provider.is_listed = true;
-    /* Not 0, because the leader has verified that the machine exists; see pm_machine_is_verified.
-     * The actual time of the rental is not known here. */
+    /* Not 0, because the leader has verified that the machine exists; see
+     * pm_machine_is_known_to_exist. The actual time of the rental is not known here. */
     machine->provider.rented_at = now;
     machine->heartbeat.last_message_at = now;
     machine->heartbeat.incarnation = stored.incarnation;
--- a/src/shards/revocation.c
+++ b/src/shards/revocation.c
@@ -74,8 +74,8 @@
 
     if (!machine)
         return;
-    machine->shard.owner = 0;
-    machine->heartbeat.is_known = false;
+    machine->shard.assigned_to = 0;
+    machine->heartbeat.has_reported = false;
     machine->heartbeat.last_message_at = pm_clock_monotonic();
     machine->lease.exclusive_since =
         0; /* unknown until a majority has acknowledged the new epoch */
--- a/src/shards/shard_write.c
+++ b/src/shards/shard_write.c
@@ -22,8 +22,8 @@
 
     if (machine) {
         double now = pm_clock_monotonic();
-        machine->shard.owner = 0;
-        machine->heartbeat.is_known = false;
+        machine->shard.assigned_to = 0;
+        machine->heartbeat.has_reported = false;
         machine->heartbeat.last_message_at = now;
         machine->lease.exclusive_since = now;
         machine->provider.idle_since = 0;
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -64,7 +64,7 @@
 static bool is_launch_push_due(const struct pm_placement *placement,
                                const struct pm_machine *machine)
 {
-    return is_launch_due(placement, machine) && !placement->launch_push &&
+    return is_launch_due(placement, machine) && !placement->launch_push_number &&
            !placement->launch_reply_sequence;
 }
 
@@ -90,16 +90,16 @@
     return false;
 }
 
-/* Whether the worker may be told to forget the exited task. It may not while a copy of the launch
- * may still arrive, since that would start the task again: while a push is in flight or has an
- * unknown outcome, or while the worker would still obey an earlier token. Nor may it before the
- * exit is durable, since the exit would be lost with this controller. */
+/* Whether the worker may be told to forget the exited task. Returns false while a delayed launch
+ * could start the task again: a push is in flight or has an unknown outcome, or the worker still
+ * obeys an earlier token. Also returns false until the exit is durable, since the exit would
+ * otherwise be lost with this controller. */
 static bool may_forget(const struct pm_machine *machine, const struct pm_task_ref *task,
                        uint64_t epoch)
 {
     const struct pm_chunk *chunk;
 
-    if (machine->push.in_flight || machine->push.unknown_outcome_epoch ||
+    if (machine->push.in_flight_number || machine->push.unknown_outcome_epoch ||
         machine->heartbeat.fencing_token < epoch)
         return false;
     if (!task->job->chunks)
@@ -116,7 +116,7 @@
         struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
         if (is_launch_push_due(placement, machine)) {
             add_launch(list, placement);
-            placement->launch_push = machine->push.in_flight;
+            placement->launch_push_number = machine->push.in_flight_number;
             machine->push.has_launches = true;
         } else if (is_kill_push_due(placement, machine)) {
             add_kill(list, placement);
--- a/src/workers/failures.c
+++ b/src/workers/failures.c
@@ -175,7 +175,7 @@
         note_failure(placement->job, placement->machine, now);
 }
 
-void pm_failures_report_job(struct pm_job *job, double now)
+void pm_failures_mark_job_failing(struct pm_job *job, double now)
 {
     if (pm_failures_is_job_failing(job))
         return;
@@ -183,7 +183,7 @@
     schedule_retry(job, now);
 }
 
-void pm_failures_clear_job(struct pm_job *job)
+void pm_failures_clear_job_mark(struct pm_job *job)
 {
     job->failures.reported_failing = false;
 }
--- a/src/workers/failures.h
+++ b/src/workers/failures.h
@@ -22,16 +22,17 @@
 void pm_failures_note_running(const struct pm_placement *placement, double now);
 /* Marks the job as failing because another controller reported it: the owner of the job's shard, or
  * the previous leader. */
-void pm_failures_report_job(struct pm_job *job, double now);
-/* Clears that mark, because the owner of the job's shard no longer reports the job as failing. */
-void pm_failures_clear_job(struct pm_job *job);
+void pm_failures_mark_job_failing(struct pm_job *job, double now);
+/* Clears the mark that another controller's report has set, because the owner of the job's shard no
+ * longer reports the job as failing. */
+void pm_failures_clear_job_mark(struct pm_job *job);
 /* Marks the machine as faulty because the owner of its shard reported it. */
 void pm_failures_quarantine_machine(struct pm_machine *machine);
 
 /* Whether the job is failing. A failing job is retried with one task at a time and increasing
  * delays, and no tasks are preempted and no machines rented for it. */
 bool pm_failures_is_job_failing(const struct pm_job *job);
-/* Whether a failing job may be tried again. */
+/* Whether the retry delay of a failing job has passed, so that one of its tasks may start. */
 bool pm_failures_may_retry(const struct pm_job *job, double now);
 /* Whether the machine is faulty and has to be replaced. */
 bool pm_failures_is_machine_faulty(const struct pm_machine *machine);
--- a/src/workers/heartbeat.c
+++ b/src/workers/heartbeat.c
@@ -152,31 +152,33 @@
         return;
     }
     if (workers->ignored_tasks++ == 0)
-        pm_error("worker.bad_task", "%s reports %s, whose job, index or state is unknown here",
+        pm_error("worker.bad_task",
+                 "%s reports task %s, whose job, index or state is unknown; such tasks are "
+                 "ignored, and later ones are not logged",
                  machine->name, task.name);
 }
 
 /* ---- absence ---- */
 
-/* Whether a message that carries the launch may still reach the worker. An unanswered push may do
- * so until the worker has seen a later token or begun a later incarnation. The answer to a
- * heartbeat may do so until the next heartbeat arrives, since a worker has only one heartbeat in
- * flight and drops late answers. */
+/* Whether the worker may still receive a message with the launch and obey it. It may obey a push
+ * without an answer until it has seen a later token or begun a later incarnation. It may obey the
+ * answer to a heartbeat until its next heartbeat arrives here, since a worker has only one
+ * heartbeat in flight and drops late answers. */
 static bool may_launch_arrive(const struct pm_placement *placement,
-                              const struct pm_machine *machine, enum pm_task_list_source source)
+                              const struct pm_machine *machine, enum pm_report_source source)
 {
     if (placement->launch_reply_sequence &&
-        (source != PM_SOURCE_HEARTBEAT ||
+        (source != PM_REPORT_HEARTBEAT ||
          machine->heartbeat.sequence <= placement->launch_reply_sequence))
         return true;
-    return (placement->launch_push && machine->push.in_flight) ||
+    return (placement->launch_push_number && machine->push.in_flight_number) ||
            (placement->launch_outcome_unknown && machine->push.unknown_outcome_epoch);
 }
 
 /* Whether the task's absence from the latest message proves that the task does not run there. The
- * worker has to have seen the current epoch, and no launch may still be under way. */
+ * worker must have seen the current epoch, and no message with the launch must be on its way. */
 static bool is_absence_proven(const struct pm_placement *placement,
-                              const struct pm_machine *machine, enum pm_task_list_source source,
+                              const struct pm_machine *machine, enum pm_report_source source,
                               uint64_t epoch)
 {
     return !placement->seen_in_message && placement->state != PM_PLACEMENT_PROPOSED &&
@@ -187,7 +189,7 @@
 /* Ends the placements whose tasks are absent from the machine and can no longer be started there. A
  * launch that never arrived is made due again instead. */
 static void apply_absence(struct pm_workers *workers, struct pm_machine *machine,
-                          enum pm_task_list_source source, uint64_t epoch, double now)
+                          enum pm_report_source source, uint64_t epoch, double now)
 {
     for (guint i = 0; i < machine->placements->len;) {
         struct pm_placement *placement = g_ptr_array_index(machine->placements, i);
@@ -195,7 +197,7 @@
             i++;
             continue;
         }
-        placement->launch_reply_sequence = placement->launch_push = 0;
+        placement->launch_reply_sequence = placement->launch_push_number = 0;
         placement->launch_outcome_unknown = false;
         if (!placement->should_stop && placement->state <= PM_PLACEMENT_DURABLE) {
             i++; /* the launch never arrived; it is sent again, as the same attempt */
@@ -235,11 +237,11 @@
             machine, "its lease expired though its heartbeats were answered", now);
     else if (delivery->acked_epoch && heartbeat->sequence > delivery->acked_sequence &&
              heartbeat->fencing_token < delivery->acked_epoch)
-        pm_machine_note_delivery_failure(machine,
-                                         "it has not adopted the fencing token of an answer", now);
+        pm_machine_note_delivery_failure(
+            machine, "it reports an older fencing token than an earlier answer carried", now);
     else if (is_launch_missing(machine))
         pm_machine_note_delivery_failure(
-            machine, "it does not report the task of a launch that an answer carried", now);
+            machine, "it does not report a task whose launch an earlier answer carried", now);
 }
 
 /* ---- the report as a whole ---- */
@@ -272,19 +274,19 @@
 }
 
 static void apply_header(struct pm_machine *machine, const struct pm_report_header *report,
-                         enum pm_task_list_source source, double now)
+                         enum pm_report_source source, double now)
 {
     struct pm_machine_heartbeat *heartbeat = &machine->heartbeat;
 
-    if (report->incarnation > heartbeat->incarnation || !heartbeat->is_known)
+    if (report->incarnation > heartbeat->incarnation || !heartbeat->has_reported)
         machine->lease.incarnation_seen_at = now;
     heartbeat->incarnation = report->incarnation;
     heartbeat->sequence = report->sequence;
     heartbeat->fencing_token = report->fencing_token;
     heartbeat->last_message_at = now;
-    if (source == PM_SOURCE_HEARTBEAT || !heartbeat->is_known)
-        heartbeat->last_at = now;
-    heartbeat->is_known = true;
+    if (source == PM_REPORT_HEARTBEAT || !heartbeat->has_reported)
+        heartbeat->last_heartbeat_at = now;
+    heartbeat->has_reported = true;
     heartbeat->spot_interruption_at =
         report->has_interruption_notice ? now + report->interruption_in_s : 0;
 }
@@ -314,11 +316,11 @@
 }
 
 static void apply_report(struct pm_workers *workers, struct pm_machine *machine,
-                         const struct pm_report_header *report, enum pm_task_list_source source,
+                         const struct pm_report_header *report, enum pm_report_source source,
                          double now)
 {
     bool is_new_incarnation = report->incarnation > machine->heartbeat.incarnation;
-    bool was_known = machine->heartbeat.is_known;
+    bool had_reported = machine->heartbeat.has_reported;
 
     if (is_new_incarnation)
         begin_incarnation(workers, machine, report->incarnation, now);
@@ -330,23 +332,23 @@
     }
     clear_unknown_outcome(machine);
     apply_task_list(workers, machine, report->tasks, now);
-    if (source == PM_SOURCE_HEARTBEAT) {
-        check_delivery(machine, was_known && is_new_incarnation, workers->tables->settings->lease_s,
-                       now);
+    if (source == PM_REPORT_HEARTBEAT) {
+        check_delivery(machine, had_reported && is_new_incarnation,
+                       workers->tables->settings->lease_s, now);
     } else {
         machine->push.has_answered = true;
         machine->delivery.failures = 0;
     }
 }
 
-struct pm_machine *pm_workers_apply_heartbeat(struct pm_workers *workers, const cbor_item_t *item,
-                                              enum pm_task_list_source source, uint64_t epoch,
-                                              double now, bool *fresh)
+struct pm_machine *pm_workers_apply_report(struct pm_workers *workers, const cbor_item_t *item,
+                                           enum pm_report_source source, uint64_t epoch, double now,
+                                           bool *is_newest)
 {
     struct pm_report_header report;
     struct pm_machine *machine;
 
-    *fresh = false;
+    *is_newest = false;
     if (!pm_report_decode(item, &report))
         return NULL;
     machine = pm_workers_find_or_add(workers, report.machine);
@@ -356,7 +358,7 @@
         machine->heartbeat.last_stale_at = now;
         return machine;
     }
-    *fresh = true;
+    *is_newest = true;
     apply_report(workers, machine, &report, source, now);
     apply_absence(workers, machine, source, epoch, now);
     return machine;
--- a/src/workers/internal.h
+++ b/src/workers/internal.h
@@ -16,10 +16,10 @@
 /* ---- placements.c ---- */
 
 /* Ends a placement whose task has ended, or provably no longer runs: releases its capacity, calls
- * the hook, and then frees the placement. `saved` tells whether the task's progress was
- * checkpointed. */
+ * the hook, and then frees the placement. `checkpointed` tells whether the task's progress was
+ * saved by a checkpoint. */
 void pm_workers_end_placement(struct pm_workers *workers, struct pm_placement *placement,
-                              enum pm_task_exit end, bool saved, double now);
+                              enum pm_task_exit end, bool checkpointed, double now);
 
 /* ---- heartbeat_codec.c ---- */
 
@@ -57,7 +57,8 @@
 bool pm_task_name_parse(const char *text, char *id, uint32_t *task_index);
 /* Decodes an entry. Returns false if its name or attempt is missing or malformed. */
 bool pm_reported_task_decode(const cbor_item_t *item, struct pm_reported_task *out);
-/* Returns why the task has ended, and sets `*checkpointed` to whether its progress was saved. */
+/* Returns why the task has ended, and sets `*checkpointed` to whether its progress was
+ * saved by a checkpoint. */
 enum pm_task_exit pm_reported_task_exit(const struct pm_reported_task *task, bool *checkpointed);
 /* Decodes a report's header. Returns false if it is malformed. */
 bool pm_report_decode(const cbor_item_t *item, struct pm_report_header *out);
--- a/src/workers/machine_health.c
+++ b/src/workers/machine_health.c
@@ -10,8 +10,8 @@
 #define MISSED_MARGIN_S 1.0
 /* After a change of leader a worker tries one controller after the other. It finds the new leader
  * within this number of heartbeat intervals plus the margin. */
-#define NOT_REPORTING_INTERVALS 2
-#define NOT_REPORTING_MARGIN_S 4.0
+#define NO_HEARTBEAT_INTERVALS 2
+#define NO_HEARTBEAT_MARGIN_S 4.0
 /* Delivery failures that span less than this may have a single cause. */
 #define UNREACHABLE_MIN_S 1.5
 #define LEASE_MARGIN_S 0.2 /* for the time from a decision to its effect */
@@ -25,17 +25,17 @@
            MISSED_INTERVALS * settings->heartbeat_s + MISSED_MARGIN_S;
 }
 
-bool pm_machine_is_not_reporting(const struct pm_machine *machine,
-                                 const struct pm_settings *settings, double now)
+bool pm_machine_only_answers_pushes(const struct pm_machine *machine,
+                                    const struct pm_settings *settings, double now)
 {
     const struct pm_machine_heartbeat *heartbeat = &machine->heartbeat;
 
-    return heartbeat->is_known && heartbeat->last_message_at > heartbeat->last_at &&
-           now - heartbeat->last_at >=
-               NOT_REPORTING_INTERVALS * settings->heartbeat_s + NOT_REPORTING_MARGIN_S;
+    return heartbeat->has_reported && heartbeat->last_message_at > heartbeat->last_heartbeat_at &&
+           now - heartbeat->last_heartbeat_at >=
+               NO_HEARTBEAT_INTERVALS * settings->heartbeat_s + NO_HEARTBEAT_MARGIN_S;
 }
 
-bool pm_machine_is_verified(const struct pm_machine *machine)
+bool pm_machine_is_known_to_exist(const struct pm_machine *machine)
 {
     return machine->provider.is_listed || machine->provider.rented_at != 0 ||
            machine->push.has_answered;
@@ -45,7 +45,7 @@
 {
     const struct pm_machine_delivery *delivery = &machine->delivery;
 
-    /* A machine that has sent no message since is silent, not unreachable. */
+    /* A machine that has sent no message since the last failure is silent, not unreachable. */
     return delivery->failures >= UNREACHABLE_FAILURES_MIN &&
            machine->heartbeat.last_message_at >= delivery->failed_at &&
            now - delivery->failing_since > UNREACHABLE_MIN_S;
@@ -62,7 +62,7 @@
     delivery->failed_at = now;
 }
 
-void pm_machine_note_ack(struct pm_machine *machine, uint64_t epoch, double now)
+void pm_machine_note_heartbeat_ack(struct pm_machine *machine, uint64_t epoch, double now)
 {
     machine->lease.last_acked_at = now;
     machine->delivery.acked_epoch = epoch;
@@ -74,10 +74,10 @@
     const struct pm_machine_heartbeat *heartbeat = &machine->heartbeat;
     bool is_empty =
         !machine->placements->len && !heartbeat->exited_tasks->len && !heartbeat->orphan_tasks->len;
-    bool may_get_commands = machine->push.in_flight || machine->push.unknown_outcome_epoch ||
+    bool may_get_commands = machine->push.in_flight_number || machine->push.unknown_outcome_epoch ||
                             heartbeat->fencing_token < epoch;
 
-    return is_empty && !may_get_commands && heartbeat->is_known;
+    return is_empty && !may_get_commands && heartbeat->has_reported;
 }
 
 /* A worker's lease runs from its last answered heartbeat or, if none was answered in the current
--- a/src/workers/placements.c
+++ b/src/workers/placements.c
@@ -74,7 +74,7 @@
 }
 
 void pm_workers_end_placement(struct pm_workers *workers, struct pm_placement *placement,
-                              enum pm_task_exit end, bool saved, double now)
+                              enum pm_task_exit end, bool checkpointed, double now)
 {
     struct pm_job *job = placement->job;
     uint32_t task_index = placement->task_index;
@@ -84,7 +84,7 @@
     release_placement(placement);
     pm_job_mark_dirty(job, task_index);
     pm_failures_note_exit(placement, end, now);
-    workers->hooks.placement_ended(workers->hooks.arg, placement, end, saved, now);
+    workers->hooks.placement_ended(workers->hooks.arg, placement, end, checkpointed, now);
     pm_workers_remove_placement(workers, placement);
 }
 
--- a/src/workers/push.c
+++ b/src/workers/push.c
@@ -5,23 +5,23 @@
 uint64_t pm_worker_push_begin(struct pm_workers *workers, struct pm_machine *machine)
 {
     workers->push_count++;
-    machine->push.in_flight = workers->push_count;
+    machine->push.in_flight_number = workers->push_count;
     machine->push.has_launches = false;
-    return machine->push.in_flight;
+    return machine->push.in_flight_number;
 }
 
 static void settle_placement(struct pm_placement *placement, uint64_t number, int status)
 {
     if (status == PM_HTTP_NO_ANSWER) {
-        placement->launch_outcome_unknown |= placement->launch_push == number;
+        placement->launch_outcome_unknown |= placement->launch_push_number == number;
     } else if (status == PM_HTTP_NOT_SENT) {
-        if (placement->launch_push == number)
-            placement->launch_push = 0;
-    } else if (placement->launch_push <= number) {
+        if (placement->launch_push_number == number)
+            placement->launch_push_number = 0;
+    } else if (placement->launch_push_number <= number) {
         /* The worker answered, so a launch that it does not report is sent again. The answer proves
          * nothing about an earlier push without an answer, whose launch may still be carried out,
          * so `launch_outcome_unknown` stays. */
-        placement->launch_push = 0;
+        placement->launch_push_number = 0;
     }
     if (status != 200)
         placement->stop_pushed = false;
@@ -29,9 +29,9 @@
 
 bool pm_worker_push_done(struct pm_machine *machine, uint64_t number, uint64_t epoch, int status)
 {
-    if (machine->push.in_flight != number)
+    if (machine->push.in_flight_number != number)
         return false;
-    machine->push.in_flight = 0;
+    machine->push.in_flight_number = 0;
     for (guint i = 0; i < machine->placements->len; i++)
         settle_placement(g_ptr_array_index(machine->placements, i), number, status);
     /* A copy of an unanswered push may still arrive minutes later. */
--- a/src/workers/workers.h
+++ b/src/workers/workers.h
@@ -40,12 +40,15 @@
     unsigned failures;
 };
 
-/* Resources of a machine that are not allocated to a placement. */
+/* Resources of a machine that are not allocated to a placement. Written by placements.c, and by
+ * machines.c once the machine's type is known. */
 struct pm_machine_capacity {
     double cpus, gpus, ram_gb;
 };
 
-/* State reported by the worker's heartbeats and its replies to pushes. Written by heartbeat.c. */
+/* State reported by the worker's heartbeats and its replies to pushes. Written by heartbeat.c and
+ * placements.c. When the machine changes between the leader and a shard, the shards slice resets
+ * parts of it. */
 struct pm_machine_heartbeat {
     /* The worker's incarnation. The worker increases it each time its lease expires. */
     uint64_t incarnation;
@@ -54,10 +57,11 @@
     uint64_t fencing_token;   /* highest token that the worker has seen */
     /* A message has reached this controller since it became active, or since the machine last
      * returned from a shard. */
-    bool is_known;
+    bool has_reported;
     double last_message_at; /* monotonic: time of the latest message of any kind */
-    double last_at;         /* monotonic: time of the latest heartbeat, or start of the wait */
-    double last_stale_at;   /* monotonic: when a copy or an outdated message last arrived */
+    /* Monotonic: time of the latest heartbeat. Until the first one, time of the first message. */
+    double last_heartbeat_at;
+    double last_stale_at; /* monotonic: when a duplicate or outdated report last arrived */
     /* Monotonic: when the provider will reclaim the spot machine. 0 if it gave no notice. */
     double spot_interruption_at;
     /* Of struct pm_task_ref: tasks that exited there, and that the worker is to forget. */
@@ -68,7 +72,8 @@
 
 /* Whether messages of this controller reach the worker. A heartbeat that arrives does not show that
  * its answer does. A delivery failure is recorded when a push gets no answer, or when a later
- * heartbeat shows no trace of a command or a fencing token that an earlier answer carried. */
+ * heartbeat shows no trace of a command or a fencing token that an earlier answer carried. Written
+ * by machine_health.c; heartbeat.c resets the failures. */
 struct pm_machine_delivery {
     uint32_t failures;               /* failures since the worker last answered a push */
     double failing_since, failed_at; /* monotonic: the first and the last of these failures */
@@ -76,24 +81,29 @@
     uint64_t acked_sequence;         /* sequence number of that heartbeat */
 };
 
-/* Bounds on when the worker's lease was last renewed. */
+/* Bounds on when the worker's lease was last renewed. This controller's own messages are recorded
+ * by heartbeat.c and machine_health.c, the bound on other controllers by the shards slice and the
+ * daemon. */
 struct pm_machine_lease {
-    /* Monotonic: no other controller can have renewed the lease after this. 0 if unknown. */
+    /* Monotonic: since then no other controller can have renewed the lease. 0 if not known. */
     double exclusive_since;
-    /* The epoch under which the machine was reclaimed from a shard. 0 if it never was. */
+    /* The epoch under which the leader reclaimed the machine from the revoked shard of a lost
+     * owner, 0 if it never did. `exclusive_since` is derived from this epoch once a majority has
+     * acknowledged it. */
     uint64_t reclaimed_epoch;
     /* Monotonic: first message of the incarnation, and so an upper bound for its start. */
     double incarnation_seen_at;
     double last_acked_at; /* monotonic: this controller last answered a heartbeat with 200 */
 };
 
-/* Pushes: commands that are sent to the worker with POST /do, one request at a time. */
+/* Pushes: commands that are sent to the worker with POST /do, one request at a time. Written by
+ * the files of this slice; the daemon sets the times. */
 struct pm_machine_push {
-    bool has_answered;  /* the worker has answered a push */
-    uint64_t in_flight; /* number of the push without an answer yet, 0 if there is none */
-    bool has_launches;  /* the push in flight carries launches */
-    double retry_at;    /* monotonic: no push is sent before this */
-    double failed_at;   /* monotonic: when a push last failed */
+    bool has_answered;         /* the worker has answered a push */
+    uint64_t in_flight_number; /* of the push without an answer yet, 0 if there is none */
+    bool has_launches;         /* the push in flight carries launches */
+    double retry_at;           /* monotonic: no push is sent before this */
+    double failed_at;          /* monotonic: when a push last failed */
     /* Epoch and incarnation of a push that carried launches and got no answer. The epoch is 0 if
      * there is none. */
     uint64_t unknown_outcome_epoch;
@@ -102,12 +112,16 @@
 
 /* Which shard the machine is in. Written by the shards slice. */
 struct pm_machine_shard {
-    /* On the leader: 1 + the index of the peer that owns the machine, 0 if the leader owns it. */
-    int owner;
-    double reported_silent_at; /* monotonic, on the leader: when the owner last reported silence */
-    double silent_since;       /* monotonic: when the uninterrupted reports of silence began */
-    bool revoking;             /* on the owner: the leader has asked for the machine back */
-    bool returned; /* on the owner: given back, though the stored shard still lists it */
+    /* On the leader: 1 + the index of the peer to whose shard the machine is assigned, 0 if it is
+     * in no shard. Always 0 on other controllers. */
+    int assigned_to;
+    /* Monotonic, on the leader: when the owner last reported the worker silent or unreachable. */
+    double reported_silent_at;
+    /* Monotonic, on the leader: when the current unbroken series of such reports began. */
+    double silent_since;
+    bool revoking; /* on the owner: the leader has asked for the machine back */
+    /* On the owner: reported to the leader as drained, though the stored shard still lists it. */
+    bool returned_to_leader;
 };
 
 /* What the machine's capacity is reserved for. Written by the scheduler. */
@@ -118,7 +132,8 @@
     bool draining;             /* being emptied, so that it can be terminated */
 };
 
-/* The machine as the provider knows it. Written by the autoscaler. */
+/* The machine as the provider knows it. Written by the autoscaler; placements.c resets
+ * `idle_since`, and heartbeat.c `absent_since`. On a shard's owner the shards slice fills it in. */
 struct pm_machine_provider {
     double rented_at;          /* monotonic, 0 if not known */
     double idle_since;         /* monotonic, 0 if the machine is not idle */
@@ -129,13 +144,14 @@
     double terminate_retry_at; /* monotonic: no request to terminate it is sent before this */
 };
 
-/* Failures of tasks on the machine (failures.h). */
+/* Failures of tasks on the machine (failures.h). Written by failures.c. */
 struct pm_machine_failures {
     GArray *records;           /* of struct pm_failure_record, NULL if there are none */
     bool quarantined_by_owner; /* the owner of the machine's shard reported it as faulty */
 };
 
-/* The images that are known to be cached on the machine, most recently used first. */
+/* The images that are known to be cached on the machine, most recently used first. Written by
+ * heartbeat.c; after a change of leader the scheduler restores them from the ledger. */
 struct pm_machine_images {
     int count;
     struct pm_cached_image {
@@ -144,8 +160,8 @@
     } cached[PM_CACHED_IMAGES_MAX];
 };
 
-/* A machine and its worker. Each embedded structure is written by one part of the program, which
- * the structure's comment names. Fields that every plan reads come first, large fields last. */
+/* A machine and its worker. The comment of each embedded structure names the parts of the program
+ * that write it. Fields that every plan reads come first, large fields last. */
 struct pm_machine {
     int index, type, zone; /* dense indices; `type` and `zone` are -1 until known */
     bool spot;
@@ -175,11 +191,11 @@
 
 struct pm_workers_hooks {
     /* The placement's task has ended, or provably no longer runs. The placement's capacity has been
-     * released, and the placement is freed after this call. `saved` tells whether the task's
-     * progress was checkpointed. */
+     * released, and the placement is freed after this call. `checkpointed` tells whether the task's
+     * progress was saved by a checkpoint. */
     void (*placement_ended)(void *arg, struct pm_placement *placement, enum pm_task_exit end,
-                            bool saved, double now);
-    /* The placement's task was reported as running for the first time. */
+                            bool checkpointed, double now);
+    /* The worker has reported the placement's task as running for the first time. */
     void (*placement_running)(void *arg, struct pm_placement *placement, double now);
     void *arg;
 };
@@ -211,22 +227,23 @@
 
 /* ---- machine_health.c: the state of a machine's connection and lease ---- */
 
-/* Whether the machine is known to exist: it was rented by this cluster, the inventory has listed
+/* Whether the machine is known to exist, because this cluster rented it, the inventory has listed
  * it, or its worker has answered a push. A heartbeat is no proof, since a delayed copy may arrive
  * long after its machine was terminated. */
-bool pm_machine_is_verified(const struct pm_machine *machine);
+bool pm_machine_is_known_to_exist(const struct pm_machine *machine);
 /* Whether there is a one-way partition: the worker's heartbeats arrive here, but answers and
  * commands do not reach the worker. */
 bool pm_machine_is_unreachable(const struct pm_machine *machine, double now);
 /* Records a sign that an answer or a command did not reach the worker. `why` is logged. */
 void pm_machine_note_delivery_failure(struct pm_machine *machine, const char *why, double now);
-/* Records that the latest heartbeat was answered with 200 under that epoch. */
-void pm_machine_note_ack(struct pm_machine *machine, uint64_t epoch, double now);
+/* Records that the latest heartbeat was answered with 200 under that epoch, which renews the
+ * worker's lease. */
+void pm_machine_note_heartbeat_ack(struct pm_machine *machine, uint64_t epoch, double now);
 /* Whether the worker answers pushes but its heartbeats do not arrive here, so that its lease is not
  * renewed. */
-bool pm_machine_is_not_reporting(const struct pm_machine *machine,
-                                 const struct pm_settings *settings, double now);
-/* Whether the worker has sent no message for longer than the longest heartbeat interval. */
+bool pm_machine_only_answers_pushes(const struct pm_machine *machine,
+                                    const struct pm_settings *settings, double now);
+/* Whether no message of the worker has arrived for longer than the longest heartbeat interval. */
 bool pm_machine_missed_heartbeat(const struct pm_machine *machine,
                                  const struct pm_settings *settings, double now);
 /* Whether the machine is empty and stays so: it has no placements, its worker has seen `epoch` and
@@ -250,21 +267,22 @@
 void pm_workers_remove_placement(struct pm_workers *workers, struct pm_placement *placement);
 /* Ends all placements on the machine as lost: its lease has expired, or it was terminated. */
 void pm_workers_mark_lost(struct pm_workers *workers, struct pm_machine *machine, double now);
-/* Marks the placement's task to be killed with a grace period of `grace_s` seconds. Does nothing if
- * the task is to be killed already with a grace period that is no longer than this. */
+/* Marks the placement's task to be killed with a grace period of `grace_s` seconds. A later call
+ * can shorten the grace period, but not extend it. */
 void pm_placement_stop(struct pm_placement *placement, double grace_s);
 
 /* ---- heartbeat.c ---- */
 
 /* The message that carries a worker's report: a heartbeat, or the reply to a push. */
-enum pm_task_list_source { PM_SOURCE_HEARTBEAT, PM_SOURCE_PUSH };
+enum pm_report_source { PM_REPORT_HEARTBEAT, PM_REPORT_PUSH_REPLY };
 
-/* Applies a worker's report. Returns the worker's machine, which is added if it is missing, or NULL
- * if the report is malformed. `*fresh` is set to whether the report is newer than all earlier ones;
- * if not, its tasks and its header are not applied. `epoch` is the current one. */
-struct pm_machine *pm_workers_apply_heartbeat(struct pm_workers *workers, const cbor_item_t *item,
-                                              enum pm_task_list_source source, uint64_t epoch,
-                                              double now, bool *fresh);
+/* Applies a worker's report. Returns the worker's machine, which is added if it is not in the
+ * table, or NULL if the report is malformed; a malformed report may have added the machine too.
+ * `*is_newest` is set to whether the report is newer than all earlier ones; if not, its tasks and
+ * its header are not applied. `epoch` is the current one. */
+struct pm_machine *pm_workers_apply_report(struct pm_workers *workers, const cbor_item_t *item,
+                                           enum pm_report_source source, uint64_t epoch, double now,
+                                           bool *is_newest);
 
 /* ---- commands.c, push.c ---- */
 
