--- a/src/api/replies.c
+++ b/src/api/replies.c
@@ -72,8 +72,8 @@
     pm_cbor_put_map(&body);
     pm_cbor_put_pair_text(&body, "name_id", job->id);
     pm_cbor_put_pair_text(&body, "status", status_name(job->state, running_count));
-    pm_cbor_put_pair_count(&body, "done", done_count);
-    pm_cbor_put_pair_count(&body, "running", job->state == PM_JOB_LIVE ? running_count : 0);
+    pm_cbor_put_pair_uint(&body, "done", done_count);
+    pm_cbor_put_pair_uint(&body, "running", job->state == PM_JOB_LIVE ? running_count : 0);
     pm_cbor_put_end(&body);
     reply(request, PM_API_OK, &body, 0);
 }
--- a/src/api/submission.c
+++ b/src/api/submission.c
@@ -224,7 +224,7 @@
     while (index < spec->overflow_list_count && txn.write_count < tables->settings->store_txn_ops &&
            txn.writes.size < PM_API_TXN_BYTES_MAX) {
         snprintf(key, sizeof key, "p/n/%s/%u", request->id, index);
-        pm_txn_put(&txn, key);
+        pm_txn_put_begin(&txn, key);
         pm_dependency_list_encode(tables, spec, index, &txn.writes);
         pm_txn_put_end(&txn, 0);
         index++;
--- a/src/api/write_batch.c
+++ b/src/api/write_batch.c
@@ -146,7 +146,7 @@
 
     format_job_key(key, request->id);
     pm_txn_compare(txn, key, job ? job->revision : 0);
-    pm_txn_put(txn, key);
+    pm_txn_put_begin(txn, key);
     if (request->kind == PM_API_SUBMIT)
         pm_api_encode_new_job(request, &txn->writes);
     else if (job) /* always true, since cancellations of unknown jobs are answered 404 */
--- a/src/autoscaler/provider_codec.c
+++ b/src/autoscaler/provider_codec.c
@@ -26,7 +26,7 @@
     pm_cbor_put_pair_text(out, "model", pm_names_text(tables->type_names, request->type));
     pm_cbor_put_pair_text(out, "room", tables->settings->zone_names[request->zone]);
     pm_cbor_put_pair_flag(out, "borrowed", request->spot);
-    pm_cbor_put_pair_count(out, "how_many", (uint64_t)request->count);
+    pm_cbor_put_pair_uint(out, "how_many", (uint64_t)request->count);
     pm_cbor_put_end(out);
 }
 
--- a/src/base/cbor.c
+++ b/src/base/cbor.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 /* Major types of RFC 8949. */
-enum cbor_major { MAJOR_BYTES = 2, MAJOR_TEXT = 3, MAJOR_LIST = 4, MAJOR_MAP = 5, MAJOR_TAG = 6 };
+enum cbor_major { MAJOR_BYTES = 2, MAJOR_TEXT = 3, MAJOR_ARRAY = 4, MAJOR_MAP = 5, MAJOR_TAG = 6 };
 
 /* Values of the lower five bits of an item's first byte, its "additional information". */
 enum { INFO_ONE_BYTE = 24, INFO_EIGHT_BYTES = 27, INFO_INDEFINITE = 31 };
@@ -81,8 +81,8 @@
     uint64_t count = head->major == MAJOR_MAP ? 2 * head->value : head->value;
     size_t offset = head->next;
 
-    /* Each entry takes at least one byte. Without this check, a false count would only cost time
-     * and memory. */
+    /* Each entry takes at least one byte, so a count above the number of remaining bytes is false.
+     * It is rejected before the loop: otherwise it would cost time and memory. */
     if (head->value > size - offset)
         return 0;
     for (uint64_t i = 0; i < count; i++) {
@@ -106,7 +106,7 @@
     case MAJOR_BYTES:
     case MAJOR_TEXT:
         return head.value <= size - head.next ? head.next + (size_t)head.value : 0;
-    case MAJOR_LIST:
+    case MAJOR_ARRAY:
     case MAJOR_MAP:
         return skip_entries(data, size, &head, depth);
     case MAJOR_TAG:
@@ -225,7 +225,7 @@
     return isfinite(*out);
 }
 
-bool pm_cbor_read_count(const cbor_item_t *item, uint64_t *out)
+bool pm_cbor_read_uint(const cbor_item_t *item, uint64_t *out)
 {
     if (!item || !cbor_isa_uint(item))
         return false;
--- a/src/base/cbor.h
+++ b/src/base/cbor.h
@@ -32,7 +32,7 @@
 
 /* Each of these reads a value of one type into `out`. They return false if the item is absent
  * (NULL) or of another type; `out` is then unspecified for texts and numbers, and unchanged for
- * counts and flags. */
+ * unsigned integers and flags. */
 
 /* Copies the text and appends a NUL. Also returns false if the text contains a NUL, or does not fit
  * in `size` bytes with the appended one. */
@@ -40,7 +40,7 @@
 /* Reads an integer or a floating-point number. Also returns false if it is not finite. */
 bool pm_cbor_read_number(const cbor_item_t *item, double *out);
 /* Reads an integer that is not negative. */
-bool pm_cbor_read_count(const cbor_item_t *item, uint64_t *out);
+bool pm_cbor_read_uint(const cbor_item_t *item, uint64_t *out);
 /* Reads true or false. */
 bool pm_cbor_read_flag(const cbor_item_t *item, bool *out);
 
@@ -67,7 +67,7 @@
 /* Appends a NUL-terminated text. */
 void pm_cbor_put_text(struct pm_buffer *buf, const char *text);
 /* Appends an integer. */
-void pm_cbor_put_count(struct pm_buffer *buf, uint64_t value);
+void pm_cbor_put_uint(struct pm_buffer *buf, uint64_t value);
 /* Appends a number as an eight-byte floating-point number, even if it is an integer. */
 void pm_cbor_put_number(struct pm_buffer *buf, double value);
 /* Appends true or false. */
@@ -79,7 +79,7 @@
 /* Appends a key and a text to a map. */
 void pm_cbor_put_pair_text(struct pm_buffer *buf, const char *key, const char *text);
 /* Appends a key and an integer to a map. */
-void pm_cbor_put_pair_count(struct pm_buffer *buf, const char *key, uint64_t value);
+void pm_cbor_put_pair_uint(struct pm_buffer *buf, const char *key, uint64_t value);
 /* Appends a key and a floating-point number to a map. */
 void pm_cbor_put_pair_number(struct pm_buffer *buf, const char *key, double value);
 /* Appends a key and true or false to a map. */
--- a/src/base/cbor_writer.c
+++ b/src/base/cbor_writer.c
@@ -68,7 +68,7 @@
     pm_buffer_append(buf, text, length);
 }
 
-void pm_cbor_put_count(struct pm_buffer *buf, uint64_t value)
+void pm_cbor_put_uint(struct pm_buffer *buf, uint64_t value)
 {
     put_head(buf, 0, value);
 }
@@ -110,10 +110,10 @@
     pm_cbor_put_text(buf, text);
 }
 
-void pm_cbor_put_pair_count(struct pm_buffer *buf, const char *key, uint64_t value)
+void pm_cbor_put_pair_uint(struct pm_buffer *buf, const char *key, uint64_t value)
 {
     pm_cbor_put_text(buf, key);
-    pm_cbor_put_count(buf, value);
+    pm_cbor_put_uint(buf, value);
 }
 
 void pm_cbor_put_pair_number(struct pm_buffer *buf, const char *key, double value)
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -5,8 +5,8 @@
 #define PM_BASE_CLOCK_H
 
 /* The largest drift between the monotonic clocks of two machines, as a fraction of the time that
- * passes. Code that adds up durations measured by another machine allows for it, twice if both
- * clocks may be off. */
+ * passes. Code that adds up durations measured by another machine allows for this drift, and for
+ * twice as much if both clocks may be off. */
 #define PM_CLOCK_DRIFT_MAX 0.0011
 
 /* Returns the monotonic time in seconds. It starts at an unspecified moment before this process
--- a/src/base/http_client.c
+++ b/src/base/http_client.c
@@ -275,9 +275,8 @@
 {
     struct connection *connection = g_new0(struct connection, 1);
 
-    /* If there are more endpoints than connections may be open, the connection that has been idle
-     * longest is closed: connections kept open to all workers must not leave none for the state
-     * service. */
+    /* At the limit, the connection that has been idle longest is closed. Otherwise idle connections
+     * to many workers could use up the limit and block calls to the state service. */
     if (client->connection_count >= client->connections_max && client->idle_connections.tail)
         free_connection(client->idle_connections.tail->data);
     connection->client = client;
@@ -306,7 +305,7 @@
     pm_http_call_until(client, addr, method, target, body, size, timeout_s, body_max, 0, done, arg);
 }
 
-static struct endpoint *find_endpoint(struct pm_http_client *client, const char *addr)
+static struct endpoint *find_or_add_endpoint(struct pm_http_client *client, const char *addr)
 {
     struct endpoint *endpoint = g_hash_table_lookup(client->endpoints, addr);
 
@@ -347,14 +346,15 @@
     pm_buffer_append(&connection->out_buffer, body, size);
 }
 
-/* Starts the timeout, and has the request sent: before the loop next waits or, on a new connection,
- * as soon as it is established. */
+/* Starts the timeout and queues the request. An open connection sends it before the event loop next
+ * waits, a new connection once it is established. */
 static void start_call(struct connection *connection, double timeout_s)
 {
     struct pm_http_client *client = connection->client;
     bool has_socket = connection->fd >= 0;
 
-    /* Without a socket, the timer ends the call at once: only the loop reports outcomes. */
+    /* Without a socket, a timeout of 0 makes the event loop end the call at once, so that `done` is
+     * never called from within pm_http_call. */
     ev_timer_set(&connection->timeout_timer, has_socket ? timeout_s : 0., 0.);
     ev_timer_start(client->loop, &connection->timeout_timer);
     if (!has_socket)
@@ -371,7 +371,7 @@
                         const char *target, const void *body, size_t size, double timeout_s,
                         size_t body_max, double deadline, pm_http_done *done, void *arg)
 {
-    struct connection *connection = acquire_connection(client, find_endpoint(client, addr));
+    struct connection *connection = acquire_connection(client, find_or_add_endpoint(client, addr));
 
     connection->is_busy = true;
     connection->failed_locally = connection->fd < 0;
--- a/src/base/http_internal.h
+++ b/src/base/http_internal.h
@@ -21,9 +21,9 @@
  * connection may be kept open, and pauses the parser, so that it does not read what follows. */
 int pm_http_end_message(http_parser *parser, bool *complete, bool *keep_alive);
 /* Returns whether the monotonic time `deadline` has passed. A `deadline` of 0 means that there is
- * none. A message that is based on a confirmation must not be sent after the confirmation has
- * expired. Call this right before sending: the process may have been suspended since the message
- * was queued. */
+ * none. A message that is valid only while the controller's epoch is confirmed has such a deadline.
+ * Must be called right before sending: the process may have been suspended since the message was
+ * queued. */
 bool pm_http_is_past_deadline(double deadline);
 
 #endif
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -81,8 +81,8 @@
     return path;
 }
 
-/* Returns a limit of the state service: the lower of the current one and, if the file has one, of
- * that in `state.next`. */
+/* Returns a limit of the state service: the current limit, or the upcoming one in `state.next` if
+ * the file has it and it is lower. */
 static double require_limit(struct reader *reader, const char *name, double minimum, double maximum)
 {
     char field[64];
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -1,5 +1,4 @@
-/* The platform's settings (TOML, in the format of the deploy file) and the operators' settings
- * (YAML).
+/* The platform's settings (the deploy file, in TOML) and the operators' settings (YAML).
  *
  * Both are read once, at start, before other threads exist, and never change afterwards, so any
  * code may keep a pointer to them. The keys of the files are those of the platform's and operators'
@@ -39,8 +38,9 @@
 struct pm_objective_setting {
     char kind[32];
     char class_name[PM_NAME_MAX];
-    /* `within_s` is the time within which jobs must begin or end, or 0 if the objective has none.
-     * `share` and `times` are read from the file, but not used. */
+    /* `within_s` is the time within which jobs of the class must begin (if `kind` is "wait") or end
+     * (for other kinds, such as "finished"); 0 if the objective has none. `share` and `times` are
+     * read from the file, but not used. */
     double within_s, share, times;
 };
 
@@ -61,11 +61,12 @@
     int objective_count;
     struct pm_objective_setting objectives[PM_OBJECTIVES_MAX];
     /* `heartbeat_s` and `lease_s` are a worker's heartbeat interval and lease duration. Workers end
-     * a gang that is not complete within `gang_wait_s` of its start, or that misses one of its
-     * tasks for `gang_peer_s`. A cancelled job must have stopped within `cancel_deadline_s`. */
+     * a gang whose tasks are not all present within `gang_wait_s` of its start, or if one of them
+     * is absent for `gang_peer_s` afterwards. A cancelled job must have stopped within
+     * `cancel_deadline_s`. */
     double heartbeat_s, lease_s, gang_wait_s, gang_peer_s, cancel_deadline_s;
-    /* Limits of the state service: the lower of the current limit and of the one in `state.next`,
-     * because that one may take effect without notice. */
+    /* Limits of the state service. Each is the lower of the current limit and of the upcoming one,
+     * which the file may announce in `state.next` and which may take effect without notice. */
     double store_rps, store_write_rps, store_value_kb;
     int store_txn_ops;
     double store_value_kb_initial; /* the limit that is in effect when the process starts */
@@ -79,20 +80,23 @@
 
 /* How the state of links is determined and used (docs/operators/links.md). */
 struct pm_links_setting {
-    bool observe;        /* determine the state of links, and send it to the other controllers */
-    bool decide;         /* use it to decide on leadership and admission */
-    double probe_s;      /* interval of probes on a link without traffic */
-    double down_s;       /* a link that fails for this long is down */
-    double recover_s;    /* a link that was down is up after working for this long */
-    double half_life_s;  /* of the flapping penalty, which decays exponentially */
-    double expire_s;     /* a controller's view that is older than this is ignored */
-    char trace_dir[256]; /* directory of the traces; if empty, none are written */
-    unsigned trace_mb;   /* older traces are deleted above this total size */
+    bool observe;       /* determine the state of links, and send it to the other controllers */
+    bool decide;        /* use it to decide on leadership and admission */
+    double probe_s;     /* interval of probes on a link without traffic */
+    double down_s;      /* a link that fails for this long is down */
+    double recover_s;   /* a link that was down is up after working for this long */
+    double half_life_s; /* of the flapping penalty, which decays exponentially */
+    double expire_s;    /* a controller's view that is older than this is ignored */
+    /* Directory of the traces of changes of state. If empty, none are written. */
+    char trace_dir[256];
+    unsigned trace_mb; /* older traces are deleted above this total size */
 };
 
 /* Singleton roles (docs/operators/roles.md). */
 struct pm_roles_setting {
-    bool enabled;              /* rent and return under a lease, a token and durable intents */
+    /* Machines are rented and returned only by the holder of a role's lease, with a fencing token
+     * and an intent that is written before the call to the provider. */
+    bool enabled;
     double ttl_s;              /* of the lease */
     double gc_after_s;         /* an unused stored key is deleted this long after its last change */
     char audit_log_dir[256];   /* directory of the audit log; if empty, none is written */
@@ -102,15 +106,20 @@
 
 /* The operators' settings. Every value has a default (see docs/operations.md). */
 struct pm_operator_settings {
-    double window_h;      /* sliding window over which a team's usage is summed */
-    double min_runtime_s; /* for this long, a charged task is not preempted by usage ratio */
-    double leader_ttl_s;  /* lease of the leader's key at the state service */
-    double confirm_s;     /* how long a confirmation of the epoch is valid */
-    unsigned admit_min;   /* bounds of the limit on concurrent user requests */
+    double window_h; /* sliding window over which a team's usage is summed */
+    /* How long after its placement a task that is charged to its team can't be preempted by a team
+     * with a lower usage ratio. */
+    double min_runtime_s;
+    double leader_ttl_s; /* lease of the leader's key at the state service */
+    double confirm_s;    /* how long a leader may act on one confirmation of its epoch */
+    unsigned admit_min;  /* bounds of the limit on concurrent user requests */
     unsigned admit_max;
     double idle_return_s; /* a machine that is idle for this long is returned */
-    double replica_due_s; /* a replica of a service should run within this */
-    double backlog_s;  /* array work without a deadline, or late for it, should end within this */
+    /* A replica of a service should run within this time after it began to wait. */
+    double replica_due_s;
+    /* A backlog of array work that has no deadline, or has missed it, should be done within this.
+     */
+    double backlog_s;
     double warm_share; /* capacity kept free for services, as a fraction of what they use */
     struct pm_links_setting links;
     struct pm_roles_setting roles;
--- a/src/cmd/plan-bench/main.c
+++ b/src/cmd/plan-bench/main.c
@@ -142,7 +142,7 @@
     snprintf(name, sizeof name, "%s/%u", placement->job->id, placement->task_index);
     pm_cbor_put_map(out);
     pm_cbor_put_pair_text(out, "entry", name);
-    pm_cbor_put_pair_count(out, "try", placement->attempt);
+    pm_cbor_put_pair_uint(out, "try", placement->attempt);
     pm_cbor_put_pair_text(out, "status", has_ended ? "ended" : "running");
     if (has_ended)
         pm_cbor_put_pair_text(out, "cause", "done");
@@ -158,9 +158,9 @@
     pm_cbor_put_pair_text(out, "model", pm_names_text(bench.tables.type_names, machine->type));
     pm_cbor_put_pair_text(out, "room", bench.settings.zone_names[machine->zone]);
     pm_cbor_put_pair_flag(out, "borrowed", machine->spot);
-    pm_cbor_put_pair_count(out, "shift", 1);
-    pm_cbor_put_pair_count(out, "tally", machine->heartbeat.sequence + 1);
-    pm_cbor_put_pair_count(out, "mandate", 1);
+    pm_cbor_put_pair_uint(out, "shift", 1);
+    pm_cbor_put_pair_uint(out, "tally", machine->heartbeat.sequence + 1);
+    pm_cbor_put_pair_uint(out, "mandate", 1);
     pm_cbor_put_text(out, "entries");
     pm_cbor_put_list(out);
     for (guint i = 0; i < machine->placements->len; i++)
--- a/src/cmd/pumicectl/cbor_to_json.c
+++ b/src/cmd/pumicectl/cbor_to_json.c
@@ -63,7 +63,7 @@
         return convert_text(item);
     if (pm_cbor_read_flag(item, &flag))
         return json_boolean(flag);
-    if (pm_cbor_read_count(item, &count))
+    if (pm_cbor_read_uint(item, &count))
         return json_integer((json_int_t)MIN(count, G_MAXINT64));
     if (pm_cbor_read_number(item, &number))
         return json_real(number);
--- a/src/cmd/pumicectl/drain.c
+++ b/src/cmd/pumicectl/drain.c
@@ -94,9 +94,9 @@
     pm_txn_compare(&txn, key, token);
     snprintf(key, sizeof key, PM_KEY_DRAIN_PREFIX "%s", role_name);
     pm_txn_compare(&txn, key, request_revision);
-    pm_txn_put(&txn, key);
+    pm_txn_put_begin(&txn, key);
     pm_cbor_put_map(&txn.writes);
-    pm_cbor_put_pair_count(&txn.writes, "token", token);
+    pm_cbor_put_pair_uint(&txn.writes, "token", token);
     pm_cbor_put_end(&txn.writes);
     pm_txn_put_end(&txn, 0);
     pm_txn_encode(&txn, &body);
--- a/src/cmd/pumicemount/admin.c
+++ b/src/cmd/pumicemount/admin.c
@@ -33,14 +33,14 @@
 
     pm_cbor_put_text(out, "counts");
     pm_cbor_put_map(out);
-    pm_cbor_put_pair_count(out, "machines_up", (uint64_t)counts.machines_up);
-    pm_cbor_put_pair_count(out, "machines_silent", (uint64_t)counts.machines_silent);
-    pm_cbor_put_pair_count(out, "machines_leased_out", (uint64_t)counts.machines_assigned);
-    pm_cbor_put_pair_count(out, "machines_booting", (uint64_t)counts.machines_booting);
-    pm_cbor_put_pair_count(out, "jobs_live", counts.jobs);
-    pm_cbor_put_pair_count(out, "tasks_placed", counts.tasks_placed);
-    pm_cbor_put_pair_count(out, "tasks_waiting", counts.tasks_waiting);
-    pm_cbor_put_pair_count(out, "tasks_at_holders", counts.tasks_delegated);
+    pm_cbor_put_pair_uint(out, "machines_up", (uint64_t)counts.machines_up);
+    pm_cbor_put_pair_uint(out, "machines_silent", (uint64_t)counts.machines_silent);
+    pm_cbor_put_pair_uint(out, "machines_leased_out", (uint64_t)counts.machines_assigned);
+    pm_cbor_put_pair_uint(out, "machines_booting", (uint64_t)counts.machines_booting);
+    pm_cbor_put_pair_uint(out, "jobs_live", counts.jobs);
+    pm_cbor_put_pair_uint(out, "tasks_placed", counts.tasks_placed);
+    pm_cbor_put_pair_uint(out, "tasks_waiting", counts.tasks_waiting);
+    pm_cbor_put_pair_uint(out, "tasks_at_holders", counts.tasks_delegated);
     pm_cbor_put_end(out);
 }
 
@@ -64,7 +64,7 @@
             continue;
         pm_cbor_put_map(out);
         pm_cbor_put_pair_text(out, "controller", controller->settings->peers[i].name);
-        pm_cbor_put_pair_count(out, "machines", owned[i]);
+        pm_cbor_put_pair_uint(out, "machines", owned[i]);
         pm_cbor_put_end(out);
     }
     pm_cbor_put_end(out);
@@ -77,7 +77,7 @@
     pm_cbor_put_pair_flag(out, "refuses", pm_store_is_refusing(controller->store));
     pm_cbor_put_pair_number(out, "served_ago_s", now - pm_store_last_served_at(controller->store));
     pm_cbor_put_pair_flag(out, "replica_ready", pm_store_is_ready(controller->store));
-    pm_cbor_put_pair_count(out, "replica_revision", pm_store_revision(controller->store));
+    pm_cbor_put_pair_uint(out, "replica_revision", pm_store_revision(controller->store));
     pm_cbor_put_end(out);
 }
 
@@ -90,11 +90,11 @@
     encode_source(controller, out, now);
     pm_cbor_put_pair_text(out, "version", PM_VERSION);
     pm_cbor_put_pair_text(out, "process", pm_election_incarnation_id(controller->election));
-    pm_cbor_put_pair_count(out, "protocol_version",
-                           pm_election_protocol_version(controller->election));
+    pm_cbor_put_pair_uint(out, "protocol_version",
+                          pm_election_protocol_version(controller->election));
     pm_cbor_put_pair_text(out, "leader", leader ? leader : "");
     pm_cbor_put_pair_flag(out, "holds_block", controller->is_active && !controller->is_leader);
-    pm_cbor_put_pair_count(out, "epoch", pm_election_epoch(controller->election));
+    pm_cbor_put_pair_uint(out, "epoch", pm_election_epoch(controller->election));
     encode_store_state(controller, out, now);
     encode_counts(controller, out, now);
     encode_shard_owners(controller, out);
@@ -181,7 +181,7 @@
 static void encode_unreachable_zone(struct pm_controller *controller, const struct pm_job *job,
                                     struct pm_buffer *out)
 {
-    const struct pm_view *own = &pm_links_matrix(controller->links)->view[0];
+    const struct pm_link_view *own = &pm_links_matrix(controller->links)->view[0];
     int zone = job->spec->zone;
 
     if (zone >= 0 && own->zone[zone] != PM_LINK_UNKNOWN && !pm_link_is_usable(own->zone[zone]))
@@ -248,9 +248,9 @@
     if (job) {
         pm_job_count_tasks(job, &done, &running);
         pm_cbor_put_pair_text(out, "state", state_name(job, running));
-        pm_cbor_put_pair_count(out, "tasks", job->task_count);
-        pm_cbor_put_pair_count(out, "done", done);
-        pm_cbor_put_pair_count(out, "running", running);
+        pm_cbor_put_pair_uint(out, "tasks", job->task_count);
+        pm_cbor_put_pair_uint(out, "done", done);
+        pm_cbor_put_pair_uint(out, "running", running);
     }
     pm_cbor_put_pair_number(out, "replica_age_s", now - pm_store_last_served_at(controller->store));
     pm_cbor_put_text(out, "reasons");
--- a/src/cmd/pumicemount/link_monitor.c
+++ b/src/cmd/pumicemount/link_monitor.c
@@ -156,7 +156,7 @@
         return;
     controller->view_write_in_flight = true;
     snprintf(key, sizeof key, PM_KEY_VIEW_PREFIX "%s", controller->settings->name);
-    pm_txn_put(&txn, key);
+    pm_txn_put_begin(&txn, key);
     pm_links_encode_view(controller->links, &txn.writes, now);
     pm_txn_put_end(&txn, 0);
     pm_store_commit(controller->store, &txn, on_view_written, controller);
--- a/src/cmd/pumicemount/placement_events.c
+++ b/src/cmd/pumicemount/placement_events.c
@@ -147,7 +147,7 @@
     controller->machine_types.write_in_flight = true;
     pm_txn_compare(&txn, PM_KEY_EPOCH, pm_election_epoch_revision(controller->election));
     pm_txn_compare(&txn, PM_KEY_MACHINE_TYPES, 0);
-    pm_txn_put(&txn, PM_KEY_MACHINE_TYPES);
+    pm_txn_put_begin(&txn, PM_KEY_MACHINE_TYPES);
     pm_cbor_put_item(&txn.writes, models);
     pm_txn_put_end(&txn, 0);
     pm_store_commit(controller->store, &txn, on_machine_types_written, controller);
--- a/src/cmd/pumicemount/reconciliation.c
+++ b/src/cmd/pumicemount/reconciliation.c
@@ -68,7 +68,7 @@
     /* A write that is applied late must not replace a newer one: it would restore an outdated
      * record of which zones were silent. */
     pm_txn_compare(&txn, PM_KEY_LEDGER, controller->ledger.revision);
-    pm_txn_put(&txn, PM_KEY_LEDGER);
+    pm_txn_put_begin(&txn, PM_KEY_LEDGER);
     pm_scheduler_encode_ledger(controller->scheduler, now, pm_clock_wall(), &txn.writes);
     pm_txn_put_end(&txn, 0);
     pm_store_commit(controller->store, &txn, on_ledger_written, controller);
--- a/src/cmd/pumicemount/worker_endpoint.c
+++ b/src/cmd/pumicemount/worker_endpoint.c
@@ -119,8 +119,8 @@
     int commands;
 
     pm_cbor_put_map(body);
-    pm_cbor_put_pair_count(body, "mandate", epoch);
-    pm_cbor_put_pair_count(body, "shift", incarnation ? incarnation : FIRST_INCARNATION);
+    pm_cbor_put_pair_uint(body, "mandate", epoch);
+    pm_cbor_put_pair_uint(body, "shift", incarnation ? incarnation : FIRST_INCARNATION);
     pm_cbor_put_text(body, "orders");
     commands = pm_workers_encode_commands(machine, true, epoch, body);
     pm_cbor_put_end(body);
@@ -200,7 +200,7 @@
     struct pm_buffer body = {0};
 
     pm_cbor_put_map(&body);
-    pm_cbor_put_pair_count(&body, "mandate", epoch);
+    pm_cbor_put_pair_uint(&body, "mandate", epoch);
     pm_cbor_put_text(&body, "orders");
     if (machine)
         pm_workers_encode_commands(machine, false, epoch, &body);
@@ -329,7 +329,7 @@
 
     controller->last_heartbeat_at = heartbeat.now;
     heartbeat.report = report;
-    pm_cbor_read_count(pm_cbor_get(report, "mandate"), &heartbeat.fencing_token);
+    pm_cbor_read_uint(pm_cbor_get(report, "mandate"), &heartbeat.fencing_token);
     if (pm_cbor_read_text(pm_cbor_get(report, "host"), heartbeat.machine, sizeof heartbeat.machine))
         answer_heartbeat(controller, &heartbeat);
     else
--- a/src/jobs/chunk_codec.c
+++ b/src/jobs/chunk_codec.c
@@ -59,10 +59,10 @@
     uint64_t incarnation;
 
     if (pm_cbor_length(item) != PLACEMENT_FIELDS ||
-        !pm_cbor_read_count(pm_cbor_at(item, 0), &task) ||
-        !pm_cbor_read_count(pm_cbor_at(item, 1), &attempt) ||
+        !pm_cbor_read_uint(pm_cbor_at(item, 0), &task) ||
+        !pm_cbor_read_uint(pm_cbor_at(item, 1), &attempt) ||
         !pm_cbor_read_text(pm_cbor_at(item, 2), machine, sizeof machine) ||
-        !pm_cbor_read_count(pm_cbor_at(item, 3), &incarnation) || task >= PM_CHUNK_TASKS)
+        !pm_cbor_read_uint(pm_cbor_at(item, 3), &incarnation) || task >= PM_CHUNK_TASKS)
         return false;
     *out = (struct pm_stored_placement){.task_in_chunk = (uint16_t)task,
                                         .attempt = (uint32_t)attempt,
@@ -80,7 +80,7 @@
     const cbor_item_t *placements;
 
     if (!pm_cbor_read_text(pm_cbor_get(value, FIELD_DONE_TASKS), done, sizeof done) ||
-        !pm_cbor_read_count(pm_cbor_get(value, FIELD_LAST_ATTEMPT), &last_attempt))
+        !pm_cbor_read_uint(pm_cbor_get(value, FIELD_LAST_ATTEMPT), &last_attempt))
         return false;
     read_ranges(done, out->done);
     out->last_attempt = (uint32_t)last_attempt;
@@ -101,10 +101,10 @@
                             const struct pm_placement *placement, struct pm_buffer *out)
 {
     pm_cbor_put_list(out);
-    pm_cbor_put_count(out, (uint64_t)task_in_chunk);
-    pm_cbor_put_count(out, placement->attempt);
+    pm_cbor_put_uint(out, (uint64_t)task_in_chunk);
+    pm_cbor_put_uint(out, placement->attempt);
     pm_cbor_put_text(out, pm_names_text(tables->machine_names, placement->machine_index));
-    pm_cbor_put_count(out, placement->incarnation);
+    pm_cbor_put_uint(out, placement->incarnation);
     pm_cbor_put_end(out);
 }
 
@@ -119,7 +119,7 @@
     write_ranges(tasks, first, end, done, sizeof done);
     pm_cbor_put_map(out);
     pm_cbor_put_pair_text(out, FIELD_DONE_TASKS, done);
-    pm_cbor_put_pair_count(out, FIELD_LAST_ATTEMPT, job->work.last_attempt);
+    pm_cbor_put_pair_uint(out, FIELD_LAST_ATTEMPT, job->work.last_attempt);
     pm_cbor_put_text(out, FIELD_PLACEMENTS);
     pm_cbor_put_list(out);
     for (int i = first; i < end; i++) {
--- a/src/jobs/commit_transaction.c
+++ b/src/jobs/commit_transaction.c
@@ -101,7 +101,7 @@
     char key[PM_JOBS_KEY_MAX];
 
     pm_chunk_key_write(job, chunk_index, half, key);
-    pm_txn_put(&transaction->txn, key);
+    pm_txn_put_begin(&transaction->txn, key);
     pm_chunk_encode(transaction->commit->tables, job, chunk_index, half, &transaction->txn.writes);
     pm_txn_put_end(&transaction->txn, 0);
     add_proposed_placements(transaction, job, chunk, half);
@@ -184,7 +184,7 @@
     char key[PM_JOBS_KEY_MAX];
 
     pm_job_key_write(job, key);
-    pm_txn_put(&transaction->txn, key);
+    pm_txn_put_begin(&transaction->txn, key);
     if (job->state == PM_JOB_LIVE || job->state == PM_JOB_DONE) {
         job->ended_wall = job->ended_wall > 0 ? job->ended_wall : commit->wall;
         pm_job_encode_done(commit->tables, job, keep_description, out);
--- a/src/jobs/dependency_codec.c
+++ b/src/jobs/dependency_codec.c
@@ -57,7 +57,7 @@
 {
     *out = 0;
     return !pm_cbor_has(value, FIELD_OVERFLOW_LISTS) ||
-           pm_cbor_read_count(pm_cbor_get(value, FIELD_OVERFLOW_LISTS), out);
+           pm_cbor_read_uint(pm_cbor_get(value, FIELD_OVERFLOW_LISTS), out);
 }
 
 static double value_size_max(const struct pm_name_tables *tables)
--- a/src/jobs/job_codec.c
+++ b/src/jobs/job_codec.c
@@ -64,7 +64,7 @@
 {
     uint64_t count;
 
-    if (!pm_cbor_read_count(pm_cbor_get(body, FIELD_TASK_COUNT), &count) || count < 1 ||
+    if (!pm_cbor_read_uint(pm_cbor_get(body, FIELD_TASK_COUNT), &count) || count < 1 ||
         count > PM_JOB_TASKS_MAX)
         return false;
     *out = (uint32_t)count;
@@ -271,7 +271,7 @@
     write_amounts(spec, out);
     write_placement_rules(tables, spec, out);
     if (spec->overflow_list_count)
-        pm_cbor_put_pair_count(out, FIELD_OVERFLOW_LISTS, spec->overflow_list_count);
+        pm_cbor_put_pair_uint(out, FIELD_OVERFLOW_LISTS, spec->overflow_list_count);
     else if (spec->dependency_count)
         pm_dependencies_field_encode(tables, spec, 0, spec->dependency_count, out);
     pm_cbor_put_pair_number(out, FIELD_SUBMITTED_WALL, spec->submitted_wall);
@@ -280,7 +280,7 @@
 static void write_summary(const struct pm_job_summary *summary, struct pm_buffer *out)
 {
     pm_cbor_put_pair_text(out, FIELD_STATE, state_names[summary->state]);
-    pm_cbor_put_pair_count(out, FIELD_TASK_COUNT, summary->task_count);
+    pm_cbor_put_pair_uint(out, FIELD_TASK_COUNT, summary->task_count);
 }
 
 void pm_job_encode(const struct pm_name_tables *tables, const struct pm_spec *spec,
--- a/src/leadership/records.c
+++ b/src/leadership/records.c
@@ -26,9 +26,9 @@
 
 void pm_election_put_epoch(const struct pm_election *election, struct pm_txn *txn, uint64_t epoch)
 {
-    pm_txn_put(txn, PM_KEY_EPOCH);
+    pm_txn_put_begin(txn, PM_KEY_EPOCH);
     pm_cbor_put_map(&txn->writes);
-    pm_cbor_put_pair_count(&txn->writes, EPOCH_FIELD, epoch);
+    pm_cbor_put_pair_uint(&txn->writes, EPOCH_FIELD, epoch);
     put_author(election, txn);
     pm_cbor_put_end(&txn->writes);
     pm_txn_put_end(txn, NO_LEASE);
@@ -36,7 +36,7 @@
 
 void pm_election_put_lock(const struct pm_election *election, struct pm_txn *txn, uint64_t lease_id)
 {
-    pm_txn_put(txn, PM_KEY_LEADER_LOCK);
+    pm_txn_put_begin(txn, PM_KEY_LEADER_LOCK);
     pm_cbor_put_map(&txn->writes);
     put_author(election, txn);
     pm_cbor_put_end(&txn->writes);
@@ -45,9 +45,9 @@
 
 void pm_election_put_version(struct pm_txn *txn, const char *key, unsigned version)
 {
-    pm_txn_put(txn, key);
+    pm_txn_put_begin(txn, key);
     pm_cbor_put_map(&txn->writes);
-    pm_cbor_put_pair_count(&txn->writes, VERSION_FIELD, version);
+    pm_cbor_put_pair_uint(&txn->writes, VERSION_FIELD, version);
     pm_cbor_put_end(&txn->writes);
     pm_txn_put_end(txn, NO_LEASE);
 }
@@ -64,7 +64,7 @@
                               char incarnation_id[PM_INCARNATION_ID_SIZE])
 {
     read_text(value, INCARNATION_FIELD, incarnation_id, PM_INCARNATION_ID_SIZE);
-    return pm_cbor_read_count(pm_cbor_get(value, EPOCH_FIELD), epoch);
+    return pm_cbor_read_uint(pm_cbor_get(value, EPOCH_FIELD), epoch);
 }
 
 void pm_election_decode_lock(const cbor_item_t *value, char holder[PM_NAME_MAX],
@@ -76,5 +76,5 @@
 
 bool pm_election_decode_version(const cbor_item_t *value, uint64_t *version)
 {
-    return pm_cbor_read_count(pm_cbor_get(value, VERSION_FIELD), version);
+    return pm_cbor_read_uint(pm_cbor_get(value, VERSION_FIELD), version);
 }
--- a/src/leadership/replica_acknowledgement.c
+++ b/src/leadership/replica_acknowledgement.c
@@ -21,7 +21,7 @@
 
 static bool decode_record(const cbor_item_t *value, uint64_t *store_revision)
 {
-    return pm_cbor_read_count(pm_cbor_get(value, STORE_REVISION_FIELD), store_revision);
+    return pm_cbor_read_uint(pm_cbor_get(value, STORE_REVISION_FIELD), store_revision);
 }
 
 static void put_record(struct pm_txn *txn, const char *controller, uint64_t store_revision)
@@ -29,9 +29,9 @@
     char key[PM_NAME_MAX + sizeof PM_KEY_ACKED_REVISION_PREFIX];
 
     snprintf(key, sizeof key, PM_KEY_ACKED_REVISION_PREFIX "%s", controller);
-    pm_txn_put(txn, key);
+    pm_txn_put_begin(txn, key);
     pm_cbor_put_map(&txn->writes);
-    pm_cbor_put_pair_count(&txn->writes, STORE_REVISION_FIELD, store_revision);
+    pm_cbor_put_pair_uint(&txn->writes, STORE_REVISION_FIELD, store_revision);
     pm_cbor_put_end(&txn->writes);
     pm_txn_put_end(txn, 0);
 }
--- a/src/links/fitness.c
+++ b/src/links/fitness.c
@@ -1,7 +1,8 @@
 #include "links/fitness.h"
 
-/* The rank of a leader is the sum of one of the RANK_WRITES values, one of the zone values, and
- * PM_RANK_CLOUD. A controller that can't write has rank 0. */
+/* A controller's rank as a possible leader is the sum of three terms: one of the RANK_WRITES
+ * values, one of the RANK_*_ZONES values (0 if it reaches no zone), and PM_RANK_CLOUD (0 if it does
+ * not reach the cloud). A controller that can't write to the state service has rank 0. */
 enum {
     RANK_WRITES = 8,
     RANK_WRITES_INTERMITTENTLY = 4, /* the link to the state service flaps */
@@ -15,7 +16,7 @@
     [PM_CAPABILITY_LEAD] = "lead",
     [PM_CAPABILITY_OWN_SHARD] = "hold-blocks",
     [PM_CAPABILITY_ACCEPT_JOBS] = "accept",
-    [PM_CAPABILITY_ANSWER_POLLS] = "answer-polls",
+    [PM_CAPABILITY_ANSWER_JOB_POLLS] = "answer-polls",
     [PM_CAPABILITY_RENEW_LEASES] = "renew-by-quorum",
 };
 
@@ -39,7 +40,7 @@
 /* ---- fitness for one capability ---- */
 
 /* How well the controller can write decisions to the state service. */
-static struct pm_fitness_verdict evaluate_writing(const struct pm_view *view)
+static struct pm_fitness_verdict evaluate_writing(const struct pm_link_view *view)
 {
     switch ((enum pm_link_state)view->state_service) {
     case PM_LINK_UP:
@@ -63,7 +64,8 @@
 
 /* Counts the zones whose link state is known, and those that are reached. A state that the
  * controller does not know is taken from the view of `reference`. */
-static struct zone_counts count_zones(const struct pm_matrix *matrix, int controller, int reference)
+static struct zone_counts count_zones(const struct pm_link_matrix *matrix, int controller,
+                                      int reference)
 {
     struct zone_counts counts = {0};
 
@@ -79,9 +81,10 @@
     return counts;
 }
 
-static struct pm_fitness_verdict evaluate_leading(const struct pm_matrix *matrix, int controller)
+static struct pm_fitness_verdict evaluate_leading(const struct pm_link_matrix *matrix,
+                                                  int controller)
 {
-    const struct pm_view *view = &matrix->view[controller];
+    const struct pm_link_view *view = &matrix->view[controller];
     struct pm_fitness_verdict verdict = evaluate_writing(view);
     struct zone_counts zones;
 
@@ -97,7 +100,8 @@
     return verdict;
 }
 
-static struct pm_fitness_verdict evaluate_renewing(const struct pm_matrix *matrix, int controller)
+static struct pm_fitness_verdict evaluate_renewing(const struct pm_link_matrix *matrix,
+                                                   int controller)
 {
     int reached = 1; /* the controller itself */
 
@@ -108,7 +112,7 @@
     return (struct pm_fitness_verdict){PM_FIT, ""};
 }
 
-struct pm_fitness_verdict pm_fitness_evaluate(const struct pm_matrix *matrix, int controller,
+struct pm_fitness_verdict pm_fitness_evaluate(const struct pm_link_matrix *matrix, int controller,
                                               enum pm_capability capability)
 {
     if (capability == PM_CAPABILITY_LEAD)
@@ -118,9 +122,9 @@
     return evaluate_writing(&matrix->view[controller]);
 }
 
-/* ---- rank of a leader ---- */
+/* ---- rank as a possible leader ---- */
 
-static int rank_zones(const struct pm_matrix *matrix, int controller, int reference)
+static int rank_zones(const struct pm_link_matrix *matrix, int controller, int reference)
 {
     struct zone_counts zones = count_zones(matrix, controller, reference);
 
@@ -131,7 +135,7 @@
     return zones.reached ? RANK_SOME_ZONES : 0;
 }
 
-static int rank_cloud(const struct pm_matrix *matrix, int controller, int reference)
+static int rank_cloud(const struct pm_link_matrix *matrix, int controller, int reference)
 {
     uint8_t state = matrix->view[controller].cloud;
 
@@ -140,31 +144,31 @@
     return state == PM_LINK_UNKNOWN || pm_link_is_usable(state) ? PM_RANK_CLOUD : 0;
 }
 
-static int rank_writing(const struct pm_view *view)
+static int rank_writing(const struct pm_link_view *view)
 {
     if (pm_link_is_usable(view->state_service))
         return RANK_WRITES;
     return view->state_service == PM_LINK_FLAPPING ? RANK_WRITES_INTERMITTENTLY : 0;
 }
 
-int pm_fitness_lead_rank(const struct pm_matrix *matrix, int controller, int reference)
+int pm_fitness_lead_rank(const struct pm_link_matrix *matrix, int controller, int reference)
 {
     int write_rank = rank_writing(&matrix->view[controller]);
 
-    if (!write_rank) /* its decisions could not be written, whatever else it reaches */
+    if (!write_rank) /* it could not write its decisions, whatever else it reaches */
         return 0;
     return write_rank + rank_zones(matrix, controller, reference) +
            rank_cloud(matrix, controller, reference);
 }
 
-int pm_fitness_best_other_controller(const struct pm_matrix *matrix, int self, double now)
+int pm_fitness_best_other_controller(const struct pm_link_matrix *matrix, int self, double now)
 {
     int best = -1;
     int best_rank = 0;
 
     for (int i = 0; i < matrix->controller_count; i++) {
         int rank;
-        if (i == self || !pm_matrix_is_fresh(matrix, i, now))
+        if (i == self || !pm_link_matrix_is_view_fresh(matrix, i, now))
             continue;
         rank = pm_fitness_lead_rank(matrix, i, self);
         if (rank > best_rank) {
@@ -176,7 +180,7 @@
 }
 
 /* How much higher the best other controller ranks than this one; 0 if there is no other. */
-static int best_advantage(const struct pm_matrix *matrix, double now)
+static int best_advantage(const struct pm_link_matrix *matrix, double now)
 {
     int best = pm_fitness_best_other_controller(matrix, 0, now);
 
@@ -197,24 +201,26 @@
 }
 
 bool pm_fitness_should_step_down(struct pm_fitness_step_down_timers *timers,
-                                 const struct pm_matrix *matrix,
+                                 const struct pm_link_matrix *matrix,
                                  const struct pm_fitness_delays *delays, double led_for_s,
                                  double now)
 {
     int advantage = best_advantage(matrix, now);
-    bool is_better =
+    bool stayed_better =
         has_held_for(&timers->better_since, advantage > 0, delays->better_delay_s, now);
-    bool is_much_better = has_held_for(&timers->much_better_since, advantage >= PM_RANK_MUCH_BETTER,
-                                       delays->much_better_delay_s, now);
+    bool stayed_much_better =
+        has_held_for(&timers->much_better_since, advantage >= PM_RANK_MUCH_BETTER,
+                     delays->much_better_delay_s, now);
 
-    /* Workers take a while to connect to a new leader, so that it reaches few of them at first. A
-     * leader that can't write does not improve by waiting. */
+    /* A new leader is not replaced during its minimum term, because workers take a while to connect
+     * to it and it reaches few of them at first. The term does not apply to a leader that can't
+     * write (rank 0): waiting does not help it. */
     if (led_for_s < delays->min_term_s && pm_fitness_lead_rank(matrix, 0, 0) > 0)
         return false;
-    return is_much_better || is_better;
+    return stayed_much_better || stayed_better;
 }
 
-double pm_fitness_extra_campaign_delay_s(const struct pm_matrix *matrix,
+double pm_fitness_extra_campaign_delay_s(const struct pm_link_matrix *matrix,
                                          const struct pm_fitness_delays *delays, double now)
 {
     return best_advantage(matrix, now) >= PM_RANK_MUCH_BETTER ? delays->much_better_delay_s : 0;
--- a/src/links/links.c
+++ b/src/links/links.c
@@ -6,7 +6,7 @@
 #include <glib.h>
 #include <stdio.h>
 
-/* Grace period after a pause of the process, during which missing responses are no evidence. */
+/* After a pause of the process, missing responses are no evidence of a failure for this long. */
 #define PAUSE_GRACE_S 3.0
 /* More than this many tick intervals between two ticks mean that the process was paused. */
 #define PAUSE_TICKS 2
@@ -47,7 +47,7 @@
     links->zone_limits = links->limits;
     links->zone_limits.down_s = MAX(setting->down_s, ZONE_DOWN_HEARTBEATS * settings->heartbeat_s);
     links->delays = (struct pm_fitness_delays){MUCH_BETTER_DELAY_S, BETTER_DELAY_S, MIN_TERM_S};
-    pm_matrix_init(&links->matrix, settings, setting->expire_s);
+    pm_link_matrix_init(&links->matrix, settings, setting->expire_s);
     name_links(links);
     return links;
 }
@@ -57,7 +57,7 @@
     g_free(links);
 }
 
-const struct pm_matrix *pm_links_matrix(const struct pm_links *links)
+const struct pm_link_matrix *pm_links_matrix(const struct pm_links *links)
 {
     return &links->matrix;
 }
@@ -95,7 +95,7 @@
     link->unlogged_changes = 0;
 }
 
-/* Evaluates the link. Returns its state as a number for struct pm_view. */
+/* Evaluates the link. Returns its state as a number for struct pm_link_view. */
 static uint8_t evaluate_link(struct pm_links *links, struct pm_links_link *link,
                              const struct pm_link_limits *limits, double now)
 {
@@ -108,7 +108,7 @@
 
 static void evaluate_links(struct pm_links *links, double now)
 {
-    struct pm_view *view = &links->matrix.view[0];
+    struct pm_link_view *view = &links->matrix.view[0];
 
     view->state_service = evaluate_link(links, &links->state_service, &links->limits, now);
     view->cloud = evaluate_link(links, &links->cloud, &links->limits, now);
@@ -157,7 +157,7 @@
 
 void pm_links_tick(struct pm_links *links, bool leads, uint64_t epoch, double now)
 {
-    struct pm_view *view = &links->matrix.view[0];
+    struct pm_link_view *view = &links->matrix.view[0];
 
     if (links->last_tick_at && now - links->last_tick_at > PAUSE_TICKS * PM_LINKS_TICK_INTERVAL_S) {
         forgive_pause(links, now);
--- a/src/links/links.h
+++ b/src/links/links.h
@@ -5,7 +5,7 @@
  *
  * Key: p/links/NAME holds the view of the controller NAME (encoded by view_value.c), for the
  * controllers that its responses do not reach. Each controller writes its own key when its view
- * changes, and repeatedly while it does not reach a peer.
+ * changes, and repeatedly as long as a peer is not reached.
  *
  * Threads: guarded by struct pm_controller.lock. Called from the event-loop thread, mostly by
  * cmd/pumicemount/link_monitor.c. Does no I/O: the caller sends the probes and writes that are due.
@@ -41,7 +41,7 @@
  * evidence of a failure. */
 bool pm_links_was_paused_recently(const struct pm_links *links, double now);
 /* The reachability matrix, borrowed. View 0 is this controller's own. */
-const struct pm_matrix *pm_links_matrix(const struct pm_links *links);
+const struct pm_link_matrix *pm_links_matrix(const struct pm_links *links);
 
 /* ---- evidence.c ---- */
 
--- a/src/links/matrix.h
+++ b/src/links/matrix.h
@@ -17,13 +17,15 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* PM_VIEW_ENDPOINTS_MAX is for each zone of a view. */
+/* PM_VIEW_ENDPOINTS_MAX limits the addresses for each zone of a view. */
 enum { PM_CONTROLLERS_MAX = PM_PEERS_MAX + 1, PM_VIEW_ENDPOINTS_MAX = 2 };
 
 /* What one controller knows of its links. Index 0 is this process; peer i of the settings has the
  * index i + 1. */
-struct pm_view {
-    /* The view was evaluated at this monotonic time or later; 0 if no view is known. */
+struct pm_link_view {
+    /* Monotonic time at which the view was evaluated. For a view that a peer sent, a lower bound of
+     * that time; for a view read from the state service, the time at which it arrived here. 0 if no
+     * view is known. */
     double evaluated_at;
     bool leads;
     uint64_t epoch;
@@ -34,25 +36,27 @@
     char endpoint[PM_ZONES_MAX][PM_VIEW_ENDPOINTS_MAX][64];
 };
 
-struct pm_matrix {
+struct pm_link_matrix {
     const struct pm_settings *settings; /* borrowed */
     double expire_s;                    /* a view older than this is not used */
     int controller_count;               /* including this one */
-    struct pm_view view[PM_CONTROLLERS_MAX];
+    struct pm_link_view view[PM_CONTROLLERS_MAX];
 };
 
 /* ---- matrix.c ---- */
 
 /* Initializes a matrix without views. `settings` must outlive it. */
-void pm_matrix_init(struct pm_matrix *matrix, const struct pm_settings *settings, double expire_s);
+void pm_link_matrix_init(struct pm_link_matrix *matrix, const struct pm_settings *settings,
+                         double expire_s);
 /* The index of the controller with this name, or -1 if it is not in the settings. */
-int pm_matrix_find_controller(const struct pm_matrix *matrix, const char *name);
+int pm_link_matrix_find_controller(const struct pm_link_matrix *matrix, const char *name);
 /* The name of the controller, borrowed from the settings. */
-const char *pm_matrix_controller_name(const struct pm_matrix *matrix, int controller);
+const char *pm_link_matrix_controller_name(const struct pm_link_matrix *matrix, int controller);
 /* Whether the controller's view is known and has not expired. */
-bool pm_matrix_is_fresh(const struct pm_matrix *matrix, int controller, double now);
+bool pm_link_matrix_is_view_fresh(const struct pm_link_matrix *matrix, int controller, double now);
 /* Copies the view into the matrix if it is newer than the one there. */
-void pm_matrix_update(struct pm_matrix *matrix, int controller, const struct pm_view *view);
+void pm_link_matrix_update(struct pm_link_matrix *matrix, int controller,
+                           const struct pm_link_view *view);
 
 /* ---- view_message.c: the message between controllers, links.proto ---- */
 
@@ -60,24 +64,27 @@
 
 /* Encodes all fresh views as a message of `size` bytes, which the caller frees with g_free. Leaves
  * out views of other controllers that would make it longer than PM_VIEWS_BYTES_MAX. */
-unsigned char *pm_views_encode(const struct pm_matrix *matrix, double now, size_t *size);
+unsigned char *pm_link_views_encode_message(const struct pm_link_matrix *matrix, double now,
+                                            size_t *size);
 /* Updates the matrix from a peer's response to a call that was sent at `sent_at`. A view's age is
  * the age in the message plus the time since the call was sent. Ignores views of unknown
  * controllers, states of unknown links, and all views if the call was sent longer ago than
  * `expire_s`. Returns false if the message is malformed or too long. */
-bool pm_views_decode(struct pm_matrix *matrix, const unsigned char *data, size_t size,
-                     double sent_at, double now);
+bool pm_link_views_decode_message(struct pm_link_matrix *matrix, const unsigned char *data,
+                                  size_t size, double sent_at, double now);
 
 /* ---- view_value.c: the value at p/links/NAME in the state service ---- */
 
 /* Appends this process's own view to `out`. */
-void pm_view_encode(const struct pm_matrix *matrix, struct pm_buffer *out);
+void pm_link_view_encode_value(const struct pm_link_matrix *matrix, struct pm_buffer *out);
 /* Reads the view of another controller. The value does not contain its time and the workers'
  * addresses, which stay zero in `out`. Returns false, with `out` unspecified, if the value is
  * malformed. */
-bool pm_view_decode(const struct pm_matrix *matrix, const cbor_item_t *value, struct pm_view *out);
+bool pm_link_view_decode_value(const struct pm_link_matrix *matrix, const cbor_item_t *value,
+                               struct pm_link_view *out);
 
-/* The state with this number; PM_LINK_UNKNOWN for a number that only a later version uses. */
+/* The state with this number, or PM_LINK_UNKNOWN if only a later version has a state of this
+ * number. */
 static inline uint8_t pm_link_state_from_number(uint64_t number)
 {
     return number < PM_LINK_STATE_COUNT ? (uint8_t)number : PM_LINK_UNKNOWN;
--- a/src/links/probes.c
+++ b/src/links/probes.c
@@ -23,8 +23,8 @@
 static bool is_leader_without_cloud(const struct pm_links *links, double now)
 {
     for (int i = 1; i < links->matrix.controller_count; i++) {
-        const struct pm_view *view = &links->matrix.view[i];
-        if (pm_matrix_is_fresh(&links->matrix, i, now) && view->leads &&
+        const struct pm_link_view *view = &links->matrix.view[i];
+        if (pm_link_matrix_is_view_fresh(&links->matrix, i, now) && view->leads &&
             view->cloud != PM_LINK_UNKNOWN && !pm_link_is_usable(view->cloud))
             return true;
     }
@@ -50,7 +50,7 @@
 }
 
 /* The address in the view for the zone's probe with this number; "" if the zone has none. */
-static const char *next_endpoint(const struct pm_view *view, int zone, unsigned number)
+static const char *next_endpoint(const struct pm_link_view *view, int zone, unsigned number)
 {
     const char *addr = view->endpoint[zone][number % PM_VIEW_ENDPOINTS_MAX];
 
@@ -65,7 +65,7 @@
         return NULL;
     for (int i = 1; i < links->matrix.controller_count; i++) {
         const char *addr = next_endpoint(&links->matrix.view[i], zone, probe->next_endpoint);
-        if (!pm_matrix_is_fresh(&links->matrix, i, now) || !*addr)
+        if (!pm_link_matrix_is_view_fresh(&links->matrix, i, now) || !*addr)
             continue;
         probe->sent_at = now;
         probe->next_endpoint++;
--- a/src/links/status.c
+++ b/src/links/status.c
@@ -12,13 +12,13 @@
 
 static void encode_view_links(const struct pm_links *links, int controller, struct pm_buffer *out)
 {
-    const struct pm_view *view = &links->matrix.view[controller];
+    const struct pm_link_view *view = &links->matrix.view[controller];
 
     encode_link(out, links->state_service.name, view->state_service);
     encode_link(out, links->cloud.name, view->cloud);
     for (int i = 0; i < links->matrix.controller_count; i++)
         if (i != controller)
-            encode_link(out, pm_matrix_controller_name(&links->matrix, i), view->peer[i]);
+            encode_link(out, pm_link_matrix_controller_name(&links->matrix, i), view->peer[i]);
     for (int i = 0; i < links->settings->zone_count; i++)
         encode_link(out, links->zones[i].name, view->zone[i]);
 }
@@ -38,16 +38,18 @@
 static void encode_view(const struct pm_links *links, int controller, struct pm_buffer *out,
                         double now)
 {
-    const struct pm_view *view = &links->matrix.view[controller];
+    const struct pm_link_view *view = &links->matrix.view[controller];
     bool is_known = view->evaluated_at > 0;
 
     pm_cbor_put_map(out);
-    pm_cbor_put_pair_text(out, "controller", pm_matrix_controller_name(&links->matrix, controller));
+    pm_cbor_put_pair_text(out, "controller",
+                          pm_link_matrix_controller_name(&links->matrix, controller));
     pm_cbor_put_pair_flag(out, "known", is_known);
-    pm_cbor_put_pair_flag(out, "fresh", pm_matrix_is_fresh(&links->matrix, controller, now));
+    pm_cbor_put_pair_flag(out, "fresh",
+                          pm_link_matrix_is_view_fresh(&links->matrix, controller, now));
     pm_cbor_put_pair_number(out, "age_s", is_known ? now - view->evaluated_at : 0);
     pm_cbor_put_pair_flag(out, "leads", view->leads);
-    pm_cbor_put_pair_count(out, "epoch", view->epoch);
+    pm_cbor_put_pair_uint(out, "epoch", view->epoch);
     pm_cbor_put_text(out, "links");
     pm_cbor_put_list(out);
     if (is_known)
@@ -69,7 +71,7 @@
     pm_cbor_put_pair_flag(out, "observe", links->setting->observe);
     pm_cbor_put_pair_flag(out, "decide", links->setting->decide);
     pm_cbor_put_pair_flag(out, "lagging", pm_links_was_paused_recently(links, now));
-    pm_cbor_put_pair_count(out, "trace_dropped", dropped);
+    pm_cbor_put_pair_uint(out, "trace_dropped", dropped);
     pm_cbor_put_text(out, "views");
     pm_cbor_put_list(out);
     for (int i = 0; i < links->matrix.controller_count; i++)
--- a/src/links/view_message.c
+++ b/src/links/view_message.c
@@ -22,7 +22,7 @@
     return link;
 }
 
-static void add_endpoints(Pm__LinkSeen *link, const struct pm_view *view, int zone)
+static void add_endpoints(Pm__LinkSeen *link, const struct pm_link_view *view, int zone)
 {
     link->endpoint = g_new0(char *, PM_VIEW_ENDPOINTS_MAX);
     for (int i = 0; i < PM_VIEW_ENDPOINTS_MAX; i++)
@@ -30,20 +30,22 @@
             link->endpoint[link->n_endpoint++] = g_strdup(view->endpoint[zone][i]);
 }
 
-static void add_peers(Pm__ControllerView *message, const struct pm_matrix *matrix, int controller)
+static void add_peers(Pm__ControllerView *message, const struct pm_link_matrix *matrix,
+                      int controller)
 {
-    const struct pm_view *view = &matrix->view[controller];
+    const struct pm_link_view *view = &matrix->view[controller];
 
     message->peer = g_new0(Pm__LinkSeen *, matrix->controller_count);
     for (int i = 0; i < matrix->controller_count; i++)
         if (i != controller)
             message->peer[message->n_peer++] =
-                new_link(pm_matrix_controller_name(matrix, i), view->peer[i]);
+                new_link(pm_link_matrix_controller_name(matrix, i), view->peer[i]);
 }
 
-static void add_zones(Pm__ControllerView *message, const struct pm_matrix *matrix, int controller)
+static void add_zones(Pm__ControllerView *message, const struct pm_link_matrix *matrix,
+                      int controller)
 {
-    const struct pm_view *view = &matrix->view[controller];
+    const struct pm_link_view *view = &matrix->view[controller];
     const struct pm_settings *settings = matrix->settings;
 
     message->zone = g_new0(Pm__LinkSeen *, settings->zone_count);
@@ -54,13 +56,14 @@
     }
 }
 
-static Pm__ControllerView *new_message(const struct pm_matrix *matrix, int controller, double now)
+static Pm__ControllerView *new_message(const struct pm_link_matrix *matrix, int controller,
+                                       double now)
 {
-    const struct pm_view *view = &matrix->view[controller];
+    const struct pm_link_view *view = &matrix->view[controller];
     Pm__ControllerView *message = g_new0(Pm__ControllerView, 1);
 
     pm__controller_view__init(message);
-    message->controller = g_strdup(pm_matrix_controller_name(matrix, controller));
+    message->controller = g_strdup(pm_link_matrix_controller_name(matrix, controller));
     message->age_ms = (uint32_t)((now - view->evaluated_at) * MS_PER_S);
     message->leads = view->leads;
     message->epoch = view->epoch;
@@ -92,14 +95,15 @@
     g_free(message);
 }
 
-unsigned char *pm_views_encode(const struct pm_matrix *matrix, double now, size_t *size)
+unsigned char *pm_link_views_encode_message(const struct pm_link_matrix *matrix, double now,
+                                            size_t *size)
 {
     Pm__Views views = PM__VIEWS__INIT;
     unsigned char *data;
 
     views.view = g_new0(Pm__ControllerView *, matrix->controller_count);
     for (int i = 0; i < matrix->controller_count; i++) {
-        if (!pm_matrix_is_fresh(matrix, i, now))
+        if (!pm_link_matrix_is_view_fresh(matrix, i, now))
             continue;
         views.view[views.n_view++] = new_message(matrix, i, now);
         if (i && pm__views__get_packed_size(&views) > PM_VIEWS_BYTES_MAX)
@@ -116,17 +120,17 @@
 
 /* ---- decoding ---- */
 
-static void decode_peer(const struct pm_matrix *matrix, const Pm__LinkSeen *link,
-                        struct pm_view *view)
+static void decode_peer(const struct pm_link_matrix *matrix, const Pm__LinkSeen *link,
+                        struct pm_link_view *view)
 {
-    int peer = pm_matrix_find_controller(matrix, link->name);
+    int peer = pm_link_matrix_find_controller(matrix, link->name);
 
     if (peer >= 0)
         view->peer[peer] = pm_link_state_from_number(link->state);
 }
 
-static void decode_zone(const struct pm_matrix *matrix, const Pm__LinkSeen *link,
-                        struct pm_view *view)
+static void decode_zone(const struct pm_link_matrix *matrix, const Pm__LinkSeen *link,
+                        struct pm_link_view *view)
 {
     int zone = pm_settings_find_zone(matrix->settings, link->name);
 
@@ -137,11 +141,11 @@
         g_strlcpy(view->endpoint[zone][i], link->endpoint[i], sizeof view->endpoint[zone][i]);
 }
 
-static void decode_message(struct pm_matrix *matrix, const Pm__ControllerView *message,
+static void decode_message(struct pm_link_matrix *matrix, const Pm__ControllerView *message,
                            double sent_at)
 {
-    int controller = pm_matrix_find_controller(matrix, message->controller);
-    struct pm_view view = {0};
+    int controller = pm_link_matrix_find_controller(matrix, message->controller);
+    struct pm_link_view view = {0};
 
     if (controller <= 0) /* unknown, or this controller's own view, relayed by a peer */
         return;
@@ -154,11 +158,11 @@
         decode_peer(matrix, message->peer[i], &view);
     for (size_t i = 0; i < message->n_zone; i++)
         decode_zone(matrix, message->zone[i], &view);
-    pm_matrix_update(matrix, controller, &view);
+    pm_link_matrix_update(matrix, controller, &view);
 }
 
-bool pm_views_decode(struct pm_matrix *matrix, const unsigned char *data, size_t size,
-                     double sent_at, double now)
+bool pm_link_views_decode_message(struct pm_link_matrix *matrix, const unsigned char *data,
+                                  size_t size, double sent_at, double now)
 {
     Pm__Views *views = size <= DECODED_BYTES_MAX ? pm__views__unpack(NULL, size, data) : NULL;
     bool is_response_recent = now - sent_at <= matrix->expire_s;
--- a/src/links/view_value.c
+++ b/src/links/view_value.c
@@ -10,24 +10,24 @@
 #include <glib.h>
 #include <string.h>
 
-void pm_view_encode(const struct pm_matrix *matrix, struct pm_buffer *out)
+void pm_link_view_encode_value(const struct pm_link_matrix *matrix, struct pm_buffer *out)
 {
-    const struct pm_view *view = &matrix->view[0];
+    const struct pm_link_view *view = &matrix->view[0];
 
     pm_cbor_put_map(out);
-    pm_cbor_put_pair_count(out, "epoch", view->epoch);
+    pm_cbor_put_pair_uint(out, "epoch", view->epoch);
     pm_cbor_put_pair_flag(out, "leads", view->leads);
-    pm_cbor_put_pair_count(out, "state", view->state_service);
-    pm_cbor_put_pair_count(out, "cloud", view->cloud);
+    pm_cbor_put_pair_uint(out, "state", view->state_service);
+    pm_cbor_put_pair_uint(out, "cloud", view->cloud);
     pm_cbor_put_text(out, "peers");
     pm_cbor_put_map(out);
     for (int i = 1; i < matrix->controller_count; i++)
-        pm_cbor_put_pair_count(out, pm_matrix_controller_name(matrix, i), view->peer[i]);
+        pm_cbor_put_pair_uint(out, pm_link_matrix_controller_name(matrix, i), view->peer[i]);
     pm_cbor_put_end(out);
     pm_cbor_put_text(out, "zones");
     pm_cbor_put_map(out);
     for (int i = 0; i < matrix->settings->zone_count; i++)
-        pm_cbor_put_pair_count(out, matrix->settings->zone_names[i], view->zone[i]);
+        pm_cbor_put_pair_uint(out, matrix->settings->zone_names[i], view->zone[i]);
     pm_cbor_put_end(out);
     pm_cbor_put_end(out);
 }
@@ -37,22 +37,23 @@
 {
     uint64_t number;
 
-    if (!pm_cbor_read_count(pm_cbor_get(map, key), &number))
+    if (!pm_cbor_read_uint(pm_cbor_get(map, key), &number))
         return false;
     *out = pm_link_state_from_number(number);
     return true;
 }
 
-bool pm_view_decode(const struct pm_matrix *matrix, const cbor_item_t *value, struct pm_view *out)
+bool pm_link_view_decode_value(const struct pm_link_matrix *matrix, const cbor_item_t *value,
+                               struct pm_link_view *out)
 {
     memset(out, 0, sizeof *out);
     if (!decode_state(value, "state", &out->state_service) ||
         !decode_state(value, "cloud", &out->cloud))
         return false;
     pm_cbor_read_flag(pm_cbor_get(value, "leads"), &out->leads);
-    pm_cbor_read_count(pm_cbor_get(value, "epoch"), &out->epoch);
+    pm_cbor_read_uint(pm_cbor_get(value, "epoch"), &out->epoch);
     for (int i = 0; i < matrix->controller_count; i++)
-        decode_state(pm_cbor_get(value, "peers"), pm_matrix_controller_name(matrix, i),
+        decode_state(pm_cbor_get(value, "peers"), pm_link_matrix_controller_name(matrix, i),
                      &out->peer[i]);
     for (int i = 0; i < matrix->settings->zone_count; i++)
         decode_state(pm_cbor_get(value, "zones"), matrix->settings->zone_names[i], &out->zone[i]);
--- a/src/roles/acquisition.c
+++ b/src/roles/acquisition.c
@@ -94,7 +94,7 @@
     pm_cbor_put_map(out);
     pm_cbor_put_pair_text(out, "holder", roles->settings->name);
     pm_cbor_put_pair_text(out, "boot", roles->incarnation_id);
-    pm_cbor_put_pair_count(out, "lease", roles->lease.id);
+    pm_cbor_put_pair_uint(out, "lease", roles->lease.id);
     pm_cbor_put_end(out);
 }
 
@@ -106,7 +106,7 @@
 
     pm_role_format_key(role, key, sizeof key);
     pm_txn_compare(txn, key, state->holder.revision);
-    pm_txn_put(txn, key);
+    pm_txn_put_begin(txn, key);
     encode_holder(roles, &txn->writes);
     pm_txn_put_end(txn, roles->lease.id);
     if (!state->drain_request.revision)
--- a/src/roles/audit_entry.c
+++ b/src/roles/audit_entry.c
@@ -3,7 +3,7 @@
 void pm_audit_entry_encode(const struct pm_audit_entry *entry, struct pm_buffer *out)
 {
     pm_cbor_put_map(out);
-    pm_cbor_put_pair_count(out, "number", entry->number);
+    pm_cbor_put_pair_uint(out, "number", entry->number);
     pm_cbor_put_pair_number(out, "day", entry->wall);
     pm_cbor_put_pair_text(out, "event", entry->event);
     pm_cbor_put_pair_text(out, "duty", entry->role);
@@ -16,7 +16,7 @@
 {
     cbor_item_t *value = pm_cbor_parse(data, size);
     bool is_well_formed =
-        value && pm_cbor_read_count(pm_cbor_get(value, "number"), &out->number) &&
+        value && pm_cbor_read_uint(pm_cbor_get(value, "number"), &out->number) &&
         pm_cbor_read_number(pm_cbor_get(value, "day"), &out->wall) &&
         pm_cbor_read_text(pm_cbor_get(value, "event"), out->event, sizeof out->event) &&
         pm_cbor_read_text(pm_cbor_get(value, "duty"), out->role, sizeof out->role) &&
--- a/src/roles/garbage_collector.c
+++ b/src/roles/garbage_collector.c
@@ -140,7 +140,7 @@
 {
     struct candidate candidate = {.revision = revision, .unchanged_since_at = now};
 
-    if (!pm_cbor_read_count(pm_cbor_get(value, "token"), &candidate.drain_token))
+    if (!pm_cbor_read_uint(pm_cbor_get(value, "token"), &candidate.drain_token))
         return;
     candidate.reason = find_drain_reason(collector, key, candidate.drain_token);
     add_candidate(collector, key, candidate);
--- a/src/roles/intent.c
+++ b/src/roles/intent.c
@@ -49,7 +49,7 @@
         pm_cbor_put_pair_text(out, "type", rental->type);
         pm_cbor_put_pair_text(out, "zone", rental->zone);
         pm_cbor_put_pair_flag(out, "spot", rental->spot);
-        pm_cbor_put_pair_count(out, "count", rental->count);
+        pm_cbor_put_pair_uint(out, "count", rental->count);
         pm_cbor_put_end(out);
     }
     pm_cbor_put_end(out);
@@ -68,7 +68,7 @@
 {
     pm_cbor_put_map(out);
     pm_cbor_put_pair_text(out, "duty", pm_role_name(intent->role));
-    pm_cbor_put_pair_count(out, "token", intent->token);
+    pm_cbor_put_pair_uint(out, "token", intent->token);
     if (intent->role == PM_ROLE_SCALE_OUT)
         encode_rentals(intent, out);
     else
@@ -81,7 +81,7 @@
     return pm_cbor_read_text(pm_cbor_get(value, "type"), rental->type, sizeof rental->type) &&
            pm_cbor_read_text(pm_cbor_get(value, "zone"), rental->zone, sizeof rental->zone) &&
            pm_cbor_read_flag(pm_cbor_get(value, "spot"), &rental->spot) &&
-           pm_cbor_read_count(pm_cbor_get(value, "count"), &rental->count) && rental->type[0] &&
+           pm_cbor_read_uint(pm_cbor_get(value, "count"), &rental->count) && rental->type[0] &&
            rental->count > 0 && rental->count <= PM_INTENT_INSTANCES_MAX;
 }
 
@@ -152,7 +152,7 @@
         return NULL;
     intent = pm_intent_new(role);
     intent->revision = revision;
-    if (pm_cbor_read_count(pm_cbor_get(value, "token"), &intent->token) &&
+    if (pm_cbor_read_uint(pm_cbor_get(value, "token"), &intent->token) &&
         decode_name(intent, key) && decode_content(intent, value))
         return intent;
     pm_intent_free(intent);
--- a/src/roles/intent_log.c
+++ b/src/roles/intent_log.c
@@ -69,7 +69,7 @@
     pm_txn_compare(txn, PM_KEY_EPOCH, roles->conditions.epoch_revision);
     snprintf(key, sizeof key, PM_KEY_INTENT_PREFIX "%s", intent->name);
     pm_txn_compare(txn, key, 0);
-    pm_txn_put(txn, key);
+    pm_txn_put_begin(txn, key);
     pm_intent_encode(intent, &txn->writes);
     pm_txn_put_end(txn, 0);
 }
--- a/src/roles/replica.c
+++ b/src/roles/replica.c
@@ -25,7 +25,7 @@
     return pm_cbor_read_text(pm_cbor_get(value, "holder"), holder->name, sizeof holder->name) &&
            pm_cbor_read_text(pm_cbor_get(value, "boot"), holder->incarnation_id,
                              sizeof holder->incarnation_id) &&
-           pm_cbor_read_count(pm_cbor_get(value, "lease"), lease_id);
+           pm_cbor_read_uint(pm_cbor_get(value, "lease"), lease_id);
 }
 
 /* Decodes the holder. A malformed value is logged, and makes the holder unreadable. */
@@ -75,7 +75,7 @@
     struct pm_role_drain_request *request = &roles->states[role].drain_request;
 
     request->revision = revision;
-    if (pm_cbor_read_count(pm_cbor_get(value, "token"), &request->token))
+    if (pm_cbor_read_uint(pm_cbor_get(value, "token"), &request->token))
         return;
     request->token = 0;
     pm_error("role.unreadable",
--- a/src/roles/roles.c
+++ b/src/roles/roles.c
@@ -85,14 +85,14 @@
     pm_cbor_put_map(out);
     pm_cbor_put_pair_text(out, "duty", pm_role_name(role));
     pm_cbor_put_pair_text(out, "holder", holder->name);
-    pm_cbor_put_pair_count(out, "token", holder->revision);
+    pm_cbor_put_pair_uint(out, "token", holder->revision);
     pm_cbor_put_pair_flag(out, "holds", pm_roles_is_holder(roles, role, now));
     pm_cbor_put_pair_flag(out, "draining", drain_token && drain_token == holder->revision);
     pm_cbor_put_pair_flag(out, "unreadable", holder->is_unreadable);
     pm_cbor_put_pair_number(out, "held_for_s", held_s);
     if (state->claim.token)
         pm_cbor_put_pair_number(out, "renewed_ago_s", now - roles->lease.sent_at);
-    pm_cbor_put_pair_count(out, "open_intents", pm_roles_count_open_intents(roles, role));
+    pm_cbor_put_pair_uint(out, "open_intents", pm_roles_count_open_intents(roles, role));
     pm_cbor_put_end(out);
 }
 
--- a/src/scheduler/ledger_codec.c
+++ b/src/scheduler/ledger_codec.c
@@ -57,7 +57,7 @@
         pm_cbor_put_number(writer->encoded, ceil(cached->gb * SIZE_PRECISION) / SIZE_PRECISION);
         writer->used += strlen(name) + IMAGE_BYTES;
     }
-    pm_cbor_put_count(&writer->machines, (uint64_t)*position);
+    pm_cbor_put_uint(&writer->machines, (uint64_t)*position);
     writer->used += POSITION_BYTES;
 }
 
@@ -127,7 +127,7 @@
     char name[PM_NAME_MAX];
     uint64_t index;
 
-    if (!pm_cbor_read_count(position, &index) || index >= pm_cbor_length(table) / 2 ||
+    if (!pm_cbor_read_uint(position, &index) || index >= pm_cbor_length(table) / 2 ||
         !pm_cbor_read_text(pm_cbor_at(table, 2 * index), name, sizeof name) ||
         !pm_cbor_read_number(pm_cbor_at(table, 2 * index + 1), &out->gb))
         return false;
--- a/src/shards/shard_value.c
+++ b/src/shards/shard_value.c
@@ -34,7 +34,7 @@
         struct pm_shard_stored_job job = {0};
         uint64_t parallelism;
         if (!pm_cbor_read_text(pm_cbor_get(item, "id"), job.id, sizeof job.id) ||
-            !pm_cbor_read_count(pm_cbor_get(item, "width"), &parallelism))
+            !pm_cbor_read_uint(pm_cbor_get(item, "width"), &parallelism))
             continue;
         job.parallelism = (uint32_t)parallelism;
         g_array_append_val(out, job);
@@ -47,7 +47,7 @@
     stored->incarnation_id[0] = 0;
     pm_cbor_read_text(pm_cbor_get(value, "boot"), stored->incarnation_id,
                       sizeof stored->incarnation_id);
-    pm_cbor_read_count(pm_cbor_get(value, "serial"), &stored->serial);
+    pm_cbor_read_uint(pm_cbor_get(value, "serial"), &stored->serial);
     decode_machines(tables, pm_shard_value_machines(value), stored->machines);
     decode_jobs(pm_cbor_get(value, "jobs"), stored->jobs);
 }
@@ -70,7 +70,7 @@
     *out = (struct pm_shard_stored_machine){.type = -1, .zone = -1};
     pm_cbor_read_text(pm_cbor_get(machine, "endpoint"), out->endpoint, sizeof out->endpoint);
     pm_cbor_read_flag(pm_cbor_get(machine, "borrowed"), &out->spot);
-    pm_cbor_read_count(pm_cbor_get(machine, "shift"), &out->incarnation);
+    pm_cbor_read_uint(pm_cbor_get(machine, "shift"), &out->incarnation);
     if (pm_cbor_read_text(pm_cbor_get(machine, "room"), text, sizeof text))
         out->zone = pm_settings_find_zone(tables->settings, text);
     if (pm_cbor_read_text(pm_cbor_get(machine, "model"), text, sizeof text))
@@ -88,7 +88,7 @@
     if (machine->zone >= 0)
         pm_cbor_put_pair_text(out, "room", tables->settings->zone_names[machine->zone]);
     pm_cbor_put_pair_flag(out, "borrowed", machine->spot);
-    pm_cbor_put_pair_count(out, "shift", machine->heartbeat.incarnation);
+    pm_cbor_put_pair_uint(out, "shift", machine->heartbeat.incarnation);
     pm_cbor_put_end(out);
 }
 
@@ -114,7 +114,7 @@
         const struct pm_job *job = g_ptr_array_index(jobs, i);
         pm_cbor_put_map(out);
         pm_cbor_put_pair_text(out, "id", job->id);
-        pm_cbor_put_pair_count(out, "width", job->parallelism);
+        pm_cbor_put_pair_uint(out, "width", job->parallelism);
         pm_cbor_put_end(out);
     }
     pm_cbor_put_end(out);
@@ -125,7 +125,7 @@
 {
     pm_cbor_put_map(out);
     pm_cbor_put_pair_text(out, "boot", shard->owner.incarnation_id);
-    pm_cbor_put_pair_count(out, "serial", shard->write.serial);
+    pm_cbor_put_pair_uint(out, "serial", shard->write.serial);
     encode_machines(shards, shard, out);
     encode_jobs(shard->target.jobs, out);
     pm_cbor_put_end(out);
--- a/src/shards/shard_write.c
+++ b/src/shards/shard_write.c
@@ -134,7 +134,7 @@
     remove_ended_jobs(shard->target.jobs);
     pm_txn_compare(&txn, PM_KEY_EPOCH, pm_election_epoch_revision(shards->election));
     pm_txn_compare(&txn, shard->key, pm_shard_revision(shard));
-    pm_txn_put(&txn, shard->key);
+    pm_txn_put_begin(&txn, shard->key);
     pm_shard_value_encode(shards, shard, &txn.writes);
     pm_txn_put_end(&txn, 0);
     shard->target.needs_write = false;
--- a/src/store/codec.c
+++ b/src/store/codec.c
@@ -3,7 +3,7 @@
 
 bool pm_store_decode_revision(const cbor_item_t *answer, uint64_t *store_revision)
 {
-    return pm_cbor_read_count(pm_cbor_get(answer, "edition"), store_revision);
+    return pm_cbor_read_uint(pm_cbor_get(answer, "edition"), store_revision);
 }
 
 const cbor_item_t *pm_store_decode_list(const cbor_item_t *answer, bool *has_more)
@@ -23,7 +23,7 @@
                        struct pm_store_change *change)
 {
     return pm_cbor_read_text(pm_cbor_get(item, key_field), change->key, sizeof change->key) &&
-           pm_cbor_read_count(pm_cbor_get(item, "stamp"), &change->revision);
+           pm_cbor_read_uint(pm_cbor_get(item, "stamp"), &change->revision);
 }
 
 static bool decode_put(const cbor_item_t *item, const char *key_field,
--- a/src/store/internal.h
+++ b/src/store/internal.h
@@ -16,7 +16,8 @@
 #include <ev.h>
 #include <glib.h>
 
-/* A request without an answer after this time counts as lost. */
+/* A request without an answer after this time counts as lost. A watch gets this time in addition to
+ * the time for which the service may hold it open. */
 #define PM_STORE_REQUEST_TIMEOUT_S 2.0
 /* Minimum interval between two watches, and between two reads of the store revision, because both
  * count against the service's request budget. */
@@ -50,7 +51,7 @@
     uint64_t store_revision;    /* every change up to this revision has been applied */
     double caught_up_at;        /* when the latest listing or watch was applied */
     double watch_opened_at;
-    ev_timer retry_timer; /* runs while the next page or watch is delayed */
+    ev_timer request_timer; /* sends the next page or watch after a delay */
 };
 
 /* A caller who waits for the replica to reach a store revision. */
@@ -75,11 +76,11 @@
 struct pm_store_write_budget {
     double writes_per_s; /* the service's limit for all controllers together */
     double share;        /* of the limit, guaranteed to this controller */
-    double max_share; /* of the limit, usable while the other controllers use less than the rest */
-    double tokens;    /* writes that may be sent now; negative after a burst */
+    double max_share;    /* of the limit, usable while the other controllers leave part unused */
+    double tokens;       /* writes that may be sent now; negative after a burst */
     double refilled_at;
-    double foreign_writes; /* by other controllers, decaying over FOREIGN_WRITES_DECAY_S */
-    double foreign_writes_at;
+    double peer_writes; /* by other controllers, decaying over PEER_WRITES_DECAY_S */
+    double peer_writes_at;
 };
 
 struct pm_store {
@@ -135,9 +136,9 @@
 
 /* ---- replica.c ---- */
 
-/* Initializes the retry timer and begins the first listing. */
+/* Initializes the request timer and begins the first listing. */
 void pm_store_replica_start(struct pm_store *store);
-/* Stops the retry timer. */
+/* Stops the request timer. */
 void pm_store_replica_stop(struct pm_store *store);
 /* Abandons the open watch and opens another from the revision that the replica has reached. */
 void pm_store_reopen_watch(struct pm_store *store);
@@ -148,7 +149,7 @@
 void pm_store_reads_init(struct pm_store *store);
 /* Stops the timer and frees the lists without calling the callbacks of those who still wait. */
 void pm_store_reads_clear(struct pm_store *store);
-/* Calls back the callers who waited for a store revision that the replica has reached. */
+/* Calls the callbacks of those who waited for a store revision that the replica has reached. */
 void pm_store_complete_reads(struct pm_store *store);
 
 /* ---- write_budget.c ---- */
@@ -159,9 +160,9 @@
 void pm_store_budget_spend(struct pm_store *store, int writes);
 /* Empties the bucket, because the service answered that the budget is exceeded. */
 void pm_store_budget_exhaust(struct pm_store *store);
-/* Counts writes that a watch reported as writes of other controllers. A watch reports this
- * controller's own writes too; the caller subtracts those again, with negative `writes`, when their
- * transaction succeeds. */
-void pm_store_add_foreign_writes(struct pm_store *store, double writes);
+/* Adds to the writes that are attributed to other controllers. Called with the number of events of
+ * each watch, which include this controller's own writes, and with the negative number of writes of
+ * each own transaction that succeeded, which deducts them again. */
+void pm_store_add_peer_writes(struct pm_store *store, double writes);
 
 #endif
--- a/src/store/leases.c
+++ b/src/store/leases.c
@@ -16,7 +16,7 @@
 static bool decode_lease_id(const unsigned char *body, size_t size, uint64_t *lease_id)
 {
     cbor_item_t *answer = size ? pm_cbor_parse(body, size) : NULL;
-    bool is_read = pm_cbor_read_count(pm_cbor_get(answer, "tenure"), lease_id);
+    bool is_read = pm_cbor_read_uint(pm_cbor_get(answer, "tenure"), lease_id);
 
     pm_cbor_free(answer);
     return is_read;
@@ -52,7 +52,7 @@
     struct pm_buffer body = {0};
 
     pm_cbor_put_map(&body);
-    pm_cbor_put_pair_count(&body, "ttl_ms", (uint64_t)(ttl_s * MS_PER_S));
+    pm_cbor_put_pair_uint(&body, "ttl_ms", (uint64_t)(ttl_s * MS_PER_S));
     pm_cbor_put_end(&body);
     send_lease_request(store, "/holds", &body, (struct lease_request){store, done, arg, 0});
     pm_buffer_free(&body);
--- a/src/store/linearizable_read.c
+++ b/src/store/linearizable_read.c
@@ -16,7 +16,8 @@
     return &g_array_index(list, struct pm_store_pending_read, index);
 }
 
-/* A callback may append to the list, so that its length and elements are read again after each. */
+/* A callback may append to the list, so the length and the elements are read again after each
+ * call. */
 void pm_store_complete_reads(struct pm_store *store)
 {
     GArray *waiting = store->reads.waiting;
@@ -54,8 +55,8 @@
     }
 }
 
-/* Lets the callers whom the read in flight serves wait for the replica to reach the store revision
- * that the read returned. */
+/* The read in flight has returned this store revision: its callers now wait until the replica
+ * reaches that revision. */
 static void wait_for_replica(struct pm_store *store, uint64_t store_revision)
 {
     struct pm_store_reads *reads = &store->reads;
@@ -157,7 +158,7 @@
     if (may_send_revision_read(store, now))
         send_revision_read(store, now);
     if (is_watch_stalled(store, now))
-        pm_store_reopen_watch(store); /* costs one request if the watch was sound */
+        pm_store_reopen_watch(store); /* costs only one request if the watch was not stalled */
     fail_expired(reads->queued, now);
     fail_expired(reads->waiting, now);
     if (!reads->queued->len && !reads->waiting->len)
--- a/src/store/replica.c
+++ b/src/store/replica.c
@@ -1,8 +1,8 @@
 /* Keeps the replica up to date: lists all keys in pages, then opens watches, each from the store
  * revision that the one before it reached.
  *
- * At any time either one page or watch is in flight, or the retry timer runs. Incrementing the
- * generation abandons a listing or watch: its answer is then ignored. */
+ * At any time either one request (a page or a watch) is in flight, or the timer runs that sends the
+ * next one. Incrementing the generation abandons the request in flight: its answer is ignored. */
 #include "base/keys.h"
 #include "store/internal.h"
 #include "base/clock.h"
@@ -14,30 +14,31 @@
 #define WATCH_WAIT_MS 5000
 #define LIST_PAGE_KEYS 200 /* keys per page of a listing */
 /* If a watch fails and the replica has not caught up for longer than this, all keys are listed
- * again. The limit is longer than a watch without events stays open. */
+ * again. The limit exceeds WATCH_WAIT_MS, so that the failure of a single watch without events does
+ * not cause a listing. */
 #define MAX_WATCH_GAP_S 8.0
 #define LIST_RETRY_S 0.2         /* delay after a page without a readable answer */
 #define WATCH_RETRY_S 0.15       /* delay after a watch without a readable answer */
 #define NEGLIGIBLE_DELAY_S 0.001 /* a delay up to this is skipped rather than timed */
-#define FEED_ANSWER_MAX_BYTES (4u << 20)
+#define REPLICA_ANSWER_MAX_BYTES (4u << 20)
 
 /* A page of a listing, or a watch, in flight. */
-struct feed_request {
+struct replica_request {
     struct pm_store *store;
     uint64_t generation;
 };
 
-static struct feed_request *feed_request_new(struct pm_store *store)
+static struct replica_request *replica_request_new(struct pm_store *store)
 {
-    struct feed_request *request = g_new(struct feed_request, 1);
+    struct replica_request *request = g_new(struct replica_request, 1);
 
     request->store = store;
     request->generation = store->replica.generation;
     return request;
 }
 
-/* Frees the request. Returns its store, or NULL if the request has been abandoned. */
-static struct pm_store *feed_request_end(struct feed_request *request)
+/* Frees a request that has ended. Returns its store, or NULL if the request had been abandoned. */
+static struct pm_store *replica_request_end(struct replica_request *request)
 {
     struct pm_store *store = request->store;
     bool is_current = request->generation == store->replica.generation;
@@ -46,10 +47,11 @@
     return is_current ? store : NULL;
 }
 
-/* Returns the answer, owned by the caller, and its store revision. Returns NULL if the request
- * failed or the answer can't be read. */
-static cbor_item_t *parse_feed_answer(struct pm_store *store, int status, const unsigned char *body,
-                                      size_t size, uint64_t *store_revision)
+/* Records the status. Returns the answer, owned by the caller, and its store revision. Returns NULL
+ * if the request failed (any status but 200) or the answer can't be read. */
+static cbor_item_t *parse_replica_answer(struct pm_store *store, int status,
+                                         const unsigned char *body, size_t size,
+                                         uint64_t *store_revision)
 {
     cbor_item_t *answer = pm_store_record_status(store, status) ? pm_cbor_parse(body, size) : NULL;
 
@@ -59,13 +61,13 @@
     return NULL;
 }
 
-static void retry_after(struct pm_store *store, double delay_s)
+static void schedule_next_request(struct pm_store *store, double delay_s)
 {
-    ev_timer *retry_timer = &store->replica.retry_timer;
+    ev_timer *request_timer = &store->replica.request_timer;
 
-    ev_timer_stop(store->loop, retry_timer);
-    ev_timer_set(retry_timer, delay_s, 0.);
-    ev_timer_start(store->loop, retry_timer);
+    ev_timer_stop(store->loop, request_timer);
+    ev_timer_set(request_timer, delay_s, 0.);
+    ev_timer_start(store->loop, request_timer);
 }
 
 static void mark_caught_up(struct pm_store *store, uint64_t store_revision)
@@ -102,14 +104,15 @@
     double delay_s = next_at - pm_clock_monotonic();
 
     if (delay_s > NEGLIGIBLE_DELAY_S)
-        retry_after(store, delay_s);
+        schedule_next_request(store, delay_s);
     else
         open_watch(store);
 }
 
-/* Retries a failed watch, or lists again if the service has been out of reach for long: a watch
- * would report all changes since then in one answer of unbounded size, whereas a listing comes in
- * pages. While the service refuses requests nothing changes, so that the watch is enough. */
+/* Retries a failed watch, or lists all keys again if no watch has succeeded for MAX_WATCH_GAP_S: a
+ * watch would report all changes since then in one answer of unbounded size, whereas a listing
+ * comes in pages. A service that refuses requests (503) executes no writes either, so there are no
+ * missed changes and the watch is just retried. */
 static void recover_watch(struct pm_store *store)
 {
     const struct pm_store_replica *replica = &store->replica;
@@ -117,18 +120,18 @@
     if (!store->health.is_refusing &&
         pm_clock_monotonic() - replica->caught_up_at > MAX_WATCH_GAP_S) {
         pm_info("store.resync",
-                "the state service has been out of reach since store revision %llu; listing all "
-                "keys again",
+                "watches of the state service have failed since store revision %llu was reached; "
+                "listing all keys again",
                 (unsigned long long)replica->store_revision);
         pm_store_resync(store);
     } else {
-        retry_after(store, WATCH_RETRY_S);
+        schedule_next_request(store, WATCH_RETRY_S);
     }
 }
 
 static void on_watch(void *arg, int status, const unsigned char *body, size_t size)
 {
-    struct pm_store *store = feed_request_end(arg);
+    struct pm_store *store = replica_request_end(arg);
     uint64_t generation;
     uint64_t store_revision;
     cbor_item_t *answer;
@@ -145,14 +148,14 @@
         pm_store_resync(store);
         return;
     }
-    answer = parse_feed_answer(store, status, body, size, &store_revision);
+    answer = parse_replica_answer(store, status, body, size, &store_revision);
     if (!answer) {
         recover_watch(store);
         return;
     }
     events = pm_store_decode_watch_events(answer);
     event_count = pm_cbor_length(events);
-    pm_store_add_foreign_writes(store, (double)event_count);
+    pm_store_add_peer_writes(store, (double)event_count);
     for (size_t i = 0; i < event_count; i++)
         apply_event(store, pm_cbor_at(events, i));
     pm_cbor_free(answer);
@@ -171,14 +174,14 @@
     snprintf(target, sizeof target, "/watch?under=" PM_KEY_ROOT "&since=%llu&wait_ms=%d",
              (unsigned long long)replica->store_revision, WATCH_WAIT_MS);
     pm_http_call(store->http, store->address, "GET", target, NULL, 0,
-                 WATCH_WAIT_MS / 1000. + PM_STORE_REQUEST_TIMEOUT_S, FEED_ANSWER_MAX_BYTES,
-                 on_watch, feed_request_new(store));
+                 WATCH_WAIT_MS / 1000. + PM_STORE_REQUEST_TIMEOUT_S, REPLICA_ANSWER_MAX_BYTES,
+                 on_watch, replica_request_new(store));
 }
 
 void pm_store_reopen_watch(struct pm_store *store)
 {
     store->replica.generation++;
-    ev_timer_stop(store->loop, &store->replica.retry_timer);
+    ev_timer_stop(store->loop, &store->replica.request_timer);
     open_watch(store);
 }
 
@@ -216,7 +219,7 @@
 
 static void on_list(void *arg, int status, const unsigned char *body, size_t size)
 {
-    struct pm_store *store = feed_request_end(arg);
+    struct pm_store *store = replica_request_end(arg);
     cbor_item_t *answer;
     const cbor_item_t *items;
     uint64_t store_revision;
@@ -224,9 +227,9 @@
 
     if (!store)
         return;
-    answer = parse_feed_answer(store, status, body, size, &store_revision);
+    answer = parse_replica_answer(store, status, body, size, &store_revision);
     if (!answer) {
-        retry_after(store, LIST_RETRY_S);
+        schedule_next_request(store, LIST_RETRY_S);
         return;
     }
     /* The old replica stays in use until the first page of the new listing has arrived. */
@@ -250,7 +253,7 @@
     snprintf(target, sizeof target, "/kv?under=" PM_KEY_ROOT "%s%s&page=%d",
              last_key[0] ? "&since=" : "", last_key, LIST_PAGE_KEYS);
     pm_http_call(store->http, store->address, "GET", target, NULL, 0, PM_STORE_REQUEST_TIMEOUT_S,
-                 FEED_ANSWER_MAX_BYTES, on_list, feed_request_new(store));
+                 REPLICA_ANSWER_MAX_BYTES, on_list, replica_request_new(store));
 }
 
 void pm_store_resync(struct pm_store *store)
@@ -263,7 +266,7 @@
 
 /* ---- life cycle ---- */
 
-static void on_retry(struct ev_loop *loop, ev_timer *timer, int events)
+static void on_request_timer(struct ev_loop *loop, ev_timer *timer, int events)
 {
     struct pm_store *store = timer->data;
 
@@ -277,15 +280,15 @@
 
 void pm_store_replica_start(struct pm_store *store)
 {
-    ev_init(&store->replica.retry_timer, on_retry);
-    store->replica.retry_timer.data = store;
+    ev_init(&store->replica.request_timer, on_request_timer);
+    store->replica.request_timer.data = store;
     store->replica.is_listing = true;
     list_next_page(store);
 }
 
 void pm_store_replica_stop(struct pm_store *store)
 {
-    ev_timer_stop(store->loop, &store->replica.retry_timer);
+    ev_timer_stop(store->loop, &store->replica.request_timer);
 }
 
 bool pm_store_is_ready(const struct pm_store *store)
--- a/src/store/txn.c
+++ b/src/store/txn.c
@@ -8,12 +8,12 @@
 {
     pm_cbor_put_map(&txn->compares);
     pm_cbor_put_pair_text(&txn->compares, "key", key);
-    pm_cbor_put_pair_count(&txn->compares, "stamp", revision);
+    pm_cbor_put_pair_uint(&txn->compares, "stamp", revision);
     pm_cbor_put_end(&txn->compares);
     txn->compare_count++;
 }
 
-void pm_txn_put(struct pm_txn *txn, const char *key)
+void pm_txn_put_begin(struct pm_txn *txn, const char *key)
 {
     pm_cbor_put_map(&txn->writes);
     pm_cbor_put_pair_text(&txn->writes, "put", key);
@@ -24,7 +24,7 @@
 void pm_txn_put_end(struct pm_txn *txn, uint64_t lease_id)
 {
     if (lease_id)
-        pm_cbor_put_pair_count(&txn->writes, "tenure", lease_id);
+        pm_cbor_put_pair_uint(&txn->writes, "tenure", lease_id);
     pm_cbor_put_end(&txn->writes);
 }
 
@@ -98,8 +98,8 @@
             result = PM_STORE_UNKNOWN_OUTCOME;
     }
     if (result == PM_STORE_OK)
-        /* The watch reports these writes too, and counts them as foreign. */
-        pm_store_add_foreign_writes(store, -commit->write_count);
+        /* The watch also reports these writes, and they are then counted as peers' writes. */
+        pm_store_add_peer_writes(store, -commit->write_count);
     if (result == PM_STORE_THROTTLED)
         pm_store_budget_exhaust(store);
     commit->done(commit->arg, result, store_revision, pm_cbor_get(answer, "failed"));
--- a/src/store/write_budget.c
+++ b/src/store/write_budget.c
@@ -7,10 +7,10 @@
 #include <math.h>
 
 /* Time constant of the exponential average of other controllers' writes. */
-#define FOREIGN_WRITES_DECAY_S 3.0
+#define PEER_WRITES_DECAY_S 3.0
 #define INITIAL_SHARE 0.5
 /* The share of the service's limit that all controllers together may use. The rest allows for
- * foreign writes that the watches report late. */
+ * peers' writes that the watches report late. */
 #define USABLE_SHARE 0.95
 /* Minimum capacity of the bucket, as a share of the service's writes per second, so that a
  * transaction with several writes fits however small the controller's share is. */
@@ -37,27 +37,27 @@
     store->budget.tokens = MIN(store->budget.tokens, 0);
 }
 
-/* The factor, 0 to 1, by which the counted foreign writes have decayed at `now`. */
-static double foreign_writes_decay(const struct pm_store_write_budget *budget, double now)
+/* The factor, 0 to 1, by which the counted writes of peers have decayed at `now`. */
+static double peer_writes_decay(const struct pm_store_write_budget *budget, double now)
 {
-    return exp((budget->foreign_writes_at - now) / FOREIGN_WRITES_DECAY_S);
+    return exp((budget->peer_writes_at - now) / PEER_WRITES_DECAY_S);
 }
 
-void pm_store_add_foreign_writes(struct pm_store *store, double writes)
+void pm_store_add_peer_writes(struct pm_store *store, double writes)
 {
     struct pm_store_write_budget *budget = &store->budget;
     double now = pm_clock_monotonic();
 
-    budget->foreign_writes = budget->foreign_writes * foreign_writes_decay(budget, now) + writes;
-    budget->foreign_writes_at = now;
+    budget->peer_writes = budget->peer_writes * peer_writes_decay(budget, now) + writes;
+    budget->peer_writes_at = now;
 }
 
 int pm_store_write_budget(struct pm_store *store, double now)
 {
     struct pm_store_write_budget *budget = &store->budget;
-    double foreign_rate =
-        MAX(0, budget->foreign_writes) * foreign_writes_decay(budget, now) / FOREIGN_WRITES_DECAY_S;
-    double unused_share = USABLE_SHARE - foreign_rate / budget->writes_per_s;
+    double peer_rate =
+        MAX(0, budget->peer_writes) * peer_writes_decay(budget, now) / PEER_WRITES_DECAY_S;
+    double unused_share = USABLE_SHARE - peer_rate / budget->writes_per_s;
     double share = MAX(budget->share, MIN(budget->max_share, unused_share));
     double rate = budget->writes_per_s * share;
     double capacity = MAX(rate, MIN_BURST_SHARE * budget->writes_per_s);
--- a/src/testing/cluster.c
+++ b/src/testing/cluster.c
@@ -35,7 +35,7 @@
     if (!data)
         return;
     pm_cbor_read_text(pm_cbor_get(data, "leader"), name, sizeof name);
-    if (!strcmp(key, EPOCH_KEY) && pm_cbor_read_count(pm_cbor_get(data, "epoch"), &epoch)) {
+    if (!strcmp(key, EPOCH_KEY) && pm_cbor_read_uint(pm_cbor_get(data, "epoch"), &epoch)) {
         history_epoch_advanced(cluster->history, epoch, name);
         g_strlcpy(cluster->leader_name, name, sizeof cluster->leader_name);
     }
--- a/src/testing/cluster_users.c
+++ b/src/testing/cluster_users.c
@@ -58,7 +58,7 @@
     pm_cbor_put_pair_text(out, "desk", job->team);
     pm_cbor_put_pair_text(out, "form", wanted->kind);
     pm_cbor_put_pair_text(out, "urgency", wanted->priority);
-    pm_cbor_put_pair_count(out, "entries", wanted->task_count);
+    pm_cbor_put_pair_uint(out, "entries", wanted->task_count);
     pm_cbor_put_pair_number(out, "cpus", wanted->cpus);
     pm_cbor_put_pair_number(out, "accelerators", wanted->accelerators);
     pm_cbor_put_pair_number(out, "ram_gb", TASK_RAM_GB);
--- a/src/testing/fake_provider_api.c
+++ b/src/testing/fake_provider_api.c
@@ -71,7 +71,7 @@
 
     pm_cbor_read_text(pm_cbor_get(body, "booking"), booking, sizeof booking);
     pm_cbor_read_text(pm_cbor_get(body, "room"), zone, sizeof zone);
-    pm_cbor_read_count(pm_cbor_get(body, "how_many"), &count);
+    pm_cbor_read_uint(pm_cbor_get(body, "how_many"), &count);
     answer = g_hash_table_lookup(provider->api.bookings, booking);
     if (answer) {
         pm_http_reply(request, HTTP_OK, answer->data, answer->size, 0);
--- a/src/testing/fake_store_keys.c
+++ b/src/testing/fake_store_keys.c
@@ -60,7 +60,7 @@
     struct fake_store_value *value = g_new0(struct fake_store_value, 1);
 
     pm_cbor_put_map(&value->data);
-    pm_cbor_put_pair_count(&value->data, name, number);
+    pm_cbor_put_pair_uint(&value->data, name, number);
     pm_cbor_put_end(&value->data);
     value->revision = ++store->keys.revision;
     g_tree_replace(store->keys.values, g_strdup(key), value);
@@ -77,7 +77,7 @@
     for (size_t i = 0; i < pm_cbor_length(writes); i++) {
         const cbor_item_t *write = pm_cbor_at(writes, i);
         uint64_t lease_id = 0;
-        if (pm_cbor_read_count(pm_cbor_get(write, "tenure"), &lease_id) && lease_id &&
+        if (pm_cbor_read_uint(pm_cbor_get(write, "tenure"), &lease_id) && lease_id &&
             !fake_store_is_lease_live(store, lease_id))
             return true;
     }
@@ -95,7 +95,7 @@
     for (size_t i = 0; i < pm_cbor_length(conditions); i++) {
         const cbor_item_t *condition = pm_cbor_at(conditions, i);
         if (pm_cbor_read_text(pm_cbor_get(condition, "key"), key, sizeof key) &&
-            pm_cbor_read_count(pm_cbor_get(condition, "stamp"), &revision) &&
+            pm_cbor_read_uint(pm_cbor_get(condition, "stamp"), &revision) &&
             fake_store_revision(store, key) == revision)
             continue;
         pm_cbor_put_text(conflicting_keys, key);
@@ -110,7 +110,7 @@
 
     pm_cbor_put_item(&value->data, pm_cbor_get(write, "data"));
     value->revision = store->keys.revision;
-    pm_cbor_read_count(pm_cbor_get(write, "tenure"), &value->lease_id);
+    pm_cbor_read_uint(pm_cbor_get(write, "tenure"), &value->lease_id);
     g_tree_replace(store->keys.values, g_strdup(key), value);
     fake_store_record_change(store, key, true);
     notify_observer(store, key, pm_cbor_get(write, "data"));
@@ -171,7 +171,7 @@
     } else {
         apply_writes(store, writes);
     }
-    pm_cbor_put_pair_count(&out, "edition", store->keys.revision);
+    pm_cbor_put_pair_uint(&out, "edition", store->keys.revision);
     pm_cbor_put_end(&out);
     pm_buffer_free(&conflicting_keys);
     reply_to_txn(store, request, conflicts ? HTTP_CONFLICT : HTTP_OK, &out);
@@ -239,9 +239,9 @@
     if (value) {
         pm_cbor_put_pair_text(&out, "key", key);
         fake_store_put_data(&out, "data", value);
-        pm_cbor_put_pair_count(&out, "stamp", value->revision);
+        pm_cbor_put_pair_uint(&out, "stamp", value->revision);
     } else {
-        pm_cbor_put_pair_count(&out, "edition", store->keys.revision);
+        pm_cbor_put_pair_uint(&out, "edition", store->keys.revision);
     }
     pm_cbor_put_end(&out);
     fake_store_reply(request, value ? HTTP_OK : HTTP_NOT_FOUND, &out);
@@ -269,7 +269,7 @@
     pm_cbor_put_map(page->out);
     pm_cbor_put_pair_text(page->out, "key", key);
     fake_store_put_data(page->out, "data", value);
-    pm_cbor_put_pair_count(page->out, "stamp", value->revision);
+    pm_cbor_put_pair_uint(page->out, "stamp", value->revision);
     pm_cbor_put_end(page->out);
     return FALSE;
 }
@@ -299,7 +299,7 @@
     g_tree_foreach(store->keys.values, append_to_page, &page);
     pm_cbor_put_end(&out);
     pm_cbor_put_pair_flag(&out, "has_next", page.has_next);
-    pm_cbor_put_pair_count(&out, "edition", store->keys.revision);
+    pm_cbor_put_pair_uint(&out, "edition", store->keys.revision);
     pm_cbor_put_end(&out);
     fake_store_reply(request, HTTP_OK, &out);
 }
--- a/src/testing/fake_store_leases.c
+++ b/src/testing/fake_store_leases.c
@@ -94,14 +94,14 @@
     }
     lease.id = ++store->leases.last_id;
     body = pm_cbor_parse(request->body, request->body_size);
-    if (store->leases.live && pm_cbor_read_count(pm_cbor_get(body, "ttl_ms"), &ttl_ms)) {
+    if (store->leases.live && pm_cbor_read_uint(pm_cbor_get(body, "ttl_ms"), &ttl_ms)) {
         lease.ttl_s = (double)ttl_ms / 1000;
         lease.expires_at = pm_clock_monotonic() + lease.ttl_s;
         g_array_append_val(store->leases.live, lease);
     }
     pm_cbor_free(body);
     pm_cbor_put_map(&out);
-    pm_cbor_put_pair_count(&out, "tenure", lease.id);
+    pm_cbor_put_pair_uint(&out, "tenure", lease.id);
     pm_cbor_put_end(&out);
     fake_store_reply(request, HTTP_OK, &out);
 }
--- a/src/testing/fake_store_watches.c
+++ b/src/testing/fake_store_watches.c
@@ -25,7 +25,7 @@
     pm_cbor_put_pair_text(out, change->is_put ? "put" : "drop", change->key);
     if (change->is_put)
         fake_store_put_data(out, "data", value);
-    pm_cbor_put_pair_count(out, "stamp", change->revision);
+    pm_cbor_put_pair_uint(out, "stamp", change->revision);
     pm_cbor_put_end(out);
 }
 
@@ -38,7 +38,7 @@
         fake_store_are_watches_silent(store, watch->at_second_addr))
         return false;
     pm_cbor_put_map(&out);
-    pm_cbor_put_pair_count(&out, "edition", store->keys.revision);
+    pm_cbor_put_pair_uint(&out, "edition", store->keys.revision);
     pm_cbor_put_text(&out, "events");
     pm_cbor_put_list(&out);
     for (guint i = 0; i < store->watches.changes->len; i++) {
--- a/src/testing/fake_worker.c
+++ b/src/testing/fake_worker.c
@@ -38,9 +38,9 @@
     pm_cbor_put_map(out);
     pm_cbor_put_pair_text(out, "host", machine->name);
     fake_machine_put_description(machine, out);
-    pm_cbor_put_pair_count(out, "shift", worker->incarnation);
-    pm_cbor_put_pair_count(out, "tally", ++worker->heartbeat_sequence);
-    pm_cbor_put_pair_count(out, "mandate", worker->fencing_token);
+    pm_cbor_put_pair_uint(out, "shift", worker->incarnation);
+    pm_cbor_put_pair_uint(out, "tally", ++worker->heartbeat_sequence);
+    pm_cbor_put_pair_uint(out, "mandate", worker->fencing_token);
     pm_cbor_put_text(out, "entries");
     fake_worker_put_tasks(worker, out);
     pm_cbor_put_end(out);
@@ -60,7 +60,7 @@
     uint64_t token = 0;
 
     machine->provider->answered_heartbeats[call->controller]++;
-    if (!pm_cbor_read_count(pm_cbor_get(answer, "mandate"), &token) ||
+    if (!pm_cbor_read_uint(pm_cbor_get(answer, "mandate"), &token) ||
         token < worker->fencing_token || call->incarnation != worker->incarnation)
         return;
     accept_token(worker, token);
@@ -164,8 +164,8 @@
     uint64_t token = 0;
     uint64_t incarnation = 0;
 
-    pm_cbor_read_count(pm_cbor_get(body, "mandate"), &token);
-    pm_cbor_read_count(pm_cbor_get(body, "shift"), &incarnation);
+    pm_cbor_read_uint(pm_cbor_get(body, "mandate"), &token);
+    pm_cbor_read_uint(pm_cbor_get(body, "shift"), &incarnation);
     if (token < worker->fencing_token || incarnation != worker->incarnation)
         return HTTP_CONFLICT;
     accept_token(worker, token);
--- a/src/testing/fake_worker_tasks.c
+++ b/src/testing/fake_worker_tasks.c
@@ -138,7 +138,7 @@
     if (!pm_cbor_read_text(pm_cbor_get(command, "verb"), verb, sizeof verb) ||
         !pm_cbor_read_text(pm_cbor_get(command, "entry"), name, sizeof name))
         return;
-    pm_cbor_read_count(pm_cbor_get(command, "try"), &attempt);
+    pm_cbor_read_uint(pm_cbor_get(command, "try"), &attempt);
     task = find_task(&machine->worker, name, (unsigned)attempt);
     if (!strcmp(verb, "launch"))
         launch(machine, name, (unsigned)attempt, controller);
@@ -193,7 +193,7 @@
         const struct fake_task *task = &g_array_index(worker->tasks, struct fake_task, i);
         pm_cbor_put_map(out);
         pm_cbor_put_pair_text(out, "entry", task->name);
-        pm_cbor_put_pair_count(out, "try", task->attempt);
+        pm_cbor_put_pair_uint(out, "try", task->attempt);
         pm_cbor_put_pair_text(out, "status", task_status(task));
         if (task->has_ended)
             pm_cbor_put_pair_text(out, "cause", task->cause);
--- a/src/workers/commands.c
+++ b/src/workers/commands.c
@@ -31,7 +31,7 @@
     pm_cbor_put_map(out);
     pm_cbor_put_pair_text(out, "verb", verb);
     pm_cbor_put_pair_text(out, "entry", name);
-    pm_cbor_put_pair_count(out, "try", attempt);
+    pm_cbor_put_pair_uint(out, "try", attempt);
     if (grace_s >= 0)
         pm_cbor_put_pair_number(out, "leave_s", grace_s);
     pm_cbor_put_end(out);
--- a/src/workers/heartbeat_codec.c
+++ b/src/workers/heartbeat_codec.c
@@ -61,7 +61,7 @@
 
     if (!pm_cbor_read_text(pm_cbor_get(item, "entry"), out->name, sizeof out->name) ||
         !pm_task_name_parse(out->name, out->job_id, &out->task_index) ||
-        !pm_cbor_read_count(pm_cbor_get(item, "try"), &attempt))
+        !pm_cbor_read_uint(pm_cbor_get(item, "try"), &attempt))
         return false;
     out->attempt = (uint32_t)attempt;
     out->has_state = pm_cbor_read_text(pm_cbor_get(item, "status"), state, sizeof state);
@@ -83,9 +83,9 @@
     out->has_interruption_notice =
         pm_cbor_read_number(pm_cbor_get(item, "recall_s"), &out->interruption_in_s);
     return pm_cbor_read_text(pm_cbor_get(item, "host"), out->machine, sizeof out->machine) &&
-           out->machine[0] && pm_cbor_read_count(pm_cbor_get(item, "shift"), &out->incarnation) &&
-           pm_cbor_read_count(pm_cbor_get(item, "tally"), &out->sequence) &&
-           pm_cbor_read_count(pm_cbor_get(item, "mandate"), &out->fencing_token) &&
+           out->machine[0] && pm_cbor_read_uint(pm_cbor_get(item, "shift"), &out->incarnation) &&
+           pm_cbor_read_uint(pm_cbor_get(item, "tally"), &out->sequence) &&
+           pm_cbor_read_uint(pm_cbor_get(item, "mandate"), &out->fencing_token) &&
            (!out->tasks || cbor_isa_array(out->tasks));
 }
 
