--- a/src/soak/fault_injection.c
+++ b/src/soak/fault_injection.c
@@ -246,7 +246,7 @@
     if (fault->target == FAULT_TARGET_LEADER)
         controller = cluster_leader(soak->cluster);
     else if (fault->target == FAULT_TARGET_SHARD_OWNER)
-        controller = cluster_shard_owner(soak->cluster);
+        controller = cluster_first_shard_owner(soak->cluster);
     if (controller >= 0)
         return controller;
     return (int)(fault->choice % (unsigned)soak->settings->controller_count);
--- a/src/soak/soak.c
+++ b/src/soak/soak.c
@@ -112,10 +112,10 @@
     fake_provider_restore_machines(cluster_provider(soak->cluster));
     deadline_s = soak_elapsed_s(soak) + SETTLE_TIMEOUT_S;
     while (soak_elapsed_s(soak) < deadline_s && !cluster_is_idle(soak->cluster)) {
-        cluster_cancel_services(soak->cluster);
+        cluster_cancel_endless_jobs(soak->cluster);
         step(soak);
     }
-    history_report_abandoned_jobs(cluster_history(soak->cluster));
+    history_report_open_jobs(cluster_history(soak->cluster));
     violations_collect(soak);
 }
 
--- a/src/testing/cluster.c
+++ b/src/testing/cluster.c
@@ -59,7 +59,7 @@
     return -1;
 }
 
-int cluster_shard_owner(const struct cluster *cluster)
+int cluster_first_shard_owner(const struct cluster *cluster)
 {
     char key[32];
 
--- a/src/testing/cluster.h
+++ b/src/testing/cluster.h
@@ -78,8 +78,8 @@
 struct ev_loop *cluster_loop(struct cluster *cluster);
 /* The path of a controller's settings file; borrowed from the cluster. */
 const char *cluster_settings_path(const struct cluster *cluster, int controller);
-/* From now on calls `observer` for every key that is written or deleted in the state service,
- * before the transaction is answered. Replaces an earlier observer. */
+/* From now on calls `observer` for every key that is written or deleted in the state service, as
+ * fake_store_observe does. Replaces an earlier observer. */
 void cluster_observe(struct cluster *cluster, fake_store_observer *observer, void *arg);
 
 /* ---- running the event loop ---- */
@@ -93,8 +93,8 @@
 /* Returns the index of the leader: the controller that wrote the current epoch. Returns -1 if the
  * state service has no leader key. */
 int cluster_leader(const struct cluster *cluster);
-/* Returns the lowest index of a controller that owns a shard, or -1 if none does. */
-int cluster_shard_owner(const struct cluster *cluster);
+/* Returns the lowest index among the controllers that own a shard, or -1 if none does. */
+int cluster_first_shard_owner(const struct cluster *cluster);
 /* Whether every submitted job has ended as far as users know, and there is a leader. */
 bool cluster_is_idle(struct cluster *cluster);
 
@@ -137,11 +137,11 @@
 void cluster_set_load(struct cluster *cluster, double every_s);
 /* Cancels a job. The user repeats the request until a controller confirms the job's end. */
 void cluster_cancel_job(struct cluster *cluster, const char *id);
-/* Cancels the open job at index `choice`, modulo the number of open jobs. Does nothing if there is
- * none. */
+/* Cancels the open job (see cluster_open_job_count) whose index is `choice` modulo the number of
+ * open jobs. Does nothing if no job is open. */
 void cluster_cancel_any_job(struct cluster *cluster, unsigned choice);
-/* Cancels every job whose tasks run until they are stopped. */
-void cluster_cancel_services(struct cluster *cluster);
+/* Cancels every job whose tasks run until the job is cancelled (run_s 0). */
+void cluster_cancel_endless_jobs(struct cluster *cluster);
 /* The number of jobs submitted so far. */
 unsigned cluster_job_count(const struct cluster *cluster);
 /* The number of submitted jobs that users have not yet been told are done or cancelled. */
--- a/src/testing/cluster_internal.h
+++ b/src/testing/cluster_internal.h
@@ -8,8 +8,10 @@
 #include <ev.h>
 #include <glib.h>
 
-/* The default duration of workers' leases, and intervals of the workers in every cluster. */
+/* The duration of workers' leases if the settings give none. */
 #define CLUSTER_LEASE_S 4.0
+/* Settings of the workers in every cluster: the heartbeat interval, how long a task waits for the
+ * rest of its gang, and how long tasks of a running gang may be missing. */
 #define CLUSTER_HEARTBEAT_S 0.5
 #define CLUSTER_GANG_WAIT_S 10.0
 #define CLUSTER_GANG_PEER_S 1.0
--- a/src/testing/cluster_users.c
+++ b/src/testing/cluster_users.c
@@ -11,7 +11,8 @@
 #define STATUS_POLL_S 0.5
 #define RETRY_S 0.5
 #define REQUEST_TIMEOUT_S 2.0
-/* The probability that a randomized user's next request repeats an accepted submission. */
+/* If settings.random is set: the probability that a user's next request repeats the submission of
+ * an accepted job. */
 #define RESUBMIT_PROBABILITY 0.1
 #define UNKNOWN_JOB "job-999999"
 #define UNKNOWN_JOB_EVERY_S 1.0
@@ -28,17 +29,19 @@
 struct user_job {
     struct cluster *cluster;
     char id[32];
-    struct cluster_job wanted;     /* as the caller described it, except for `team`, `dependency` */
-    char team[32], dependency[32]; /* copies, as the caller's strings may be freed */
+    /* The caller's description. Its `team` and `dependency` are not used: the caller may free these
+     * strings, so copies are kept below. */
+    struct cluster_job wanted;
+    char team[32], dependency[32];
     bool is_accepted, has_ended;
-    bool is_cancelled; /* the user wants the job cancelled */
-    bool in_flight;    /* a request for the job awaits its answer */
-    bool resubmit;     /* the next request repeats the submission, although it was accepted */
-    int controller;    /* the controller that the next request goes to */
-    double next_at;    /* when the next request is sent */
+    bool cancel_requested; /* the test wants the job cancelled; the job may not have ended yet */
+    bool in_flight;        /* a request for the job awaits its answer */
+    bool resubmit;         /* the next request repeats the submission, although it was accepted */
+    int controller;        /* the controller that the next request goes to */
+    double next_at;        /* when the next request is sent */
 };
 
-/* Its quota is the cpus of the default number of machines. */
+/* The default team's quota equals the CPUs of all machines of a cluster of the default size. */
 static const struct cluster_team default_team = {"team", 64, 64, 0};
 
 const struct cluster_team *cluster_default_team(void)
@@ -83,8 +86,8 @@
     pm_cbor_put_end(out);
 }
 
-/* A randomized user sends each request to a random controller, and sometimes repeats the
- * submission. */
+/* If settings.random is set, sends the next request to a random controller and up to STATUS_POLL_S
+ * earlier, and sometimes lets it repeat the submission of an accepted job. */
 static void randomize_next_request(struct user_job *job)
 {
     const struct cluster_settings *settings = &job->cluster->settings;
@@ -142,11 +145,12 @@
     if (is_submission)
         put_submission(job, &body);
     else
-        snprintf(target, sizeof target, "/work/%s%s", job->id, job->is_cancelled ? "/abort" : "");
+        snprintf(target, sizeof target, "/work/%s%s", job->id,
+                 job->cancel_requested ? "/abort" : "");
     job->in_flight = true;
     pm_http_call(cluster->users.client, cluster->nodes[job->controller].worker_addr,
-                 is_submission || job->is_cancelled ? "POST" : "GET", target, body.data, body.size,
-                 REQUEST_TIMEOUT_S, ANSWER_MAX, on_answer, job);
+                 is_submission || job->cancel_requested ? "POST" : "GET", target, body.data,
+                 body.size, REQUEST_TIMEOUT_S, ANSWER_MAX, on_answer, job);
     pm_buffer_free(&body);
 }
 
@@ -219,7 +223,8 @@
 
 /* ---- jobs ---- */
 
-static void describe_to_checkers(const struct cluster *cluster, const struct user_job *job)
+/* Registers the job with the history, which checks it, and with the fake workers, which run it. */
+static void register_job(const struct cluster *cluster, const struct user_job *job)
 {
     const struct cluster_job *wanted = &job->wanted;
 
@@ -245,9 +250,10 @@
     if (wanted->dependency)
         g_strlcpy(job->dependency, wanted->dependency, sizeof job->dependency);
     job->controller = (int)jobs->len % cluster->settings.controller_count;
-    /* Workers read the run time from the end of the id: see fake_provider_task_run_s. */
+    /* The id ends with the run time in tenths of a second, which the fake workers read from it
+     * (fake_provider_task_run_s). */
     snprintf(job->id, sizeof job->id, "job-%04u%02d", jobs->len + 1, (int)(wanted->run_s * 10));
-    describe_to_checkers(cluster, job);
+    register_job(cluster, job);
     g_ptr_array_add(jobs, job);
     return job->id;
 }
@@ -269,7 +275,7 @@
 {
     for (guint i = 0; i < cluster->users.jobs->len; i++) {
         struct user_job *job = g_ptr_array_index(cluster->users.jobs, i);
-        job->is_cancelled |= !strcmp(job->id, id);
+        job->cancel_requested |= !strcmp(job->id, id);
     }
 }
 
@@ -282,16 +288,16 @@
         struct user_job *job = g_ptr_array_index(cluster->users.jobs, i);
         if (job->has_ended || skip--)
             continue;
-        job->is_cancelled = true;
+        job->cancel_requested = true;
         return;
     }
 }
 
-void cluster_cancel_services(struct cluster *cluster)
+void cluster_cancel_endless_jobs(struct cluster *cluster)
 {
     for (guint i = 0; i < cluster->users.jobs->len; i++) {
         struct user_job *job = g_ptr_array_index(cluster->users.jobs, i);
-        job->is_cancelled |= job->wanted.run_s <= 0;
+        job->cancel_requested |= job->wanted.run_s <= 0;
     }
 }
 
--- a/src/testing/fake_machine.c
+++ b/src/testing/fake_machine.c
@@ -4,7 +4,8 @@
 
 #include <stdio.h>
 
-/* Gives each controller its own endpoint: it tells the worker which controller sent a command. */
+/* Gives each controller an endpoint of its own, so that the worker knows which controller sent a
+ * command. */
 static void start_endpoints(struct fake_machine *machine)
 {
     struct fake_provider *provider = machine->provider;
--- a/src/testing/fake_provider.c
+++ b/src/testing/fake_provider.c
@@ -61,7 +61,7 @@
     provider->history = history;
     provider->client = pm_http_client_new(loop, CLIENT_CONNECTIONS_MAX);
     provider->machines = g_ptr_array_new();
-    provider->unanswered = g_ptr_array_new();
+    provider->unanswered_requests = g_ptr_array_new();
     provider->delayed_heartbeats = g_ptr_array_new();
     provider->delayed_commands = g_ptr_array_new();
     provider->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
--- a/src/testing/fake_provider.h
+++ b/src/testing/fake_provider.h
@@ -17,9 +17,9 @@
 /* All pointers are borrowed and outlive the provider. */
 struct fake_provider_settings {
     int controller_count, zone_count;
-    int max_machines; /* a rental that exceeds this gets fewer machines; if none, 503 */
+    int max_machines; /* a rental beyond this limit gets fewer machines, or 503 if none */
     double heartbeat_s, lease_s;
-    double gang_wait_s;              /* a gang that has not all its tasks after this time ends */
+    double gang_wait_s;              /* a waiting task ends if its gang is incomplete for longer */
     double gang_peer_s;              /* a running gang ends if a task is missing for this long */
     const char *const *worker_addrs; /* by controller index: where it serves workers */
     const char *const *controller_names; /* by controller index */
@@ -69,7 +69,9 @@
     /* Only in a termination: */
     const char *task;       /* the most recently started task still on the machine; NULL: none */
     double task_started_at; /* monotonic seconds */
-    double unanswered_s;    /* since the last answered heartbeat was sent, or the lease expired */
+    /* Seconds since the worker sent the last heartbeat that renewed its lease; if the lease has
+     * expired since then, seconds since the expiry. */
+    double unanswered_s;
 };
 /* Called for each machine that is rented or terminated, before the request is answered. `call` is
  * valid only during the callback. */
--- a/src/testing/fake_provider_api.c
+++ b/src/testing/fake_provider_api.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #define TYPE_RAM_GB 64
-#define TYPE_LOCAL_GB 200
+#define TYPE_LOCAL_DISK_GB 200
 #define TYPE_PULL_GB_PER_S 1
 #define TYPE_PRICE 1
 #define TYPE_SPOT_PRICE 0.4
@@ -87,11 +87,11 @@
     }
     notify_observer_of_rental(provider, idempotency_key, first);
     answer = encode_rental(provider, first);
-    if (provider->faults.lose_next_rental)
-        g_ptr_array_add(provider->unanswered, request);
+    if (provider->faults.lose_next_rental_answer)
+        g_ptr_array_add(provider->unanswered_requests, request);
     else
         pm_http_reply(request, HTTP_OK, answer->data, answer->size, 0);
-    provider->faults.lose_next_rental = false;
+    provider->faults.lose_next_rental_answer = false;
     g_hash_table_insert(provider->api.rental_answers, g_strdup(idempotency_key), answer);
 }
 
@@ -150,16 +150,16 @@
                               struct pm_http_request *request)
 {
     if (provider->faults.termination_delay_s > 0) {
-        g_ptr_array_add(provider->unanswered, request);
+        g_ptr_array_add(provider->unanswered_requests, request);
         delay_termination(provider, body);
         return;
     }
     terminate_machines(provider, body);
-    if (provider->faults.lose_next_termination)
-        g_ptr_array_add(provider->unanswered, request);
+    if (provider->faults.lose_next_termination_answer)
+        g_ptr_array_add(provider->unanswered_requests, request);
     else
         pm_http_reply(request, HTTP_OK, NULL, 0, 0);
-    provider->faults.lose_next_termination = false;
+    provider->faults.lose_next_termination_answer = false;
 }
 
 void fake_provider_api_tick(struct fake_provider *provider, double now)
@@ -218,7 +218,7 @@
     pm_cbor_put_pair_number(out, "cpus", FAKE_MACHINE_CPUS);
     pm_cbor_put_pair_number(out, "accelerators", FAKE_MACHINE_ACCELERATORS);
     pm_cbor_put_pair_number(out, "ram_gb", TYPE_RAM_GB);
-    pm_cbor_put_pair_number(out, "local_gb", TYPE_LOCAL_GB);
+    pm_cbor_put_pair_number(out, "local_gb", TYPE_LOCAL_DISK_GB);
     pm_cbor_put_pair_number(out, "pull_gb_per_s", TYPE_PULL_GB_PER_S);
     pm_cbor_put_pair_number(out, "price", TYPE_PRICE);
     pm_cbor_put_pair_number(out, "market_price", TYPE_SPOT_PRICE);
--- a/src/testing/fake_provider_faults.c
+++ b/src/testing/fake_provider_faults.c
@@ -86,8 +86,8 @@
 
 void fake_provider_lose_next_answer(struct fake_provider *provider, bool rental)
 {
-    provider->faults.lose_next_rental = rental;
-    provider->faults.lose_next_termination = !rental;
+    provider->faults.lose_next_rental_answer = rental;
+    provider->faults.lose_next_termination_answer = !rental;
 }
 
 void fake_provider_refuse_requests(struct fake_provider *provider, int status, int requests)
--- a/src/testing/fake_provider_internal.h
+++ b/src/testing/fake_provider_internal.h
@@ -25,11 +25,11 @@
     char name[64];
     unsigned attempt;
     bool has_ended;
-    bool is_waiting;   /* until all tasks of its gang are present */
+    bool is_waiting;   /* waits until all tasks of its gang are present */
     const char *cause; /* why the task ended, as a `cause` value of the protocol */
     double started_at;
     double ends_at;            /* when the task completes; 0: it runs until it is stopped */
-    double gang_incomplete_at; /* since when tasks of the running gang are missing; 0: none is */
+    double gang_incomplete_at; /* when tasks of the running gang began to be missing; 0: none is */
 };
 
 /* A machine's worker. Written by fake_worker.c, except for the fields that name another file. */
@@ -88,7 +88,8 @@
  * that request. */
 struct fake_provider_faults {
     struct relay_fault zones[RELAY_CONTROLLERS_MAX][FAKE_PROVIDER_ZONES_MAX];
-    bool lose_next_rental, lose_next_termination; /* do not answer the next such request */
+    /* Execute the next such request, but do not answer it. */
+    bool lose_next_rental_answer, lose_next_termination_answer;
     int refusal_status, refusals; /* HTTP status of refusals, and how many requests to refuse */
     double termination_delay_s;   /* delay of the next termination; 0: none */
     double delayed_heartbeat_share, delayed_command_share;
@@ -100,9 +101,9 @@
     struct history *history;
     struct pm_http_client *client;
     ev_timer tick;
-    GPtrArray *machines;   /* of struct fake_machine, including terminated machines */
-    GHashTable *jobs;      /* id to struct fake_provider_job */
-    GPtrArray *unanswered; /* requests that never get an answer */
+    GPtrArray *machines;            /* of struct fake_machine, including terminated machines */
+    GHashTable *jobs;               /* id to struct fake_provider_job */
+    GPtrArray *unanswered_requests; /* they never get an answer */
     unsigned answered_heartbeats[RELAY_CONTROLLERS_MAX];
     /* Of struct delayed_message. Written by fake_worker_delays.c. */
     GPtrArray *delayed_heartbeats, *delayed_commands;
--- a/src/testing/fake_store.c
+++ b/src/testing/fake_store.c
@@ -47,7 +47,7 @@
     bool is_watch = !strcmp(request->path, "/watch");
 
     if (store->faults.hanging) {
-        g_ptr_array_add(store->unanswered, request);
+        g_ptr_array_add(store->unanswered_requests, request);
     } else if (store->faults.reject_next_watch && is_watch) {
         store->faults.reject_next_watch = false;
         pm_http_reply(request, HTTP_GONE, NULL, 0, 0);
@@ -93,7 +93,7 @@
         g_tree_new_full(fake_store_compare_keys, NULL, g_free, fake_store_value_free);
     store->watches.changes = g_array_new(FALSE, FALSE, sizeof(struct fake_store_change));
     store->watches.open = g_array_new(FALSE, FALSE, sizeof(struct fake_store_watch));
-    store->unanswered = g_ptr_array_new();
+    store->unanswered_requests = g_ptr_array_new();
     store->server = listen_on_free_port(store, store->addr, CONNECTIONS_MAX, on_request);
     store->second_server = listen_on_free_port(store, store->second_addr,
                                                SECOND_ADDR_CONNECTIONS_MAX, on_second_request);
@@ -111,7 +111,7 @@
     g_array_free(store->watches.changes, TRUE);
     g_array_free(store->watches.open, TRUE);
     fake_store_leases_free(store);
-    g_ptr_array_free(store->unanswered, TRUE);
+    g_ptr_array_free(store->unanswered_requests, TRUE);
     g_free(store);
 }
 
--- a/src/testing/fake_store.h
+++ b/src/testing/fake_store.h
@@ -32,13 +32,14 @@
 char *fake_store_value_hex(const struct fake_store *store, const char *key);
 /* The number of transactions executed, or refused because of their conditions or leases. */
 int fake_store_txn_count(const struct fake_store *store);
-/* Writes a map with the single field `name` = `number` to the key, as if another client had written
- * it. The observer is not called. */
-void fake_store_put_number(struct fake_store *store, const char *key, const char *name,
+/* Writes a map with the single field `field` = `number` to the key, as if another client had
+ * written it. The observer is not called. */
+void fake_store_put_number(struct fake_store *store, const char *key, const char *field,
                            uint64_t number);
 
-/* Called for every key that is written or deleted, before the transaction is answered. `data` is
- * the new value, valid only during the callback; NULL if the key was deleted. */
+/* Called for every key that a transaction writes or deletes, before the transaction is answered,
+ * and for every key that is deleted with its lease. `data` is the new value, valid only during the
+ * callback; NULL if the key was deleted. */
 typedef void fake_store_observer(void *arg, const char *key, const cbor_item_t *data,
                                  uint64_t revision);
 /* Calls `observer` from now on. Replaces an earlier observer. */
@@ -61,7 +62,7 @@
 /* While true, the service accepts requests but answers none, as if it were unreachable. Requests
  * that arrive in this time are never answered, even after the fault has ended. */
 void fake_store_set_hanging(struct fake_store *store, bool hanging);
-/* Refuses the next watch with 410: its revision is too old. */
+/* Answers the next watch with 410, as if its revision were too old. */
 void fake_store_reject_next_watch(struct fake_store *store);
 /* The next transaction is executed but gets a malformed answer, so the client does not learn the
  * result. */
--- a/src/testing/fake_store_internal.h
+++ b/src/testing/fake_store_internal.h
@@ -69,8 +69,8 @@
 struct fake_store_faults {
     bool outage, hanging;
     bool reject_next_watch;
-    bool lose_next_answer;
-    char delay_txn_with[64];      /* delay the transaction whose body contains this; "": none */
+    bool lose_next_answer;   /* replace the answer to the next transaction by a malformed one */
+    char delay_txn_with[64]; /* delay the transaction whose body contains this; "": none */
     struct pm_buffer delayed_txn; /* its body; empty: no transaction is delayed */
     enum fake_store_addr_mode second_addr_mode;
 };
@@ -79,7 +79,7 @@
     struct ev_loop *loop;
     struct pm_http_server *server, *second_server;
     char addr[FAKE_STORE_ADDR_SIZE], second_addr[FAKE_STORE_ADDR_SIZE];
-    GPtrArray *unanswered; /* requests that never get an answer */
+    GPtrArray *unanswered_requests; /* they never get an answer */
     struct fake_store_keyspace keys;
     struct fake_store_watches watches;
     struct fake_store_leases leases;
@@ -130,8 +130,9 @@
 void fake_store_serve_grant(struct fake_store *store, struct pm_http_request *request);
 /* Answers a request to keep a lease alive, or to revoke it. */
 void fake_store_serve_lease(struct fake_store *store, struct pm_http_request *request);
-/* If a grant is delayed and the leader key now exists, starts the timer that answers the grant. */
-void fake_store_resume_delayed_grant(struct fake_store *store);
+/* If a lease grant is delayed and the leader key now exists, starts the timer that answers the
+ * grant. */
+void fake_store_schedule_delayed_grant(struct fake_store *store);
 /* Stops the expiry timer and frees the leases. */
 void fake_store_leases_free(struct fake_store *store);
 
--- a/src/testing/fake_store_keys.c
+++ b/src/testing/fake_store_keys.c
@@ -54,13 +54,13 @@
         store->keys.observer(store->keys.observer_arg, key, data, store->keys.revision);
 }
 
-void fake_store_put_number(struct fake_store *store, const char *key, const char *name,
+void fake_store_put_number(struct fake_store *store, const char *key, const char *field,
                            uint64_t number)
 {
     struct fake_store_value *value = g_new0(struct fake_store_value, 1);
 
     pm_cbor_put_map(&value->data);
-    pm_cbor_put_pair_uint(&value->data, name, number);
+    pm_cbor_put_pair_uint(&value->data, field, number);
     pm_cbor_put_end(&value->data);
     value->revision = ++store->keys.revision;
     g_tree_replace(store->keys.values, g_strdup(key), value);
@@ -70,8 +70,8 @@
 
 /* ---- transactions ---- */
 
-/* Whether a write names a lease that has expired. Such a transaction is refused whatever its
- * conditions are, because no expiry would ever delete the written key. */
+/* Whether a write attaches its key to a lease that has expired. Such a transaction is refused
+ * whatever its conditions are, because no expiry would ever delete the written key. */
 static bool has_expired_lease(struct fake_store *store, const cbor_item_t *writes)
 {
     for (size_t i = 0; i < pm_cbor_length(writes); i++) {
@@ -84,7 +84,8 @@
     return false;
 }
 
-/* Appends the keys whose revision is another one than the condition names. Returns their number. */
+/* Appends to `conflicting_keys` each key whose revision differs from the one that its condition
+ * requires. Returns the number of these keys. */
 static int check_conditions(const struct fake_store *store, const cbor_item_t *conditions,
                             struct pm_buffer *conflicting_keys)
 {
@@ -193,7 +194,7 @@
     compare_and_write(store, request, pm_cbor_get(body, "if"), writes);
     pm_cbor_free(body);
     fake_store_notify_watches(store);
-    fake_store_resume_delayed_grant(store);
+    fake_store_schedule_delayed_grant(store); /* the transaction may have written the leader key */
 }
 
 /* ---- deleting a lease's keys ---- */
--- a/src/testing/fake_store_leases.c
+++ b/src/testing/fake_store_leases.c
@@ -116,7 +116,7 @@
     store->leases.delayed_grant = NULL;
 }
 
-void fake_store_resume_delayed_grant(struct fake_store *store)
+void fake_store_schedule_delayed_grant(struct fake_store *store)
 {
     ev_timer *timer = &store->leases.grant_timer;
 
--- a/src/testing/fake_worker.c
+++ b/src/testing/fake_worker.c
@@ -202,7 +202,7 @@
 
     if (!strcmp(request->path, "/do") &&
         fake_worker_maybe_delay_command(machine, endpoint->controller, request)) {
-        g_ptr_array_add(machine->provider->unanswered, request);
+        g_ptr_array_add(machine->provider->unanswered_requests, request);
         return;
     }
     status = execute_request(machine, endpoint->controller, request);
--- a/src/testing/history.h
+++ b/src/testing/history.h
@@ -5,7 +5,7 @@
  * - No attempt starts twice. No task starts while it is still on another machine.
  * - Every accepted job ends as done or cancelled, and is not reported as done before all its tasks
  *   have completed. No answer contradicts an earlier final status.
- * - When a job's cancellation has been confirmed and the cancel limit has passed, none of its tasks
+ * - Once the cancel limit has passed after a job was first reported as cancelled, none of its tasks
  *   starts or is still on a machine.
  * - A launch carries a fencing token whose epoch the sending controller wrote, or its sender has
  *   been assigned a shard.
@@ -31,7 +31,7 @@
 };
 
 /* Creates an empty history, owned by the caller. `cancel_limit_s` is the time within which all
- * tasks of a job must have ended after its cancellation is confirmed. */
+ * tasks of a job must have ended after the job is first reported as cancelled. */
 struct history *history_new(double cancel_limit_s);
 /* Frees the history. */
 void history_free(struct history *history);
@@ -54,8 +54,10 @@
 void history_epoch_advanced(struct history *history, uint64_t epoch, const char *controller);
 /* Records that a controller was assigned a shard. */
 void history_shard_assigned(struct history *history, const char *controller);
-/* Records that a worker received a launch command from a controller, with this fencing token. */
-void history_launch_received(struct history *history, uint64_t token, const char *controller);
+/* Records that a worker received a launch command from a controller. The fencing token is the
+ * epoch in which the command was sent. */
+void history_launch_received(struct history *history, uint64_t fencing_token,
+                             const char *controller);
 
 /* ---- events of workers ---- */
 
@@ -80,8 +82,9 @@
 /* Checks for tasks that are still on a machine although the cancel limit has passed. Called at
  * short intervals. */
 void history_check_cancellations(struct history *history, double now);
-/* Reports a violation if there are open jobs. Called once, at the end of a run. */
-void history_report_abandoned_jobs(struct history *history);
+/* Reports a violation if jobs are still open (see history_open_job_count). Called once, at the end
+ * of a run. */
+void history_report_open_jobs(struct history *history);
 /* The number of accepted jobs that no answer has reported as done or cancelled. */
 unsigned history_open_job_count(const struct history *history);
 /* The number of attempts that workers have started. */
--- a/src/testing/socket_owner.c
+++ b/src/testing/socket_owner.c
@@ -16,9 +16,9 @@
 /* Columns of a line of /proc/net/tcp. */
 enum { COLUMN_LOCAL = 1, COLUMN_REMOTE = 2, COLUMN_INODE = 9 };
 
-/* Parses a line of /proc/net/tcp. Returns the socket's inode if the line has these two ports, or 0
- * if it has not or the socket has been closed. Both ports are compared, because one local port can
- * be connected to several remote ports. */
+/* Parses a line of /proc/net/tcp. Returns the socket's inode, or 0 if the line has other ports or
+ * the socket has been closed. Both ports are compared, because one local port can be connected to
+ * several remote ports. */
 static unsigned long match_inode(char *line, int local, int remote)
 {
     char *rest = line;
